--- a/src/admission/account_state.rs
+++ b/src/admission/account_state.rs
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// `QueueFull` when the account's part of the queue is full.
-    pub(super) fn begin_waiting(&mut self) -> SwitchResult<()> {
+    pub(super) fn enqueue(&mut self) -> SwitchResult<()> {
         if self.waiting >= self.limits.waiting {
             let detail = format!("{} requests of this account wait here", self.waiting);
             return Err(SwitchError::new(ErrorKind::QueueFull, detail));
@@ -120,7 +120,7 @@
     }
 
     /// One request waits no more.
-    pub(super) fn end_waiting(&mut self) {
+    pub(super) fn dequeue(&mut self) {
         assert!(
             self.waiting > 0,
             "a request stopped waiting that never began"
--- a/src/admission/admission_book.rs
+++ b/src/admission/admission_book.rs
@@ -20,7 +20,7 @@
 
 /// A request that wants to wait for a backend server.
 #[apply(key!)]
-pub(crate) struct WaitWish<T> {
+pub(crate) struct QueuedRequest<T> {
     /// The account.
     pub(crate) account: AccountKey,
     /// How urgent it is.
@@ -31,14 +31,14 @@
     pub(crate) deadline: ClockTime,
     /// Whether it goes before all first attempts of its class: it has waited its turn before, or
     /// only one backend server can take it.
-    pub(crate) goes_first: bool,
+    pub(crate) skips_fair_queue: bool,
     /// What decides where it may go.
     pub(crate) target: T,
 }
 
 /// What came of an attempt to place a waiting request.
 #[apply(key!)]
-pub(crate) enum PlaceResult {
+pub(crate) enum DispatchOutcome {
     /// It goes.
     Placed,
     /// There is no room for it now.
@@ -49,12 +49,12 @@
 #[derive(Debug)]
 struct WaitingRequest<T> {
     turn: u32,
-    wish: Option<WaitWish<T>>,
+    wish: Option<QueuedRequest<T>>,
 }
 
 /// The admission of one service.
 #[derive(Debug)]
-pub(crate) struct AdmissionBook<T> {
+pub(crate) struct AdmissionState<T> {
     accounts: Vec<AccountState>,
     /// The accounts, sorted by name.
     by_name: Vec<AccountKey>,
@@ -68,7 +68,7 @@
     budget_percent: u32,
 }
 
-impl<T: Copy> AdmissionBook<T> {
+impl<T: Copy> AdmissionState<T> {
     /// A book without accounts.
     pub(crate) fn new() -> Self {
         Self {
@@ -155,20 +155,20 @@
     ///
     /// `QueueFull`, or `DeadlineUnreachable` with when to come back: what cannot make it is told at
     /// once instead of at its deadline.
-    pub(crate) fn begin_waiting(
+    pub(crate) fn enqueue(
         &mut self,
-        wish: WaitWish<T>,
+        wish: QueuedRequest<T>,
         now: ClockTime,
     ) -> SwitchResult<TicketKey> {
-        if !wish.goes_first {
+        if !wish.skips_fair_queue {
             self.check_deadline(&wish, now)?;
         }
         let account = self.account_mut(wish.account);
-        account.begin_waiting()?;
+        account.enqueue()?;
         let weight = account.weight;
         let class = class_of(wish.priority);
         let ticket = self.issue(wish);
-        if wish.goes_first {
+        if wish.skips_fair_queue {
             self.first[class].push(ticket);
         } else {
             self.queues[class].push(wish.account, weight, ticket, wish.cost);
@@ -178,12 +178,12 @@
     }
 
     /// A request waits no more, placed or not. Returns whether it still waited.
-    pub(crate) fn end_waiting(&mut self, ticket: TicketKey) -> bool {
+    pub(crate) fn dequeue(&mut self, ticket: TicketKey) -> bool {
         let Some(wish) = self.wish(ticket) else {
             return false;
         };
         let class = class_of(wish.priority);
-        if wish.goes_first {
+        if wish.skips_fair_queue {
             self.first[class].retain(|other| *other != ticket);
         } else {
             self.queues[class].remove(wish.account, ticket);
@@ -197,7 +197,7 @@
     pub(crate) fn dispatch(
         &mut self,
         now: ClockTime,
-        mut place: impl FnMut(TicketKey, &WaitWish<T>) -> PlaceResult,
+        mut place: impl FnMut(TicketKey, &QueuedRequest<T>) -> DispatchOutcome,
     ) {
         let mut has_room = true;
         for class in 0..CLASSES {
@@ -207,9 +207,9 @@
                     break;
                 };
                 match place(ticket, &wish) {
-                    PlaceResult::Placed => self.go(ticket, &wish, now),
+                    DispatchOutcome::Placed => self.go(ticket, &wish, now),
                     // Nobody behind it may pass, or a stream of small ones would hold it up.
-                    PlaceResult::Full => has_room = false,
+                    DispatchOutcome::Full => has_room = false,
                 }
             }
         }
@@ -229,28 +229,28 @@
     fn dispatch_first(
         &mut self,
         class: usize,
-        place: &mut impl FnMut(TicketKey, &WaitWish<T>) -> PlaceResult,
+        place: &mut impl FnMut(TicketKey, &QueuedRequest<T>) -> DispatchOutcome,
     ) {
         let mut next = 0;
         while let Some(ticket) = self.first[class].get(next).copied() {
             let wish = self.wish(ticket).expect("a ticket in line has its request");
             match place(ticket, &wish) {
-                PlaceResult::Placed => {
-                    self.end_waiting(ticket);
+                DispatchOutcome::Placed => {
+                    self.dequeue(ticket);
                 }
                 // Each has its own place to go to, so that one which is full holds up no other.
-                PlaceResult::Full => next += 1,
+                DispatchOutcome::Full => next += 1,
             }
         }
     }
 
-    fn head_of(&self, class: usize) -> Option<(TicketKey, WaitWish<T>)> {
+    fn head_of(&self, class: usize) -> Option<(TicketKey, QueuedRequest<T>)> {
         let ticket = self.queues[class].head()?;
         let wish = self.wish(ticket).expect("a ticket in line has its request");
         Some((ticket, wish))
     }
 
-    fn go(&mut self, ticket: TicketKey, wish: &WaitWish<T>, now: ClockTime) {
+    fn go(&mut self, ticket: TicketKey, wish: &QueuedRequest<T>, now: ClockTime) {
         let popped = self.queues[class_of(wish.priority)].pop();
         assert_eq!(popped, Some(ticket), "another went than was placed");
         self.rate.note(wish.cost, now);
@@ -263,13 +263,13 @@
         slot.wish = None;
         slot.turn = slot.turn.wrapping_add(1);
         self.free.push(ticket.place);
-        self.account_mut(account).end_waiting();
+        self.account_mut(account).dequeue();
         if self.is_empty() {
             self.rate.end();
         }
     }
 
-    fn check_deadline(&self, wish: &WaitWish<T>, now: ClockTime) -> SwitchResult<()> {
+    fn check_deadline(&self, wish: &QueuedRequest<T>, now: ClockTime) -> SwitchResult<()> {
         let class = class_of(wish.priority);
         let left = wish.deadline.since(now);
         // Mostly the whole line fits into the deadline, which is quick to see.
@@ -295,7 +295,7 @@
     /// The cost of what goes before `wish` in its class. Its own does not count, so that a request
     /// for which nobody waits may always try: otherwise a rate that was measured in an outage would
     /// refuse everything after it, and no better one would ever be measured.
-    fn cost_ahead(&self, class: usize, wish: &WaitWish<T>) -> u64 {
+    fn cost_ahead(&self, class: usize, wish: &QueuedRequest<T>) -> u64 {
         let weight_of = |account: AccountKey| self.accounts[account.0 as usize].weight;
         self.queues[class].cost_ahead(wish.account, wish.cost, weight_of)
     }
@@ -325,7 +325,7 @@
         AccountKey(u32::try_from(place).expect("fewer than 4 billion accounts"))
     }
 
-    fn issue(&mut self, wish: WaitWish<T>) -> TicketKey {
+    fn issue(&mut self, wish: QueuedRequest<T>) -> TicketKey {
         let place = self.free.pop().unwrap_or_else(|| {
             self.waiting.push(WaitingRequest {
                 turn: 0,
@@ -342,7 +342,7 @@
         }
     }
 
-    fn wish(&self, ticket: TicketKey) -> Option<WaitWish<T>> {
+    fn wish(&self, ticket: TicketKey) -> Option<QueuedRequest<T>> {
         let slot = self.waiting.get(ticket.place as usize)?;
         slot.wish.filter(|_| slot.turn == ticket.turn)
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -13,6 +13,6 @@
 mod token_bucket;
 
 pub(crate) use account_key::find_account;
-pub(crate) use admission_book::{AdmissionBook, PlaceResult, WaitWish};
+pub(crate) use admission_book::{AdmissionState, DispatchOutcome, QueuedRequest};
 pub(crate) use fair_queue::{AccountKey, TicketKey};
 pub(crate) use retry_budget::RetryCause;
--- a/src/admission/retry_budget.rs
+++ b/src/admission/retry_budget.rs
@@ -14,7 +14,7 @@
     Refused,
     /// An attempt that broke off after it had started. When a host dies, all that it ran break off
     /// at once, and the callers have part of their answers.
-    Cut,
+    Interrupted,
 }
 
 impl RetryCause {
@@ -22,7 +22,7 @@
     const fn share(self) -> u32 {
         match self {
             Self::Refused => 8,
-            Self::Cut => 2,
+            Self::Interrupted => 2,
         }
     }
 
@@ -30,7 +30,7 @@
     const fn burst(self) -> u32 {
         match self {
             Self::Refused => 2,
-            Self::Cut => 16,
+            Self::Interrupted => 16,
         }
     }
 }
@@ -84,7 +84,7 @@
     fn default() -> Self {
         Self {
             refused: CauseBudget::new(RetryCause::Refused),
-            cut: CauseBudget::new(RetryCause::Cut),
+            cut: CauseBudget::new(RetryCause::Interrupted),
         }
     }
 }
@@ -99,7 +99,7 @@
     fn of(&mut self, cause: RetryCause) -> &mut CauseBudget {
         match cause {
             RetryCause::Refused => &mut self.refused,
-            RetryCause::Cut => &mut self.cut,
+            RetryCause::Interrupted => &mut self.cut,
         }
     }
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -5,7 +5,7 @@
 use super::account_key::find_account;
 use super::retry_budget::{RetryBudget, RetryCause, spend_both};
 use super::token_bucket::TokenBucket;
-use super::{AdmissionBook, PlaceResult, WaitWish};
+use super::{AdmissionState, DispatchOutcome, QueuedRequest};
 use crate::documents::{AccountSpec, RequestPriority};
 use crate::errors::{ErrorKind, SwitchError};
 use crate::lab::soak::admission::{run_case, run_fair_case};
@@ -25,27 +25,27 @@
     }
 }
 
-fn book_of(specs: &[AccountSpec], entries: u32) -> AdmissionBook<()> {
-    let mut book = AdmissionBook::new();
+fn book_of(specs: &[AccountSpec], entries: u32) -> AdmissionState<()> {
+    let mut book = AdmissionState::new();
     book.refresh(specs, 10, entries, START);
     book
 }
 
 fn wait(
-    book: &mut AdmissionBook<()>,
+    book: &mut AdmissionState<()>,
     name: &'static str,
     limit: Duration,
 ) -> Result<(), SwitchError> {
     let account = book.admit(&name.into(), RequestPriority::Normal, START)?;
-    let wish = WaitWish {
+    let wish = QueuedRequest {
         account,
         priority: RequestPriority::Normal,
         cost: 100,
         deadline: START + limit,
-        goes_first: false,
+        skips_fair_queue: false,
         target: (),
     };
-    book.begin_waiting(wish, START).map(|_| ())
+    book.enqueue(wish, START).map(|_| ())
 }
 
 #[test]
@@ -133,9 +133,9 @@
         book.dispatch(START + Duration::from_millis(100) * step, |_, _| {
             room -= 1;
             if room < 0 {
-                PlaceResult::Full
+                DispatchOutcome::Full
             } else {
-                PlaceResult::Placed
+                DispatchOutcome::Placed
             }
         });
     }
@@ -152,7 +152,9 @@
 fn an_empty_line_lets_in_whatever_the_rate_was() {
     let mut book = book_of(&[account("guide")], 1);
     wait(&mut book, "guide", Duration::from_mins(1)).expect("let in");
-    book.dispatch(START + Duration::from_secs(50), |_, _| PlaceResult::Placed);
+    book.dispatch(START + Duration::from_secs(50), |_, _| {
+        DispatchOutcome::Placed
+    });
     assert!(book.is_empty());
     assert!(wait(&mut book, "guide", Duration::from_millis(10)).is_ok());
 }
@@ -167,7 +169,11 @@
     for _ in 0..10_000 {
         service.earn(10);
         account.earn(10);
-        for cause in [RetryCause::Refused, RetryCause::Cut, RetryCause::Refused] {
+        for cause in [
+            RetryCause::Refused,
+            RetryCause::Interrupted,
+            RetryCause::Refused,
+        ] {
             retries += u32::from(spend_both(&mut service, &mut account, cause));
         }
     }
@@ -182,5 +188,9 @@
     let mut service = RetryBudget::default();
     let mut account = RetryBudget::default();
     while spend_both(&mut service, &mut account, RetryCause::Refused) {}
-    assert!(spend_both(&mut service, &mut account, RetryCause::Cut));
+    assert!(spend_both(
+        &mut service,
+        &mut account,
+        RetryCause::Interrupted
+    ));
 }
--- a/src/delivery/request_run.rs
+++ b/src/delivery/request_run.rs
@@ -116,7 +116,7 @@
             pick,
             priority: self.job.priority,
             cost: self.job.cost(),
-            goes_first: is_retry || pick.target != PickTarget::Any,
+            skips_fair_queue: is_retry || pick.target != PickTarget::Any,
             limit: self.plan.limit(),
         }
     }
@@ -287,7 +287,7 @@
             NextStep::Settle => return Some(self.plan.conclude(settled_twice())),
         };
         let cause = if self.has_started {
-            RetryCause::Cut
+            RetryCause::Interrupted
         } else {
             RetryCause::Refused
         };
--- a/src/delivery/service_desk.rs
+++ b/src/delivery/service_desk.rs
@@ -11,7 +11,9 @@
 
 use super::order_book::{OrderBook, OrderTurn};
 use super::placed_attempt::PlacedAttempt;
-use crate::admission::{AccountKey, AdmissionBook, PlaceResult, RetryCause, TicketKey, WaitWish};
+use crate::admission::{
+    AccountKey, AdmissionState, DispatchOutcome, QueuedRequest, RetryCause, TicketKey,
+};
 use crate::control::{ControlSnapshot, ServiceRecord};
 use crate::derives::key;
 use crate::documents::RequestPriority;
@@ -35,7 +37,7 @@
     /// Its estimated cost, in tokens.
     pub(crate) cost: u64,
     /// Whether it goes before first attempts.
-    pub(crate) goes_first: bool,
+    pub(crate) skips_fair_queue: bool,
     /// When waiting longer is no use.
     pub(crate) limit: ClockTime,
 }
@@ -63,7 +65,7 @@
 }
 
 pub(super) struct DeskState {
-    admission: AdmissionBook<WaitTarget>,
+    admission: AdmissionState<WaitTarget>,
     pub(super) backends: BackendPool,
     orders: OrderBook,
     /// By the ticket's place.
@@ -77,7 +79,7 @@
         Self {
             name,
             state: Mutex::new(DeskState {
-                admission: AdmissionBook::new(),
+                admission: AdmissionState::new(),
                 backends: BackendPool::new(seed),
                 orders: OrderBook::default(),
                 waiters: Vec::new(),
@@ -184,20 +186,20 @@
             let slot = &mut waiters[ticket.place()];
             let target = &wish.target;
             if target.turn.is_some_and(|turn| !orders.may_go(turn)) {
-                return PlaceResult::Full;
+                return DispatchOutcome::Full;
             }
             match backends.pick(&target.pick, now) {
                 Ok(picked) => {
                     let waiter = slot.take().expect("each ticket has its waiter");
                     assert_eq!(waiter.ticket, ticket, "a place went to another request");
                     placed.push((waiter, picked));
-                    PlaceResult::Placed
+                    DispatchOutcome::Placed
                 }
                 Err(obstacle) => {
                     if let Some(waiter) = slot {
                         waiter.obstacle = obstacle;
                     }
-                    PlaceResult::Full
+                    DispatchOutcome::Full
                 }
             }
         });
@@ -220,7 +222,7 @@
     /// Takes a request that waits no longer out. Returns what stood in its way, unless it has just
     /// been placed.
     fn give_up(&mut self, ticket: TicketKey) -> Option<NoPick> {
-        if !self.admission.end_waiting(ticket) {
+        if !self.admission.dequeue(ticket) {
             return None;
         }
         let waiter = self.waiters[ticket.place()].take();
@@ -249,7 +251,7 @@
     pub(crate) async fn place(&self, wish: &PlaceWish) -> SwitchResult<PlacedAttempt> {
         let now = clock_now();
         let (sender, mut receiver) = oneshot::channel();
-        let ticket = self.begin_waiting(wish, sender, now)?;
+        let ticket = self.enqueue(wish, sender, now)?;
         let guard = WaitGuard { pass: self, ticket };
         self.desk.dispatch(now);
         let left = wish.limit.since(now);
@@ -275,25 +277,25 @@
         state.admission.spend_retry(self.account, cause)
     }
 
-    fn begin_waiting(
+    fn enqueue(
         &self,
         wish: &PlaceWish,
         sender: oneshot::Sender<PlacedAttempt>,
         now: ClockTime,
     ) -> SwitchResult<TicketKey> {
         let mut state = self.desk.lock();
-        let wait = WaitWish {
+        let wait = QueuedRequest {
             account: self.account,
             priority: wish.priority,
             cost: wish.cost,
             deadline: wish.limit,
-            goes_first: wish.goes_first,
+            skips_fair_queue: wish.skips_fair_queue,
             target: WaitTarget {
                 pick: wish.pick,
                 turn: self.turn,
             },
         };
-        let ticket = state.admission.begin_waiting(wait, now)?;
+        let ticket = state.admission.enqueue(wait, now)?;
         state.add_waiter(ticket, wish.cost, sender);
         Ok(ticket)
     }
--- a/src/gateway/connection_shelf.rs
+++ b/src/gateway/connection_shelf.rs
@@ -31,15 +31,15 @@
         Some(kept.remove(at).1)
     }
 
-    /// Puts a connection away. `idle_within` is how long the backend server keeps it.
+    /// Puts a connection away. `keep_alive_timeout` is how long the backend server keeps it.
     pub(super) fn put(
         &self,
         key: BackendKey,
         mut connection: BackendConnection,
-        idle_within: Option<Duration>,
+        keep_alive_timeout: Option<Duration>,
         now: ClockTime,
     ) {
-        let within = match idle_within {
+        let within = match keep_alive_timeout {
             Some(within) => within.saturating_sub(IDLE_MARGIN),
             None => IDLE_UNSAID,
         };
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -19,7 +19,7 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::overload::EntryPlace;
-use crate::platform::{PlatformSettings, READY_PATH, TimeBounds};
+use crate::platform::{PlatformBounds, PlatformSettings, READY_PATH};
 use crate::sync::{EntryRecord, SharedBook, SyncSettings, ViewBook, start_sync};
 use crate::time::clock_now;
 use crate::transport::{HttpServer, bind_listener, start_metrics};
@@ -99,9 +99,11 @@
 }
 
 /// The graceful stop within the platform's grace. It is not over while requests are still taken.
-fn drain_state(bounds: &TimeBounds) -> DrainState {
-    let longest = bounds.stop_within.saturating_sub(STOP_TAKES + STOP_MARGIN);
-    DrainState::new(STOP_TAKES.min(bounds.stop_within), longest)
+fn drain_state(bounds: &PlatformBounds) -> DrainState {
+    let longest = bounds
+        .shutdown_grace
+        .saturating_sub(STOP_TAKES + STOP_MARGIN);
+    DrainState::new(STOP_TAKES.min(bounds.shutdown_grace), longest)
 }
 
 fn address_of(field: &str, address: Option<SocketAddr>) -> SwitchResult<SocketAddr> {
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -15,7 +15,7 @@
     RetryPurse, SharedDesk,
 };
 use crate::overload::EntryPlace;
-use crate::platform::TimeBounds;
+use crate::platform::PlatformBounds;
 use crate::sync::{ControlSnapshot, EntryRecord, SharedSnapshot};
 use crate::time::ClockTime;
 
@@ -46,7 +46,7 @@
     pub(super) freed: Notify,
     /// Sorted by service.
     purses: Mutex<Vec<(ByteString, RetryPurse)>>,
-    bounds: TimeBounds,
+    bounds: PlatformBounds,
 }
 
 /// What the shared state is made of.
@@ -57,7 +57,7 @@
     /// This entry host.
     pub(super) me: EntryPlace,
     pub(super) drain: DrainState,
-    pub(super) bounds: TimeBounds,
+    pub(super) bounds: PlatformBounds,
 }
 
 impl GatewayState {
@@ -133,12 +133,14 @@
 
     /// For how long after a version was named requests may begin on an older one.
     pub(super) fn older_for(&self) -> Duration {
-        self.bounds.weights_within.saturating_sub(VERSION_MARGIN)
+        self.bounds.weights_deadline.saturating_sub(VERSION_MARGIN)
     }
 
     /// How long after a version was named a request that waits at an older one is taken back.
     pub(super) fn take_back_after(&self) -> Duration {
-        self.bounds.weights_within.saturating_sub(TAKE_BACK_MARGIN)
+        self.bounds
+            .weights_deadline
+            .saturating_sub(TAKE_BACK_MARGIN)
     }
 
     /// The processes beside backend servers told their state.
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -196,9 +196,9 @@
         return Err(SwitchError::new(ErrorKind::RouteUnknown, detail));
     };
     let known = head
-        .secret
+        .api_key
         .as_ref()
-        .and_then(|secret| catalog.account_of(secret));
+        .and_then(|api_key| catalog.account_of(api_key));
     if known.is_none() && catalog.has_accounts() && !rule.is_public {
         let detail = "no client account holds the given key";
         return Err(SwitchError::new(ErrorKind::AccountUnknown, detail));
--- a/src/gateway/send_attempt.rs
+++ b/src/gateway/send_attempt.rs
@@ -17,7 +17,9 @@
 use crate::catalog::RepeatRule;
 use crate::errors::ErrorKind;
 use crate::fleet::{BackendTicket, CallEnd, VersionNeed};
-use crate::platform::{AnswerFacts, AnswerWord, SendFacts, answer_facts, send_headers};
+use crate::platform::{
+    ResponseHead, ResponseOutcome, SendFields, read_response_head, send_headers,
+};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::timeout_awake;
 
@@ -33,7 +35,7 @@
 pub(super) struct OpenAnswer {
     pub(super) ticket: BackendTicket,
     pub(super) connection: BackendConnection,
-    pub(super) facts: AnswerFacts,
+    pub(super) facts: ResponseHead,
     pub(super) body: Incoming,
 }
 
@@ -158,7 +160,7 @@
         }
     };
     let asked = (job.head.attempt.as_ref(), &ticket.facts.id);
-    let facts = answer_facts(parts.status, &parts.headers, asked);
+    let facts = read_response_head(parts.status, &parts.headers, asked);
     judge(
         gateway,
         OpenAnswer {
@@ -247,7 +249,7 @@
             least.and(ticket.version),
         ),
     };
-    let facts = SendFacts {
+    let facts = SendFields {
         time_left: job.time_left(clock_now()),
         backend: &ticket.facts.id,
         account: job.routed.account.as_ref(),
@@ -273,11 +275,11 @@
 /// What the answer says of the requests that its backend server takes.
 fn note_limit(answer: &OpenAnswer, now: ClockTime) {
     let rate = answer.facts.rate_limit;
-    let says_so = match answer.facts.word {
-        AnswerWord::Run => true,
+    let says_so = match answer.facts.outcome {
+        ResponseOutcome::Run => true,
         // A refusal need not name the limit.
-        AnswerWord::NotRun | AnswerWord::Misdirected => rate.is_some(),
-        AnswerWord::Replaced | AnswerWord::Foreign => false,
+        ResponseOutcome::NotRun | ResponseOutcome::Misdirected => rate.is_some(),
+        ResponseOutcome::Replaced | ResponseOutcome::AttemptMismatch => false,
     };
     if says_so {
         answer.ticket.note_limit(rate, now);
@@ -294,12 +296,12 @@
             .with_record(|record| record.note_load(load, now));
     }
     note_limit(&answer, now);
-    let (kind, end) = match answer.facts.word {
-        AnswerWord::Run => return Ok(answer),
-        AnswerWord::NotRun => (ErrorKind::BackendBusy, CallEnd::Refused),
-        AnswerWord::Misdirected => (ErrorKind::VersionMismatch, CallEnd::Refused),
-        AnswerWord::Replaced => (ErrorKind::BackendLeaving, CallEnd::Replaced),
-        AnswerWord::Foreign => {
+    let (kind, end) = match answer.facts.outcome {
+        ResponseOutcome::Run => return Ok(answer),
+        ResponseOutcome::NotRun => (ErrorKind::BackendBusy, CallEnd::Refused),
+        ResponseOutcome::Misdirected => (ErrorKind::VersionMismatch, CallEnd::Refused),
+        ResponseOutcome::Replaced => (ErrorKind::BackendLeaving, CallEnd::Replaced),
+        ResponseOutcome::AttemptMismatch => {
             answer
                 .ticket
                 .with_record(|record| record.note_stray_bytes(now));
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -313,6 +313,8 @@
     forwarder.gateway.freed.notify_waiters();
     if !facts.closes {
         let shelf: &Arc<_> = &forwarder.gateway;
-        shelf.shelf.put(key, connection, facts.idle_within, now);
+        shelf
+            .shelf
+            .put(key, connection, facts.keep_alive_timeout, now);
     }
 }
--- a/src/gateway/tests/crashing_requests.rs
+++ b/src/gateway/tests/crashing_requests.rs
@@ -13,7 +13,7 @@
 
 use super::entry_system::{request_of, start_entries, start_late_entry, start_store, status_of};
 use super::fake_backend::{field, read_request};
-use crate::platform::samples::{ATTEMPT, SEAL, plain_sample};
+use crate::platform::samples::{ATTEMPT, SEAL, plain_entry_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::time::{ClockTime, clock_now};
 
@@ -72,7 +72,7 @@
                 .expect("its address is free");
             address = listener.local_addr().expect("it is bound");
             let id = format!("i-{:02}", self.number);
-            let text = plain_sample((address, born));
+            let text = plain_entry_sample((address, born));
             self.store.put(TableName::Backends, &id, &text);
             self.live(listener).await;
             sleep(DOWN_SPAN).await;
--- a/src/gateway/tests/fake_backend.rs
+++ b/src/gateway/tests/fake_backend.rs
@@ -18,7 +18,7 @@
 use crate::fleet::{BackendFacts, BackendPhase, EngineHoldings, FleetView};
 use crate::gateway::daemon::caller_routes;
 use crate::gateway::gateway_state::GatewayState;
-use crate::platform::TimeBounds;
+use crate::platform::PlatformBounds;
 use crate::platform::samples::{ATTEMPT, BACKEND_ID, DEADLINE, NOT_RUN, SEAL};
 use crate::sync::{ControlSnapshot, SharedBook, SharedSnapshot};
 use crate::transport::{HttpServer, bind_listener};
@@ -33,7 +33,7 @@
     /// Answers in full, and sends a second answer behind it.
     WholeAndStray,
     /// Answers with the name of another attempt.
-    Foreign,
+    AttemptMismatch,
     /// Says that it did not run the request.
     NotRun,
     /// Says that it has another version than the expected one.
@@ -201,7 +201,7 @@
             let stray = head("200 OK", "another", "", "stray");
             (format!("{own}{stray}"), false)
         }
-        BackendWay::Foreign => (head("200 OK", "another", "", "foreign"), false),
+        BackendWay::AttemptMismatch => (head("200 OK", "another", "", "foreign"), false),
         BackendWay::NotRun => {
             let extra = format!("{NOT_RUN}: 1\r\n");
             (head("503 Service Unavailable", attempt, &extra, ""), false)
@@ -294,7 +294,7 @@
     }
 
     /// The same with other bounds.
-    pub(super) async fn start_with(backends: &[&FakeBackend], bounds: TimeBounds) -> Self {
+    pub(super) async fn start_with(backends: &[&FakeBackend], bounds: PlatformBounds) -> Self {
         let snapshot = SharedSnapshot::default();
         let facts = backends.iter().enumerate().map(|(at, backend)| {
             Arc::new(BackendFacts {
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -28,7 +28,7 @@
 use crate::gateway::reply::{refusal_reply, status_of};
 use crate::gateway::request_job::{RequestJob, route_request};
 use crate::overload::EntryPlace;
-use crate::platform::{RequestHead, TimeBounds};
+use crate::platform::{PlatformBounds, RequestHead};
 use crate::sync::{ControlSnapshot, SharedBook, SharedSnapshot};
 use crate::time::ClockTime;
 
@@ -85,27 +85,31 @@
     assert_eq!(reply.headers()["retry-after"], "1.234");
 }
 
-const BOUNDS: TimeBounds = TimeBounds {
-    stop_within: Duration::from_secs(8),
-    weights_within: Duration::from_secs(8),
+const BOUNDS: PlatformBounds = PlatformBounds {
+    shutdown_grace: Duration::from_secs(8),
+    weights_deadline: Duration::from_secs(8),
     retry_ratio: 0.2,
     retry_extra: 100.0,
     retry_window: Duration::from_secs(10),
 };
 
 /// No second send, whatever fails.
-const NO_RETRIES: TimeBounds = TimeBounds {
+const NO_RETRIES: PlatformBounds = PlatformBounds {
     retry_ratio: 0.0,
     retry_extra: 0.0,
     ..BOUNDS
 };
 
-fn gateway_on(snapshot: SharedSnapshot, bounds: TimeBounds) -> GatewayState {
+fn gateway_on(snapshot: SharedSnapshot, bounds: PlatformBounds) -> GatewayState {
     gateway_beside(snapshot, bounds, SharedBook::default())
 }
 
 /// The same, which is told by `book` of requests that crash backend servers.
-fn gateway_beside(snapshot: SharedSnapshot, bounds: TimeBounds, book: SharedBook) -> GatewayState {
+fn gateway_beside(
+    snapshot: SharedSnapshot,
+    bounds: PlatformBounds,
+    book: SharedBook,
+) -> GatewayState {
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
     let me = EntryPlace {
         data_centre: "here".into(),
@@ -138,11 +142,11 @@
     let head = RequestHead {
         attempt: Some("a1".into()),
         deadline: None,
-        secret: Some("secret".into()),
+        api_key: Some("secret".into()),
         model: Some("m".into()),
         prompt_tokens: 1000,
         output_tokens_max: 100,
-        output_tokens_guess: None,
+        estimated_output_tokens: None,
         last_event: None,
     };
     let path = format!("/{kind}/x");
@@ -218,7 +222,7 @@
         let taken_back = forwarder.job.taken_back_at(&snapshot, held, after);
         forwarder.head_wait(taken_back, now)
     };
-    let bound = named_at + BOUNDS.weights_within;
+    let bound = named_at + BOUNDS.weights_deadline;
     assert!(wait_at(1).until < bound, "it is back before the bound");
     assert_eq!(
         wait_at(1).silence,
--- a/src/gateway/tests/rate_limits.rs
+++ b/src/gateway/tests/rate_limits.rs
@@ -10,7 +10,7 @@
 
 use super::entry_system::{request_of, start_entries, start_entries_with, start_store, status_of};
 use super::fake_backend::{field, read_request};
-use crate::platform::samples::{ATTEMPT, NOT_RUN, RATE_LIMIT, SEAL, plain_sample};
+use crate::platform::samples::{ATTEMPT, NOT_RUN, RATE_LIMIT, SEAL, plain_entry_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::time::{ClockTime, clock_now};
 
@@ -48,7 +48,7 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await;
         let listener = listener.expect("a free port");
         let address: SocketAddr = listener.local_addr().expect("it is bound");
-        store.put(TableName::Backends, id, &plain_sample((address, 1)));
+        store.put(TableName::Backends, id, &plain_entry_sample((address, 1)));
         let backend = Self {
             limited_until,
             turns_away,
--- a/src/gateway/tests/sends.rs
+++ b/src/gateway/tests/sends.rs
@@ -96,7 +96,7 @@
     for way in [
         BackendWay::CloseUnanswered,
         BackendWay::CutBody,
-        BackendWay::Foreign,
+        BackendWay::AttemptMismatch,
     ] {
         let (status, _, arrivals) = outcome([way, BackendWay::Whole], "safe").await;
         assert_eq!((status, arrivals), (200, [1, 1]), "{way:?}");
--- a/src/gateway/tests/take_back.rs
+++ b/src/gateway/tests/take_back.rs
@@ -130,7 +130,7 @@
     sleep(Duration::from_millis(100)).await;
     let second = WantedWeights {
         target: version(2),
-        named_at: now - BOUNDS.weights_within,
+        named_at: now - BOUNDS.weights_deadline,
         certainty: NamingCertainty::Witnessed,
     };
     snapshot.store(ControlSnapshot {
--- a/src/lab/picks/timing.rs
+++ b/src/lab/picks/timing.rs
@@ -6,7 +6,7 @@
 use bytestring::ByteString;
 
 use super::world::{account_name, document, entry, snapshot};
-use crate::admission::{AdmissionBook, PlaceResult, WaitWish};
+use crate::admission::{AdmissionState, DispatchOutcome, QueuedRequest};
 use crate::documents::RequestPriority;
 use crate::membership::LoadReport;
 use crate::routing::{BackendPool, NoPick, PickTarget, PickWish};
@@ -78,7 +78,7 @@
 
 /// One a millisecond goes, so that a line of all accounts takes about a second.
 fn time_admission(accounts: usize, refuses: bool) -> u64 {
-    let mut book = AdmissionBook::new();
+    let mut book = AdmissionState::new();
     let document = document(accounts);
     book.refresh(&document.accounts, 10, 1, NOW);
     let names: Vec<_> = (0..accounts).map(account_name).collect();
@@ -87,7 +87,7 @@
     for name in &names {
         enter(&mut book, name, now, LONG);
     }
-    let mut go_one = |book: &mut AdmissionBook<()>| {
+    let mut go_one = |book: &mut AdmissionState<()>| {
         now = now + Duration::from_millis(1);
         number = (number + 1) % names.len();
         enter(book, &names[number], now, LONG);
@@ -107,33 +107,38 @@
 }
 
 /// Lets one request in, if it can make it; one that cannot leaves at once.
-fn enter(book: &mut AdmissionBook<()>, name: &ByteString, now: ClockTime, limit: Duration) -> bool {
+fn enter(
+    book: &mut AdmissionState<()>,
+    name: &ByteString,
+    now: ClockTime,
+    limit: Duration,
+) -> bool {
     let account = book
         .admit(name, RequestPriority::Normal, now)
         .expect("the limits are wide");
-    let wish = WaitWish {
+    let wish = QueuedRequest {
         account,
         priority: RequestPriority::Normal,
         cost: 100,
         deadline: now + limit,
-        goes_first: false,
+        skips_fair_queue: false,
         target: (),
     };
-    let entered = book.begin_waiting(wish, now).is_ok();
+    let entered = book.enqueue(wish, now).is_ok();
     if !entered {
         book.release(account);
     }
     entered
 }
 
-fn leave_one(book: &mut AdmissionBook<()>, now: ClockTime) {
+fn leave_one(book: &mut AdmissionState<()>, now: ClockTime) {
     let mut gone = None;
     book.dispatch(now, |_, wish| {
         if gone.is_some() {
-            return PlaceResult::Full;
+            return DispatchOutcome::Full;
         }
         gone = Some(wish.account);
-        PlaceResult::Placed
+        DispatchOutcome::Placed
     });
     book.release(gone.expect("the line is never empty"));
 }
--- a/src/lab/platform_soak/operator_desk.rs
+++ b/src/lab/platform_soak/operator_desk.rs
@@ -56,7 +56,7 @@
     /// Names the next version of the weights.
     pub(super) fn name_version(&mut self) {
         self.weights += 1;
-        let (key, text) = samples::naming_sample(self.weights);
+        let (key, text) = samples::target_sample(self.weights);
         self.store.put(TableName::Operator, key, &text);
         let naming = (self.weights, clock_now());
         self.journal.lock().namings.push(naming);
--- a/src/lab/platform_soak/run_journal.rs
+++ b/src/lab/platform_soak/run_journal.rs
@@ -6,7 +6,7 @@
 use macro_rules_attribute::apply;
 
 use crate::derives::{key, plain};
-use crate::platform::{RunSighting, RunWord};
+use crate::platform::{BackendRun, RunEvent};
 use crate::time::ClockTime;
 
 /// A part of the system that can be disturbed.
@@ -137,7 +137,7 @@
     /// The clients' calls.
     pub(super) calls: Vec<CallRecord>,
     /// Requests that backend servers began to work on.
-    pub(super) runs: Vec<RunSighting>,
+    pub(super) runs: Vec<BackendRun>,
     /// What was done to the system.
     pub(super) deeds: Vec<DeedRecord>,
     /// Planned work.
@@ -212,13 +212,13 @@
     }
 
     /// What backend servers say of their runs.
-    pub(super) fn note_run(&self, word: RunWord) {
+    pub(super) fn note_run(&self, word: RunEvent) {
         let mut records = self.lock();
         match word {
-            RunWord::Begun(sighting) => records.runs.push(sighting),
-            RunWord::Ended(ended) => {
+            RunEvent::Started(sighting) => records.runs.push(sighting),
+            RunEvent::Ended(ended) => {
                 let mut runs = records.runs.iter_mut().rev();
-                let is_it = |run: &&mut RunSighting| {
+                let is_it = |run: &&mut BackendRun| {
                     run.attempt == ended.attempt && run.backend == ended.backend
                 };
                 if let Some(run) = runs.find(is_it) {
--- a/src/lab/platform_soak/run_judge.rs
+++ b/src/lab/platform_soak/run_judge.rs
@@ -8,7 +8,7 @@
     CallEnd, CallRecord, KeyLife, PlannedWork, RunRecords, SoakPart, WorkRecord,
 };
 use crate::derives::plain;
-use crate::platform::{RunEnd, RunSighting};
+use crate::platform::{BackendRun, RunEnd};
 use crate::time::ClockTime;
 
 /// How long nothing must have disturbed a part until bounds hold for it.
@@ -132,7 +132,7 @@
     }
 
     fn check_runs(&mut self) {
-        let mut runs: Vec<&RunSighting> = self.records.runs.iter().collect();
+        let mut runs: Vec<&BackendRun> = self.records.runs.iter().collect();
         runs.sort_by(|left, right| left.attempt.cmp(&right.attempt));
         self.counts.runs = runs.len();
         for same in runs.chunk_by(|left, right| left.attempt == right.attempt) {
@@ -160,7 +160,7 @@
         }
     }
 
-    fn check_account(&mut self, run: &RunSighting, call: &CallRecord) {
+    fn check_account(&mut self, run: &BackendRun, call: &CallRecord) {
         let account = self.key_of(&call.secret).map(|key| key.account);
         if run.has_key || run.account.as_deref() != account {
             let text = format!("{} ran for the account {:?}", call.attempt, run.account);
@@ -169,7 +169,7 @@
     }
 
     /// A run on older weights behind their bound, whose whole way was undisturbed for so long.
-    fn check_version(&mut self, run: &RunSighting, call: &CallRecord) {
+    fn check_version(&mut self, run: &BackendRun, call: &CallRecord) {
         let Some(version) = run.version else {
             return;
         };
@@ -198,7 +198,7 @@
     }
 
     /// An answer that ended unfinished around planned work, with no fault on its way.
-    fn check_unfinished(&mut self, runs: &[&RunSighting], call: &CallRecord) {
+    fn check_unfinished(&mut self, runs: &[&BackendRun], call: &CallRecord) {
         let Some((end, ended)) = &call.end else {
             return;
         };
@@ -208,7 +208,7 @@
         if *end == CallEnd::Abandoned || !self.records.is_without_faults(&way, span) {
             return;
         }
-        let is_crash = |run: &&RunSighting| matches!(run.end, Some((RunEnd::Crashed, _)));
+        let is_crash = |run: &&BackendRun| matches!(run.end, Some((RunEnd::Crashed, _)));
         let is_cut = matches!(end, CallEnd::Broken(_)) && !runs.iter().any(is_crash);
         let works = self.records.works.iter();
         let works = works.filter(|work| is_around(work, call, *ended));
@@ -335,12 +335,12 @@
 /// was done then, it may be cut.
 fn is_end_of_grace(
     work: &WorkRecord,
-    runs: &[&RunSighting],
+    runs: &[&BackendRun],
     call: &CallRecord,
     ended: ClockTime,
 ) -> bool {
     let late = work.sent + LATE_WORK;
-    let is_at_work = |run: &&RunSighting| run.end.is_none_or(|(_, at)| at >= late);
+    let is_at_work = |run: &&BackendRun| run.end.is_none_or(|(_, at)| at >= late);
     matches!(work.work, PlannedWork::Stop(_))
         && call.sent <= work.sent + LATE_SEND
         && ended >= late
--- a/src/lab/platform_soak/soak_client.rs
+++ b/src/lab/platform_soak/soak_client.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::run_journal::{CallEnd, CallKind, CallRecord, RunJournal};
-use crate::platform::{event_patience, samples, stream_event, stream_timeout};
+use crate::platform::{event_timeout, samples, stream_event, stream_timeout};
 use crate::time::{ClockTime, clock_now};
 
 /// What a client tells the system that it will wait for an answer that is no stream.
@@ -172,7 +172,7 @@
 /// How long a client waits for the next piece of an answer, the first one included.
 fn patience_of(kind: CallKind) -> Duration {
     if kind.is_stream() {
-        event_patience()
+        event_timeout()
     } else {
         DEADLINE + PATIENCE
     }
--- a/src/lab/platform_soak/soak_system.rs
+++ b/src/lab/platform_soak/soak_system.rs
@@ -20,8 +20,9 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::launch::LaunchOrder;
 use crate::platform::{
-    BackendPlace, BirthWord, EngineLoad, FakeBackend, FakeEngine, FakeOrigin, FakeStore,
-    PATH_VARIABLE, ProcessPlace, RunWord, StagedRest, StoreTrouble, settings_text,
+    EngineLoad, FakeBackend, FakeBackendConfig, FakeEngine, FakeOrigin, FakeStore,
+    ProcessAddresses, RunEvent, SETTINGS_PATH_VARIABLE, StagedAfterRestart, StartTimeField,
+    StoreFault, settings_text,
 };
 use crate::time::clock_now;
 
@@ -114,12 +115,12 @@
         let sightings = self.gather_sightings();
         for number in 0..self.counts.backends {
             let is_engine = number < self.counts.hosts;
-            let engine = is_engine.then(|| FakeEngine::new(BirthWord::Told, LOAD_SPAN));
+            let engine = is_engine.then(|| FakeEngine::new(StartTimeField::Present, LOAD_SPAN));
             let ip = address_of(FIRST_BACKEND_IP, number);
-            let place = BackendPlace {
+            let place = FakeBackendConfig {
                 number,
-                listed: SocketAddr::from((ip, 8080)),
-                own: SocketAddr::from((ip, 8081)),
+                advertised_address: SocketAddr::from((ip, 8080)),
+                listen_address: SocketAddr::from((ip, 8081)),
                 load,
             };
             let started = FakeBackend::start(place, engine, &self.store, sightings.clone());
@@ -129,14 +130,15 @@
             } else {
                 HostCalls::Absent
             };
-            let link = FaultProxy::start(place.listed, place.own, calls).await?;
+            let link =
+                FaultProxy::start(place.advertised_address, place.listen_address, calls).await?;
             self.backend_links.push(link);
         }
         Ok(())
     }
 
     /// Takes down what backend servers run.
-    fn gather_sightings(&self) -> UnboundedSender<RunWord> {
+    fn gather_sightings(&self) -> UnboundedSender<RunEvent> {
         let (sender, mut words) = unbounded_channel();
         let journal = self.journal.clone();
         tokio::spawn(async move {
@@ -158,7 +160,7 @@
         for number in 0..self.counts.entries {
             let ip = address_of(FIRST_ENTRY_IP, number);
             let [callers, ready] = [8005, 8002].map(|port| SocketAddr::from((ip, port)));
-            let place = ProcessPlace {
+            let place = ProcessAddresses {
                 host: format!("entry-{number}"),
                 ip: ip.into(),
                 store: SocketAddr::from((address_of(1, 0), store_port(number))),
@@ -173,7 +175,7 @@
         }
         for number in 0..self.counts.hosts {
             let ip = address_of(FIRST_BACKEND_IP, number);
-            let place = ProcessPlace {
+            let place = ProcessAddresses {
                 host: format!("host-{number}"),
                 ip: ip.into(),
                 store: SocketAddr::from((address_of(1, 0), store_port(self.counts.entries))),
@@ -189,14 +191,14 @@
     fn start_daemon(
         &self,
         program: &'static str,
-        place: &ProcessPlace,
+        place: &ProcessAddresses,
     ) -> SwitchResult<ProcessSlot> {
         let path = self.folder.0.join(format!("{}.toml", place.host));
         std::fs::write(&path, settings_text(place)).map_err(|fault| failed(&fault))?;
         let order = LaunchOrder::new(program, &place.host)
             .argument("platform")
             .setting("metrics-port", METRICS_PORT)
-            .variable(PATH_VARIABLE, path.to_string_lossy());
+            .variable(SETTINGS_PATH_VARIABLE, path.to_string_lossy());
         ProcessSlot::start(order, &self.journal)
     }
 
@@ -240,15 +242,15 @@
             SoakDeed::Stall => self.stall(span).await,
             SoakDeed::Crash(backend) => self.crash(backend, span).await,
             SoakDeed::Link(part, fault) => disturb_link(self.link(part), fault, span).await,
-            SoakDeed::StoreDown => self.trouble_store(StoreTrouble::Down, span).await,
+            SoakDeed::StoreDown => self.trouble_store(StoreFault::Down, span).await,
             SoakDeed::StoreSlow(delay) => {
-                self.trouble_store(StoreTrouble::Slow(delay), span).await;
+                self.trouble_store(StoreFault::Slow(delay), span).await;
             }
-            SoakDeed::StoreSilent => self.trouble_store(StoreTrouble::LosesAnswers, span).await,
+            SoakDeed::StoreSilent => self.trouble_store(StoreFault::DropsResponses, span).await,
             SoakDeed::OriginDown => {
-                self.origin.hand_out_only(self.origin.chunks_read());
+                self.origin.limit_chunks(self.origin.chunks_served());
                 sleep(span).await;
-                self.origin.hand_out_only(usize::MAX);
+                self.origin.limit_chunks(usize::MAX);
             }
             SoakDeed::Documents(count) => self.desk.lock().await.write_documents(count),
             SoakDeed::NameVersion => self.desk.lock().await.name_version(),
@@ -289,10 +291,10 @@
         link.change(|rule| rule.is_down = true);
         sleep(span.min(LAPSE_SPAN)).await;
         if span > LAPSE_SPAN {
-            backend.lapse();
+            backend.remove_entry();
             sleep(span.saturating_sub(LAPSE_SPAN)).await;
         }
-        backend.restart(StagedRest::Kept);
+        backend.restart(StagedAfterRestart::Kept);
         link.change(|rule| rule.is_down = false);
     }
 
@@ -303,10 +305,10 @@
         stall(false);
     }
 
-    async fn trouble_store(&self, trouble: StoreTrouble, span: Duration) {
-        self.store.set_trouble(trouble);
+    async fn trouble_store(&self, trouble: StoreFault, span: Duration) {
+        self.store.set_fault(trouble);
         sleep(span).await;
-        self.store.set_trouble(StoreTrouble::None);
+        self.store.set_fault(StoreFault::None);
     }
 }
 
--- a/src/lab/platform_soak/tests.rs
+++ b/src/lab/platform_soak/tests.rs
@@ -15,7 +15,7 @@
     WorkRecord,
 };
 use super::run_judge::judge;
-use crate::platform::{EngineLoad, RunEnd, RunSighting};
+use crate::platform::{BackendRun, EngineLoad, RunEnd};
 use crate::time::ClockTime;
 
 const KEY: &str = "key";
@@ -41,8 +41,8 @@
     }
 }
 
-fn run(attempt: &str, version: Option<u64>, begun: u64) -> RunSighting {
-    RunSighting {
+fn run(attempt: &str, version: Option<u64>, begun: u64) -> BackendRun {
+    BackendRun {
         attempt: attempt.to_owned(),
         backend: 0,
         account: Some("a".to_owned()),
@@ -277,7 +277,7 @@
         let mut records = cut_around(PlannedWork::Stop(0), 50);
         records.calls[0].sent = at(sent);
         records.calls[0].end = Some((CallEnd::Broken(""), at(ended)));
-        records.runs[0].end = Some((RunEnd::CallerLeft, at(run_end)));
+        records.runs[0].end = Some((RunEnd::CallerDisconnected, at(run_end)));
         broken(&records).len()
     };
     assert_eq!(counted(53, 57, 57), 0);
--- a/src/lab/soak/admission.rs
+++ b/src/lab/soak/admission.rs
@@ -5,7 +5,7 @@
 use arbitrary::{Result, Unstructured};
 use bytestring::ByteString;
 
-use crate::admission::{AccountKey, AdmissionBook, PlaceResult, TicketKey, WaitWish};
+use crate::admission::{AccountKey, AdmissionState, DispatchOutcome, QueuedRequest, TicketKey};
 use crate::documents::{AccountSpec, RequestPriority};
 use crate::time::ClockTime;
 
@@ -24,7 +24,7 @@
 }
 
 struct Case {
-    book: AdmissionBook<u64>,
+    book: AdmissionState<u64>,
     now: ClockTime,
     waiting: Vec<Waiting>,
     placed: Vec<Waiting>,
@@ -36,7 +36,7 @@
 /// One random case.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
     let mut case = Case {
-        book: AdmissionBook::new(),
+        book: AdmissionState::new(),
         now: ClockTime::from_millis(1),
         waiting: Vec::new(),
         placed: Vec::new(),
@@ -106,15 +106,15 @@
         };
         let cost = u.int_in_range(1..=COST_MAX)?;
         self.numbers += 1;
-        let wish = WaitWish {
+        let wish = QueuedRequest {
             account,
             priority,
             cost,
             deadline: NO_DEADLINE,
-            goes_first: u.ratio(1, 10)?,
+            skips_fair_queue: u.ratio(1, 10)?,
             target: self.numbers,
         };
-        match self.book.begin_waiting(wish, self.now) {
+        match self.book.enqueue(wish, self.now) {
             Ok(ticket) => self.waiting.push(Waiting {
                 ticket,
                 account,
@@ -130,16 +130,16 @@
         let mut is_full = false;
         self.book.dispatch(self.now, |ticket, wish| {
             assert!(
-                !is_full || wish.goes_first,
+                !is_full || wish.skips_fair_queue,
                 "a request was let past one that found no room"
             );
             if room == 0 {
-                is_full |= !wish.goes_first;
-                return PlaceResult::Full;
+                is_full |= !wish.skips_fair_queue;
+                return DispatchOutcome::Full;
             }
             room -= 1;
             went.push(ticket);
-            PlaceResult::Placed
+            DispatchOutcome::Placed
         });
         let in_order = went.iter().map(|ticket| self.known(*ticket).priority);
         assert!(in_order.is_sorted(), "a less urgent request went first");
@@ -156,7 +156,7 @@
         self.check_counts();
         for ticket in &self.old {
             assert!(
-                !self.book.end_waiting(*ticket),
+                !self.book.dequeue(*ticket),
                 "an old ticket took another request out"
             );
         }
@@ -176,7 +176,7 @@
             let place = u.choose_index(self.waiting.len())?;
             let gone = self.waiting.remove(place);
             assert!(
-                self.book.end_waiting(gone.ticket),
+                self.book.dequeue(gone.ticket),
                 "a waiting request was not there"
             );
             self.old.push(gone.ticket);
@@ -216,7 +216,7 @@
 /// requests are in size and number, what they get differs from their weights by less than one
 /// request of each: the bound that start-time fair queuing is known to keep.
 pub(crate) fn run_fair_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut book = AdmissionBook::new();
+    let mut book = AdmissionState::new();
     let now = ClockTime::from_millis(1);
     let mut specs = vec![spec(0, u)?, spec(1, u)?];
     for spec in &mut specs {
@@ -234,27 +234,27 @@
         for (place, account) in accounts.iter().enumerate() {
             // The second account keeps ten times as many waiting.
             for _ in 0..=(9 * place) {
-                let wish = WaitWish {
+                let wish = QueuedRequest {
                     account: *account,
                     priority: RequestPriority::Normal,
                     cost: u.int_in_range(1..=COST_MAX)?,
                     deadline: NO_DEADLINE,
-                    goes_first: false,
+                    skips_fair_queue: false,
                     target: place as u64,
                 };
                 // A full line is as good as a longer one.
-                let _ = book.begin_waiting(wish, now);
+                let _ = book.enqueue(wish, now);
             }
         }
         let mut room = 1;
         book.dispatch(now, |_, wish| {
             if room == 0 {
-                return PlaceResult::Full;
+                return DispatchOutcome::Full;
             }
             room -= 1;
             let place = usize::try_from(wish.target).expect("0 or 1");
             served[place] += wish.cost;
-            PlaceResult::Placed
+            DispatchOutcome::Placed
         });
         let weights = [u64::from(specs[0].weight), u64::from(specs[1].weight)];
         let ahead = (served[0] * weights[1]).abs_diff(served[1] * weights[0]);
--- a/src/platform/backend_call.rs
+++ b/src/platform/backend_call.rs
@@ -54,7 +54,7 @@
 
 /// What this program tells a backend server beside the client's own fields.
 #[apply(plain!)]
-pub(crate) struct SendFacts<'a> {
+pub(crate) struct SendFields<'a> {
     /// How much of the client's time is left.
     pub(crate) time_left: Duration,
     /// The backend server that is meant; another one at its address refuses.
@@ -70,7 +70,7 @@
 }
 
 /// The header fields for a backend server.
-pub(crate) fn send_headers(client: &HeaderMap, facts: &SendFacts<'_>) -> HeaderMap {
+pub(crate) fn send_headers(client: &HeaderMap, facts: &SendFields<'_>) -> HeaderMap {
     let mut headers = passed_on(client);
     let left = u64::try_from(facts.time_left.as_millis()).unwrap_or(u64::MAX);
     headers.insert(DEADLINE, number_value(left.max(1)));
@@ -95,7 +95,7 @@
 
 /// What an answer says of the request that it was asked for.
 #[apply(key!)]
-pub(crate) enum AnswerWord {
+pub(crate) enum ResponseOutcome {
     /// The request was run, and this is its answer.
     Run,
     /// The backend server did not run it.
@@ -105,16 +105,16 @@
     /// Another backend server is at this address; the request was not run.
     Replaced,
     /// The answer belongs to another request.
-    Foreign,
+    AttemptMismatch,
 }
 
 /// What the header of a backend server's answer says.
 #[apply(plain!)]
-pub(crate) struct AnswerFacts {
+pub(crate) struct ResponseHead {
     /// Its status.
     pub(crate) status: StatusCode,
     /// What it says of the request.
-    pub(crate) word: AnswerWord,
+    pub(crate) outcome: ResponseOutcome,
     /// The backend server's load.
     pub(crate) load: Option<LoadWord>,
     /// How many requests a second it takes from all entry hosts together; none while it names no limit.
@@ -122,7 +122,7 @@
     /// The version of weights that answers.
     pub(crate) version: Option<WeightsVersion>,
     /// How long the connection may be kept without a request.
-    pub(crate) idle_within: Option<Duration>,
+    pub(crate) keep_alive_timeout: Option<Duration>,
     /// Whether the backend server closes the connection.
     pub(crate) closes: bool,
     /// Whether the answer's end can be told from a connection that broke.
@@ -132,22 +132,22 @@
 }
 
 /// Reads the header of an answer to `attempt`, for which `backend` was meant.
-pub(crate) fn answer_facts(
+pub(crate) fn read_response_head(
     status: StatusCode,
     headers: &HeaderMap,
     (attempt, backend): (Option<&ByteString>, &ByteString),
-) -> AnswerFacts {
+) -> ResponseHead {
     let closes = text_of(headers, &CONNECTION)
         .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
-    AnswerFacts {
+    ResponseHead {
         status,
-        word: answer_word(status, headers, (attempt, backend)),
+        outcome: answer_word(status, headers, (attempt, backend)),
         load: text_of(headers, &LOAD).and_then(read_load),
         rate_limit: text_of(headers, &RATE_LIMIT).and_then(read_rate),
         version: text_of(headers, &VERSIONS)
             .and_then(|text| text.trim().parse().ok())
             .map(WeightsVersion),
-        idle_within: text_of(headers, &KEEP_ALIVE).and_then(read_keep_alive),
+        keep_alive_timeout: text_of(headers, &KEEP_ALIVE).and_then(read_keep_alive),
         closes,
         is_framed: headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING),
         headers: passed_on(headers),
@@ -158,18 +158,18 @@
     status: StatusCode,
     headers: &HeaderMap,
     (attempt, backend): (Option<&ByteString>, &ByteString),
-) -> AnswerWord {
+) -> ResponseOutcome {
     if text_of(headers, &ATTEMPT_ID) != attempt.map(|attempt| &**attempt) {
-        AnswerWord::Foreign
+        ResponseOutcome::AttemptMismatch
     } else if status == StatusCode::MISDIRECTED_REQUEST {
         match text_of(headers, &BACKEND_ID) {
-            Some(id) if *id != **backend => AnswerWord::Replaced,
-            _ => AnswerWord::Misdirected,
+            Some(id) if *id != **backend => ResponseOutcome::Replaced,
+            _ => ResponseOutcome::Misdirected,
         }
     } else if headers.contains_key(NOT_RUN) {
-        AnswerWord::NotRun
+        ResponseOutcome::NotRun
     } else {
-        AnswerWord::Run
+        ResponseOutcome::Run
     }
 }
 
--- a/src/platform/document_row.rs
+++ b/src/platform/document_row.rs
@@ -22,22 +22,22 @@
 
 /// Which row of the operator's table a key names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DocumentRow {
+pub(crate) enum OperatorRow {
     /// The document.
     Document,
     /// A version of weights that is wanted.
-    WantedVersion,
+    TargetVersion,
     /// Nothing that this program knows.
     Other,
 }
 
-impl DocumentRow {
+impl OperatorRow {
     /// What `key` names.
     pub(crate) fn of(key: &str) -> Self {
         if key == DOCUMENT_KEY {
             Self::Document
         } else if key.starts_with(VERSION_KEY_PREFIX) {
-            Self::WantedVersion
+            Self::TargetVersion
         } else {
             Self::Other
         }
@@ -206,7 +206,7 @@
 /// # Errors
 ///
 /// `DocumentInvalid` when it does not read, or is of another model than its key.
-pub(crate) fn read_wanted_version(key: &str, value: &[u8]) -> SwitchResult<ModelVersion> {
+pub(crate) fn read_target_version(key: &str, value: &[u8]) -> SwitchResult<ModelVersion> {
     let text: VersionText = read_object(value).map_err(|fault| invalid(&fault))?;
     if key.strip_prefix(VERSION_KEY_PREFIX) != Some(&*text.model) {
         // Taken for what it says, it would name a version of a model that has a row of its own.
--- a/src/platform/engine_calls.rs
+++ b/src/platform/engine_calls.rs
@@ -86,7 +86,7 @@
     /// Whether it carries out an order.
     pub(crate) is_busy: bool,
     /// How many orders it has accepted since it started; expected back with the next order.
-    pub(crate) orders_taken: u64,
+    pub(crate) orders_accepted: u64,
     /// Requests that wait for a place.
     pub(crate) queued: u32,
     /// Requests that it works on.
@@ -128,7 +128,7 @@
         holdings: read_holdings(text.holdings),
         born: text.born.map(WallTime),
         is_busy: text.busy,
-        orders_taken: text.sequence,
+        orders_accepted: text.sequence,
         queued: text.queued,
         active: text.active,
         pace: text.pace,
@@ -143,18 +143,18 @@
     /// The only layer to load; all if none is named.
     pub(crate) layer: Option<u32>,
     /// The count of orders that the engine must have taken before.
-    pub(crate) orders_taken: u64,
+    pub(crate) orders_accepted: u64,
     /// Whether requests that it works on are cut off; else they end first.
-    pub(crate) cuts_requests: bool,
+    pub(crate) aborts_requests: bool,
 }
 
 /// What became of an order.
 #[apply(key!)]
 pub(crate) enum OrderOutcome {
     /// It has begun.
-    Begun,
+    Started,
     /// What it asks for is so already.
-    InForce,
+    AlreadyLoaded,
     /// It does not fit the engine's state.
     Refused,
 }
@@ -273,8 +273,12 @@
             operation: "start",
             model: &order.target.model,
             version: order.target.version.0,
-            strategy: if order.cuts_requests { "abort" } else { "wait" },
-            precondition: order.orders_taken,
+            strategy: if order.aborts_requests {
+                "abort"
+            } else {
+                "wait"
+            },
+            precondition: order.orders_accepted,
             from: order.layer,
             to: order.layer.map(|layer| layer + 1),
         };
@@ -282,8 +286,8 @@
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
         let called = self.call(Method::POST, "/v1/order", body.into(), within);
         match called.await? {
-            (StatusCode::ACCEPTED, _) => Ok(OrderOutcome::Begun),
-            (StatusCode::OK, _) => Ok(OrderOutcome::InForce),
+            (StatusCode::ACCEPTED, _) => Ok(OrderOutcome::Started),
+            (StatusCode::OK, _) => Ok(OrderOutcome::AlreadyLoaded),
             (StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED, _) => {
                 Ok(OrderOutcome::Refused)
             }
--- a/src/platform/fake_backend.rs
+++ b/src/platform/fake_backend.rs
@@ -20,7 +20,7 @@
 use volo_http::request::Request;
 use volo_http::response::Response;
 
-use super::fake_engine::{FakeEngine, StagedRest};
+use super::fake_engine::{FakeEngine, StagedAfterRestart};
 use super::fake_origin::serve_calls_on;
 use super::fake_store::FakeStore;
 use super::sample_files::{ENGINE_SERVICE, PLAIN_SERVICE};
@@ -55,7 +55,7 @@
 
 /// A request that a backend server began to work on.
 #[derive(Clone, Debug)]
-pub(crate) struct RunSighting {
+pub(crate) struct BackendRun {
     /// The client's name of its attempt.
     pub(crate) attempt: String,
     /// Which backend server.
@@ -76,16 +76,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunEnd {
     /// All of the answer was handed over.
-    Whole,
+    Complete,
     /// The caller closed the connection.
-    CallerLeft,
+    CallerDisconnected,
     /// The backend server crashed.
     Crashed,
 }
 
 /// The end of a run.
 #[derive(Clone, Debug)]
-pub(crate) struct RunEnded {
+pub(crate) struct EndedRun {
     /// The client's name of its attempt.
     pub(crate) attempt: String,
     /// Which backend server.
@@ -98,11 +98,11 @@
 
 /// What a backend server says of its runs.
 #[derive(Clone, Debug)]
-pub(crate) enum RunWord {
+pub(crate) enum RunEvent {
     /// One begins.
-    Begun(RunSighting),
+    Started(BackendRun),
     /// One ended. A plain service whose caller leaves says nothing.
-    Ended(RunEnded),
+    Ended(EndedRun),
 }
 
 /// How steadily engines write their streams.
@@ -120,19 +120,19 @@
 
 /// Where a backend server stands.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BackendPlace {
+pub(crate) struct FakeBackendConfig {
     /// Its number among all.
     pub(crate) number: usize,
     /// Where others are told to reach it.
-    pub(crate) listed: SocketAddr,
+    pub(crate) advertised_address: SocketAddr,
     /// Where it listens.
-    pub(crate) own: SocketAddr,
+    pub(crate) listen_address: SocketAddr,
     /// How steadily it writes streams.
     pub(crate) load: EngineLoad,
 }
 
 struct BackendState {
-    place: BackendPlace,
+    place: FakeBackendConfig,
     id: String,
     engine: Option<FakeEngine>,
     store: FakeStore,
@@ -140,7 +140,7 @@
     /// Counts its starts; 0 while it is down.
     start: AtomicU64,
     starts: AtomicU64,
-    words: UnboundedSender<RunWord>,
+    words: UnboundedSender<RunEvent>,
     /// Whether its streams bring nothing for now.
     is_stalled: watch::Sender<bool>,
 }
@@ -158,12 +158,12 @@
     ///
     /// `SettingInvalid` when its address cannot be had.
     pub(crate) async fn start(
-        place: BackendPlace,
+        place: FakeBackendConfig,
         engine: Option<FakeEngine>,
         store: &FakeStore,
-        words: UnboundedSender<RunWord>,
+        words: UnboundedSender<RunEvent>,
     ) -> SwitchResult<Self> {
-        let listener: TcpListener = bind_listener(place.own).await?;
+        let listener: TcpListener = bind_listener(place.listen_address).await?;
         let backend = Self {
             state: Arc::new(BackendState {
                 place,
@@ -200,12 +200,12 @@
     }
 
     /// Its entry is taken away, as the platform does some heartbeats behind a crash.
-    pub(crate) fn lapse(&self) {
+    pub(crate) fn remove_entry(&self) {
         self.state.store.remove(TableName::Backends, &self.state.id);
     }
 
     /// It starts again under its name, with `rest` of what was staged.
-    pub(crate) fn restart(&self, rest: StagedRest) {
+    pub(crate) fn restart(&self, rest: StagedAfterRestart) {
         if let Some(engine) = &self.state.engine {
             engine.restart(rest);
         }
@@ -248,7 +248,7 @@
             PLAIN_SERVICE
         };
         let mut entry = json!({
-            "service": service, "address": state.place.listed.to_string(), "zone": "hall-a",
+            "service": service, "address": state.place.advertised_address.to_string(), "zone": "hall-a",
             "slots": SLOTS, "state": "ready", "version": "1", "cold_remaining_ms": 0,
             "born": start,
         });
@@ -289,7 +289,7 @@
             self.reply(&parts.headers, StatusCode::OK, body)
         } else {
             sleep(PLAIN_SPAN).await;
-            place.tell_end(&attempt, RunEnd::Whole);
+            place.tell_end(&attempt, RunEnd::Complete);
             drop(place);
             self.reply(&parts.headers, StatusCode::OK, Body::from(body))
         };
@@ -322,7 +322,7 @@
     }
 
     fn note_run(&self, attempt: &str, headers: &HeaderMap) {
-        let sighting = RunSighting {
+        let sighting = BackendRun {
             attempt: attempt.to_owned(),
             backend: self.state.place.number,
             account: text_of(headers, ACCOUNT),
@@ -332,7 +332,7 @@
             end: None,
         };
         // Nobody reads them any more once the soak is over.
-        let _ = self.state.words.send(RunWord::Begun(sighting));
+        let _ = self.state.words.send(RunEvent::Started(sighting));
     }
 
     fn reply(&self, headers: &HeaderMap, status: StatusCode, body: Body) -> Response {
@@ -365,7 +365,7 @@
     async fn write_events(self, attempt: String, first: u64, writer: FrameWriter) {
         let mut pace = self.pace(&attempt);
         let mut stalled = self.state.is_stalled.subscribe();
-        let mut end = RunEnd::Whole;
+        let mut end = RunEnd::Complete;
         for event in first..=STREAM_EVENTS {
             sleep(pace.next_pause()).await;
             // The sender is there for as long as the backend server.
@@ -378,7 +378,7 @@
             }
             let bytes = stream_event(&attempt, event).0;
             if writer.write_bytes(bytes).await.is_err() {
-                end = RunEnd::CallerLeft;
+                end = RunEnd::CallerDisconnected;
                 break;
             }
         }
@@ -398,13 +398,13 @@
     }
 
     fn tell_end(&self, attempt: &str, end: RunEnd) {
-        let ended = RunEnded {
+        let ended = EndedRun {
             attempt: attempt.to_owned(),
             backend: self.state.place.number,
             end,
             at: clock_now(),
         };
-        let _ = self.state.words.send(RunWord::Ended(ended));
+        let _ = self.state.words.send(RunEvent::Ended(ended));
     }
 }
 
--- a/src/platform/fake_engine.rs
+++ b/src/platform/fake_engine.rs
@@ -31,22 +31,22 @@
 
 /// What a restart leaves of the staged chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StagedRest {
+pub(crate) enum StagedAfterRestart {
     /// All of them.
     Kept,
     /// All, but half of them have gone bad.
-    HalfSpoiled,
+    HalfCorrupt,
     /// None.
-    Gone,
+    Lost,
 }
 
 /// Whether an engine says when it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum BirthWord {
+pub(crate) enum StartTimeField {
     /// It does.
-    Told,
+    Present,
     /// It does not.
-    Untold,
+    Absent,
 }
 
 /// What the engine does with a call.
@@ -86,28 +86,28 @@
     path: &'static str,
     /// How many calls come before it.
     calls: u32,
-    rest: StagedRest,
+    rest: StagedAfterRestart,
 }
 
 #[derive(Default)]
 struct EngineState {
     rule: CallRule,
     born: u64,
-    birth: Option<BirthWord>,
+    birth: Option<StartTimeField>,
     held: Option<u64>,
     /// A layer that it holds alone, and its version.
     layer: Option<(u32, u64)>,
     is_busy: bool,
-    orders_taken: u64,
+    orders_accepted: u64,
     /// Orders of all incarnations.
-    orders_begun: usize,
+    orders_started: usize,
     /// Those of them that found a chunk missing, spoiled or of another version.
     bad_loads: usize,
     /// Chunks that were staged, in all incarnations.
-    stagings: usize,
+    chunks_staged: usize,
     /// Reports since it last changed what it holds.
     reports: usize,
-    restart_at: Option<PlannedRestart>,
+    restart_on: Option<PlannedRestart>,
     /// Answers with the state of before to this many reports.
     stale_reports: usize,
     former: Option<Value>,
@@ -117,7 +117,7 @@
     /// Requests that wait there.
     queued: u32,
     /// Orders that cut off what it worked on.
-    cuts: usize,
+    aborting_orders: usize,
     /// How long a load takes.
     load_span: Duration,
     /// The version that is being loaded, and when it will be.
@@ -135,7 +135,7 @@
 impl FakeEngine {
     /// Starts an engine that holds nothing and has nothing staged.
     #[cfg(test)]
-    pub(crate) async fn start(birth: BirthWord) -> Self {
+    pub(crate) async fn start(birth: StartTimeField) -> Self {
         let unbound = Self::new(birth, Duration::ZERO);
         let answering = unbound.clone();
         let address = serve_calls(move |request| {
@@ -150,7 +150,7 @@
 
     /// An engine whose loads take `load_span`. It is not reached over the network: somebody hands
     /// calls to [`FakeEngine::answer`].
-    pub(crate) fn new(birth: BirthWord, load_span: Duration) -> Self {
+    pub(crate) fn new(birth: StartTimeField, load_span: Duration) -> Self {
         let state = EngineState {
             born: FIRST_BORN,
             birth: Some(birth),
@@ -164,34 +164,34 @@
         }
     }
 
-    /// It crashes; nothing answers until [`FakeEngine::restart`] or [`FakeEngine::thaw`].
+    /// It crashes; nothing answers until [`FakeEngine::restart`] or [`FakeEngine::resume`].
     pub(crate) fn crash(&self) {
         self.lock().rule = CallRule::Silent;
     }
 
     /// It answers again, the same incarnation as before.
-    pub(crate) fn thaw(&self) {
+    pub(crate) fn resume(&self) {
         self.lock().rule = CallRule::Answer;
     }
 
     /// It takes orders from now on, but never ends one.
-    pub(crate) fn hold_orders(&self) {
+    pub(crate) fn stall_orders(&self) {
         self.lock().rule = CallRule::HoldOrders;
     }
 
     /// It starts again under its name and knows nothing of before.
-    pub(crate) fn restart(&self, rest: StagedRest) {
+    pub(crate) fn restart(&self, rest: StagedAfterRestart) {
         self.lock().restart(rest);
     }
 
     /// It starts again just before it answers a `call`, after `calls` of them.
-    pub(crate) fn restart_at(&self, call: EngineCall, calls: u32, rest: StagedRest) {
+    pub(crate) fn restart_on(&self, call: EngineCall, calls: u32, rest: StagedAfterRestart) {
         let path = call.path();
-        self.lock().restart_at = Some(PlannedRestart { path, calls, rest });
+        self.lock().restart_on = Some(PlannedRestart { path, calls, rest });
     }
 
     /// The next `count` reports are those of the former incarnation, come late.
-    pub(crate) fn report_late(&self, count: usize) {
+    pub(crate) fn report_stale(&self, count: usize) {
         self.lock().stale_reports = count;
     }
 
@@ -201,8 +201,8 @@
     }
 
     /// How many orders it has begun, in all incarnations.
-    pub(crate) fn orders_begun(&self) -> usize {
-        self.lock().orders_begun
+    pub(crate) fn orders_started(&self) -> usize {
+        self.lock().orders_started
     }
 
     /// How many of these found a chunk missing, spoiled or of another version.
@@ -216,8 +216,8 @@
     }
 
     /// How many chunks were staged, in all incarnations.
-    pub(crate) fn stagings(&self) -> usize {
-        self.lock().stagings
+    pub(crate) fn chunks_staged(&self) -> usize {
+        self.lock().chunks_staged
     }
 
     /// What it says of itself, in an entry of the store as well.
@@ -237,13 +237,13 @@
 
     /// `queued` requests wait there.
     #[cfg(test)]
-    pub(crate) fn note_queued(&self, queued: u32) {
+    pub(crate) fn set_queued(&self, queued: u32) {
         self.lock().queued = queued;
     }
 
     /// Of which version it holds a layer and not the others.
     #[cfg(test)]
-    pub(crate) fn held_in_part(&self) -> Option<WeightsVersion> {
+    pub(crate) fn partial_version(&self) -> Option<WeightsVersion> {
         self.lock()
             .layer
             .map(|(_, version)| WeightsVersion(version))
@@ -251,8 +251,8 @@
 
     /// How many orders cut off what it worked on.
     #[cfg(test)]
-    pub(crate) fn cuts(&self) -> usize {
-        self.lock().cuts
+    pub(crate) fn aborting_orders(&self) -> usize {
+        self.lock().aborting_orders
     }
 
     /// Answers a call of its host or of anybody who asks how it is.
@@ -295,7 +295,7 @@
     }
 
     fn restart_if_due(&mut self, path: &str) {
-        let Some(plan) = self.restart_at.as_mut() else {
+        let Some(plan) = self.restart_on.as_mut() else {
             return;
         };
         if !path.starts_with(plan.path) {
@@ -306,11 +306,11 @@
             return;
         }
         let rest = plan.rest;
-        self.restart_at = None;
+        self.restart_on = None;
         self.restart(rest);
     }
 
-    fn restart(&mut self, rest: StagedRest) {
+    fn restart(&mut self, rest: StagedAfterRestart) {
         self.former = Some(self.own_report());
         self.rule = CallRule::Answer;
         self.born += BORN_STEP;
@@ -320,15 +320,15 @@
         self.is_busy = false;
         self.loading = None;
         self.active = 0;
-        self.orders_taken = 0;
+        self.orders_accepted = 0;
         match rest {
-            StagedRest::Kept => {}
-            StagedRest::HalfSpoiled => {
+            StagedAfterRestart::Kept => {}
+            StagedAfterRestart::HalfCorrupt => {
                 for chunk in self.staged.iter_mut().step_by(2) {
                     *chunk = Some(Bytes::from_static(b"spoiled"));
                 }
             }
-            StagedRest::Gone => self.staged.fill(None),
+            StagedAfterRestart::Lost => self.staged.fill(None),
         }
     }
 
@@ -357,9 +357,9 @@
         );
         let mut report = json!({
             "models": models.collect::<Vec<_>>(), "layers": layers.collect::<Vec<_>>(),
-            "busy": self.is_busy, "sequence": self.orders_taken, "queued": self.queued, "active": self.active,
+            "busy": self.is_busy, "sequence": self.orders_accepted, "queued": self.queued, "active": self.active,
         });
-        if self.birth == Some(BirthWord::Told) {
+        if self.birth == Some(StartTimeField::Present) {
             report["born"] = self.born.into();
         }
         report
@@ -368,7 +368,7 @@
     fn order(&mut self, body: &[u8], now: ClockTime) -> StatusCode {
         let order: Value = serde_json::from_slice(body).expect("an order is JSON");
         let version = order["version"].as_u64().expect("it names a version");
-        if order["precondition"].as_u64() != Some(self.orders_taken) || self.is_busy {
+        if order["precondition"].as_u64() != Some(self.orders_accepted) || self.is_busy {
             return StatusCode::CONFLICT;
         }
         if self.held == Some(version) {
@@ -385,10 +385,10 @@
             .into_iter()
             .all(|index| self.staged[index as usize] == Some(chunk_bytes(version, index)));
         self.bad_loads += usize::from(!is_whole);
-        self.orders_taken += 1;
-        self.orders_begun += 1;
+        self.orders_accepted += 1;
+        self.orders_started += 1;
         self.reports = 0;
-        self.cuts += usize::from(order["strategy"] == "abort");
+        self.aborting_orders += usize::from(order["strategy"] == "abort");
         if let Some(layer) = layer {
             self.held = None;
             self.layer = Some((layer, version));
@@ -410,7 +410,7 @@
 
     fn stage(&mut self, index: Option<u32>, bytes: Bytes) -> StatusCode {
         let index = index.expect("a chunk is staged under its number");
-        self.stagings += 1;
+        self.chunks_staged += 1;
         self.staged[index as usize] = Some(bytes);
         StatusCode::OK
     }
--- a/src/platform/fake_origin.rs
+++ b/src/platform/fake_origin.rs
@@ -31,7 +31,7 @@
 }
 
 struct OriginState {
-    chunks_read: usize,
+    chunks_served: usize,
     /// How many chunks it hands out before it refuses.
     chunks_max: usize,
 }
@@ -40,7 +40,7 @@
     /// Starts an origin that has every version of the model `m`.
     pub(crate) async fn start() -> Self {
         let state = Arc::new(Mutex::new(OriginState {
-            chunks_read: 0,
+            chunks_served: 0,
             chunks_max: usize::MAX,
         }));
         let answering = state.clone();
@@ -55,12 +55,12 @@
     }
 
     /// How many chunks it has handed out.
-    pub(crate) fn chunks_read(&self) -> usize {
-        lock(&self.state).chunks_read
+    pub(crate) fn chunks_served(&self) -> usize {
+        lock(&self.state).chunks_served
     }
 
     /// It refuses chunks once it has handed out `chunks`.
-    pub(crate) fn hand_out_only(&self, chunks: usize) {
+    pub(crate) fn limit_chunks(&self, chunks: usize) {
         lock(&self.state).chunks_max = chunks;
     }
 }
@@ -89,11 +89,11 @@
     let (path, index) = path_and_index(request);
     match (path.as_str(), index) {
         ("/v1/manifest/m", _) => json_reply(StatusCode::OK, &digests_text(version)),
-        ("/v1/piece/m", Some(_)) if state.chunks_read >= state.chunks_max => {
+        ("/v1/piece/m", Some(_)) if state.chunks_served >= state.chunks_max => {
             json_reply(StatusCode::SERVICE_UNAVAILABLE, &json!({}))
         }
         ("/v1/piece/m", Some(index)) => {
-            state.chunks_read += 1;
+            state.chunks_served += 1;
             Response::new(Body::from(chunk_bytes(version, index)))
         }
         _ => json_reply(StatusCode::NOT_FOUND, &json!({})),
--- a/src/platform/fake_store.rs
+++ b/src/platform/fake_store.rs
@@ -30,7 +30,7 @@
 /// What is wrong with the store.
 #[apply(key!)]
 #[derive(Default)]
-pub(crate) enum StoreTrouble {
+pub(crate) enum StoreFault {
     /// Nothing.
     #[default]
     None,
@@ -39,7 +39,7 @@
     /// Each answer takes so much longer.
     Slow(Duration),
     /// It does what it is asked to and never answers.
-    LosesAnswers,
+    DropsResponses,
 }
 
 #[derive(Clone)]
@@ -66,7 +66,7 @@
     past: Vec<FakeRow>,
     /// How long each row of a watch's answer takes on its way.
     row_delay: Duration,
-    trouble: StoreTrouble,
+    trouble: StoreFault,
     /// How many rows of each table answers have told, sorted by table.
     told: Vec<(String, usize)>,
 }
@@ -167,7 +167,7 @@
     }
 
     /// What is wrong with it from now on.
-    pub(crate) fn set_trouble(&self, trouble: StoreTrouble) {
+    pub(crate) fn set_fault(&self, trouble: StoreFault) {
         self.lock().trouble = trouble;
     }
 
@@ -183,13 +183,13 @@
     async fn answer(&self, request: Request) -> Response {
         let trouble = self.lock().trouble;
         match trouble {
-            StoreTrouble::None => self.carry_out(request).await,
-            StoreTrouble::Down => json_reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
-            StoreTrouble::Slow(delay) => {
+            StoreFault::None => self.carry_out(request).await,
+            StoreFault::Down => json_reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
+            StoreFault::Slow(delay) => {
                 sleep(delay).await;
                 self.carry_out(request).await
             }
-            StoreTrouble::LosesAnswers => {
+            StoreFault::DropsResponses => {
                 self.carry_out(request).await;
                 pending().await
             }
@@ -311,7 +311,7 @@
     }
 
     /// How many rows of `table` answers have told so far.
-    pub(crate) fn rows_told(&self, table: TableName) -> usize {
+    pub(crate) fn rows_sent(&self, table: TableName) -> usize {
         let rows = self.lock();
         let mut told = rows.told.iter();
         let found = told.find(|(name, _)| *name == table.as_str());
@@ -339,10 +339,10 @@
 
     /// From now on it refuses all calls, or no more.
     pub(crate) fn set_down(&self, is_down: bool) {
-        self.set_trouble(if is_down {
-            StoreTrouble::Down
+        self.set_fault(if is_down {
+            StoreFault::Down
         } else {
-            StoreTrouble::None
+            StoreFault::None
         });
     }
 
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -24,28 +24,28 @@
 mod weights_origin;
 
 pub(crate) use backend_call::{
-    AnswerFacts, AnswerWord, PRIORITY_MAX, SendFacts, answer_facts, send_headers,
+    PRIORITY_MAX, ResponseHead, ResponseOutcome, SendFields, read_response_head, send_headers,
 };
 pub(crate) use backend_row::read_backend_row;
 pub(crate) use command::{PLATFORM_COMMAND, run_on_platform, with_platform};
-pub(crate) use document_row::{DocumentRow, read_document, read_wanted_version};
+pub(crate) use document_row::{OperatorRow, read_document, read_target_version};
 pub(crate) use engine_calls::{EngineClient, EngineReport, LoadOrder, OrderOutcome};
 pub(crate) use fake_backend::{
-    BackendPlace, EngineLoad, FakeBackend, RunEnd, RunSighting, RunWord, stream_event,
+    BackendRun, EngineLoad, FakeBackend, FakeBackendConfig, RunEnd, RunEvent, stream_event,
 };
 #[cfg(test)]
 pub(crate) use fake_engine::EngineCall;
-pub(crate) use fake_engine::{BirthWord, FakeEngine, StagedRest};
+pub(crate) use fake_engine::{FakeEngine, StagedAfterRestart, StartTimeField};
 pub(crate) use fake_origin::FakeOrigin;
-pub(crate) use fake_store::{FakeStore, StoreTrouble};
+pub(crate) use fake_store::{FakeStore, StoreFault};
 pub(crate) use json_object::read_object;
 pub(crate) use request_head::{RequestHead, read_request_head};
 pub(crate) use sample_files::{
-    AccountSample, ProcessPlace, document_text, event_patience, settings_text, stream_timeout,
+    AccountSample, ProcessAddresses, document_text, event_timeout, settings_text, stream_timeout,
 };
-pub(crate) use settings_file::{PATH_VARIABLE, PlatformSettings, TimeBounds};
+pub(crate) use settings_file::{PlatformBounds, PlatformSettings, SETTINGS_PATH_VARIABLE};
 pub(crate) use store_client::{
-    CHANGED_ROWS_MAX, StoreClient, TableName, WatchAnswer, WriteOutcome,
+    CHANGED_ROWS_MAX, StoreClient, TableName, WatchResponse, WriteOutcome,
 };
 pub(crate) use store_rows::{StoreRow, TableView};
 pub(crate) use weights_origin::{ChunkDigests, OriginClient};
--- a/src/platform/request_head.rs
+++ b/src/platform/request_head.rs
@@ -26,7 +26,7 @@
     /// How long the client will wait, from when it sent the request.
     pub(crate) deadline: Option<Duration>,
     /// The client's key.
-    pub(crate) secret: Option<ByteString>,
+    pub(crate) api_key: Option<ByteString>,
     /// The model that the request is for.
     pub(crate) model: Option<ByteString>,
     /// Tokens of its prompt.
@@ -34,7 +34,7 @@
     /// Tokens that it may be answered with at most.
     pub(crate) output_tokens_max: u32,
     /// The client's guess of the tokens that it will be answered with; right at the median only.
-    pub(crate) output_tokens_guess: Option<u32>,
+    pub(crate) estimated_output_tokens: Option<u32>,
     /// The last event of the stream that the client has seen already.
     pub(crate) last_event: Option<u64>,
 }
@@ -46,11 +46,11 @@
     RequestHead {
         attempt: text_of(headers, &ATTEMPT_ID).map(ByteString::from),
         deadline: number_of(headers, &DEADLINE).map(Duration::from_millis),
-        secret: text_of(headers, &AUTHORIZATION).and_then(key_of),
+        api_key: text_of(headers, &AUTHORIZATION).and_then(key_of),
         model: text_of(headers, &MODEL).map(ByteString::from),
         prompt_tokens: prompt.trim().parse().unwrap_or(0),
         output_tokens_max: output.trim().parse().unwrap_or(0),
-        output_tokens_guess: text_of(headers, &LENGTH_HINT)
+        estimated_output_tokens: text_of(headers, &LENGTH_HINT)
             .and_then(|text| text.trim().parse().ok()),
         last_event: number_of(headers, &LAST_EVENT),
     }
--- a/src/platform/sample_files.rs
+++ b/src/platform/sample_files.rs
@@ -21,7 +21,7 @@
 
 /// Where a process stands.
 #[derive(Clone, Debug)]
-pub(crate) struct ProcessPlace {
+pub(crate) struct ProcessAddresses {
     /// Its host's name.
     pub(crate) host: String,
     /// Its host's address.
@@ -37,8 +37,8 @@
 }
 
 /// The settings file of the process at `place`, with the bounds of the platform's own example.
-pub(crate) fn settings_text(place: &ProcessPlace) -> String {
-    let ProcessPlace {
+pub(crate) fn settings_text(place: &ProcessAddresses) -> String {
+    let ProcessAddresses {
         host, ip, store, ..
     } = place;
     let seeds: Vec<String> = place
@@ -73,7 +73,7 @@
 
 /// How long clients wait for an event of a stream, the first one included: 2 s, four times the latency
 /// target or eight times the longest pause that is on time, whichever is longest.
-pub(crate) const fn event_patience() -> Duration {
+pub(crate) const fn event_timeout() -> Duration {
     let (least, targets, pauses) = (2_000, 4 * TARGET_MS, 8 * GAP_TARGET_MS);
     let most = if targets > pauses { targets } else { pauses };
     let most = if most > least { most } else { least };
--- a/src/platform/samples.rs
+++ b/src/platform/samples.rs
@@ -40,7 +40,7 @@
 }
 
 /// The key and the text of the row that names a version of the model `m`.
-pub(crate) fn naming_sample(version: u64) -> (&'static str, String) {
+pub(crate) fn target_sample(version: u64) -> (&'static str, String) {
     let text = format!("{{\"model\":\"m\",\"version\":{version}}}");
     ("version/m", text)
 }
@@ -64,7 +64,7 @@
 
 /// [`entry_sample`] at `address`, with all 16 layers of `version` of the model `m`; with none for 0.
 #[cfg(test)]
-pub(crate) fn holding_sample(
+pub(crate) fn loaded_entry_sample(
     (address, born): (SocketAddr, u64),
     told: u64,
     phase: BackendPhase,
@@ -87,7 +87,7 @@
 /// The text of the entry of a serving backend server without an engine, of the incarnation that started at
 /// `born`.
 #[cfg(test)]
-pub(crate) fn plain_sample((address, born): (SocketAddr, u64)) -> String {
+pub(crate) fn plain_entry_sample((address, born): (SocketAddr, u64)) -> String {
     let place = format!("\"service\":\"plain\",\"address\":\"{address}\",\"zone\":\"hall-a\"");
     format!("{{{place},\"slots\":16,\"state\":\"ready\",\"sequence\":1,\"born\":{born}}}")
 }
--- a/src/platform/settings_file.rs
+++ b/src/platform/settings_file.rs
@@ -11,15 +11,15 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
 /// The variable that names the settings file.
-pub(crate) const PATH_VARIABLE: &str = "SAVORYSWITCH_CONFIG";
+pub(crate) const SETTINGS_PATH_VARIABLE: &str = "SAVORYSWITCH_CONFIG";
 
 /// Spans that the platform holds the system to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TimeBounds {
+pub(crate) struct PlatformBounds {
     /// How long a graceful stop may take before the process is killed.
-    pub(crate) stop_within: Duration,
+    pub(crate) shutdown_grace: Duration,
     /// How long after it was named a version of weights must have replaced the older one.
-    pub(crate) weights_within: Duration,
+    pub(crate) weights_deadline: Duration,
     /// Second sends allowed for each request.
     pub(crate) retry_ratio: f64,
     /// Second sends allowed beyond that ratio, over all entry hosts, in each window.
@@ -58,7 +58,7 @@
     /// The host's link, in bytes a second.
     pub(crate) link_bytes_per_s: f64,
     /// The spans that the system is held to.
-    pub(crate) bounds: TimeBounds,
+    pub(crate) bounds: PlatformBounds,
 }
 
 #[derive(Deserialize)]
@@ -127,9 +127,9 @@
 ///
 /// `SettingInvalid` with the field that is missing or does not read.
 pub(crate) fn read_settings() -> SwitchResult<PlatformSettings> {
-    let Ok(path) = std::env::var(PATH_VARIABLE) else {
+    let Ok(path) = std::env::var(SETTINGS_PATH_VARIABLE) else {
         return Err(invalid(format!(
-            "{PATH_VARIABLE} is not set; it names the settings file that the platform writes"
+            "{SETTINGS_PATH_VARIABLE} is not set; it names the settings file that the platform writes"
         )));
     };
     let text = std::fs::read_to_string(Path::new(&path))
@@ -165,10 +165,10 @@
     })
 }
 
-fn time_bounds(text: &BoundsText) -> TimeBounds {
-    TimeBounds {
-        stop_within: seconds(text.grace_s),
-        weights_within: millis(text.version_ms),
+fn time_bounds(text: &BoundsText) -> PlatformBounds {
+    PlatformBounds {
+        shutdown_grace: seconds(text.grace_s),
+        weights_deadline: millis(text.version_ms),
         retry_ratio: text.retry_budget_ratio,
         retry_extra: text.retry_budget_extra,
         retry_window: seconds(text.budget_window_s),
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -33,7 +33,7 @@
     /// The backend servers' own entries.
     Backends,
     /// The system's own: the entry hosts, and which versions of weights were named last.
-    Own,
+    System,
     /// The system's own: which requests were under way at backend servers that crashed.
     Crashes,
 }
@@ -44,7 +44,7 @@
             Self::Operator => "op",
             Self::Backends => "servers",
             // The name is from the rows that stood there first.
-            Self::Own => "savory-entries",
+            Self::System => "savory-entries",
             Self::Crashes => "savory-crashes",
         }
     }
@@ -52,11 +52,11 @@
 
 /// What a watch of a table found.
 #[apply(plain!)]
-pub(crate) enum WatchAnswer {
+pub(crate) enum WatchResponse {
     /// The rows that changed since, in order, and where to go on.
     Changed(TableView),
     /// The store no longer has the history since; the table has to be read as a whole.
-    HistoryLost,
+    HistoryExpired,
 }
 
 /// What became of a write under a condition.
@@ -76,7 +76,7 @@
 
 /// The store's answer to a write under a condition.
 #[apply(plain!)]
-pub(crate) struct WriteAnswer {
+pub(crate) struct WriteResponse {
     /// What became of it.
     pub(crate) outcome: WriteOutcome,
     /// What the store's clock showed as it answered.
@@ -181,7 +181,7 @@
         since: u64,
         wait: Duration,
         within: Duration,
-    ) -> SwitchResult<WatchAnswer> {
+    ) -> SwitchResult<WatchResponse> {
         let name = table.as_str();
         let wait_ms = wait.as_millis();
         let path = format!("/v1/rows-feed?table={name}&since_rev={since}&wait_ms={wait_ms}");
@@ -189,10 +189,10 @@
             .call(Method::GET, &path, Bytes::new(), wait + within)
             .await?;
         match status {
-            StatusCode::GONE => Ok(WatchAnswer::HistoryLost),
+            StatusCode::GONE => Ok(WatchResponse::HistoryExpired),
             StatusCode::OK => {
                 let page = parse_page(&body)?;
-                Ok(WatchAnswer::Changed(page.view))
+                Ok(WatchResponse::Changed(page.view))
             }
             status => Err(refused(status)),
         }
@@ -272,7 +272,7 @@
         (key, expected): (&str, u64),
         value: &[u8],
         within: Duration,
-    ) -> SwitchResult<WriteAnswer> {
+    ) -> SwitchResult<WriteResponse> {
         let condition = ConditionText {
             table: table.as_str(),
             part: "",
@@ -284,7 +284,7 @@
         match status {
             StatusCode::OK => {
                 let done = read_done(&body)?;
-                Ok(WriteAnswer {
+                Ok(WriteResponse {
                     outcome: WriteOutcome::Done { revision: done.ver },
                     told_at: StoreTime::from_millis(done.now_ms),
                 })
@@ -294,7 +294,7 @@
                     mut rows, told_at, ..
                 } = parse_page(&body)?.view;
                 rows.retain(|row| row.key == key && row.value.is_some());
-                Ok(WriteAnswer {
+                Ok(WriteResponse {
                     outcome: WriteOutcome::Refused { row: rows.pop() },
                     told_at,
                 })
--- a/src/platform/tests/documents.rs
+++ b/src/platform/tests/documents.rs
@@ -69,8 +69,8 @@
         ("1e300", HOUR),
     ] {
         let settings = parse_settings(&file(bound)).expect("it is well formed");
-        assert_eq!(settings.bounds.stop_within, span, "{bound}");
-        assert_eq!(settings.bounds.weights_within, span, "{bound}");
+        assert_eq!(settings.bounds.shutdown_grace, span, "{bound}");
+        assert_eq!(settings.bounds.weights_deadline, span, "{bound}");
     }
 }
 
@@ -78,7 +78,7 @@
 /// in a row under the key of another model.
 #[test]
 fn a_named_version_reads_only_under_its_own_key() {
-    let read = |key: &str, text: &str| read_wanted_version(key, text.as_bytes());
+    let read = |key: &str, text: &str| read_target_version(key, text.as_bytes());
     let named = read("version/m", r#"{"model":"m","version":3}"#).expect("it is well formed");
     assert_eq!((&*named.model, named.version), ("m", WeightsVersion(3)));
     for (key, text) in [
@@ -119,7 +119,7 @@
 #[test]
 fn a_list_is_no_document_and_names_no_version() {
     assert!(read_document(b"[18446744073709551615]").is_err());
-    assert!(read_wanted_version("version/m", br#"["m",3]"#).is_err());
+    assert!(read_target_version("version/m", br#"["m",3]"#).is_err());
 }
 
 #[test]
@@ -139,7 +139,7 @@
         }
         let mut naming = json!({"model": "m", "version": 3});
         spoil_json(u, &mut naming)?;
-        if let Ok(named) = read_wanted_version("version/m", naming.to_string().as_bytes()) {
+        if let Ok(named) = read_target_version("version/m", naming.to_string().as_bytes()) {
             assert_eq!(naming["model"], "m");
             assert_eq!(naming["version"], named.version.0);
             assert!(named.version.0 > 0);
@@ -147,7 +147,7 @@
         let other = any_json(u)?.to_string();
         let rest = u.bytes(u.len())?;
         for bytes in [other.as_bytes(), rest] {
-            assert!(read_wanted_version("version/m", bytes).is_err());
+            assert!(read_target_version("version/m", bytes).is_err());
             let _ = read_document(bytes);
         }
         Ok(())
--- a/src/platform/tests/heads.rs
+++ b/src/platform/tests/heads.rs
@@ -54,9 +54,10 @@
         let head = read_request_head(&fields);
         let attempt = head.attempt.unwrap_or_default();
         let backend = ByteString::from("i-1");
-        let word = answer_facts(StatusCode::OK, &fields, (Some(&attempt), &backend)).word;
-        assert!(word != AnswerWord::Run || fields.contains_key("savoryswitch-attempt-id"));
-        let facts = SendFacts {
+        let outcome =
+            read_response_head(StatusCode::OK, &fields, (Some(&attempt), &backend)).outcome;
+        assert!(outcome != ResponseOutcome::Run || fields.contains_key("savoryswitch-attempt-id"));
+        let facts = SendFields {
             time_left: Duration::MAX,
             backend: &backend,
             account: None,
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -36,7 +36,7 @@
     let settings = parse_settings(&entry).expect("it is well formed");
     assert_eq!(settings.caller_address, "10.1.0.2:1".parse().ok());
     assert_eq!(settings.peer_port, 7700);
-    assert_eq!(settings.bounds.stop_within.as_secs(), 6);
+    assert_eq!(settings.bounds.shutdown_grace.as_secs(), 6);
     let host = format!("{common}app = \"10.1.0.2:9\"\nservice = \"s\"\n{tables}");
     let settings = parse_settings(&host).expect("it is well formed");
     assert_eq!(settings.backend_address, "10.1.0.2:9".parse().ok());
@@ -102,7 +102,7 @@
         ("path", "10.0.0.1:80=0-16"),
     ]);
     let backend = ByteString::from("i-1");
-    let facts = SendFacts {
+    let facts = SendFields {
         time_left: std::time::Duration::from_millis(900),
         backend: &backend,
         account: None,
@@ -135,37 +135,43 @@
 #[test]
 fn an_answer_counts_only_with_the_attempt_that_was_asked_for() {
     let attempt = ByteString::from("a1");
-    let word = |status: StatusCode, fields: &[(&'static str, &'static str)]| {
+    let outcome = |status: StatusCode, fields: &[(&'static str, &'static str)]| {
         let meant = ByteString::from("i-1");
-        answer_facts(status, &headers(fields), (Some(&attempt), &meant)).word
+        read_response_head(status, &headers(fields), (Some(&attempt), &meant)).outcome
     };
     let own = ("savoryswitch-attempt-id", "a1");
-    assert_eq!(word(StatusCode::OK, &[own]), AnswerWord::Run);
-    assert_eq!(word(StatusCode::OK, &[]), AnswerWord::Foreign);
+    assert_eq!(outcome(StatusCode::OK, &[own]), ResponseOutcome::Run);
+    assert_eq!(
+        outcome(StatusCode::OK, &[]),
+        ResponseOutcome::AttemptMismatch
+    );
     let other = ("savoryswitch-attempt-id", "a2");
-    assert_eq!(word(StatusCode::OK, &[other]), AnswerWord::Foreign);
+    assert_eq!(
+        outcome(StatusCode::OK, &[other]),
+        ResponseOutcome::AttemptMismatch
+    );
     let not_run = ("savoryswitch-not-executed", "1");
     assert_eq!(
-        word(StatusCode::SERVICE_UNAVAILABLE, &[own, not_run]),
-        AnswerWord::NotRun
+        outcome(StatusCode::SERVICE_UNAVAILABLE, &[own, not_run]),
+        ResponseOutcome::NotRun
     );
     assert_eq!(
-        word(StatusCode::SERVICE_UNAVAILABLE, &[own]),
-        AnswerWord::Run
+        outcome(StatusCode::SERVICE_UNAVAILABLE, &[own]),
+        ResponseOutcome::Run
     );
     assert_eq!(
-        word(StatusCode::MISDIRECTED_REQUEST, &[own]),
-        AnswerWord::Misdirected
+        outcome(StatusCode::MISDIRECTED_REQUEST, &[own]),
+        ResponseOutcome::Misdirected
     );
     let same = ("savoryswitch-instance-id", "i-1");
     assert_eq!(
-        word(StatusCode::MISDIRECTED_REQUEST, &[own, same]),
-        AnswerWord::Misdirected
+        outcome(StatusCode::MISDIRECTED_REQUEST, &[own, same]),
+        ResponseOutcome::Misdirected
     );
     let other = ("savoryswitch-instance-id", "i-2");
     assert_eq!(
-        word(StatusCode::MISDIRECTED_REQUEST, &[own, other]),
-        AnswerWord::Replaced
+        outcome(StatusCode::MISDIRECTED_REQUEST, &[own, other]),
+        ResponseOutcome::Replaced
     );
 }
 
@@ -179,9 +185,9 @@
         ("savoryswitch-length-hint", "40"),
         ("last-event-id", "12"),
     ]));
-    assert_eq!(head.secret.as_deref(), Some("k1"));
+    assert_eq!(head.api_key.as_deref(), Some("k1"));
     assert_eq!(head.deadline.map(|span| span.as_millis()), Some(600));
     assert_eq!((head.prompt_tokens, head.output_tokens_max), (1460, 80));
-    assert_eq!(head.output_tokens_guess, Some(40));
+    assert_eq!(head.estimated_output_tokens, Some(40));
     assert_eq!(head.last_event, Some(12));
 }
--- a/src/platform/tests/reports.rs
+++ b/src/platform/tests/reports.rs
@@ -24,7 +24,7 @@
     let report = read_report(whole_report().to_string().as_bytes()).expect("it is whole");
     assert_eq!(report.born, Some(WallTime(1_790_000_000_000)));
     assert_eq!(
-        (report.orders_taken, report.active, report.queued),
+        (report.orders_accepted, report.active, report.queued),
         (2, 12, 1)
     );
     let held = report.holdings.whole_version("m", 16);
--- a/src/platform/tests/rows.rs
+++ b/src/platform/tests/rows.rs
@@ -50,7 +50,7 @@
         let bytes = read.rows[1].value.as_deref().expect("there is a row");
         assert!(read_backend_row("b", bytes).is_err());
         assert!(read_document(bytes).is_err());
-        assert!(read_wanted_version("version/b", bytes).is_err());
+        assert!(read_target_version("version/b", bytes).is_err());
     }
 }
 
--- a/src/replication/engine_incarnation.rs
+++ b/src/replication/engine_incarnation.rs
@@ -33,7 +33,7 @@
 #[apply(plain!)]
 struct SeenReport {
     born: Option<WallTime>,
-    orders_taken: u64,
+    orders_accepted: u64,
     holds_any: bool,
 }
 
@@ -66,7 +66,7 @@
         }
         self.seen = Some(SeenReport {
             born: report.born,
-            orders_taken: report.orders_taken,
+            orders_accepted: report.orders_accepted,
             holds_any: !holds_nothing(report),
         });
         origin
@@ -103,8 +103,8 @@
     /// orders than before, or holds nothing although no order made it drop what it held.
     fn is_forgotten_by(&self, report: &EngineReport, was_silent: bool) -> bool {
         let is_idle_and_empty = holds_nothing(report) && !report.is_busy;
-        let has_dropped = self.holds_any && report.orders_taken == self.orders_taken;
-        report.orders_taken < self.orders_taken
+        let has_dropped = self.holds_any && report.orders_accepted == self.orders_accepted;
+        report.orders_accepted < self.orders_accepted
             || (is_idle_and_empty && (was_silent || has_dropped))
     }
 }
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -124,7 +124,7 @@
             store: self.store.clone(),
             watch: self.watch.clone(),
             waits: self.waits.clone(),
-            bound: settings.bounds.weights_within,
+            bound: settings.bounds.weights_deadline,
         }
     }
 
--- a/src/replication/tests/backend_host.rs
+++ b/src/replication/tests/backend_host.rs
@@ -9,9 +9,9 @@
 
 use crate::daemon::DrainState;
 use crate::fleet::{ModelVersion, WeightsVersion};
-use crate::platform::samples::naming_sample;
+use crate::platform::samples::target_sample;
 use crate::platform::{
-    BirthWord, FakeEngine, FakeOrigin, FakeStore, PlatformSettings, TableName, TimeBounds,
+    FakeEngine, FakeOrigin, FakeStore, PlatformBounds, PlatformSettings, StartTimeField, TableName,
 };
 use crate::replication::chunk_messages::{ChunkAsk, HAVE_PATH};
 use crate::replication::run_backend_host;
@@ -43,19 +43,19 @@
 
 impl BackendHost {
     /// Starts a host beside an engine that holds nothing; version 1 is wanted.
-    pub(super) async fn start(birth: BirthWord) -> Self {
+    pub(super) async fn start(birth: StartTimeField) -> Self {
         Self::start_among(birth, &[]).await
     }
 
     /// The same, where the store names `entries` as entry hosts.
-    pub(super) async fn start_among(birth: BirthWord, entries: &[EntryRecord]) -> Self {
+    pub(super) async fn start_among(birth: StartTimeField, entries: &[EntryRecord]) -> Self {
         let engine = FakeEngine::start(birth).await;
         let origin = FakeOrigin::start().await;
         let store = FakeStore::start().await;
         store.put(TableName::Operator, "config", &origin.document());
         for entry in entries {
             let text = serde_json::to_string(entry).expect("it encodes");
-            store.put(TableName::Own, &entry.host, &text);
+            store.put(TableName::System, &entry.host, &text);
         }
         let peers = own_address();
         let runtime = Builder::new_multi_thread()
@@ -98,7 +98,7 @@
 
     /// Version `version` is wanted from now on.
     pub(super) fn name_version(&self, version: u64) {
-        let (key, text) = naming_sample(version);
+        let (key, text) = target_sample(version);
         self.store.put(TableName::Operator, key, &text);
     }
 
@@ -138,9 +138,9 @@
     pub(super) fn work_done(&self) -> (usize, usize, usize) {
         let (engine, origin) = (&self.engine, &self.origin);
         (
-            origin.chunks_read(),
-            engine.stagings(),
-            engine.orders_begun(),
+            origin.chunks_served(),
+            engine.chunks_staged(),
+            engine.orders_started(),
         )
     }
 
@@ -181,9 +181,9 @@
         backend_service: Some("s".into()),
         store_address: store.address,
         link_bytes_per_s: LINK_BYTES_PER_S,
-        bounds: TimeBounds {
-            stop_within: Duration::ZERO,
-            weights_within: Duration::from_secs(8),
+        bounds: PlatformBounds {
+            shutdown_grace: Duration::ZERO,
+            weights_deadline: Duration::from_secs(8),
             retry_ratio: 0.1,
             retry_extra: 20.0,
             retry_window: Duration::from_secs(10),
--- a/src/replication/tests/incarnations.rs
+++ b/src/replication/tests/incarnations.rs
@@ -8,7 +8,7 @@
 const FIRST: Option<WallTime> = Some(WallTime(1_000));
 const LATER: Option<WallTime> = Some(WallTime(21_000));
 
-fn report(born: Option<WallTime>, orders_taken: u64, holds_any: bool) -> EngineReport {
+fn report(born: Option<WallTime>, orders_accepted: u64, holds_any: bool) -> EngineReport {
     let layers = HeldLayers {
         from: 0,
         to: 4,
@@ -21,7 +21,7 @@
         },
         born,
         is_busy: false,
-        orders_taken,
+        orders_accepted,
         queued: 0,
         active: 0,
         pace: 1.0,
--- a/src/replication/tests/reports.rs
+++ b/src/replication/tests/reports.rs
@@ -9,7 +9,7 @@
 
 use super::backend_host::BackendHost;
 use crate::derives::message;
-use crate::platform::BirthWord;
+use crate::platform::StartTimeField;
 use crate::sync::EntryRecord;
 use crate::transport::encode_message;
 
@@ -89,7 +89,7 @@
 #[tokio::test]
 async fn a_host_reports_to_its_relays_only() {
     let sinks = ReportSinks::start().await;
-    let host = BackendHost::start_among(BirthWord::Told, &sinks.records).await;
+    let host = BackendHost::start_among(StartTimeField::Present, &sinks.records).await;
     let until = Instant::now() + SETTLE;
     while Instant::now() < until {
         sinks.ask(host.peers()).await;
--- a/src/replication/tests/restarts.rs
+++ b/src/replication/tests/restarts.rs
@@ -6,7 +6,7 @@
 
 use super::backend_host::BackendHost;
 use crate::fleet::WeightsVersion;
-use crate::platform::{BirthWord, EngineCall, StagedRest};
+use crate::platform::{EngineCall, StagedAfterRestart, StartTimeField};
 use crate::weights::HaveWord;
 
 /// Longer than the host needs to see that its engine is silent.
@@ -19,14 +19,14 @@
 /// chunk was still staged, so that nothing needs to be brought again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_that_starts_again_loads_what_is_still_staged() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
-    let read = host.origin.chunks_read();
+    let read = host.origin.chunks_served();
     host.engine.crash();
     sleep(OUTAGE).await;
-    host.engine.restart(StagedRest::Kept);
+    host.engine.restart(StagedAfterRestart::Kept);
     host.await_held(1).await;
-    assert_eq!(host.origin.chunks_read(), read, "all chunks were staged");
+    assert_eq!(host.origin.chunks_served(), read, "all chunks were staged");
     host.end();
 }
 
@@ -34,14 +34,14 @@
 /// telling other hosts that it held every chunk, and brought none.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_that_starts_again_with_nothing_staged_gets_its_weights_anew() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
-    let read = host.origin.chunks_read();
+    let read = host.origin.chunks_served();
     host.engine.crash();
     sleep(OUTAGE).await;
-    host.engine.restart(StagedRest::Gone);
+    host.engine.restart(StagedAfterRestart::Lost);
     host.await_held(1).await;
-    assert_eq!(host.origin.chunks_read(), 2 * read, "no chunk was left");
+    assert_eq!(host.origin.chunks_served(), 2 * read, "no chunk was left");
     host.end();
 }
 
@@ -49,12 +49,12 @@
 /// tokens of spoiled weights. Only the bad ones are brought again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn chunks_that_went_bad_in_a_crash_are_brought_again() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
-    let read = host.origin.chunks_read();
-    host.engine.restart(StagedRest::HalfSpoiled);
+    let read = host.origin.chunks_served();
+    host.engine.restart(StagedAfterRestart::HalfCorrupt);
     host.await_held(1).await;
-    assert_eq!(host.origin.chunks_read(), read + read / 2);
+    assert_eq!(host.origin.chunks_served(), read + read / 2);
     host.end();
 }
 
@@ -62,9 +62,9 @@
 /// its start. Its empty holdings tell that it knows nothing of before.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_quick_restart_without_a_time_of_start_is_seen_by_what_is_held() {
-    let host = BackendHost::start(BirthWord::Untold).await;
+    let host = BackendHost::start(StartTimeField::Absent).await;
     host.await_served(1).await;
-    host.engine.restart(StagedRest::Gone);
+    host.engine.restart(StagedAfterRestart::Lost);
     host.await_held(1).await;
     host.end();
 }
@@ -73,13 +73,13 @@
 /// it for chunks that it could not give, and waited.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn other_hosts_are_told_at_once_that_nothing_is_held_any_more() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
     let held = |word: Option<HaveWord>| word.map(|word| word.held.len());
-    let all = host.origin.chunks_read();
+    let all = host.origin.chunks_served();
     assert_eq!(held(host.word(1).await).map(usize::try_from), Some(Ok(all)));
-    host.origin.hand_out_only(all);
-    host.engine.restart(StagedRest::Gone);
+    host.origin.limit_chunks(all);
+    host.engine.restart(StagedAfterRestart::Lost);
     host.await_heard().await;
     assert_eq!(held(host.word(1).await), Some(0));
     host.end();
@@ -89,12 +89,12 @@
 /// each would cost the engine the requests that it works on.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_that_was_only_silent_keeps_what_it_has() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
     let before = host.work_done();
     host.engine.crash();
     sleep(OUTAGE).await;
-    host.engine.thaw();
+    host.engine.resume();
     sleep(OUTAGE).await;
     assert_eq!(host.work_done(), before);
     assert_eq!(host.engine.held(), Some(WeightsVersion(1)));
@@ -105,17 +105,17 @@
 /// the rest is fetched.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_fetch_goes_on_over_a_restart() {
-    let host = BackendHost::start(BirthWord::Told).await;
-    host.origin.hand_out_only(3);
-    let has_part = || host.origin.chunks_read() == 3;
+    let host = BackendHost::start(StartTimeField::Present).await;
+    host.origin.limit_chunks(3);
+    let has_part = || host.origin.chunks_served() == 3;
     host.await_that("half of the chunks are read", has_part)
         .await;
     sleep(OUTAGE).await;
-    host.engine.restart(StagedRest::Gone);
+    host.engine.restart(StagedAfterRestart::Lost);
     sleep(OUTAGE).await;
-    host.origin.hand_out_only(usize::MAX);
+    host.origin.limit_chunks(usize::MAX);
     host.await_held(1).await;
-    assert_eq!(host.origin.chunks_read(), 6, "no chunk was read twice");
+    assert_eq!(host.origin.chunks_served(), 6, "no chunk was read twice");
     host.end();
 }
 
@@ -123,9 +123,9 @@
 /// before and counted as such would have been missing in the load.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_restart_in_the_middle_of_staging_stages_all_again() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.engine
-        .restart_at(EngineCall::Stage, 3, StagedRest::Gone);
+        .restart_on(EngineCall::Stage, 3, StagedAfterRestart::Lost);
     host.await_held(1).await;
     host.end();
 }
@@ -134,10 +134,10 @@
 /// the former incarnation and is refused. Given again unchanged it would be refused for good.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_order_that_meets_a_new_incarnation_is_made_out_anew() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
     host.engine
-        .restart_at(EngineCall::Order, 0, StagedRest::Gone);
+        .restart_on(EngineCall::Order, 0, StagedAfterRestart::Lost);
     host.name_version(2);
     host.await_held(2).await;
     host.end();
@@ -147,12 +147,12 @@
 /// host waited nine seconds for a version that could not come: `[1308]`, and no `[1310]` behind it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_wait_for_the_end_of_an_order_ends_with_the_incarnation() {
-    let host = BackendHost::start(BirthWord::Told).await;
-    host.engine.hold_orders();
-    host.await_that("an order is begun", || host.engine.orders_begun() == 1)
+    let host = BackendHost::start(StartTimeField::Present).await;
+    host.engine.stall_orders();
+    host.await_that("an order is begun", || host.engine.orders_started() == 1)
         .await;
     sleep(OUTAGE).await;
-    host.engine.restart(StagedRest::Kept);
+    host.engine.restart(StagedAfterRestart::Kept);
     host.await_held(1).await;
     host.end();
 }
@@ -161,12 +161,12 @@
 /// would have thrown away what had just been staged and loaded.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_late_report_of_the_former_incarnation_changes_nothing() {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
-    host.engine.restart(StagedRest::Gone);
+    host.engine.restart(StagedAfterRestart::Lost);
     host.await_served(1).await;
     let before = host.work_done();
-    host.engine.report_late(2);
+    host.engine.report_stale(2);
     sleep(2 * OUTAGE).await;
     assert_eq!(host.work_done(), before);
     host.end();
--- a/src/replication/tests/retire.rs
+++ b/src/replication/tests/retire.rs
@@ -6,7 +6,7 @@
 
 use super::backend_host::BackendHost;
 use crate::fleet::WeightsVersion;
-use crate::platform::BirthWord;
+use crate::platform::StartTimeField;
 use crate::replication::version_retire::{first_layer, layer_chunks};
 use crate::weights::ChunkMap;
 
@@ -19,11 +19,11 @@
 
 /// A host whose engine serves version 1 while `known` chunks of version 2 are to be had.
 async fn overdue_host(known: usize) -> BackendHost {
-    let host = BackendHost::start(BirthWord::Told).await;
+    let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
     host.start_entry().await;
     sleep(HEARD_WITHIN).await;
-    host.origin.hand_out_only(CHUNKS + known);
+    host.origin.limit_chunks(CHUNKS + known);
     host.name_version(2);
     sleep(SERVED_FOR).await;
     assert_eq!(host.engine.held(), Some(WeightsVersion(1)));
@@ -34,12 +34,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_is_taken_off_older_weights_at_their_bound() {
     let host = overdue_host(3).await;
-    let cuts = host.engine.cuts();
+    let aborting_orders = host.engine.aborting_orders();
     sleep(REST).await;
     assert_eq!(host.engine.held(), None);
-    assert_eq!(host.engine.held_in_part(), Some(WeightsVersion(2)));
-    assert_eq!(host.engine.cuts(), cuts, "what it works on may end");
-    host.origin.hand_out_only(usize::MAX);
+    assert_eq!(host.engine.partial_version(), Some(WeightsVersion(2)));
+    assert_eq!(
+        host.engine.aborting_orders(),
+        aborting_orders,
+        "what it works on may end"
+    );
+    host.origin.limit_chunks(usize::MAX);
     host.await_held(2).await;
     host.end();
 }
@@ -48,11 +52,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_waits_at_an_engine_at_the_bound_of_its_weights_is_cut_off() {
     let host = overdue_host(3).await;
-    let cuts = host.engine.cuts();
-    host.engine.note_queued(2);
+    let aborting_orders = host.engine.aborting_orders();
+    host.engine.set_queued(2);
     sleep(REST).await;
     assert_eq!(host.engine.held(), None);
-    assert_eq!(host.engine.cuts(), cuts + 1);
+    assert_eq!(host.engine.aborting_orders(), aborting_orders + 1);
     host.end();
 }
 
--- a/src/replication/version_load.rs
+++ b/src/replication/version_load.rs
@@ -248,11 +248,11 @@
         let order = LoadOrder {
             target: target.clone(),
             layer: None,
-            orders_taken: report.orders_taken,
-            cuts_requests: may_cut,
+            orders_accepted: report.orders_accepted,
+            aborts_requests: may_cut,
         };
         match self.engine.order_load(&order, ORDER_WITHIN).await {
-            Ok(OrderOutcome::Begun | OrderOutcome::InForce) => {
+            Ok(OrderOutcome::Started | OrderOutcome::AlreadyLoaded) => {
                 let (version, active) = (target.version.0, report.active);
                 log_event!(events::LOAD_ORDERED, "version={version} active={active}");
                 true
--- a/src/replication/version_retire.rs
+++ b/src/replication/version_retire.rs
@@ -117,8 +117,8 @@
             let order = LoadOrder {
                 target: target.clone(),
                 layer: Some(*layer),
-                orders_taken: report.orders_taken,
-                cuts_requests: report.queued > 0 && self.may_cut(),
+                orders_accepted: report.orders_accepted,
+                aborts_requests: report.queued > 0 && self.may_cut(),
             };
             self.engine.order_load(&order, ORDER_WITHIN).await
         };
--- a/src/replication/view_poll.rs
+++ b/src/replication/view_poll.rs
@@ -135,7 +135,10 @@
 
     async fn read_store(&self) -> SwitchResult<()> {
         let asked = clock_now();
-        let own = self.store.read_table(TableName::Own, STORE_WITHIN).await?;
+        let own = self
+            .store
+            .read_table(TableName::System, STORE_WITHIN)
+            .await?;
         let span = AskSpan {
             asked,
             heard: clock_now(),
--- a/src/sync/crash_follow.rs
+++ b/src/sync/crash_follow.rs
@@ -13,7 +13,7 @@
 use super::view_book::ViewBook;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::platform::{CHANGED_ROWS_MAX, StoreRow, TableName, TableView, WatchAnswer};
+use crate::platform::{CHANGED_ROWS_MAX, StoreRow, TableName, TableView, WatchResponse};
 use crate::quarantine::{CRASH_SPAN, CrashRecord};
 use crate::time::{ClockTime, StoreTime, clock_now};
 
@@ -68,7 +68,7 @@
             .store
             .watch_table(table, since, CRASHES_WAIT, STORE_WITHIN);
         match watched.await? {
-            WatchAnswer::Changed(view) => {
+            WatchResponse::Changed(view) => {
                 self.note_told(&view, asked);
                 self.take_crash_changes(&view);
                 if !view.rows.is_empty() {
@@ -76,7 +76,7 @@
                 }
                 Ok(())
             }
-            WatchAnswer::HistoryLost => {
+            WatchResponse::HistoryExpired => {
                 log_event!(events::HISTORY_LOST, "table=crashes");
                 self.read_crashes().await
             }
--- a/src/sync/past_namings.rs
+++ b/src/sync/past_namings.rs
@@ -11,7 +11,7 @@
 use super::view_book::ViewBook;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::platform::{TableName, WatchAnswer};
+use crate::platform::{TableName, WatchResponse};
 use crate::time::clock_now;
 
 /// How many of the store's revisions are looked back at a start, one look behind the other, up to the first
@@ -95,7 +95,7 @@
         let watched = self
             .store
             .watch_table(table, since, Duration::ZERO, STORE_WITHIN);
-        let WatchAnswer::Changed(view) = watched.await? else {
+        let WatchResponse::Changed(view) = watched.await? else {
             return Ok(None);
         };
         self.note_told(&view, asked);
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -16,7 +16,7 @@
 use super::view_book::ViewBook;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::platform::{StoreClient, TableName, TableView, WatchAnswer};
+use crate::platform::{StoreClient, TableName, TableView, WatchResponse};
 use crate::time::{ClockTime, StoreTime, clock_now};
 use crate::transport::PeerClient;
 
@@ -120,7 +120,7 @@
 
     /// Reads the system's own rows.
     pub(super) async fn read_own_rows(&self) -> SwitchResult<()> {
-        let view = self.read_table(TableName::Own).await?;
+        let view = self.read_table(TableName::System).await?;
         self.take_own_rows(OwnRows::of(&view), view.told_at);
         Ok(())
     }
@@ -179,7 +179,7 @@
             *since = None;
         }
         let (revision, told_at) = match watched? {
-            WatchAnswer::Changed(view) => {
+            WatchResponse::Changed(view) => {
                 let asked_by = self.note_told(&view, asked);
                 if !view.rows.is_empty() {
                     let named = step.knowledge.naming_time(asked_by, view.told_at);
@@ -188,7 +188,7 @@
                 }
                 (view.revision, view.told_at)
             }
-            WatchAnswer::HistoryLost => {
+            WatchResponse::HistoryExpired => {
                 log_event!(events::HISTORY_LOST, "table=operator");
                 let contact = self.contact_since(step);
                 self.read_operator(step.behind_failure(contact)).await?
@@ -254,12 +254,12 @@
                 self.store
                     .watch_table(TableName::Backends, since, BACKENDS_WAIT, STORE_WITHIN);
             match watched.await? {
-                WatchAnswer::Changed(view) => {
+                WatchResponse::Changed(view) => {
                     self.note_told(&view, asked);
                     self.change_backends(&view);
                     return Ok(());
                 }
-                WatchAnswer::HistoryLost => log_event!(events::HISTORY_LOST, "table=backends"),
+                WatchResponse::HistoryExpired => log_event!(events::HISTORY_LOST, "table=backends"),
             }
         }
         let view = self.read_table(TableName::Backends).await?;
@@ -302,9 +302,9 @@
     async fn entries_step(&self, is_entered: &mut bool) -> SwitchResult<()> {
         if !*is_entered {
             let text = serde_json::to_vec(&self.me).unwrap_or_default();
-            let written = self
-                .store
-                .write_row(TableName::Own, &self.me.host, &text, STORE_WITHIN);
+            let written =
+                self.store
+                    .write_row(TableName::System, &self.me.host, &text, STORE_WITHIN);
             written.await?;
             *is_entered = true;
         }
--- a/src/sync/tests/driver_world.rs
+++ b/src/sync/tests/driver_world.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{
     BackendPhase, EngineHoldings, HeldLayers, LoadReport, ModelVersion, WeightsVersion,
 };
-use crate::platform::samples::{document_sample, holding_sample, naming_sample};
+use crate::platform::samples::{document_sample, loaded_entry_sample, target_sample};
 use crate::platform::{StoreRow, TableView};
 use crate::sync::own_rows::VersionRecord;
 use crate::time::{ClockTime, StoreTime, WallTime};
@@ -71,7 +71,7 @@
         } else {
             BackendPhase::Serving
         };
-        holding_sample((self.address, self.born), self.told, phase, self.holds)
+        loaded_entry_sample((self.address, self.born), self.told, phase, self.holds)
     }
 
     /// What the process beside it would tell of it now.
@@ -135,7 +135,7 @@
 
     pub(super) fn name(&mut self, version: u64) {
         let revision = self.next();
-        let (key, text) = naming_sample(version);
+        let (key, text) = target_sample(version);
         self.naming = Some(row(key, revision, Some(&text)));
         self.named = version;
     }
--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -37,7 +37,7 @@
     store.slow_watches(TOO_SLOW);
     let named_by = name_version(&store);
     let record = "{\"model\":\"m\",\"version\":2}";
-    store.put(TableName::Own, "weights/m", record);
+    store.put(TableName::System, "weights/m", record);
     check_late(&process, named_by).await;
     process.lose_power();
 }
--- a/src/sync/tests/late_words.rs
+++ b/src/sync/tests/late_words.rs
@@ -11,7 +11,7 @@
 use super::{START, new_book};
 use crate::daemon::DrainState;
 use crate::fleet::{ModelVersion, NamingCertainty, WantedWeights, WeightsVersion};
-use crate::platform::samples::{document_sample, naming_sample};
+use crate::platform::samples::{document_sample, target_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::naming_time::NamingTime;
 use crate::sync::peer_messages::WantedWord;
@@ -33,7 +33,7 @@
 
 /// Names version 2; returns a moment at which the store has it already.
 pub(super) fn name_version(store: &FakeStore) -> ClockTime {
-    let (key, text) = naming_sample(2);
+    let (key, text) = target_sample(2);
     store.put(TableName::Operator, key, &text);
     clock_now()
 }
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -23,7 +23,7 @@
 use bytes::Bytes;
 
 use crate::fleet::{NamingCertainty, WeightsVersion};
-use crate::platform::samples::{backend_sample, document_sample, naming_sample};
+use crate::platform::samples::{backend_sample, document_sample, target_sample};
 use crate::platform::{StoreRow, TableView};
 use crate::sync::naming_time::{NamingKnowledge, NamingTime};
 use crate::sync::store_clock::{AskSpan, ClockWord};
@@ -89,7 +89,7 @@
 }
 
 fn named(version: u64) -> StoreRow {
-    let (key, text) = naming_sample(version);
+    let (key, text) = target_sample(version);
     row(key, version, Some(&text))
 }
 
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -41,7 +41,7 @@
                 reports: control,
             };
             let text = serde_json::to_string(&record).expect("it encodes");
-            store.put(TableName::Own, &record.host, &text);
+            store.put(TableName::System, &record.host, &text);
             records.push(record);
         }
         records.sort_unstable_by_key(|record| std::cmp::Reverse(place_of(&record.host)));
@@ -117,12 +117,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_is_read_by_two_and_reaches_all() {
     let mut hall = TestHall::start().await;
-    let before = hall.store.rows_told(TableName::Operator);
+    let before = hall.store.rows_sent(TableName::Operator);
     for _ in 0..5 {
         hall.put_document();
         hall.all_have_it(Duration::from_millis(500)).await;
     }
-    let told = hall.store.rows_told(TableName::Operator) - before;
+    let told = hall.store.rows_sent(TableName::Operator) - before;
     assert!(told <= 10, "five documents were told {told} times");
     hall.end();
 }
@@ -131,7 +131,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_reader_that_stands_still_costs_one_more_reader() {
     let mut hall = TestHall::start().await;
-    let before = hall.store.rows_told(TableName::Operator);
+    let before = hall.store.rows_sent(TableName::Operator);
     let reader = hall.processes[1].as_ref().expect("it lives");
     // Longer than a question to it may take.
     reader.freeze(Duration::from_millis(1200));
@@ -140,7 +140,7 @@
         hall.put_document();
         hall.all_have_it(BOUND).await;
     }
-    let told = hall.store.rows_told(TableName::Operator) - before;
+    let told = hall.store.rows_sent(TableName::Operator) - before;
     assert!(told <= 15, "five documents were told {told} times");
     hall.end();
 }
@@ -210,13 +210,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_list_of_backend_servers_is_read_by_two_and_reaches_all() {
     let hall = TestHall::start().await;
-    let before = hall.store.rows_told(TableName::Backends);
+    let before = hall.store.rows_sent(TableName::Backends);
     for count in 1..=4 {
         let id = format!("b{count}");
         hall.store.put(TableName::Backends, &id, &backend_sample());
         hall.all_know(count, BOUND).await;
     }
-    let told = hall.store.rows_told(TableName::Backends) - before;
+    let told = hall.store.rows_sent(TableName::Backends) - before;
     assert!(told <= 8, "four entries were told {told} times");
     hall.end();
 }
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -10,7 +10,7 @@
 use super::{START, at_once, found_at, named, new_book, set_clock, store_time, told_at};
 use crate::daemon::DrainState;
 use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
-use crate::platform::samples::{document_sample, naming_sample};
+use crate::platform::samples::{document_sample, target_sample};
 use crate::platform::{FakeStore, StoreClient, TableName, WriteOutcome};
 use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::own_rows::VersionRecord;
@@ -103,7 +103,7 @@
 }
 
 fn name_version(store: &FakeStore, version: u64) {
-    let (key, text) = naming_sample(version);
+    let (key, text) = target_sample(version);
     store.put(TableName::Operator, key, &text);
 }
 
@@ -115,7 +115,7 @@
 /// Waits until the store keeps that `version` was named.
 pub(super) async fn await_record(store: &FakeStore, version: u64) {
     let is_kept = || {
-        let text = store.text_of(TableName::Own, "weights/m");
+        let text = store.text_of(TableName::System, "weights/m");
         let kept = text.and_then(|text| serde_json::from_str::<ModelVersion>(&text).ok());
         kept.is_some_and(|kept| kept.version >= WeightsVersion(version))
     };
@@ -168,8 +168,8 @@
 async fn a_record_that_does_not_read_is_written_over_once() {
     let store = FakeStore::start().await;
     put_document(&store, 1);
-    store.put(TableName::Own, "weights/m", "{\"model\":7}");
-    store.put(TableName::Own, "another", "no entry of an entry host");
+    store.put(TableName::System, "weights/m", "{\"model\":7}");
+    store.put(TableName::System, "another", "no entry of an entry host");
     name_version(&store, 3);
     let first = EntryProcess::start("first", &store);
     first.believes(|snapshot| newest(snapshot).is_some()).await;
@@ -328,17 +328,17 @@
 async fn a_record_that_is_written_late_does_not_replace_a_newer_one() {
     let store = FakeStore::start().await;
     let third = "{\"model\":\"m\",\"version\":3}";
-    store.put(TableName::Own, "weights/m", third);
+    store.put(TableName::System, "weights/m", third);
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let client = StoreClient::new(store.address, client);
     let second = b"{\"model\":\"m\",\"version\":2}";
-    let writing = client.write_row_at(TableName::Own, ("weights/m", 0), second, WAIT_MAX);
+    let writing = client.write_row_at(TableName::System, ("weights/m", 0), second, WAIT_MAX);
     let outcome = writing.await.expect("the store answers").outcome;
     let WriteOutcome::Refused { row: Some(row) } = outcome else {
         panic!("it was done: {outcome:?}");
     };
     assert_eq!(row.value.as_deref(), Some(third.as_bytes()));
-    let stands = store.text_of(TableName::Own, "weights/m");
+    let stands = store.text_of(TableName::System, "weights/m");
     assert_eq!(stands.as_deref(), Some(third));
 }
 
--- a/src/sync/tests/storms.rs
+++ b/src/sync/tests/storms.rs
@@ -8,7 +8,7 @@
 use super::{START, document, named, new_book, told_at};
 use crate::catalog::CatalogVersion;
 use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
-use crate::platform::samples::{document_sample, naming_sample};
+use crate::platform::samples::{document_sample, target_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::past_namings::is_last_look;
 use crate::sync::peer_messages::{PeerAsk, WantedWord};
@@ -100,7 +100,7 @@
     // A watch that is held open ends by itself after 1.4 s.
     store.set_down(true);
     sleep(Duration::from_millis(3500)).await;
-    let (key, text) = naming_sample(2);
+    let (key, text) = target_sample(2);
     store.put(TableName::Operator, key, &text);
     let now = clock_now();
     let answer = |book: &ViewBook| book.answer(&PeerAsk::default(), Duration::ZERO, now);
--- a/src/sync/tests/unreadable.rs
+++ b/src/sync/tests/unreadable.rs
@@ -68,7 +68,7 @@
         book.change(|book| book.take_operator_rows(rows, told_at(START)));
     };
     let (document_key, text) = document_sample(9);
-    let (naming_key, _) = naming_sample(1);
+    let (naming_key, _) = target_sample(1);
     take(&[document(7), named(2)]);
     for spoilt in [NO_BYTES, "{", "[]", "{\"x\":-1}"] {
         let rows = [
@@ -78,7 +78,7 @@
         take(&rows);
         assert_eq!(version_of(&book), 7);
     }
-    let (_, other) = naming_sample(5);
+    let (_, other) = target_sample(5);
     take(&[row(&format!("{naming_key}x"), 10, Some(&other))]);
     let newest = |book: &SharedBook| {
         let snapshot = book.snapshot().load();
@@ -133,7 +133,10 @@
     assert!(!rows.note(table, "a", RowReading::Reads));
     assert!(rows.note(table, "a", spoilt));
     assert!(!rows.note(table, "a", spoilt), "it is known");
-    assert!(rows.note(TableName::Own, "a", spoilt), "it is another row");
+    assert!(
+        rows.note(TableName::System, "a", spoilt),
+        "it is another row"
+    );
     rows.note(table, "a", RowReading::Reads);
     assert_eq!(rows.len(), 1);
     assert!(rows.note(table, "a", spoilt), "it begins anew");
@@ -156,7 +159,7 @@
     let error = SwitchError::new(ErrorKind::MessageInvalid, "it is spoilt");
     for at in 0..5000 {
         let key = format!("row {at}");
-        rows.note(TableName::Own, &key, RowReading::Unreadable(&error));
+        rows.note(TableName::System, &key, RowReading::Unreadable(&error));
     }
     assert_eq!(rows.len(), 256);
     let other = RowReading::Unreadable(&error);
@@ -172,11 +175,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_row_without_bytes_that_decode_stops_no_table() {
     let store = FakeStore::start().await;
-    let tables = [TableName::Own, TableName::Operator, TableName::Backends];
+    let tables = [TableName::System, TableName::Operator, TableName::Backends];
     for table in tables {
         store.put_raw(table, "spoilt", "%%%");
     }
-    store.put_raw(TableName::Own, "weights/m", "%%%");
+    store.put_raw(TableName::System, "weights/m", "%%%");
     let (key, text) = document_sample(1);
     store.put(TableName::Operator, key, &text);
     store.put(TableName::Backends, "a", &backend_sample());
@@ -185,7 +188,7 @@
         snapshot.catalog.is_some() && snapshot.fleet.backends.len() == 1
     };
     process.believes(is_ready).await;
-    let (key, text) = naming_sample(2);
+    let (key, text) = target_sample(2);
     store.put_raw(TableName::Operator, &format!("{key}x"), "%%%");
     store.put_raw(TableName::Backends, "spoilt too", "%%%");
     store.put(TableName::Operator, key, &text);
@@ -223,7 +226,7 @@
         let hosts: Vec<&str> = read.entries.iter().map(|entry| &*entry.host).collect();
         assert!(hosts == ["a", "z"] || hosts == ["a", "x", "z"], "{own}");
 
-        let (naming_key, _) = naming_sample(1);
+        let (naming_key, _) = target_sample(1);
         let (document_key, _) = document_sample(1);
         let spoilt = any_json(u)?.to_string();
         let bytes = Bytes::copy_from_slice(u.bytes(u.len())?);
--- a/src/sync/unreadable_rows.rs
+++ b/src/sync/unreadable_rows.rs
@@ -108,11 +108,11 @@
     /// Takes in what was found in the system's own rows.
     pub(super) fn note_own(&mut self, own: &OwnRows) {
         for (key, read) in &own.readings {
-            self.note(TableName::Own, key, RowReading::of(read));
+            self.note(TableName::System, key, RowReading::of(read));
         }
         if own.is_whole {
             let is_listed = |key: &str| own.readings.iter().any(|(listed, _)| listed == key);
-            self.keep_listed(TableName::Own, is_listed);
+            self.keep_listed(TableName::System, is_listed);
         }
     }
 
@@ -136,7 +136,7 @@
     match table {
         TableName::Operator => "operator",
         TableName::Backends => "backends",
-        TableName::Own => "own",
+        TableName::System => "own",
         TableName::Crashes => "crashes",
     }
 }
--- a/src/sync/version_recorder.rs
+++ b/src/sync/version_recorder.rs
@@ -92,7 +92,7 @@
         let expected = (&*key, record.revision);
         let written = self
             .store
-            .write_row_at(TableName::Own, expected, &text, STORE_WITHIN);
+            .write_row_at(TableName::System, expected, &text, STORE_WITHIN);
         let answer = written.await?;
         match answer.outcome {
             WriteOutcome::Done { revision } => {
--- a/src/sync/view_book.rs
+++ b/src/sync/view_book.rs
@@ -23,8 +23,8 @@
 use crate::events::log_event;
 use crate::fleet::{FleetView, NamingCertainty};
 use crate::platform::{
-    DocumentRow, StoreRow, TableName, TableView, read_backend_row, read_document,
-    read_wanted_version,
+    OperatorRow, StoreRow, TableName, TableView, read_backend_row, read_document,
+    read_target_version,
 };
 use crate::quarantine::CrashLedger;
 use crate::time::{ClockTime, StoreTime};
@@ -161,9 +161,9 @@
     /// others may have followed since. `named` tells when versions in them were named.
     pub(crate) fn take_past_namings(&mut self, rows: &[StoreRow], named: NamingTime) {
         for row in rows {
-            if let (Some(value), DocumentRow::WantedVersion) =
-                (&row.value, DocumentRow::of(&row.key))
-                && let Ok(target) = read_wanted_version(&row.key, value)
+            if let (Some(value), OperatorRow::TargetVersion) =
+                (&row.value, OperatorRow::of(&row.key))
+                && let Ok(target) = read_target_version(&row.key, value)
             {
                 let source = WordSource::PastChange(row.revision);
                 self.versions.want(&target, named, source);
@@ -189,18 +189,18 @@
             } else {
                 source_of(row.revision)
             };
-            let kind = DocumentRow::of(&row.key);
+            let kind = OperatorRow::of(&row.key);
             let read = match kind {
-                DocumentRow::Document => self.take_document(value.clone(), source),
-                DocumentRow::WantedVersion => {
+                OperatorRow::Document => self.take_document(value.clone(), source),
+                OperatorRow::TargetVersion => {
                     let named = self.place(named, row.revision, source);
-                    read_wanted_version(&row.key, value)
+                    read_target_version(&row.key, value)
                         .map(|target| self.versions.want(&target, named, source))
                 }
-                DocumentRow::Other => Ok(()),
+                OperatorRow::Other => Ok(()),
             };
             let begins = self.unreadable.note(table, &row.key, RowReading::of(&read));
-            if begins && kind == DocumentRow::Document {
+            if begins && kind == OperatorRow::Document {
                 note_document_fault(&read);
             }
         }
