--- a/src/admission/account_state.rs
+++ b/src/admission/account_state.rs
@@ -1,4 +1,4 @@
-//! One account at one service, as one entry host keeps it.
+//! The state of one account at one service, as one entry host keeps it.
 
 use bytestring::ByteString;
 
@@ -8,12 +8,12 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::time::ClockTime;
 
-/// What an account may do and does here.
+/// The limits of an account at this entry host and their current use.
 #[derive(Debug)]
 pub(super) struct AccountState {
     pub(super) name: ByteString,
     pub(super) weight: u32,
-    /// Whether the document still has it.
+    /// Whether the current document has the account.
     pub(super) is_known: bool,
     pub(super) retries: RetryBudget,
     limits: AccountShare,
@@ -23,20 +23,21 @@
     waiting: u32,
 }
 
-/// An entry host's share of an account's limits. The limits hold for all entry hosts of a data
-/// centre together; each of the `entries` takes an even part of them, which costs no message and no
-/// write, and holds while the data centre is cut off.
+/// This entry host's share of an account's limits. The limits apply to all entry hosts of a data
+/// centre together, and each takes an equal share. This needs no messages or writes, and works
+/// while the data centre is partitioned from the others.
 #[derive(Clone, Copy, Debug)]
 struct AccountShare {
-    /// Millionths of a request a second.
+    /// Millionths of a request per second.
     rate: u64,
-    /// The same, for urgent ones.
+    /// Millionths of an urgent request per second.
     urgent_rate: u64,
     in_flight: u32,
     waiting: u32,
 }
 
 impl AccountShare {
+    /// Divides the limits of `spec` by the number of entry hosts; `waiting` is a share already.
     fn of(spec: &AccountSpec, entries: u32, waiting: u32) -> Self {
         let entries = entries.max(1);
         let rate = u64::from(spec.requests_per_second) * ONE_REQUEST / u64::from(entries);
@@ -50,6 +51,7 @@
 }
 
 impl AccountState {
+    /// Creates an account without requests; its buckets are full.
     pub(super) fn new(spec: &AccountSpec, entries: u32, waiting: u32, now: ClockTime) -> Self {
         let limits = AccountShare::of(spec, entries, waiting);
         Self {
@@ -65,17 +67,25 @@
         }
     }
 
-    /// Takes what the document says now.
+    /// Applies the current document.
     pub(super) fn refresh(&mut self, spec: &AccountSpec, entries: u32, waiting: u32) {
         self.weight = spec.weight;
         self.is_known = true;
         self.limits = AccountShare::of(spec, entries, waiting);
     }
 
-    /// Lets one request in or says what stands against it.
+    /// Admits one request.
+    ///
+    /// # Errors
+    ///
+    /// `ConcurrencyLimited`, `UrgentShareSpent` or `RateLimited`, the last two with the time after
+    /// which to retry.
     pub(super) fn admit(&mut self, priority: RequestPriority, now: ClockTime) -> SwitchResult<()> {
         if self.in_flight >= self.limits.in_flight {
-            let detail = format!("{} requests are in flight here", self.in_flight);
+            let detail = format!(
+                "{} requests of this account are in flight here",
+                self.in_flight
+            );
             return Err(SwitchError::new(ErrorKind::ConcurrencyLimited, detail));
         }
         let is_urgent = priority == RequestPriority::Urgent;
@@ -99,18 +109,18 @@
         Ok(())
     }
 
-    /// One request has ended.
+    /// Counts an admitted request that has ended.
     pub(super) fn release(&mut self) {
-        assert!(self.in_flight > 0, "a request left that never entered");
+        assert!(self.in_flight > 0, "a request ended that was not admitted");
         self.in_flight -= 1;
     }
 
-    /// One request begins to wait.
+    /// Counts a request that starts to wait.
     ///
     /// # Errors
     ///
-    /// `QueueFull` when the account's part of the queue is full.
-    pub(super) fn enqueue(&mut self) -> SwitchResult<()> {
+    /// `QueueFull` if the account's share of the queue is full.
+    pub(super) fn start_waiting(&mut self) -> SwitchResult<()> {
         if self.waiting >= self.limits.waiting {
             let detail = format!("{} requests of this account wait here", self.waiting);
             return Err(SwitchError::new(ErrorKind::QueueFull, detail));
@@ -119,21 +129,22 @@
         Ok(())
     }
 
-    /// One request waits no more.
-    pub(super) fn dequeue(&mut self) {
+    /// Counts a request that no longer waits.
+    pub(super) fn stop_waiting(&mut self) {
         assert!(
             self.waiting > 0,
-            "a request stopped waiting that never began"
+            "a request stopped waiting that did not wait"
         );
         self.waiting -= 1;
     }
 
-    /// Whether nothing of it is here.
+    /// Whether no admitted request of the account is in flight.
     pub(super) const fn is_idle(&self) -> bool {
         self.in_flight == 0
     }
 
-    /// An account without an urgent share has no bucket that could ever hold one.
+    /// Whether an urgent request may pass. The bucket of an account without an urgent share must
+    /// not be used, since it starts with one request.
     fn has_urgent(&mut self, now: ClockTime) -> bool {
         let rate = self.limits.urgent_rate;
         rate > 0 && self.urgent_bucket.has_one(rate, now)
--- a/src/admission/fair_queue.rs
+++ b/src/admission/fair_queue.rs
@@ -1,4 +1,5 @@
-//! Start-time fair queuing between accounts: whoever has had least for its weight goes first.
+//! Start-time fair queuing among accounts: the account that received the least service relative to
+//! its weight is dispatched next.
 
 use std::collections::VecDeque;
 
@@ -6,81 +7,87 @@
 
 use crate::derives::key;
 
-/// Virtual time per unit of cost at weight 1.
-const SCALE: u64 = 1 << 10;
+/// The virtual time of one unit of cost at weight 1.
+const VIRTUAL_TIME_PER_COST: u64 = 1 << 10;
 
-/// An account in the arena of its service.
+/// The index of an account in the arena of its service.
 #[apply(key!)]
 pub(crate) struct AccountKey(pub(super) u32);
 
-/// A waiting request in its arena; the turn tells apart those that used the same place.
+/// Identifies a waiting request by its slot in the arena of its service. The generation
+/// distinguishes successive requests in the same slot.
 #[apply(key!)]
 pub(crate) struct TicketKey {
-    pub(super) place: u32,
-    pub(super) turn: u32,
+    pub(super) slot: u32,
+    pub(super) generation: u32,
 }
 
 impl TicketKey {
-    /// Its place, for a list beside the arena.
+    /// The index of its slot, for lists that are parallel to the arena.
     pub(crate) const fn place(self) -> usize {
-        self.place as usize
+        self.slot as usize
     }
 }
 
-/// One request in a lane.
+/// A request in the queue of its account.
 #[apply(key!)]
-struct LaneEntry {
+struct QueueEntry {
+    /// The start tag, in virtual time.
     start: u64,
     cost: u64,
     ticket: TicketKey,
 }
 
-/// What one account has waiting, in order of arrival.
+/// The waiting requests of one account, in order of arrival.
 #[derive(Debug, Default)]
-struct AccountLane {
-    entries: VecDeque<LaneEntry>,
+struct AccountQueue {
+    entries: VecDeque<QueueEntry>,
+    /// The finish tag of the last request, in virtual time.
     finish: u64,
+    /// The total cost of the waiting requests.
     backlog: u64,
 }
 
-/// The requests of one class that wait. Each gets a start tag: the later of the queue's virtual
-/// time and the end of its account's previous one. The smallest start tag goes first, so that an
-/// account that sends ten times as much waits for itself and not before the others.
+/// The waiting requests of one class. The start tag of a request is the later of the queue's
+/// virtual time and the finish tag of its account's previous request. The request with the smallest
+/// start tag is dispatched next, so that an account that sends ten times as much delays itself, not
+/// the others.
 #[derive(Debug, Default)]
 pub(super) struct FairQueue {
-    lanes: Vec<AccountLane>,
-    /// The first request's start tag of each account that has something waiting, sorted.
-    order: Vec<(u64, AccountKey)>,
+    /// Indexed by account.
+    queues: Vec<AccountQueue>,
+    /// The start tag of the first request of each account with waiting requests, sorted.
+    heads: Vec<(u64, AccountKey)>,
     virtual_now: u64,
     backlog: u64,
 }
 
 impl FairQueue {
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub(super) const fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.heads.is_empty()
     }
 
-    /// The cost of all that waits.
+    /// The total cost of the waiting requests.
     pub(super) const fn backlog(&self) -> u64 {
         self.backlog
     }
 
-    /// How many wait.
+    /// The number of waiting requests.
     pub(super) fn count(&self) -> usize {
-        let lanes = self.order.iter().map(|(_, account)| self.lane(*account));
-        lanes.map(|lane| lane.entries.len()).sum()
+        let queues = self.heads.iter().map(|(_, account)| self.queue(*account));
+        queues.map(|queue| queue.entries.len()).sum()
     }
 
-    /// Puts a request of `account` behind its others.
+    /// Appends a request of `account` after its waiting ones.
     pub(super) fn push(&mut self, account: AccountKey, weight: u32, ticket: TicketKey, cost: u64) {
         let virtual_now = self.virtual_now;
-        let lane = self.lane_mut(account);
-        let start = lane.finish.max(virtual_now);
-        lane.finish = start + cost * SCALE / u64::from(weight.max(1));
-        lane.backlog += cost;
-        let was_empty = lane.entries.is_empty();
-        lane.entries.push_back(LaneEntry {
+        let queue = self.queue_mut(account);
+        let start = queue.finish.max(virtual_now);
+        queue.finish = start + cost * VIRTUAL_TIME_PER_COST / u64::from(weight.max(1));
+        queue.backlog += cost;
+        let was_empty = queue.entries.is_empty();
+        queue.entries.push_back(QueueEntry {
             start,
             cost,
             ticket,
@@ -91,33 +98,36 @@
         }
     }
 
-    /// The request that goes next.
+    /// The request that is dispatched next.
     pub(super) fn head(&self) -> Option<TicketKey> {
-        let (_, account) = self.order.first()?;
-        let entry = self.lane(*account).entries.front()?;
+        let (_, account) = self.heads.first()?;
+        let entry = self.queue(*account).entries.front()?;
         Some(entry.ticket)
     }
 
-    /// Takes the request that goes next.
+    /// Removes and returns the request that is dispatched next.
     pub(super) fn pop(&mut self) -> Option<TicketKey> {
-        let (start, account) = *self.order.first()?;
-        debug_assert!(start >= self.virtual_now, "virtual time went back");
+        let (start, account) = *self.heads.first()?;
+        debug_assert!(start >= self.virtual_now, "the virtual time decreased");
         self.virtual_now = start;
         let ticket = self.head()?;
         self.remove(account, ticket);
         Some(ticket)
     }
 
-    /// Takes a request out, wherever it waits.
+    /// Removes a request from any position; does nothing if it does not wait.
     pub(super) fn remove(&mut self, account: AccountKey, ticket: TicketKey) {
-        let lane = self.lane_mut(account);
-        let found = lane.entries.iter().position(|entry| entry.ticket == ticket);
-        let entry = found.and_then(|place| lane.entries.remove(place));
+        let queue = self.queue_mut(account);
+        let found = queue
+            .entries
+            .iter()
+            .position(|entry| entry.ticket == ticket);
+        let entry = found.and_then(|index| queue.entries.remove(index));
         let Some(entry) = entry else {
             return;
         };
-        lane.backlog -= entry.cost;
-        let next = lane.entries.front().map(|entry| entry.start);
+        queue.backlog -= entry.cost;
+        let next = queue.entries.front().map(|entry| entry.start);
         self.backlog -= entry.cost;
         if found == Some(0) {
             self.clear_head(account, entry.start);
@@ -126,13 +136,14 @@
             }
         }
         debug_assert!(
-            !self.order.is_empty() || self.backlog == 0,
+            !self.heads.is_empty() || self.backlog == 0,
             "an empty queue has a backlog"
         );
     }
 
-    /// The cost of what goes before a new request of `account`: all of its own, and of each other
-    /// account's what its weight brings forward meanwhile.
+    /// The total cost that is dispatched before a new request of `account` and `cost`: all of the
+    /// account's own backlog, and of the backlog of each other account the part that corresponds to
+    /// its weight.
     pub(super) fn cost_ahead(
         &self,
         account: AccountKey,
@@ -140,41 +151,42 @@
         weight_of: impl Fn(AccountKey) -> u32,
     ) -> u64 {
         let own_backlog = self
-            .lanes
+            .queues
             .get(account.0 as usize)
-            .map_or(0, |lane| lane.backlog);
+            .map_or(0, |queue| queue.backlog);
         let own_weight = u64::from(weight_of(account).max(1));
         let own = own_backlog + cost;
-        let others = self.order.iter().filter(|(_, other)| *other != account);
-        let before = others.map(|(_, other)| {
+        let others = self.heads.iter().filter(|(_, other)| *other != account);
+        let ahead = others.map(|(_, other)| {
             let weight = u64::from(weight_of(*other).max(1));
-            self.lane(*other).backlog.min(own * weight / own_weight)
+            self.queue(*other).backlog.min(own * weight / own_weight)
         });
-        own_backlog + before.sum::<u64>()
+        own_backlog + ahead.sum::<u64>()
     }
 
-    fn lane(&self, account: AccountKey) -> &AccountLane {
-        &self.lanes[account.0 as usize]
+    fn queue(&self, account: AccountKey) -> &AccountQueue {
+        &self.queues[account.0 as usize]
     }
 
-    fn lane_mut(&mut self, account: AccountKey) -> &mut AccountLane {
-        let place = account.0 as usize;
-        if place >= self.lanes.len() {
-            self.lanes.resize_with(place + 1, AccountLane::default);
+    fn queue_mut(&mut self, account: AccountKey) -> &mut AccountQueue {
+        let index = account.0 as usize;
+        if index >= self.queues.len() {
+            self.queues.resize_with(index + 1, AccountQueue::default);
         }
-        &mut self.lanes[place]
+        &mut self.queues[index]
     }
 
+    /// Records the start tag of the first request of `account`.
     fn set_head(&mut self, account: AccountKey, start: u64) {
         let head = (start, account);
-        if let Err(place) = self.order.binary_search(&head) {
-            self.order.insert(place, head);
+        if let Err(index) = self.heads.binary_search(&head) {
+            self.heads.insert(index, head);
         }
     }
 
     fn clear_head(&mut self, account: AccountKey, start: u64) {
-        if let Ok(place) = self.order.binary_search(&(start, account)) {
-            self.order.remove(place);
+        if let Ok(index) = self.heads.binary_search(&(start, account)) {
+            self.heads.remove(index);
         }
     }
 }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,10 +1,14 @@
-//! Admission: which requests may enter, and in what order they go. Accounts have rates and a bound
-//! on what they may call urgent; urgent goes before normal and normal before batch; within a class,
-//! accounts share by weight; what cannot make it by its deadline is told at once.
+//! Admission control of a service: which requests it accepts, and in which order it dispatches
+//! them.
+//!
+//! Each account has a rate limit and a limit on its share of urgent requests. Urgent requests are
+//! dispatched before normal ones, and normal ones before batch requests. Within a class, accounts
+//! share the capacity by weight. A request that cannot start before its deadline is refused at
+//! once.
 
-mod account_key;
+mod account_lookup;
 mod account_state;
-mod admission_book;
+mod admission_state;
 mod fair_queue;
 mod retry_budget;
 mod service_rate;
@@ -12,7 +16,7 @@
 mod tests;
 mod token_bucket;
 
-pub(crate) use account_key::find_account;
-pub(crate) use admission_book::{AdmissionState, DispatchOutcome, QueuedRequest};
+pub(crate) use account_lookup::find_account;
+pub(crate) use admission_state::{AdmissionState, DispatchOutcome, QueuedRequest};
 pub(crate) use fair_queue::{AccountKey, TicketKey};
 pub(crate) use retry_budget::RetryCause;
--- a/src/admission/retry_budget.rs
+++ b/src/admission/retry_budget.rs
@@ -1,24 +1,26 @@
-//! The budget that keeps retries a small part of the traffic.
+//! The budget that limits retries to a small percentage of the requests.
 
 use macro_rules_attribute::apply;
 
 use crate::derives::{key, plain};
 
-/// Parts of a retry; a request earns the budget's percentage times the cause's share of them.
-const RETRY: u32 = 1_000;
+/// The units of balance that one retry costs. A request adds the percentage of the budget times the
+/// share of the cause.
+const RETRY_COST: u32 = 1_000;
 
-/// What a retry follows.
+/// The failure that a retry follows.
 #[apply(key!)]
 pub(crate) enum RetryCause {
-    /// An attempt that never started. In an outage nearly every request ends so.
+    /// An attempt that was refused before it started. In an outage nearly all requests fail like
+    /// this.
     Refused,
-    /// An attempt that broke off after it had started. When a host dies, all that it ran break off
-    /// at once, and the callers have part of their answers.
+    /// An attempt that was interrupted after it had started. When a host fails, all its attempts
+    /// are interrupted at once, after the callers have received part of their responses.
     Interrupted,
 }
 
 impl RetryCause {
-    /// Tenths of the budget that it earns.
+    /// The share of this cause in the budget, in tenths.
     const fn share(self) -> u32 {
         match self {
             Self::Refused => 8,
@@ -26,7 +28,7 @@
         }
     }
 
-    /// Retries that can be saved up.
+    /// The most retries that can be accumulated.
     const fn burst(self) -> u32 {
         match self {
             Self::Refused => 2,
@@ -35,10 +37,9 @@
     }
 }
 
-/// Retries that may still be made after one cause. Each first attempt adds its percentage of a
-/// retry, each retry takes one away. While everything fails, retries thus stay that percentage of
-/// the requests, where a fixed count of attempts would multiply the traffic just when there is too
-/// much of it.
+/// The retries that remain for one cause. Each first attempt adds a percentage of a retry, and each
+/// retry takes one. If all requests fail, retries thus stay at that percentage of the requests,
+/// whereas a fixed number of attempts per request would multiply the load during an overload.
 #[apply(plain!)]
 #[derive(Copy)]
 struct CauseBudget {
@@ -47,75 +48,75 @@
 }
 
 impl CauseBudget {
-    /// A new budget is full, so that a quiet service may retry at once.
+    /// Creates a full budget, so that a service with few requests can retry at once.
     const fn new(cause: RetryCause) -> Self {
         Self {
             cause,
-            balance: cause.burst() * RETRY,
+            balance: cause.burst() * RETRY_COST,
         }
     }
 
     fn earn(&mut self, percent: u32) {
-        let full = self.cause.burst() * RETRY;
+        let full = self.cause.burst() * RETRY_COST;
         let earned = percent.saturating_mul(self.cause.share());
         self.balance = self.balance.saturating_add(earned).min(full);
     }
 
     const fn can_spend(self) -> bool {
-        self.balance >= RETRY
+        self.balance >= RETRY_COST
     }
 
     fn spend(&mut self) {
-        assert!(self.can_spend(), "a retry was made that the budget lacks");
-        self.balance -= RETRY;
+        assert!(self.can_spend(), "the budget has no retry left");
+        self.balance -= RETRY_COST;
     }
 }
 
-/// The budgets of a service or an account, one for each cause, so that an outage in which all are
-/// refused leaves what the cut ones need.
+/// The retry budget of a service or account. It is separate for each cause, so that an outage in
+/// which all requests are refused does not use up the retries for interrupted ones.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(super) struct RetryBudget {
     refused: CauseBudget,
-    cut: CauseBudget,
+    interrupted: CauseBudget,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
             refused: CauseBudget::new(RetryCause::Refused),
-            cut: CauseBudget::new(RetryCause::Interrupted),
+            interrupted: CauseBudget::new(RetryCause::Interrupted),
         }
     }
 }
 
 impl RetryBudget {
-    /// Counts a first attempt, which earns `percent` of a retry over all causes.
+    /// Counts a first attempt, which adds `percent` of a retry, split among the causes.
     pub(super) fn earn(&mut self, percent: u32) {
         self.refused.earn(percent);
-        self.cut.earn(percent);
+        self.interrupted.earn(percent);
     }
 
-    fn of(&mut self, cause: RetryCause) -> &mut CauseBudget {
+    fn budget_for(&mut self, cause: RetryCause) -> &mut CauseBudget {
         match cause {
             RetryCause::Refused => &mut self.refused,
-            RetryCause::Interrupted => &mut self.cut,
+            RetryCause::Interrupted => &mut self.interrupted,
         }
     }
 }
 
-/// Takes one retry from both budgets or from neither.
+/// Takes one retry from both budgets, or from neither unless both have one. Returns whether it did.
 pub(super) fn spend_both(
     service: &mut RetryBudget,
     account: &mut RetryBudget,
     cause: RetryCause,
 ) -> bool {
-    let service = service.of(cause);
-    let account = account.of(cause);
-    let both = service.can_spend() && account.can_spend();
-    if both {
+    let service = service.budget_for(cause);
+    let account = account.budget_for(cause);
+    let can_spend = service.can_spend() && account.can_spend();
+    if can_spend {
         service.spend();
         account.spend();
     }
-    both
+    can_spend
 }
--- a/src/admission/service_rate.rs
+++ b/src/admission/service_rate.rs
@@ -1,4 +1,4 @@
-//! How much a service gets done while requests wait.
+//! The measured rate at which a service dispatches waiting requests.
 
 use std::time::Duration;
 
@@ -7,65 +7,68 @@
 use crate::derives::plain;
 use crate::time::ClockTime;
 
+/// The shortest time over which the rate is measured.
 const WINDOW: Duration = Duration::from_millis(500);
-/// Weight of the newest window in the average, as a divisor.
-const AVERAGE_PART: u64 = 4;
+/// The divisor of the newest window in the moving average; its weight is 1/4.
+const AVERAGE_DIVISOR: u64 = 4;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Cost per second that leaves the queue. Only time in which something waited counts: an idle
-/// service is not a slow one.
+/// A moving average of the cost that leaves the queue per second. Only time in which requests wait
+/// is measured, because an idle service would otherwise appear slow.
 #[apply(plain!)]
 #[derive(Copy, Default)]
 pub(super) struct ServiceRate {
+    /// Cost per second; 0 until a window was measured.
     per_second: u64,
     window: Option<RateWindow>,
 }
 
-/// The span that is being measured.
+/// The window that is being measured.
 #[apply(plain!)]
 #[derive(Copy)]
 struct RateWindow {
-    since: ClockTime,
-    done: u64,
+    start: ClockTime,
+    cost: u64,
 }
 
 impl ServiceRate {
-    /// Something waits from now on.
-    pub(super) fn begin(&mut self, now: ClockTime) {
+    /// Starts measuring, unless a window is open. Call when a request starts to wait.
+    pub(super) fn start(&mut self, now: ClockTime) {
         self.window.get_or_insert(RateWindow {
-            since: now,
-            done: 0,
+            start: now,
+            cost: 0,
         });
     }
 
-    /// Nothing waits any more.
-    pub(super) const fn end(&mut self) {
+    /// Stops measuring. Call when the queue becomes empty.
+    pub(super) const fn stop(&mut self) {
         self.window = None;
     }
 
-    /// A waiting request of `cost` goes.
-    pub(super) fn note(&mut self, cost: u64, now: ClockTime) {
+    /// Counts a waiting request of `cost` that was dispatched.
+    pub(super) fn record(&mut self, cost: u64, now: ClockTime) {
         let Some(window) = &mut self.window else {
             return;
         };
-        window.done += cost;
-        let span = now.since(window.since);
-        if span < WINDOW {
+        window.cost += cost;
+        let elapsed = now.since(window.start);
+        if elapsed < WINDOW {
             return;
         }
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        let newest = window.done.saturating_mul(MICROS_PER_SECOND) / micros;
+        let micros = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
+        let newest = window.cost.saturating_mul(MICROS_PER_SECOND) / micros;
         self.per_second = match self.per_second {
             0 => newest,
-            known => known - known / AVERAGE_PART + newest / AVERAGE_PART,
+            average => average - average / AVERAGE_DIVISOR + newest / AVERAGE_DIVISOR,
         };
         self.window = Some(RateWindow {
-            since: now,
-            done: 0,
+            start: now,
+            cost: 0,
         });
     }
 
-    /// How long `cost` takes to go; `None` while that is not known.
+    /// The time in which requests of `cost` in total are dispatched; `None` until a rate was
+    /// measured.
     pub(super) fn time_for(&self, cost: u64) -> Option<Duration> {
         let micros = cost
             .saturating_mul(MICROS_PER_SECOND)
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of admission.
+//! Tests of admission control.
 
 use std::time::Duration;
 
-use super::account_key::find_account;
+use super::account_lookup::find_account;
 use super::retry_budget::{RetryBudget, RetryCause, spend_both};
 use super::token_bucket::TokenBucket;
 use super::{AdmissionState, DispatchOutcome, QueuedRequest};
@@ -25,19 +25,19 @@
     }
 }
 
-fn book_of(specs: &[AccountSpec], entries: u32) -> AdmissionState<()> {
-    let mut book = AdmissionState::new();
-    book.refresh(specs, 10, entries, START);
-    book
+fn admission_of(specs: &[AccountSpec], entries: u32) -> AdmissionState<()> {
+    let mut admission = AdmissionState::new();
+    admission.refresh(specs, 10, entries, START);
+    admission
 }
 
 fn wait(
-    book: &mut AdmissionState<()>,
+    admission: &mut AdmissionState<()>,
     name: &'static str,
     limit: Duration,
 ) -> Result<(), SwitchError> {
-    let account = book.admit(&name.into(), RequestPriority::Normal, START)?;
-    let wish = QueuedRequest {
+    let account = admission.admit(&name.into(), RequestPriority::Normal, START)?;
+    let request = QueuedRequest {
         account,
         priority: RequestPriority::Normal,
         cost: 100,
@@ -45,21 +45,21 @@
         skips_fair_queue: false,
         target: (),
     };
-    book.enqueue(wish, START).map(|_| ())
+    admission.enqueue(request, START).map(|_| ())
 }
 
 #[test]
-fn holds_through_random_traffic() {
+fn invariants_hold_under_random_traffic() {
     run_cases(200, 4096, run_case);
 }
 
 #[test]
-fn shares_by_weight_whatever_arrives() {
+fn accounts_share_by_weight_under_random_arrivals() {
     run_cases(60, 16384, run_fair_case);
 }
 
 #[test]
-fn key_has_to_fit() {
+fn wrong_keys_and_names_are_refused() {
     let specs = [account("guide")];
     assert!(find_account(&specs, "guide", "secret").is_ok());
     for (name, secret) in [("guide", "other"), ("guide", ""), ("lodge", "secret")] {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn bucket_never_gives_more_than_its_rate() {
+fn bucket_never_exceeds_its_rate() {
     run_cases(100, 1024, |u| {
         let rate = u.int_in_range(1..=50_000_000)?;
         let mut bucket = TokenBucket::full(rate, START);
@@ -81,8 +81,8 @@
                 bucket.take_one();
                 passed += 1;
             }
-            let span = u64::try_from(now.since(START).as_micros()).expect("short");
-            let allowed = rate.max(1_000_000) + span * rate / 1_000_000;
+            let elapsed = u64::try_from(now.since(START).as_micros()).expect("short");
+            let allowed = rate.max(1_000_000) + elapsed * rate / 1_000_000;
             assert!(passed * 1_000_000 <= allowed, "more passed than the rate");
         }
         Ok(())
@@ -90,23 +90,26 @@
 }
 
 #[test]
-fn limits_are_shared_by_the_entry_hosts() {
-    let mut book = book_of(&[account("guide")], 4);
+fn entry_hosts_share_the_limits() {
+    let mut admission = admission_of(&[account("guide")], 4);
     let name = "guide".into();
     let mut passed = 0;
-    while book.admit(&name, RequestPriority::Normal, START).is_ok() {
+    while admission
+        .admit(&name, RequestPriority::Normal, START)
+        .is_ok()
+    {
         passed += 1;
     }
     assert_eq!(passed, 25);
 }
 
 #[test]
-fn urgent_requests_have_their_own_bound() {
-    let mut book = book_of(&[account("guide")], 1);
+fn urgent_requests_have_their_own_limit() {
+    let mut admission = admission_of(&[account("guide")], 1);
     let name = "guide".into();
     let mut passed = 0;
     let refused = loop {
-        match book.admit(&name, RequestPriority::Urgent, START) {
+        match admission.admit(&name, RequestPriority::Urgent, START) {
             Ok(_) => passed += 1,
             Err(error) => break error,
         }
@@ -114,55 +117,58 @@
     assert_eq!(passed, 10);
     assert_eq!(refused.kind, ErrorKind::UrgentShareSpent);
     assert_eq!(refused.retry_wait(), Some(Duration::from_millis(100)));
-    assert!(book.admit(&name, RequestPriority::Normal, START).is_ok());
+    assert!(
+        admission
+            .admit(&name, RequestPriority::Normal, START)
+            .is_ok()
+    );
 }
 
-/// Symptom: callers waited out their whole deadline to be told that there was no room. Events: more
-/// came than was done; the line grew longer than the deadline. Cause: the line was bounded by its
-/// length only.
+/// The queue was limited by its length only. Under overload its waiting time exceeded the
+/// deadlines, so that callers were refused only after waiting for their full deadline.
 #[test]
-fn what_cannot_make_it_is_told_at_once() {
-    let mut book = book_of(&[account("guide")], 1);
+fn requests_that_would_miss_their_deadline_are_refused_at_once() {
+    let mut admission = admission_of(&[account("guide")], 1);
     let far = Duration::from_mins(1);
     for _ in 0..60 {
-        wait(&mut book, "guide", far).expect("nothing is known of the rate");
+        wait(&mut admission, "guide", far).expect("no rate was measured yet");
     }
-    // Ten of cost 100 go in a second.
+    // Dispatches ten requests of cost 100 in one second.
     for step in 1..=10_u32 {
-        let mut room = 1;
-        book.dispatch(START + Duration::from_millis(100) * step, |_, _| {
-            room -= 1;
-            if room < 0 {
+        let mut capacity = 1;
+        admission.dispatch(START + Duration::from_millis(100) * step, |_, _| {
+            capacity -= 1;
+            if capacity < 0 {
                 DispatchOutcome::Full
             } else {
                 DispatchOutcome::Placed
             }
         });
     }
-    let refused = wait(&mut book, "guide", Duration::from_secs(1)).expect_err("five seconds wait");
+    let refused = wait(&mut admission, "guide", Duration::from_secs(1))
+        .expect_err("the backlog takes five seconds");
     assert_eq!(refused.kind, ErrorKind::DeadlineUnreachable);
     assert!(refused.retry_wait() > Some(Duration::from_secs(1)));
-    assert!(wait(&mut book, "guide", far).is_ok());
+    assert!(wait(&mut admission, "guide", far).is_ok());
 }
 
-/// Symptom: after an outage every request went on being refused. Events: nothing was done for a
-/// while; the rate came out as next to nothing; nothing more was let in, so no better rate was ever
-/// measured. Cause: the rate was believed also when nothing waited.
+/// During an outage the measured rate fell to almost zero. It was applied to an empty queue too, so
+/// that all requests were refused after the outage and the rate was never measured again.
 #[test]
-fn an_empty_line_lets_in_whatever_the_rate_was() {
-    let mut book = book_of(&[account("guide")], 1);
-    wait(&mut book, "guide", Duration::from_mins(1)).expect("let in");
-    book.dispatch(START + Duration::from_secs(50), |_, _| {
+fn an_empty_queue_accepts_requests_at_any_measured_rate() {
+    let mut admission = admission_of(&[account("guide")], 1);
+    wait(&mut admission, "guide", Duration::from_mins(1)).expect("the queue is empty");
+    admission.dispatch(START + Duration::from_secs(50), |_, _| {
         DispatchOutcome::Placed
     });
-    assert!(book.is_empty());
-    assert!(wait(&mut book, "guide", Duration::from_millis(10)).is_ok());
+    assert!(admission.is_empty());
+    assert!(wait(&mut admission, "guide", Duration::from_millis(10)).is_ok());
 }
 
-/// Symptom: an outage of the engines was followed by one of the entry hosts. Events: every attempt
-/// fails, each request is tried three times. Cause: the attempts were bounded, not the retries.
+/// Only the attempts per request were limited, not the total of retries. When all attempts failed,
+/// three attempts per request overloaded the entry hosts after an outage of the engines.
 #[test]
-fn retries_stay_under_a_tenth() {
+fn retries_are_limited_to_a_tenth_of_the_requests() {
     let mut service = RetryBudget::default();
     let mut account = RetryBudget::default();
     let mut retries = 0;
@@ -177,14 +183,15 @@
             retries += u32::from(spend_both(&mut service, &mut account, cause));
         }
     }
-    // A tenth and what was saved up, less what the full budgets could not take at first.
+    // A tenth of the requests plus the initial balances, minus what full budgets could not add at
+    // first.
     assert_eq!(retries, 1_000 + 2 + 16 - 2);
 }
 
-/// Symptom: streams broke off for good when a host died during an outage of others. Cause: requests
-/// that were refused had used up the retries that cut streams need.
+/// Retries of refused requests used up the budget during an outage, so that streams of a host that
+/// failed meanwhile could not be resumed.
 #[test]
-fn refused_requests_leave_the_retries_of_cut_ones() {
+fn refused_requests_do_not_spend_the_retries_of_interrupted_ones() {
     let mut service = RetryBudget::default();
     let mut account = RetryBudget::default();
     while spend_both(&mut service, &mut account, RetryCause::Refused) {}
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -1,4 +1,5 @@
-//! A token bucket: so many requests a second, with a second's worth saved up at most.
+//! A token bucket that limits requests per second. It holds at most the tokens of one second, but
+//! at least one request.
 
 use std::time::Duration;
 
@@ -7,66 +8,76 @@
 use crate::derives::plain;
 use crate::time::ClockTime;
 
-/// Millionths of a request, so that shares of small rates do not round to nothing.
+/// The tokens of one request. Rates are in millionths of a request per second, so that an entry
+/// host's share of a small rate is not rounded down to 0.
 pub(super) const ONE_REQUEST: u64 = 1_000_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Longest span that is refilled at once, in microseconds; beyond it the bucket is full anyway.
-const REFILL_MAX: u64 = 60 * MICROS_PER_SECOND;
+/// The longest time that is refilled at once, in microseconds; the bucket is full after a shorter
+/// one.
+const REFILL_MAX_MICROS: u64 = 60 * MICROS_PER_SECOND;
 
-/// What an account has saved up. The rate is given at each use, because the account's share of it
-/// changes with the number of entry hosts.
+/// The unused tokens of an account. Callers pass the rate on each use, because an entry host's
+/// share of the account's rate changes with the number of entry hosts.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(super) struct TokenBucket {
+    /// Tokens, in millionths of a request.
     level: u64,
-    filled: ClockTime,
+    /// When the bucket was last refilled.
+    refilled: ClockTime,
 }
 
 impl TokenBucket {
-    /// A bucket that holds a second's worth of `rate`, in millionths of a request a second.
+    /// Creates a full bucket for `rate`, in millionths of a request per second.
     pub(super) const fn full(rate: u64, now: ClockTime) -> Self {
         Self {
             level: burst(rate),
-            filled: now,
+            refilled: now,
         }
     }
 
-    /// Whether one request may pass now.
+    /// Refills the bucket and returns whether it has the tokens of one request.
     pub(super) fn has_one(&mut self, rate: u64, now: ClockTime) -> bool {
-        self.fill(rate, now);
+        self.refill(rate, now);
         self.level >= ONE_REQUEST
     }
 
-    /// Takes one request out; call only after [`Self::has_one`].
+    /// Takes the tokens of one request; call only after [`Self::has_one`] returned true.
+    ///
+    /// # Panics
+    ///
+    /// If the bucket has fewer tokens.
     pub(super) fn take_one(&mut self) {
         assert!(
             self.level >= ONE_REQUEST,
-            "a request passed that the bucket lacks"
+            "the bucket has no tokens for a request"
         );
         self.level -= ONE_REQUEST;
     }
 
-    /// How long until one request may pass.
+    /// The time until the bucket has the tokens of one request; an hour at rate 0.
     pub(super) const fn wait_for_one(&self, rate: u64) -> Duration {
         let missing = ONE_REQUEST.saturating_sub(self.level);
         match rate {
-            // A rate of nothing: an hour says "not soon".
+            // The bucket never fills; an hour tells callers not to retry soon.
             0 => Duration::from_hours(1),
             _ => Duration::from_micros((missing * MICROS_PER_SECOND).div_ceil(rate)),
         }
     }
 
-    fn fill(&mut self, rate: u64, now: ClockTime) {
-        let span = now.0.saturating_sub(self.filled.0).min(REFILL_MAX);
-        let gained = span.saturating_mul(rate) / MICROS_PER_SECOND;
-        // A gain that rounds to nothing is not lost: the time stays where it was.
-        if gained > 0 || span == REFILL_MAX {
-            self.filled = now;
-            self.level = self.level.saturating_add(gained).min(burst(rate));
+    fn refill(&mut self, rate: u64, now: ClockTime) {
+        let elapsed = now.0.saturating_sub(self.refilled.0).min(REFILL_MAX_MICROS);
+        let added = elapsed.saturating_mul(rate) / MICROS_PER_SECOND;
+        // If the tokens round down to 0, keep the time of the last refill, so that they are not
+        // lost.
+        if added > 0 || elapsed == REFILL_MAX_MICROS {
+            self.refilled = now;
+            self.level = self.level.saturating_add(added).min(burst(rate));
         }
     }
 }
 
+/// The capacity of a bucket: the tokens of one second, but at least one request.
 const fn burst(rate: u64) -> u64 {
     if rate > ONE_REQUEST {
         rate
--- a/src/platform/backend_call.rs
+++ b/src/platform/backend_headers.rs
@@ -1,4 +1,4 @@
-//! The header fields of a request to a backend server and of its answer.
+//! The header fields of requests to backend servers and of their responses.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::fleet::{LoadWord, WeightsVersion, is_rate};
 
 const TARGET_ID: HeaderName = HeaderName::from_static("savoryswitch-target-instance");
-/// The backend server that answers, whichever was meant.
+/// The backend server that responds, which need not be the addressed one.
 const BACKEND_ID: HeaderName = HeaderName::from_static("savoryswitch-instance-id");
 const ACCOUNT: HeaderName = HeaderName::from_static("savoryswitch-tenant");
 const PRIORITY: HeaderName = HeaderName::from_static("savoryswitch-request-priority");
@@ -23,17 +23,18 @@
 const PATH: HeaderName = HeaderName::from_static("path");
 const NOT_RUN: HeaderName = HeaderName::from_static("savoryswitch-not-executed");
 const LOAD: HeaderName = HeaderName::from_static("savoryswitch-server-load");
-/// Requests a second that the backend server takes from all entry hosts together, not from this one.
+/// The advertised limit in requests per second, for all entry hosts together.
 const RATE_LIMIT: HeaderName = HeaderName::from_static("server-limit");
 const VERSIONS: HeaderName = HeaderName::from_static("savoryswitch-weight-versions");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// The least urgent priority that an engine knows; 0 is the most urgent.
+/// The least urgent priority that engines accept; 0 is the most urgent.
 pub(crate) const PRIORITY_MAX: u8 = 9;
 
-/// Fields that concern one connection only, and those that this program sets itself.
-const NOT_PASSED: [HeaderName; 16] = [
+/// Fields that are not forwarded: they concern a single connection, or this program sets them
+/// itself.
+const NOT_FORWARDED: [HeaderName; 16] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -52,86 +53,88 @@
     PATH,
 ];
 
-/// What this program tells a backend server beside the client's own fields.
+/// The fields that this program adds to those of the client's request.
 #[apply(plain!)]
 pub(crate) struct SendFields<'a> {
-    /// How much of the client's time is left.
+    /// The time left until the client's deadline.
     pub(crate) time_left: Duration,
-    /// The backend server that is meant; another one at its address refuses.
+    /// The id of the addressed backend server; another one at its address refuses the request.
     pub(crate) backend: &'a ByteString,
-    /// The client account, where requests need one.
+    /// The client account, if the route requires one.
     pub(crate) account: Option<&'a ByteString>,
-    /// How urgent it is to the backend server's queue, up to [`PRIORITY_MAX`].
+    /// The priority in the backend server's queue; limited to [`PRIORITY_MAX`].
     pub(crate) priority: Option<u8>,
-    /// The only version of weights that may answer.
+    /// The version of weights that must serve the request.
     pub(crate) version: Option<WeightsVersion>,
-    /// The last event that the client has, when a stream is resumed.
+    /// The last event that the client received, when a stream is resumed.
     pub(crate) last_event: Option<u64>,
 }
 
-/// The header fields for a backend server.
-pub(crate) fn send_headers(client: &HeaderMap, facts: &SendFields<'_>) -> HeaderMap {
-    let mut headers = passed_on(client);
-    let left = u64::try_from(facts.time_left.as_millis()).unwrap_or(u64::MAX);
+/// Builds the header fields of a request to a backend server from those of the client's request.
+pub(crate) fn send_headers(client: &HeaderMap, fields: &SendFields<'_>) -> HeaderMap {
+    let mut headers = forwarded_fields(client);
+    let left = u64::try_from(fields.time_left.as_millis()).unwrap_or(u64::MAX);
     headers.insert(DEADLINE, number_value(left.max(1)));
-    set_text(&mut headers, TARGET_ID, facts.backend);
-    if let Some(account) = facts.account {
+    set_text(&mut headers, TARGET_ID, fields.backend);
+    if let Some(account) = fields.account {
         set_text(&mut headers, ACCOUNT, account);
     }
-    if let Some(priority) = facts.priority {
+    if let Some(priority) = fields.priority {
         headers.insert(
             PRIORITY,
             number_value(u64::from(priority.min(PRIORITY_MAX))),
         );
     }
-    if let Some(version) = facts.version {
+    if let Some(version) = fields.version {
         headers.insert(EXPECTED_VERSION, number_value(version.0));
     }
-    if let Some(event) = facts.last_event {
+    if let Some(event) = fields.last_event {
         headers.insert(LAST_EVENT, number_value(event));
     }
     headers
 }
 
-/// What an answer says of the request that it was asked for.
+/// What became of a request, by the head of the response.
 #[apply(key!)]
 pub(crate) enum ResponseOutcome {
-    /// The request was run, and this is its answer.
+    /// The backend server ran the request, and this is its response.
     Run,
-    /// The backend server did not run it.
+    /// The backend server did not run the request.
     NotRun,
-    /// Another version than the expected one is loaded; the request was not run.
+    /// Not run, because another version than the expected one is loaded.
     Misdirected,
-    /// Another backend server is at this address; the request was not run.
+    /// Not run, because another backend server now has this address.
     Replaced,
-    /// The answer belongs to another request.
+    /// The response belongs to another attempt.
     AttemptMismatch,
 }
 
-/// What the header of a backend server's answer says.
+/// The head of a backend server's response.
 #[apply(plain!)]
 pub(crate) struct ResponseHead {
-    /// Its status.
+    /// The status code.
     pub(crate) status: StatusCode,
-    /// What it says of the request.
+    /// What became of the request.
     pub(crate) outcome: ResponseOutcome,
-    /// The backend server's load.
+    /// The reported load of the backend server; none if absent or invalid.
     pub(crate) load: Option<LoadWord>,
-    /// How many requests a second it takes from all entry hosts together; none while it names no limit.
+    /// The advertised limit in requests per second for all entry hosts together; none if the
+    /// backend server advertises none.
     pub(crate) rate_limit: Option<f64>,
-    /// The version of weights that answers.
+    /// The version of weights that served the request.
     pub(crate) version: Option<WeightsVersion>,
-    /// How long the connection may be kept without a request.
+    /// How long the backend server keeps the connection open without a request.
     pub(crate) keep_alive_timeout: Option<Duration>,
-    /// Whether the backend server closes the connection.
+    /// Whether the backend server closes the connection after this response.
     pub(crate) closes: bool,
-    /// Whether the answer's end can be told from a connection that broke.
+    /// Whether the body has a length or is chunked, so that its end can be distinguished from a
+    /// broken connection.
     pub(crate) is_framed: bool,
-    /// The fields that the client gets.
+    /// The fields that are forwarded to the client.
     pub(crate) headers: HeaderMap,
 }
 
-/// Reads the header of an answer to `attempt`, for which `backend` was meant.
+/// Reads the head of a response to `attempt`, which was sent to `backend`.
 pub(crate) fn read_response_head(
     status: StatusCode,
     headers: &HeaderMap,
@@ -141,7 +144,7 @@
         .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
     ResponseHead {
         status,
-        outcome: answer_word(status, headers, (attempt, backend)),
+        outcome: response_outcome(status, headers, (attempt, backend)),
         load: text_of(headers, &LOAD).and_then(read_load),
         rate_limit: text_of(headers, &RATE_LIMIT).and_then(read_rate),
         version: text_of(headers, &VERSIONS)
@@ -150,11 +153,11 @@
         keep_alive_timeout: text_of(headers, &KEEP_ALIVE).and_then(read_keep_alive),
         closes,
         is_framed: headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING),
-        headers: passed_on(headers),
+        headers: forwarded_fields(headers),
     }
 }
 
-fn answer_word(
+fn response_outcome(
     status: StatusCode,
     headers: &HeaderMap,
     (attempt, backend): (Option<&ByteString>, &ByteString),
@@ -173,27 +176,30 @@
     }
 }
 
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
+/// The fields that are forwarded: without those of one connection and those that this program sets.
+fn forwarded_fields(headers: &HeaderMap) -> HeaderMap {
     let listed = text_of(headers, &CONNECTION).unwrap_or_default();
-    let is_named = |name: &HeaderName| {
+    let is_listed = |name: &HeaderName| {
         let mut names = listed.split(',').map(str::trim);
         names.any(|other| other.eq_ignore_ascii_case(name.as_str()))
     };
-    let mut passed = HeaderMap::with_capacity(headers.len() + 4);
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in headers {
-        if !NOT_PASSED.contains(name) && !is_named(name) {
-            passed.append(name.clone(), value.clone());
+        if !NOT_FORWARDED.contains(name) && !is_listed(name) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    passed
+    forwarded
 }
 
+/// Sets a field unless `text` is no valid header value.
 fn set_text(headers: &mut HeaderMap, name: HeaderName, text: &ByteString) {
     if let Ok(value) = HeaderValue::from_maybe_shared(text.as_bytes().clone()) {
         headers.insert(name, value);
     }
 }
 
+/// Reads `RUNNING,WAITING`.
 fn read_load(text: &str) -> Option<LoadWord> {
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
     Some(LoadWord {
@@ -207,6 +213,7 @@
     rate.filter(|rate| is_rate(*rate))
 }
 
+/// The value of the parameter `timeout`.
 fn read_keep_alive(text: &str) -> Option<Duration> {
     let timeout = text.split(',').find_map(|part| {
         let (name, value) = part.split_once('=')?;
--- a/src/platform/backend_row.rs
+++ b/src/platform/backend_row.rs
@@ -1,10 +1,9 @@
-//! The entry that a backend server keeps of itself in the store.
+//! The entry in the store with which a backend server registers itself.
 //!
-//! Everybody may write rows where backend servers enter themselves. An entry counts only if it is all
-//! that a backend server writes; of any other this program knows neither where it leads nor what
-//! answers there. One that had been taken with a place of its own for what is missing got requests at
-//! an address where nothing serves them; one would notice `[1202]` for a backend server without a
-//! zone, places or state.
+//! Any program may write to the table of these entries. An entry is accepted only with all the
+//! fields that a backend server always writes. If defaults replaced missing ones, requests would go
+//! to an address where nothing serves them, and entry hosts would log `[1202]` for a backend server
+//! without a zone, slots or state.
 
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
@@ -19,34 +18,34 @@
 use crate::fleet::{BackendFacts, BackendPhase};
 use crate::time::WallTime;
 
-/// Fields that are not needed may be missing, but not hold something else than a backend server
-/// writes there.
+/// An entry as it is stored. Optional fields may be missing, but must have the right type if
+/// present.
 #[derive(Deserialize)]
 struct RowText {
-    /// One that the document in force does not name needs no check: requests go to the services of
-    /// routes only, so that nothing ever looks for it.
+    /// Not checked against the operator's document: requests go only to the services that its
+    /// routes name, so a backend server of another service gets none.
     service: String,
     address: SocketAddr,
     /// The data centre.
     zone: String,
     slots: NonZeroU32,
     state: StateText,
-    /// The Unix millisecond of its start.
-    #[serde(default, deserialize_with = "given")]
+    /// The start of the backend server in Unix milliseconds.
+    #[serde(default, deserialize_with = "non_null")]
     born: Option<u64>,
-    /// Counts its entries since its start; nothing to do with the store's revisions.
-    #[serde(default, deserialize_with = "given")]
+    /// Counts the entries that it wrote since its start; unrelated to the store's revisions.
+    #[serde(default, deserialize_with = "non_null")]
     sequence: Option<u64>,
-    #[serde(default, deserialize_with = "given")]
+    #[serde(default, deserialize_with = "non_null")]
     models: Option<Vec<JsonObject<ModelText>>>,
-    /// `null` where the engine holds none.
+    /// `null` while the engine has no layers loaded.
     layers: Option<LayersText>,
-    /// The version of its software, not of any weights.
-    #[serde(default, deserialize_with = "given", rename = "version")]
+    /// The version of the software, not of the weights.
+    #[serde(default, deserialize_with = "non_null", rename = "version")]
     _software: Option<SoftwareText>,
-    #[serde(default, deserialize_with = "given", rename = "cold_remaining_ms")]
+    #[serde(default, deserialize_with = "non_null", rename = "cold_remaining_ms")]
     _cold_ms: Option<f64>,
-    #[serde(default, deserialize_with = "given", rename = "stage")]
+    #[serde(default, deserialize_with = "non_null", rename = "stage")]
     _stage: Option<String>,
 }
 
@@ -60,26 +59,27 @@
 impl TryFrom<String> for StateText {
     type Error = &'static str;
 
-    fn try_from(word: String) -> Result<Self, Self::Error> {
-        match &*word {
+    fn try_from(text: String) -> Result<Self, Self::Error> {
+        match &*text {
             "ready" => Ok(Self::Ready),
             "draining" => Ok(Self::Draining),
-            _ => Err("its state is none of a backend server"),
+            _ => Err("the state is neither \"ready\" nor \"draining\""),
         }
     }
 }
 
-/// The platform does not say whether it is a text or a number.
+/// A software version. The platform does not specify whether it is a string or a number.
 #[derive(Deserialize)]
 #[serde(untagged)]
-#[expect(dead_code, reason = "only their types are of interest")]
+#[expect(dead_code, reason = "only the types are checked")]
 enum SoftwareText {
     Name(String),
     Number(f64),
 }
 
-/// A field that is there, which `null` is not.
-fn given<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
+/// Decodes an optional field and rejects `null`, which `Option` alone would take for a missing
+/// field.
+fn non_null<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de>,
@@ -87,11 +87,12 @@
     T::deserialize(deserializer).map(Some)
 }
 
-/// Reads the entry of the backend server called `id`.
+/// Decodes the entry of the backend server with `id`.
 ///
 /// # Errors
 ///
-/// `MessageInvalid` when it does not read.
+/// `MessageInvalid` if `id` is no valid header value, or the entry lacks a field or has one of a
+/// wrong type.
 pub(crate) fn read_backend_row(id: &str, value: &[u8]) -> SwitchResult<BackendFacts> {
     check_id(id)?;
     let text: RowText = read_object(value).map_err(|fault| invalid(id, &fault))?;
@@ -115,12 +116,15 @@
     })
 }
 
-/// Each request names the backend server that is meant. Under a name that a header field cannot carry
-/// it would go out unnamed, and whatever answers at the address would run it.
+/// Checks that `id` is a valid header value.
+///
+/// Each request carries the id of its backend server in a header field, so that another server at
+/// the address refuses it. With an id that no header field can carry, the request would go out
+/// without the field, and any server at the address would run it.
 fn check_id(id: &str) -> SwitchResult<()> {
     match HeaderValue::from_str(id) {
-        Ok(name) if !name.is_empty() => Ok(()),
-        _ => Err(invalid(id, &"its name fits no header field")),
+        Ok(value) if !value.is_empty() => Ok(()),
+        _ => Err(invalid(id, &"the id is no valid header value")),
     }
 }
 
--- a/src/platform/command.rs
+++ b/src/platform/command.rs
@@ -1,4 +1,5 @@
-//! The subcommand with which a program runs on the users' platform.
+//! The `platform` subcommand, with which a daemon runs on the users' platform and takes its
+//! settings from the platform's settings file.
 
 use std::convert::Infallible;
 use std::future::{Future, pending};
@@ -17,7 +18,8 @@
 pub(crate) const PLATFORM_COMMAND: &str = "platform";
 const METRICS_PORT: &str = "metrics-port";
 
-/// `command` with the subcommand; what it needs else does not hold for the subcommand.
+/// Adds the subcommand to `command`. Arguments that `command` requires aren't required with the
+/// subcommand.
 pub(crate) fn with_platform(command: Command) -> Command {
     let metrics_port = Arg::new(METRICS_PORT)
         .long(METRICS_PORT)
@@ -34,7 +36,9 @@
         .subcommand(platform)
 }
 
-/// Runs `daemon` with the settings of the platform's file and the subcommand's `arguments`.
+/// Runs `daemon` with the platform's settings file and the subcommand's `arguments`.
+///
+/// Returns exit code 2 when the settings file cannot be read.
 pub(crate) fn run_on_platform<F, D>(
     name: &'static str,
     arguments: &ArgMatches,
@@ -64,8 +68,10 @@
     }
 }
 
-/// Reads the settings file again at each SIGHUP, with which the platform tells that it has changed.
-/// What is bound at the start stays; a file that does not read is told and changes nothing.
+/// Reads the settings file again on each SIGHUP, which the platform sends after changing the file.
+///
+/// It only logs whether the file is valid: the daemon keeps the addresses that it bound and the
+/// settings that it read at its start.
 async fn follow_settings() -> Infallible {
     match signal(SignalKind::hangup()) {
         Ok(mut hangups) => {
--- a/src/platform/document_row.rs
+++ b/src/platform/document_rows.rs
@@ -1,4 +1,5 @@
-//! The operator's document, as it stands in the store.
+//! The rows of the operator's table in the store: the document, and the target version of each
+//! model.
 
 use std::num::NonZeroU64;
 
@@ -20,19 +21,19 @@
 const DEFAULT_TIMEOUT_MS: f64 = 60_000.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Which row of the operator's table a key names.
+/// The kinds of rows in the operator's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OperatorRow {
     /// The document.
     Document,
-    /// A version of weights that is wanted.
+    /// The target version of a model.
     TargetVersion,
-    /// Nothing that this program knows.
+    /// A row that this program does not know.
     Other,
 }
 
 impl OperatorRow {
-    /// What `key` names.
+    /// The kind of the row with `key`.
     pub(crate) fn of(key: &str) -> Self {
         if key == DOCUMENT_KEY {
             Self::Document
@@ -64,7 +65,7 @@
     prefix: String,
     kind: String,
     timeout_ms: Option<f64>,
-    /// The time within which an answer is fully useful, not a limit on anything.
+    /// The latency up to which a response is fully useful; not a limit.
     #[serde(default)]
     target_latency_ms: f64,
     #[serde(default)]
@@ -72,13 +73,13 @@
     service: Option<String>,
     #[serde(default)]
     weighted_services: Vec<ShareText>,
-    /// Counts backend servers, the first included.
+    /// The most backend servers that a request is sent to, including the first.
     max_attempts: Option<u32>,
     #[serde(default)]
     public: bool,
     #[serde(default)]
     stream_resume: bool,
-    /// The longest pause between two events of an answer that is still on time; streams only.
+    /// Streams only: the longest pause between two events that still counts as on time.
     #[serde(default)]
     gap_target_ms: f64,
 }
@@ -102,13 +103,13 @@
     models: Vec<ModelText>,
     #[serde(default = "one")]
     layers: u32,
-    /// One token step of the whole batch.
+    /// The time of one decoding step of the batch.
     #[serde(default)]
     step_ms: f64,
-    /// What each request of the batch adds to a step.
+    /// The time that each request of the batch adds to a step.
     #[serde(default)]
     per_seq_ms: f64,
-    /// Prompt tokens in a second.
+    /// Prompt tokens that the engine processes per second.
     #[serde(default)]
     read_per_s: f64,
     #[serde(default)]
@@ -155,7 +156,7 @@
 #[derive(Deserialize)]
 struct VersionText {
     model: String,
-    /// Counts from 1.
+    /// Starts at 1.
     version: NonZeroU64,
 }
 
@@ -163,16 +164,17 @@
     1
 }
 
-/// Reads the document.
+/// Decodes the document.
 ///
-/// It is taken as a whole or not at all: one route, service or client account that does not read
-/// leaves the earlier document in force. The store accepts only valid ones, and without a route that
-/// was meant, requests would be answered as if it had been taken away. What does not stop it: a route
-/// of an unknown kind may not be repeated, a service whose origin is no address has none.
+/// One invalid route, service or client account makes the entire document invalid, and the previous
+/// document stays in force. The store accepts only valid documents, and if an invalid route were
+/// skipped, its requests would be answered as if the operator had removed the route. Two faults are
+/// tolerated: requests to a route of an unknown kind are never repeated, and a service whose origin
+/// is no valid address has no origin.
 ///
 /// # Errors
 ///
-/// `DocumentInvalid` when it does not read.
+/// `DocumentInvalid` if the document cannot be decoded.
 pub(crate) fn read_document(value: &[u8]) -> SwitchResult<ServiceCatalog> {
     let text: DocumentText = read_object(value).map_err(|fault| invalid(&fault))?;
     let mut services: Vec<BackendService> = text.services.into_iter().map(read_service).collect();
@@ -180,8 +182,8 @@
     let mut accounts = Vec::new();
     let mut keys = Vec::new();
     for account in text.tenants {
-        let at = accounts.len();
-        keys.extend(account.api_keys.into_iter().map(|key| (key.into(), at)));
+        let index = accounts.len();
+        keys.extend(account.api_keys.into_iter().map(|key| (key.into(), index)));
         accounts.push(AccountRecord {
             name: account.name.into(),
             rank: account.priority,
@@ -201,16 +203,16 @@
     })
 }
 
-/// Reads which version of a model's weights is wanted, in the row with `key`.
+/// Decodes the target version of a model from the row with `key`.
 ///
 /// # Errors
 ///
-/// `DocumentInvalid` when it does not read, or is of another model than its key.
+/// `DocumentInvalid` if the row cannot be decoded, or names another model than its key.
 pub(crate) fn read_target_version(key: &str, value: &[u8]) -> SwitchResult<ModelVersion> {
     let text: VersionText = read_object(value).map_err(|fault| invalid(&fault))?;
     if key.strip_prefix(VERSION_KEY_PREFIX) != Some(&*text.model) {
-        // Taken for what it says, it would name a version of a model that has a row of its own.
-        return Err(invalid(&"it is of another model than its key"));
+        // The other model has a row of its own, which sets its target version.
+        return Err(invalid(&"the row names another model than its key"));
     }
     Ok(ModelVersion {
         model: text.model.into(),
@@ -223,7 +225,7 @@
         ("streaming", true) => RepeatRule::ResumableStream,
         ("streaming", false) => RepeatRule::SingleStream,
         ("idempotent", _) => RepeatRule::Idempotent,
-        // A kind that is not known is taken for the one that allows least.
+        // The most restrictive rule, for kinds that this program does not know.
         _ => RepeatRule::AtMostOnce,
     };
     let mut shares: Vec<ServiceShare> = text
--- a/src/platform/engine_calls.rs
+++ b/src/platform/engine_calls.rs
@@ -1,4 +1,5 @@
-//! What the process beside an engine asks of it: its state, the staging of chunks, orders.
+//! Client of the engine on the same host: reads its state, stages chunks of weights, and orders it
+//! to load them. Also has the call functions that the other clients of the platform use.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,9 +20,9 @@
 use crate::time::WallTime;
 use crate::transport::{AnswerPace, PeerClient, read_body, timeout_awake};
 
-const ANSWER_BYTES_MAX: usize = 16 * 1024 * 1024;
+const RESPONSE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// What an engine holds, in the store's entries and in its own report.
+/// The weights that an engine holds, as its report and its entry in the store give them.
 #[derive(Default, Deserialize)]
 pub(super) struct HoldingsText {
     #[serde(default)]
@@ -29,14 +30,14 @@
     pub(super) layers: Option<LayersText>,
 }
 
-/// A model that an engine has loaded.
+/// A loaded model.
 #[derive(Deserialize)]
 pub(super) struct ModelText {
     name: String,
     version: u64,
 }
 
-/// The layers that an engine holds.
+/// The loaded layers: one range or a list of them.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(super) enum LayersText {
@@ -44,7 +45,7 @@
     One(JsonObject<RangeText>),
 }
 
-/// Layers of one version.
+/// The layers `from..to` of one version.
 #[derive(Deserialize)]
 pub(super) struct RangeText {
     from: u32,
@@ -52,6 +53,7 @@
     version: u64,
 }
 
+/// Converts the decoded holdings.
 pub(super) fn read_holdings(text: HoldingsText) -> EngineHoldings {
     let ranges = match text.layers {
         Some(LayersText::Many(ranges)) => ranges,
@@ -76,22 +78,22 @@
     }
 }
 
-/// What an engine says of itself.
+/// The state of an engine, by its own report.
 #[apply(plain!)]
 pub(crate) struct EngineReport {
-    /// The versions and layers that it holds.
+    /// The versions and layers that are loaded.
     pub(crate) holdings: EngineHoldings,
-    /// When it started, by its own clock, if it says so.
+    /// The start of the engine by its own clock; none if it does not report one.
     pub(crate) born: Option<WallTime>,
-    /// Whether it carries out an order.
+    /// Whether the engine is carrying out an order.
     pub(crate) is_busy: bool,
-    /// How many orders it has accepted since it started; expected back with the next order.
+    /// The number of orders accepted since the start. The next order must carry this number.
     pub(crate) orders_accepted: u64,
-    /// Requests that wait for a place.
+    /// The number of requests that wait for a slot.
     pub(crate) queued: u32,
-    /// Requests that it works on.
+    /// The number of requests that the engine is running.
     pub(crate) active: u32,
-    /// How many times slower than published it is.
+    /// How many times slower the engine is than the document says.
     pub(crate) pace: f64,
 }
 
@@ -99,27 +101,27 @@
 struct ReportText {
     #[serde(flatten)]
     holdings: HoldingsText,
-    /// The Unix millisecond of its start.
+    /// The start of the engine in Unix milliseconds.
     born: Option<u64>,
     #[serde(default)]
     busy: bool,
-    /// Counts orders; nothing to do with the store's revisions.
+    /// The number of accepted orders; unrelated to the store's revisions.
     #[serde(default)]
     sequence: u64,
     #[serde(default)]
     queued: u32,
     #[serde(default)]
     active: u32,
-    /// Over 1 when it is slow; the wire's name suggests the opposite.
+    /// Above 1 for a slow engine, although the name suggests the opposite.
     #[serde(default = "usual_pace")]
     pace: f64,
 }
 
-/// Reads what an engine says of itself.
+/// Decodes the report of an engine.
 ///
 /// # Errors
 ///
-/// `MessageInvalid` when it does not read.
+/// `MessageInvalid` if the report cannot be decoded.
 pub(super) fn read_report(body: &[u8]) -> SwitchResult<EngineReport> {
     let text: ReportText = serde_json::from_slice(body).map_err(|fault| {
         SwitchError::new(ErrorKind::MessageInvalid, format!("engine report: {fault}"))
@@ -135,27 +137,28 @@
     })
 }
 
-/// An order to load a version from what is staged.
+/// An order to load a version from the staged chunks.
 #[apply(plain!)]
 pub(crate) struct LoadOrder {
-    /// What to load.
+    /// The version to load.
     pub(crate) target: ModelVersion,
-    /// The only layer to load; all if none is named.
+    /// The only layer to load; none for all layers.
     pub(crate) layer: Option<u32>,
-    /// The count of orders that the engine must have taken before.
+    /// The number of orders that the engine must have accepted before; it refuses the order
+    /// otherwise.
     pub(crate) orders_accepted: u64,
-    /// Whether requests that it works on are cut off; else they end first.
+    /// Whether the engine aborts its running requests; otherwise it completes them first.
     pub(crate) aborts_requests: bool,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[apply(key!)]
 pub(crate) enum OrderOutcome {
-    /// It has begun.
+    /// The engine has started to carry it out.
     Started,
-    /// What it asks for is so already.
+    /// The engine has loaded the ordered version already.
     AlreadyLoaded,
-    /// It does not fit the engine's state.
+    /// The engine refused it, because it does not match the engine's state.
     Refused,
 }
 
@@ -164,12 +167,12 @@
     operation: &'static str,
     model: &'a str,
     version: u64,
-    /// Whether running requests may end first.
+    /// `wait` to complete running requests first, `abort` to abort them.
     strategy: &'static str,
     precondition: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
     from: Option<u32>,
-    /// The layer behind the last one.
+    /// The end of the range of layers, exclusive.
     #[serde(skip_serializing_if = "Option::is_none")]
     to: Option<u32>,
 }
@@ -180,7 +183,7 @@
     held: Vec<u32>,
 }
 
-/// The client of the engine on this host.
+/// A client of the engine on this host; clones share its connections.
 #[derive(Clone)]
 pub(crate) struct EngineClient {
     address: SocketAddr,
@@ -188,22 +191,24 @@
 }
 
 impl EngineClient {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub(crate) const fn new(address: SocketAddr, client: Arc<PeerClient>) -> Self {
         Self { address, client }
     }
 
-    /// Asks for the engine's state.
+    /// Reads the engine's state.
     ///
     /// # Errors
     ///
-    /// `PeerSilent`, `ConnectFailed` or `AnswerCut` when the engine does not answer.
+    /// `PeerSilent`, `ConnectFailed` or `AnswerCut` if the engine does not respond completely,
+    /// `EngineRefused` if it responds with another status than 200, and `MessageInvalid` if the
+    /// response cannot be decoded.
     pub(crate) async fn report(&self, within: Duration) -> SwitchResult<EngineReport> {
         let called = self.call(Method::GET, "/v1/report", Bytes::new(), within);
-        read_report(&whole(called.await?)?)
+        read_report(&success_body(called.await?)?)
     }
 
-    /// Lists the chunks of `model` that are staged, of whatever version.
+    /// Lists the indexes of the staged chunks of `model`, whatever version they belong to.
     ///
     /// # Errors
     ///
@@ -214,18 +219,19 @@
         if status == StatusCode::NOT_FOUND {
             return Ok(Vec::new());
         }
-        let body = whole((status, body))?;
+        let body = success_body((status, body))?;
         let text: StagedText = serde_json::from_slice(&body).map_err(|fault| {
             SwitchError::new(ErrorKind::MessageInvalid, format!("staged chunks: {fault}"))
         })?;
         Ok(text.held)
     }
 
-    /// Reads a staged chunk back; it may have gone bad since it was staged.
+    /// Reads a staged chunk back. It is not verified and may have become corrupt in the staging
+    /// area.
     ///
     /// # Errors
     ///
-    /// `ChunkMissing` when it is not there, else as [`EngineClient::report`].
+    /// `ChunkMissing` if the chunk is not staged, otherwise as [`EngineClient::report`].
     pub(crate) async fn read_chunk(
         &self,
         model: &str,
@@ -240,10 +246,10 @@
                 format!("chunk {index} is not staged"),
             ));
         }
-        whole((status, body))
+        success_body((status, body))
     }
 
-    /// Stages a chunk in place of whatever was staged under its number.
+    /// Stages a chunk, replacing the one with the same index.
     ///
     /// # Errors
     ///
@@ -256,14 +262,14 @@
         within: Duration,
     ) -> SwitchResult<()> {
         let path = format!("/v1/stage-put/{model}?item_count={index}");
-        whole(self.call(Method::PUT, &path, bytes, within).await?).map(|_| ())
+        success_body(self.call(Method::PUT, &path, bytes, within).await?).map(|_| ())
     }
 
-    /// Orders the engine to load what is staged.
+    /// Orders the engine to load the staged chunks.
     ///
     /// # Errors
     ///
-    /// As [`EngineClient::report`]; the order may have been accepted all the same.
+    /// As [`EngineClient::report`]; the engine may have accepted the order nevertheless.
     pub(crate) async fn order_load(
         &self,
         order: &LoadOrder,
@@ -291,7 +297,7 @@
             (StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED, _) => {
                 Ok(OrderOutcome::Refused)
             }
-            answer => whole(answer).map(|_| OrderOutcome::Refused),
+            response => success_body(response).map(|_| OrderOutcome::Refused),
         }
     }
 
@@ -306,8 +312,10 @@
     }
 }
 
-/// One call with a whole answer. A call that takes too long leaves no connection behind: one that
-/// went silent for good would cost every later call its time limit.
+/// Makes one call and reads the complete response within `within`.
+///
+/// After a timeout the pooled connections to `address` are closed. Otherwise every later call could
+/// wait for its timeout on a connection that no longer responds.
 pub(super) async fn exchange(
     client: &PeerClient,
     address: SocketAddr,
@@ -315,21 +323,21 @@
     within: Duration,
 ) -> SwitchResult<(StatusCode, Bytes)> {
     let request = call_request(method, path, body)?;
-    let answered = async {
-        let answer = client.send(address, request, within).await?;
-        let status = answer.status();
-        let body = read_body(answer.into_body(), ANSWER_BYTES_MAX).await?;
+    let exchanged = async {
+        let response = client.send(address, request, within).await?;
+        let status = response.status();
+        let body = read_body(response.into_body(), RESPONSE_BYTES_MAX).await?;
         Ok::<_, SwitchError>((status, body))
     };
-    if let Ok(answer) = timeout_awake(within, Box::pin(answered)).await {
-        return answer;
+    if let Ok(result) = timeout_awake(within, Box::pin(exchanged)).await {
+        return result;
     }
     client.drop_pool(address);
-    let detail = format!("{address} did not answer {path} within {within:?}");
+    let detail = format!("{address} did not respond to {path} within {within:?}");
     Err(SwitchError::new(ErrorKind::PeerSilent, detail))
 }
 
-/// The same, for an answer that may be large: it is read for as long as it arrives at `pace`.
+/// Makes one call whose response may be large, and reads it for as long as it keeps to `pace`.
 pub(super) async fn exchange_arriving(
     client: &PeerClient,
     address: SocketAddr,
@@ -337,8 +345,8 @@
     pace: AnswerPace,
 ) -> SwitchResult<(StatusCode, Bytes)> {
     let request = call_request(method, path, body)?;
-    let answered = client.exchange_arriving(address, request, pace).await;
-    answered.map_err(|error| {
+    let exchanged = client.exchange_arriving(address, request, pace).await;
+    exchanged.map_err(|error| {
         client.drop_pool(address);
         SwitchError::new(error.kind, format!("{path}: {}", error.detail))
     })
@@ -353,10 +361,11 @@
         .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
 }
 
-fn whole((status, body): (StatusCode, Bytes)) -> SwitchResult<Bytes> {
+/// The body of a response with status 200; `EngineRefused` for another status.
+fn success_body((status, body): (StatusCode, Bytes)) -> SwitchResult<Bytes> {
     if status == StatusCode::OK {
         return Ok(body);
     }
-    let detail = format!("answered {status}");
+    let detail = format!("responded with {status}");
     Err(SwitchError::new(ErrorKind::EngineRefused, detail))
 }
--- a/src/platform/fake_backend.rs
+++ b/src/platform/fake_backend.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a backend server for the lab: it enters itself in the store, runs requests and notes
-//! each that it begins. With an engine it serves streams and answers its host's calls.
+//! A fake backend server for the lab. It registers itself in the store, runs requests and reports
+//! each run. With an engine it serves streams, and responds to the calls of its host.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -33,49 +33,49 @@
 use crate::transport::{FrameWriter, bind_listener, frame_channel, read_body};
 
 const BODY_BYTES_MAX: usize = 64 * 1024;
-/// How long a request of a plain service takes.
-const PLAIN_SPAN: Duration = Duration::from_millis(30);
+/// The duration of a request to a plain service.
+const PLAIN_DURATION: Duration = Duration::from_millis(30);
 /// The pause before each event of a stream.
 const EVENT_PAUSE: Duration = Duration::from_millis(40);
-/// The same of a loaded engine.
+/// The pause before each event of a heavily loaded engine.
 const LOADED_EVENT_PAUSE: Duration = Duration::from_millis(150);
-/// A loaded engine pauses for longer before one event in so many.
+/// A heavily loaded engine makes a longer pause before one event in this many.
 const LONG_PAUSE_ONE_IN: u32 = 24;
-/// How much longer, in milliseconds.
+/// The milliseconds that are added to such a pause.
 const LONG_PAUSE_MS: std::ops::Range<u64> = 500..2500;
-/// Events of a stream.
+/// The number of events of a stream.
 pub(super) const STREAM_EVENTS: u64 = 12;
-/// Few, so that requests have to wait or be refused when most backend servers are gone. With half of
-/// the engines and the lab's usual clients some are always free.
+/// The slots of a backend server. They are so few that requests wait or are refused while most
+/// backend servers are down, but suffice for the lab's usual clients with half of the engines.
 const SLOTS: u32 = 8;
-/// How often its entry is compared with what it holds.
-const ENTRY_PAUSE: Duration = Duration::from_millis(100);
-/// How often it enters itself even if nothing has changed.
-const HEARTBEAT: Duration = Duration::from_millis(1200);
+/// The interval at which the entry is compared with the current state.
+const ENTRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest time between writes of the entry, if nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 
-/// A request that a backend server began to work on.
+/// A request that a backend server started to run.
 #[derive(Clone, Debug)]
 pub(crate) struct BackendRun {
-    /// The client's name of its attempt.
+    /// The id of the client's attempt.
     pub(crate) attempt: String,
-    /// Which backend server.
+    /// The number of the backend server.
     pub(crate) backend: usize,
-    /// The client account that it was told.
+    /// The client account in the request.
     pub(crate) account: Option<String>,
-    /// Whether the client's key had been passed on to it.
+    /// Whether the request contained the client's key, which must not be forwarded.
     pub(crate) has_key: bool,
-    /// The version of the weights that it runs on.
+    /// The version of the weights that serve it.
     pub(crate) version: Option<u64>,
-    /// When it began.
+    /// The time at which it started.
     pub(crate) begun: ClockTime,
-    /// How and when it ended; none while it is under way.
+    /// How and when it ended; none while it is running.
     pub(crate) end: Option<(RunEnd, ClockTime)>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunEnd {
-    /// All of the answer was handed over.
+    /// The complete response was written.
     Complete,
     /// The caller closed the connection.
     CallerDisconnected,
@@ -86,107 +86,108 @@
 /// The end of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct EndedRun {
-    /// The client's name of its attempt.
+    /// The id of the client's attempt.
     pub(crate) attempt: String,
-    /// Which backend server.
+    /// The number of the backend server.
     pub(crate) backend: usize,
     /// How it ended.
     pub(crate) end: RunEnd,
-    /// When it ended.
+    /// The time at which it ended.
     pub(crate) at: ClockTime,
 }
 
-/// What a backend server says of its runs.
+/// The start or end of a run at a backend server.
 #[derive(Clone, Debug)]
 pub(crate) enum RunEvent {
-    /// One begins.
+    /// A run started.
     Started(BackendRun),
-    /// One ended. A plain service whose caller leaves says nothing.
+    /// A run ended. Not sent by a plain service whose caller closes the connection.
     Ended(EndedRun),
 }
 
-/// How steadily engines write their streams.
+/// How regularly engines write the events of their streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineLoad {
-    /// One event after the other.
+    /// With short, equal pauses.
     Light,
-    /// With long pauses, as engines make that read other prompts or whose machine is busy. They are drawn
-    /// from `seed`.
+    /// With occasional long pauses, as of engines that process other prompts or whose host is busy.
     Heavy {
-        /// The seed.
+        /// The seed for the choice of the pauses.
         seed: u64,
     },
 }
 
-/// Where a backend server stands.
+/// The configuration of a fake backend server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FakeBackendConfig {
-    /// Its number among all.
+    /// Its number, counted from 0 over all backend servers.
     pub(crate) number: usize,
-    /// Where others are told to reach it.
+    /// The address in its entry, at which others reach it.
     pub(crate) advertised_address: SocketAddr,
-    /// Where it listens.
+    /// The address on which it listens.
     pub(crate) listen_address: SocketAddr,
-    /// How steadily it writes streams.
+    /// How regularly it writes streams.
     pub(crate) load: EngineLoad,
 }
 
 struct BackendState {
-    place: FakeBackendConfig,
+    config: FakeBackendConfig,
     id: String,
     engine: Option<FakeEngine>,
     store: FakeStore,
     running: AtomicU32,
-    /// Counts its starts; 0 while it is down.
+    /// The number of the current start, counted from 1; 0 while it is down.
     start: AtomicU64,
+    /// The number of starts so far.
     starts: AtomicU64,
-    words: UnboundedSender<RunEvent>,
-    /// Whether its streams bring nothing for now.
+    run_events: UnboundedSender<RunEvent>,
+    /// Whether its streams are stalled.
     is_stalled: watch::Sender<bool>,
 }
 
-/// A backend server; its clones are the same one.
+/// A fake backend server; clones share its state.
 #[derive(Clone)]
 pub(crate) struct FakeBackend {
     state: Arc<BackendState>,
 }
 
 impl FakeBackend {
-    /// Starts a backend server that enters itself in `store`.
+    /// Starts a backend server that registers itself in `store` and reports its runs to
+    /// `run_events`.
     ///
     /// # Errors
     ///
-    /// `SettingInvalid` when its address cannot be had.
+    /// `SettingInvalid` if its address cannot be bound.
     pub(crate) async fn start(
-        place: FakeBackendConfig,
+        config: FakeBackendConfig,
         engine: Option<FakeEngine>,
         store: &FakeStore,
-        words: UnboundedSender<RunEvent>,
+        run_events: UnboundedSender<RunEvent>,
     ) -> SwitchResult<Self> {
-        let listener: TcpListener = bind_listener(place.listen_address).await?;
+        let listener: TcpListener = bind_listener(config.listen_address).await?;
         let backend = Self {
             state: Arc::new(BackendState {
-                place,
-                id: format!("i-{:04x}", place.number + 1),
+                config,
+                id: format!("i-{:04x}", config.number + 1),
                 engine,
                 store: store.clone(),
                 running: AtomicU32::new(0),
                 start: AtomicU64::new(1),
                 starts: AtomicU64::new(1),
-                words,
+                run_events,
                 is_stalled: watch::Sender::new(false),
             }),
         };
-        let answering = backend.clone();
+        let served = backend.clone();
         serve_calls_on(listener, move |request| {
-            let backend = answering.clone();
-            async move { backend.answer(request).await }
+            let backend = served.clone();
+            async move { backend.respond(request).await }
         });
-        tokio::spawn(backend.clone().keep_entry());
+        tokio::spawn(backend.clone().refresh_entry());
         Ok(backend)
     }
 
-    /// It crashes. Whoever calls this cuts its connections.
+    /// Simulates a crash. The caller must close its connections.
     pub(crate) fn crash(&self) {
         self.state.start.store(0, Ordering::Relaxed);
         if let Some(engine) = &self.state.engine {
@@ -194,52 +195,53 @@
         }
     }
 
-    /// Whether its streams bring nothing from now on. They go on behind it where they were.
+    /// Stalls its streams or lets them continue where they were.
     pub(crate) fn stall(&self, is_stalled: bool) {
         self.state.is_stalled.send_replace(is_stalled);
     }
 
-    /// Its entry is taken away, as the platform does some heartbeats behind a crash.
+    /// Removes its entry, as the platform does when several heartbeats after a crash are missing.
     pub(crate) fn remove_entry(&self) {
         self.state.store.remove(TableName::Backends, &self.state.id);
     }
 
-    /// It starts again under its name, with `rest` of what was staged.
-    pub(crate) fn restart(&self, rest: StagedAfterRestart) {
+    /// Restarts it under the same id.
+    pub(crate) fn restart(&self, staged: StagedAfterRestart) {
         if let Some(engine) = &self.state.engine {
-            engine.restart(rest);
+            engine.restart(staged);
         }
         let start = self.state.starts.fetch_add(1, Ordering::Relaxed) + 1;
         self.state.start.store(start, Ordering::Relaxed);
     }
 
-    /// The version of the weights that it holds.
+    /// The version of the weights that is loaded completely; none without an engine.
     pub(crate) fn held(&self) -> Option<u64> {
         self.state.engine.as_ref()?.held().map(|version| version.0)
     }
 
-    async fn keep_entry(self) {
-        let (mut told, mut entered, mut entered_at) = (0_u64, String::new(), clock_now());
+    /// Writes the entry on each change and as a heartbeat.
+    async fn refresh_entry(self) {
+        let (mut sequence, mut written, mut written_at) = (0_u64, String::new(), clock_now());
         loop {
             let start = self.state.start.load(Ordering::Relaxed);
             let now = clock_now();
             if start != 0 {
-                let facts = self.entry_facts(start);
-                if facts != entered || now.since(entered_at) >= HEARTBEAT {
-                    told += 1;
-                    let text = facts.replacen('{', &format!("{{\"sequence\":{told},"), 1);
+                let fields = self.entry_fields(start);
+                if fields != written || now.since(written_at) >= HEARTBEAT_INTERVAL {
+                    sequence += 1;
+                    let text = fields.replacen('{', &format!("{{\"sequence\":{sequence},"), 1);
                     let (store, id) = (&self.state.store, &self.state.id);
                     store.put(TableName::Backends, id, &text);
-                    (entered, entered_at) = (facts, now);
+                    (written, written_at) = (fields, now);
                 }
             } else {
-                entered.clear();
+                written.clear();
             }
-            sleep(ENTRY_PAUSE).await;
+            sleep(ENTRY_CHECK_INTERVAL).await;
         }
     }
 
-    fn entry_facts(&self, start: u64) -> String {
+    fn entry_fields(&self, start: u64) -> String {
         let state = &self.state;
         let is_engine = state.engine.is_some();
         let service = if is_engine {
@@ -248,12 +250,12 @@
             PLAIN_SERVICE
         };
         let mut entry = json!({
-            "service": service, "address": state.place.advertised_address.to_string(), "zone": "hall-a",
-            "slots": SLOTS, "state": "ready", "version": "1", "cold_remaining_ms": 0,
+            "service": service, "address": state.config.advertised_address.to_string(),
+            "zone": "hall-a", "slots": SLOTS, "state": "ready", "version": "1", "cold_remaining_ms": 0,
             "born": start,
         });
         if let Some(engine) = &state.engine {
-            let report = engine.own_report();
+            let report = engine.current_report();
             for field in ["born", "models", "layers"] {
                 entry[field] = report[field].clone();
             }
@@ -261,11 +263,11 @@
         entry.to_string()
     }
 
-    async fn answer(&self, request: Request) -> Response {
-        let is_own_call = request.uri().path().starts_with("/v1/");
-        if let (true, Some(engine)) = (is_own_call, &self.state.engine) {
-            engine.note_active(self.state.running.load(Ordering::Relaxed));
-            return engine.answer(request).await;
+    async fn respond(&self, request: Request) -> Response {
+        let is_engine_call = request.uri().path().starts_with("/v1/");
+        if let (true, Some(engine)) = (is_engine_call, &self.state.engine) {
+            engine.set_active(self.state.running.load(Ordering::Relaxed));
+            return engine.respond(request).await;
         }
         let (parts, body) = request.into_parts();
         if let Some(refusal) = self.refusal(&parts.headers) {
@@ -274,23 +276,23 @@
         let Ok(body) = read_body(body, BODY_BYTES_MAX).await else {
             return self.reply(&parts.headers, StatusCode::BAD_REQUEST, Body::empty());
         };
-        // What it holds may have changed while the body came.
+        // The loaded weights may have changed while the body arrived.
         if let Some(refusal) = self.refusal(&parts.headers) {
             return refusal;
         }
         let attempt = text_of(&parts.headers, ATTEMPT).unwrap_or_default();
-        self.note_run(&attempt, &parts.headers);
-        let place = RunPlace::take(&self.state);
+        self.report_start(&attempt, &parts.headers);
+        let slot = RunSlot::take(&self.state);
         let mut reply = if self.state.engine.is_some() {
             let (writer, body) = frame_channel(1);
             let last = text_of(&parts.headers, LAST_EVENT).and_then(|text| text.parse().ok());
             let first = last.map_or(1, |last: u64| last + 1);
-            tokio::spawn(place.write_events(attempt.clone(), first, writer));
+            tokio::spawn(slot.write_events(attempt.clone(), first, writer));
             self.reply(&parts.headers, StatusCode::OK, body)
         } else {
-            sleep(PLAIN_SPAN).await;
-            place.tell_end(&attempt, RunEnd::Complete);
-            drop(place);
+            sleep(PLAIN_DURATION).await;
+            slot.report_end(&attempt, RunEnd::Complete);
+            drop(slot);
             self.reply(&parts.headers, StatusCode::OK, Body::from(body))
         };
         set(&mut reply, SEAL, &format!("seal-of-{attempt}"));
@@ -300,18 +302,18 @@
         reply
     }
 
-    /// The answer to a request that it does not run.
+    /// The response to a request that it does not run; none if it runs the request.
     fn refusal(&self, headers: &HeaderMap) -> Option<Response> {
         let state = &self.state;
-        let is_meant = text_of(headers, TARGET_ID).is_none_or(|id| id == state.id);
+        let is_addressed = text_of(headers, TARGET_ID).is_none_or(|id| id == state.id);
         let expected = text_of(headers, EXPECTED_VERSION).and_then(|text| text.parse().ok());
-        let is_fit = expected.is_none() || expected == self.held();
-        let is_free = state.running.load(Ordering::Relaxed) < SLOTS;
+        let has_version = expected.is_none() || expected == self.held();
+        let has_slot = state.running.load(Ordering::Relaxed) < SLOTS;
         let engine = state.engine.as_ref();
         let can_run = engine.is_none_or(|engine| engine.held().is_some() && !engine.is_busy());
-        let status = if !is_meant || !is_fit {
+        let status = if !is_addressed || !has_version {
             StatusCode::MISDIRECTED_REQUEST
-        } else if !is_free || !can_run || state.start.load(Ordering::Relaxed) == 0 {
+        } else if !has_slot || !can_run || state.start.load(Ordering::Relaxed) == 0 {
             StatusCode::SERVICE_UNAVAILABLE
         } else {
             return None;
@@ -321,18 +323,18 @@
         Some(reply)
     }
 
-    fn note_run(&self, attempt: &str, headers: &HeaderMap) {
-        let sighting = BackendRun {
+    fn report_start(&self, attempt: &str, headers: &HeaderMap) {
+        let run = BackendRun {
             attempt: attempt.to_owned(),
-            backend: self.state.place.number,
+            backend: self.state.config.number,
             account: text_of(headers, ACCOUNT),
             has_key: headers.contains_key(http::header::AUTHORIZATION),
             version: self.held(),
             begun: clock_now(),
             end: None,
         };
-        // Nobody reads them any more once the soak is over.
-        let _ = self.state.words.send(RunEvent::Started(sighting));
+        // The receiver is dropped at the end of the soak test.
+        let _ = self.state.run_events.send(RunEvent::Started(run));
     }
 
     fn reply(&self, headers: &HeaderMap, status: StatusCode, body: Body) -> Response {
@@ -346,14 +348,14 @@
     }
 }
 
-/// A place that a request takes while it runs.
-struct RunPlace {
+/// The slot that a request occupies while it runs.
+struct RunSlot {
     state: Arc<BackendState>,
-    /// Which start of the backend server it runs in.
+    /// The number of the start of the backend server in which the request runs.
     start: u64,
 }
 
-impl RunPlace {
+impl RunSlot {
     fn take(state: &Arc<BackendState>) -> Self {
         state.running.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -368,11 +370,12 @@
         let mut end = RunEnd::Complete;
         for event in first..=STREAM_EVENTS {
             sleep(pace.next_pause()).await;
-            // The sender is there for as long as the backend server.
+            // Cannot fail: the state of the backend server owns the sender.
             let _ = stalled.wait_for(|is_stalled| !is_stalled).await;
             if self.state.start.load(Ordering::Relaxed) != self.start {
                 end = RunEnd::Crashed;
-                // A writer that is dropped ends the answer as a whole one; the crash resets it.
+                // Dropping the writer would end the response as a complete one. Wait until the
+                // caller of `crash` has closed the connection.
                 writer.closed().await;
                 break;
             }
@@ -382,53 +385,53 @@
                 break;
             }
         }
-        self.tell_end(&attempt, end);
+        self.report_end(&attempt, end);
     }
 
     fn pace(&self, attempt: &str) -> StreamPace {
-        let place = &self.state.place;
-        StreamPace(match place.load {
+        let config = &self.state.config;
+        StreamPace(match config.load {
             EngineLoad::Light => None,
             EngineLoad::Heavy { seed } => {
                 let mut hasher = DefaultHasher::new();
-                (seed, attempt, place.number).hash(&mut hasher);
+                (seed, attempt, config.number).hash(&mut hasher);
                 Some(StdRng::seed_from_u64(hasher.finish()))
             }
         })
     }
 
-    fn tell_end(&self, attempt: &str, end: RunEnd) {
+    fn report_end(&self, attempt: &str, end: RunEnd) {
         let ended = EndedRun {
             attempt: attempt.to_owned(),
-            backend: self.state.place.number,
+            backend: self.state.config.number,
             end,
             at: clock_now(),
         };
-        let _ = self.state.words.send(RunEvent::Ended(ended));
+        let _ = self.state.run_events.send(RunEvent::Ended(ended));
     }
 }
 
-impl Drop for RunPlace {
+impl Drop for RunSlot {
     fn drop(&mut self) {
         self.state.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The pauses before the events of a stream.
+/// The pauses before the events of a stream; random ones with a generator, otherwise equal ones.
 struct StreamPace(Option<StdRng>);
 
 impl StreamPace {
     fn next_pause(&mut self) -> Duration {
-        let Some(chance) = &mut self.0 else {
+        let Some(rng) = &mut self.0 else {
             return EVENT_PAUSE;
         };
-        let is_long = chance.random_range(0..LONG_PAUSE_ONE_IN) == 0;
-        let long = is_long.then(|| Duration::from_millis(chance.random_range(LONG_PAUSE_MS)));
+        let is_long = rng.random_range(0..LONG_PAUSE_ONE_IN) == 0;
+        let long = is_long.then(|| Duration::from_millis(rng.random_range(LONG_PAUSE_MS)));
         LOADED_EVENT_PAUSE + long.unwrap_or_default()
     }
 }
 
-/// Event `event` of the stream that answers `attempt`, and whether it is the last.
+/// The bytes of event number `event` in the stream for `attempt`, and whether it is the last.
 pub(crate) fn stream_event(attempt: &str, event: u64) -> (Bytes, bool) {
     let text = format!("id: {event}\ndata: {attempt} {event} of {STREAM_EVENTS}\n\n");
     (text.into(), event == STREAM_EVENTS)
--- a/src/platform/fake_engine.rs
+++ b/src/platform/fake_engine.rs
@@ -1,8 +1,8 @@
-//! A stand-in of a model engine for the lab and for tests in other folders. It can crash, start again
-//! under its name and know nothing of before.
+//! A fake model engine for the lab and for tests in other folders. It can crash, and restart as a
+//! new incarnation without the state of the previous one.
 #![cfg_attr(
     not(test),
-    expect(dead_code, reason = "tests drive more of it than the lab does")
+    expect(dead_code, reason = "the lab uses fewer of its methods than tests do")
 )]
 
 use std::net::SocketAddr;
@@ -24,55 +24,55 @@
 use crate::transport::{json_reply, read_body};
 
 const BODY_BYTES_MAX: usize = 1024 * 1024;
-/// When the first incarnation of a fake engine started, in Unix milliseconds.
+/// The start of the first incarnation of a fake engine, in Unix milliseconds.
 const FIRST_BORN: u64 = 1_700_000_000_000;
-/// How much later each further incarnation started.
+/// The milliseconds between the starts of successive incarnations.
 const BORN_STEP: u64 = 20_000;
 
-/// What a restart leaves of the staged chunks.
+/// The state of the staged chunks after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StagedAfterRestart {
-    /// All of them.
+    /// All chunks are intact.
     Kept,
-    /// All, but half of them have gone bad.
+    /// All chunks are present, and every second one is corrupt.
     HalfCorrupt,
-    /// None.
+    /// All chunks are lost.
     Lost,
 }
 
-/// Whether an engine says when it started.
+/// Whether the reports of an engine have the field with its start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartTimeField {
-    /// It does.
+    /// They have it.
     Present,
-    /// It does not.
+    /// They lack it.
     Absent,
 }
 
-/// What the engine does with a call.
+/// How the engine handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum CallRule {
-    /// It answers.
+    /// It responds normally.
     #[default]
-    Answer,
-    /// It crashed, and has not started again.
-    Silent,
-    /// It takes an order and works on it for good.
-    HoldOrders,
+    Respond,
+    /// It has crashed and not restarted.
+    Crashed,
+    /// It accepts an order and never finishes it.
+    StallOrders,
 }
 
-/// A call at which an engine may start again.
+/// A kind of call on which a restart can be planned.
 #[derive(Clone, Copy)]
 pub(crate) enum EngineCall {
-    /// A chunk is staged.
+    /// Staging a chunk.
     Stage,
-    /// Weights are ordered to be loaded.
+    /// An order to load weights.
     Order,
 }
 
 impl EngineCall {
-    /// With what the paths of such calls begin.
-    const fn path(self) -> &'static str {
+    /// The prefix of the paths of such calls.
+    const fn path_prefix(self) -> &'static str {
         match self {
             Self::Stage => "/v1/stage-put",
             Self::Order => "/v1/order",
@@ -80,67 +80,71 @@
     }
 }
 
-/// A restart that comes with a call.
+/// A restart that a call triggers.
 #[derive(Clone, Copy, Debug)]
 struct PlannedRestart {
-    path: &'static str,
-    /// How many calls come before it.
+    path_prefix: &'static str,
+    /// The number of matching calls before the one that triggers it.
     calls: u32,
-    rest: StagedAfterRestart,
+    staged: StagedAfterRestart,
 }
 
 #[derive(Default)]
 struct EngineState {
     rule: CallRule,
+    /// The start of the incarnation, in Unix milliseconds.
     born: u64,
-    birth: Option<StartTimeField>,
+    start_time_field: Option<StartTimeField>,
+    /// The version that is loaded completely.
     held: Option<u64>,
-    /// A layer that it holds alone, and its version.
+    /// The only loaded layer and its version, after an order for a single layer.
     layer: Option<(u32, u64)>,
     is_busy: bool,
+    /// The orders accepted by this incarnation.
     orders_accepted: u64,
-    /// Orders of all incarnations.
+    /// The orders accepted by all incarnations.
     orders_started: usize,
-    /// Those of them that found a chunk missing, spoiled or of another version.
+    /// Those of them that found a chunk missing, corrupt or of another version.
     bad_loads: usize,
-    /// Chunks that were staged, in all incarnations.
+    /// The chunks staged in all incarnations.
     chunks_staged: usize,
-    /// Reports since it last changed what it holds.
+    /// The reports sent since the loaded weights last changed.
     reports: usize,
     restart_on: Option<PlannedRestart>,
-    /// Answers with the state of before to this many reports.
+    /// The number of further reports that give the state of the previous incarnation.
     stale_reports: usize,
-    former: Option<Value>,
+    /// The last state of the previous incarnation.
+    previous_report: Option<Value>,
     staged: Vec<Option<Bytes>>,
-    /// Requests that it works on.
+    /// The number of running requests.
     active: u32,
-    /// Requests that wait there.
+    /// The number of waiting requests.
     queued: u32,
-    /// Orders that cut off what it worked on.
+    /// The number of orders that aborted running requests.
     aborting_orders: usize,
-    /// How long a load takes.
-    load_span: Duration,
-    /// The version that is being loaded, and when it will be.
+    /// The duration of a load.
+    load_duration: Duration,
+    /// The version that is being loaded, and when the load ends.
     loading: Option<(u64, ClockTime)>,
 }
 
-/// An engine; its clones share its state.
+/// A fake engine; clones share its state.
 #[derive(Clone)]
 pub(crate) struct FakeEngine {
-    /// Where it answers.
+    /// The address on which it serves; unspecified if calls are passed to [`FakeEngine::respond`].
     pub(crate) address: SocketAddr,
     state: Arc<Mutex<EngineState>>,
 }
 
 impl FakeEngine {
-    /// Starts an engine that holds nothing and has nothing staged.
+    /// Starts an engine without loaded weights or staged chunks, which serves on a loopback port.
     #[cfg(test)]
-    pub(crate) async fn start(birth: StartTimeField) -> Self {
-        let unbound = Self::new(birth, Duration::ZERO);
-        let answering = unbound.clone();
+    pub(crate) async fn start(start_time_field: StartTimeField) -> Self {
+        let unbound = Self::new(start_time_field, Duration::ZERO);
+        let served = unbound.clone();
         let address = serve_calls(move |request| {
-            let engine = answering.clone();
-            async move { engine.answer(request).await }
+            let engine = served.clone();
+            async move { engine.respond(request).await }
         });
         Self {
             address: address.await,
@@ -148,14 +152,14 @@
         }
     }
 
-    /// An engine whose loads take `load_span`. It is not reached over the network: somebody hands
-    /// calls to [`FakeEngine::answer`].
-    pub(crate) fn new(birth: StartTimeField, load_span: Duration) -> Self {
+    /// Creates an engine whose loads take `load_duration`. It does not listen on the network: the
+    /// fake backend server passes calls to [`FakeEngine::respond`].
+    pub(crate) fn new(start_time_field: StartTimeField, load_duration: Duration) -> Self {
         let state = EngineState {
             born: FIRST_BORN,
-            birth: Some(birth),
+            start_time_field: Some(start_time_field),
             staged: vec![None; CHUNKS as usize],
-            load_span,
+            load_duration,
             ..EngineState::default()
         };
         Self {
@@ -164,84 +168,89 @@
         }
     }
 
-    /// It crashes; nothing answers until [`FakeEngine::restart`] or [`FakeEngine::resume`].
+    /// Simulates a crash: calls fail until [`FakeEngine::restart`] or [`FakeEngine::resume`].
     pub(crate) fn crash(&self) {
-        self.lock().rule = CallRule::Silent;
+        self.lock().rule = CallRule::Crashed;
     }
 
-    /// It answers again, the same incarnation as before.
+    /// Lets it respond again, as the same incarnation.
     pub(crate) fn resume(&self) {
-        self.lock().rule = CallRule::Answer;
+        self.lock().rule = CallRule::Respond;
     }
 
-    /// It takes orders from now on, but never ends one.
+    /// Lets it accept orders, but never finish one.
     pub(crate) fn stall_orders(&self) {
-        self.lock().rule = CallRule::HoldOrders;
+        self.lock().rule = CallRule::StallOrders;
     }
 
-    /// It starts again under its name and knows nothing of before.
-    pub(crate) fn restart(&self, rest: StagedAfterRestart) {
-        self.lock().restart(rest);
+    /// Restarts it as a new incarnation without the state of the previous one.
+    pub(crate) fn restart(&self, staged: StagedAfterRestart) {
+        self.lock().restart(staged);
     }
 
-    /// It starts again just before it answers a `call`, after `calls` of them.
-    pub(crate) fn restart_on(&self, call: EngineCall, calls: u32, rest: StagedAfterRestart) {
-        let path = call.path();
-        self.lock().restart_on = Some(PlannedRestart { path, calls, rest });
+    /// Plans a restart just before the response to a `call`, after `calls` of that kind.
+    pub(crate) fn restart_on(&self, call: EngineCall, calls: u32, staged: StagedAfterRestart) {
+        let path_prefix = call.path_prefix();
+        self.lock().restart_on = Some(PlannedRestart {
+            path_prefix,
+            calls,
+            staged,
+        });
     }
 
-    /// The next `count` reports are those of the former incarnation, come late.
+    /// Lets the next `count` reports give the state of the previous incarnation, as delayed ones
+    /// would.
     pub(crate) fn report_stale(&self, count: usize) {
         self.lock().stale_reports = count;
     }
 
-    /// The version that it holds whole.
+    /// The version that is loaded completely.
     pub(crate) fn held(&self) -> Option<WeightsVersion> {
         self.lock().held.map(WeightsVersion)
     }
 
-    /// How many orders it has begun, in all incarnations.
+    /// The number of orders that all incarnations have started.
     pub(crate) fn orders_started(&self) -> usize {
         self.lock().orders_started
     }
 
-    /// How many of these found a chunk missing, spoiled or of another version.
+    /// The number of these that found a chunk missing, corrupt or of another version.
     pub(crate) fn bad_loads(&self) -> usize {
         self.lock().bad_loads
     }
 
-    /// How many reports it has given since it last changed what it holds.
+    /// The number of reports since the loaded weights last changed.
     pub(crate) fn reports(&self) -> usize {
         self.lock().reports
     }
 
-    /// How many chunks were staged, in all incarnations.
+    /// The number of chunks staged in all incarnations.
     pub(crate) fn chunks_staged(&self) -> usize {
         self.lock().chunks_staged
     }
 
-    /// What it says of itself, in an entry of the store as well.
-    pub(super) fn own_report(&self) -> Value {
-        self.lock().own_report()
+    /// The state in its report; the entry in the store has some of its fields.
+    pub(super) fn current_report(&self) -> Value {
+        self.lock().current_report()
     }
 
-    /// Whether it carries out an order.
+    /// Whether it is carrying out an order.
     pub(super) fn is_busy(&self) -> bool {
         self.lock().is_busy
     }
 
-    /// It works on `active` requests.
-    pub(super) fn note_active(&self, active: u32) {
+    /// Sets the reported number of running requests.
+    pub(super) fn set_active(&self, active: u32) {
         self.lock().active = active;
     }
 
-    /// `queued` requests wait there.
+    /// Sets the reported number of waiting requests.
     #[cfg(test)]
     pub(crate) fn set_queued(&self, queued: u32) {
         self.lock().queued = queued;
     }
 
-    /// Of which version it holds a layer and not the others.
+    /// The version of which only one layer is loaded.
     #[cfg(test)]
     pub(crate) fn partial_version(&self) -> Option<WeightsVersion> {
         self.lock()
@@ -249,14 +258,14 @@
             .map(|(_, version)| WeightsVersion(version))
     }
 
-    /// How many orders cut off what it worked on.
+    /// The number of orders that aborted running requests.
     #[cfg(test)]
     pub(crate) fn aborting_orders(&self) -> usize {
         self.lock().aborting_orders
     }
 
-    /// Answers a call of its host or of anybody who asks how it is.
-    pub(super) async fn answer(&self, request: Request) -> Response {
+    /// Responds to a call to the engine.
+    pub(super) async fn respond(&self, request: Request) -> Response {
         let (path, index) = path_and_index(&request);
         let Ok(body) = read_body(request.into_body(), BODY_BYTES_MAX).await else {
             return json_reply(StatusCode::BAD_REQUEST, &json!({}));
@@ -264,7 +273,7 @@
         let mut state = self.lock();
         state.restart_if_due(&path);
         match (state.rule, path.as_str()) {
-            (CallRule::Silent, _) => json_reply(StatusCode::BAD_GATEWAY, &json!({})),
+            (CallRule::Crashed, _) => json_reply(StatusCode::BAD_GATEWAY, &json!({})),
             (_, "/v1/report") => json_reply(StatusCode::OK, &state.report()),
             (_, "/v1/order") => json_reply(state.order(&body, clock_now()), &json!({})),
             (_, "/v1/stage-put/m") => json_reply(state.stage(index, body), &json!({})),
@@ -275,14 +284,14 @@
 
     fn lock(&self) -> MutexGuard<'_, EngineState> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.settle(clock_now());
+        state.finish_load(clock_now());
         state
     }
 }
 
 impl EngineState {
-    /// Ends the load that is under way once its time has come.
-    fn settle(&mut self, now: ClockTime) {
+    /// Finishes the current load if it has ended by `now`.
+    fn finish_load(&mut self, now: ClockTime) {
         if let Some((version, until)) = self.loading
             && now >= until
         {
@@ -298,21 +307,21 @@
         let Some(plan) = self.restart_on.as_mut() else {
             return;
         };
-        if !path.starts_with(plan.path) {
+        if !path.starts_with(plan.path_prefix) {
             return;
         }
         if plan.calls > 0 {
             plan.calls -= 1;
             return;
         }
-        let rest = plan.rest;
+        let staged = plan.staged;
         self.restart_on = None;
-        self.restart(rest);
+        self.restart(staged);
     }
 
-    fn restart(&mut self, rest: StagedAfterRestart) {
-        self.former = Some(self.own_report());
-        self.rule = CallRule::Answer;
+    fn restart(&mut self, staged: StagedAfterRestart) {
+        self.previous_report = Some(self.current_report());
+        self.rule = CallRule::Respond;
         self.born += BORN_STEP;
         self.held = None;
         self.layer = None;
@@ -321,7 +330,7 @@
         self.loading = None;
         self.active = 0;
         self.orders_accepted = 0;
-        match rest {
+        match staged {
             StagedAfterRestart::Kept => {}
             StagedAfterRestart::HalfCorrupt => {
                 for chunk in self.staged.iter_mut().step_by(2) {
@@ -332,23 +341,24 @@
         }
     }
 
+    /// The response to a request for its report.
     fn report(&mut self) -> Value {
         self.reports += 1;
         if self.stale_reports > 0
-            && let Some(former) = &self.former
+            && let Some(previous) = &self.previous_report
         {
             self.stale_reports -= 1;
-            return former.clone();
+            return previous.clone();
         }
-        self.own_report()
+        self.current_report()
     }
 
-    fn own_report(&self) -> Value {
-        let whole = self.held.map(|version| (0..LAYERS, version));
-        let part = self
+    fn current_report(&self) -> Value {
+        let complete = self.held.map(|version| (0..LAYERS, version));
+        let partial = self
             .layer
             .map(|(layer, version)| (layer..layer + 1, version));
-        let held: Vec<_> = whole.into_iter().chain(part).collect();
+        let held: Vec<_> = complete.into_iter().chain(partial).collect();
         let models = held
             .iter()
             .map(|(_, version)| json!({ "name": "m", "version": version, "adapters": [] }));
@@ -357,9 +367,10 @@
         );
         let mut report = json!({
             "models": models.collect::<Vec<_>>(), "layers": layers.collect::<Vec<_>>(),
-            "busy": self.is_busy, "sequence": self.orders_accepted, "queued": self.queued, "active": self.active,
+            "busy": self.is_busy, "sequence": self.orders_accepted, "queued": self.queued,
+            "active": self.active,
         });
-        if self.birth == Some(StartTimeField::Present) {
+        if self.start_time_field == Some(StartTimeField::Present) {
             report["born"] = self.born.into();
         }
         report
@@ -367,7 +378,7 @@
 
     fn order(&mut self, body: &[u8], now: ClockTime) -> StatusCode {
         let order: Value = serde_json::from_slice(body).expect("an order is JSON");
-        let version = order["version"].as_u64().expect("it names a version");
+        let version = order["version"].as_u64().expect("an order has a version");
         if order["precondition"].as_u64() != Some(self.orders_accepted) || self.is_busy {
             return StatusCode::CONFLICT;
         }
@@ -376,15 +387,15 @@
         }
         let layer = order["from"]
             .as_u64()
-            .map(|from| u32::try_from(from).expect("it is small"));
+            .map(|from| u32::try_from(from).expect("a layer number fits"));
         let chunks = match layer {
             Some(layer) => layer * CHUNKS / LAYERS..((layer + 1) * CHUNKS).div_ceil(LAYERS),
             None => 0..CHUNKS,
         };
-        let is_whole = chunks
+        let is_staged = chunks
             .into_iter()
             .all(|index| self.staged[index as usize] == Some(chunk_bytes(version, index)));
-        self.bad_loads += usize::from(!is_whole);
+        self.bad_loads += usize::from(!is_staged);
         self.orders_accepted += 1;
         self.orders_started += 1;
         self.reports = 0;
@@ -395,21 +406,21 @@
             return StatusCode::ACCEPTED;
         }
         match self.rule {
-            CallRule::HoldOrders => self.is_busy = true,
-            CallRule::Answer | CallRule::Silent if self.load_span.is_zero() => {
+            CallRule::StallOrders => self.is_busy = true,
+            CallRule::Respond | CallRule::Crashed if self.load_duration.is_zero() => {
                 self.held = Some(version);
                 self.layer = None;
             }
-            CallRule::Answer | CallRule::Silent => {
+            CallRule::Respond | CallRule::Crashed => {
                 self.is_busy = true;
-                self.loading = Some((version, now + self.load_span));
+                self.loading = Some((version, now + self.load_duration));
             }
         }
         StatusCode::ACCEPTED
     }
 
     fn stage(&mut self, index: Option<u32>, bytes: Bytes) -> StatusCode {
-        let index = index.expect("a chunk is staged under its number");
+        let index = index.expect("a chunk is staged under its index");
         self.chunks_staged += 1;
         self.staged[index as usize] = Some(bytes);
         StatusCode::OK
--- a/src/platform/fake_origin.rs
+++ b/src/platform/fake_origin.rs
@@ -1,4 +1,5 @@
-//! A stand-in of the origin of weights for the lab and for tests in other folders.
+//! A fake origin of weights for the lab and for tests in other folders, and the server that the
+//! other fakes share.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,36 +18,36 @@
 use crate::daemon::DrainState;
 use crate::transport::{HttpServer, bind_listener, json_reply};
 
-/// Chunks of a version.
+/// The number of chunks of a version.
 pub(super) const CHUNKS: u32 = 6;
-/// Layers of the model.
+/// The number of layers of the model.
 pub(super) const LAYERS: u32 = 4;
 
-/// The origin of weights; its clones share its counts.
+/// A fake origin of weights; clones share its state.
 #[derive(Clone)]
 pub(crate) struct FakeOrigin {
-    /// Where it answers.
+    /// The address on which it serves.
     pub(crate) address: SocketAddr,
     state: Arc<Mutex<OriginState>>,
 }
 
 struct OriginState {
     chunks_served: usize,
-    /// How many chunks it hands out before it refuses.
+    /// The number of chunks that it serves before it refuses further ones.
     chunks_max: usize,
 }
 
 impl FakeOrigin {
-    /// Starts an origin that has every version of the model `m`.
+    /// Starts an origin that serves every version of the model `m`.
     pub(crate) async fn start() -> Self {
         let state = Arc::new(Mutex::new(OriginState {
             chunks_served: 0,
             chunks_max: usize::MAX,
         }));
-        let answering = state.clone();
+        let served_state = state.clone();
         let address = serve_calls(move |request| {
-            let answer = answer(&mut lock(&answering), &request);
-            async move { answer }
+            let response = respond(&mut lock(&served_state), &request);
+            async move { response }
         });
         Self {
             address: address.await,
@@ -54,21 +55,21 @@
         }
     }
 
-    /// How many chunks it has handed out.
+    /// The number of chunks that it has served.
     pub(crate) fn chunks_served(&self) -> usize {
         lock(&self.state).chunks_served
     }
 
-    /// It refuses chunks once it has handed out `chunks`.
+    /// Makes it refuse chunks once it has served `chunks` in total.
     pub(crate) fn limit_chunks(&self, chunks: usize) {
         lock(&self.state).chunks_max = chunks;
     }
 }
 
-/// What only tests ask of it.
+/// Methods for tests only.
 #[cfg(test)]
 impl FakeOrigin {
-    /// The document that names it as the origin of the service `s`.
+    /// A document with this origin and a service `s` whose engines have the model `m`.
     pub(crate) fn document(&self) -> String {
         let address = self.address;
         let engine = json!({ "models": [{ "name": "m" }], "layers": LAYERS });
@@ -84,8 +85,8 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn answer(state: &mut OriginState, request: &Request) -> Response {
-    let version = query_number(request, "version").expect("it names a version");
+fn respond(state: &mut OriginState, request: &Request) -> Response {
+    let version = query_number(request, "version").expect("the query has a version");
     let (path, index) = path_and_index(request);
     match (path.as_str(), index) {
         ("/v1/manifest/m", _) => json_reply(StatusCode::OK, &digests_text(version)),
@@ -110,12 +111,12 @@
     json!({ "model": "m", "version": version, "digests": digests })
 }
 
-/// Chunk `index` of `version`.
+/// The bytes of chunk `index` of `version`.
 pub(super) fn chunk_bytes(version: u64, index: u32) -> Bytes {
     format!("chunk {index} of version {version}").into()
 }
 
-/// The path of a call, and the chunk that it names.
+/// The path of a call, and the index of the chunk in its query.
 pub(super) fn path_and_index(request: &Request) -> (String, Option<u32>) {
     let index = query_number(request, "item_count");
     let index = index.and_then(|index| u32::try_from(index).ok());
@@ -129,28 +130,28 @@
     value.parse().ok()
 }
 
-/// Answers calls at a free port of this machine for as long as the process runs.
+/// Serves calls on a free loopback port until the process ends; returns the address.
 pub(super) async fn serve_calls<F>(
-    answer: impl Fn(Request) -> F + Clone + Send + Sync + 'static,
+    respond: impl Fn(Request) -> F + Clone + Send + Sync + 'static,
 ) -> SocketAddr
 where
     F: Future<Output = Response> + Send + 'static,
 {
     let listener = bind_listener(SocketAddr::from(([127, 0, 0, 1], 0))).await;
     let listener = listener.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
-    serve_calls_on(listener, answer);
+    let address = listener.local_addr().expect("the listener is bound");
+    serve_calls_on(listener, respond);
     address
 }
 
-/// Answers calls at `listener` for as long as the process runs.
+/// Serves calls on `listener` until the process ends.
 pub(super) fn serve_calls_on<F>(
     listener: TcpListener,
-    answer: impl Fn(Request) -> F + Clone + Send + Sync + 'static,
+    respond: impl Fn(Request) -> F + Clone + Send + Sync + 'static,
 ) where
     F: Future<Output = Response> + Send + 'static,
 {
-    let router = Router::new().fallback(move |request: Request| answer(request));
+    let router = Router::new().fallback(move |request: Request| respond(request));
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
     tokio::spawn(HttpServer::on(listener, router).run(drain));
 }
--- a/src/platform/fake_store.rs
+++ b/src/platform/fake_store.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the platform's store for the lab and for tests in other folders: rows in tables, one
-//! counter of revisions, transactions under a condition, reads and watches.
+//! A fake of the platform's store for the lab and for tests in other folders. It has rows in
+//! tables, one counter of revisions for all tables, conditional transactions, reads and watches.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -24,21 +24,22 @@
 use crate::transport::{HttpServer, json_reply, read_body};
 
 const BODY_BYTES_MAX: usize = 1024 * 1024;
-/// Rows that were written over and are still told to watches; a run of hours would else keep all.
-const PAST_MAX: usize = 4096;
+/// The most overwritten rows that are kept for watches; without a limit, a long run would keep them
+/// all.
+const PAST_ROWS_MAX: usize = 4096;
 
-/// What is wrong with the store.
+/// A fault that is injected into the store.
 #[apply(key!)]
 #[derive(Default)]
 pub(crate) enum StoreFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses all calls.
+    /// It refuses all calls with status 503.
     Down,
-    /// Each answer takes so much longer.
+    /// It delays each call by this time.
     Slow(Duration),
-    /// It does what it is asked to and never answers.
+    /// It carries out each call, but never responds.
     DropsResponses,
 }
 
@@ -47,37 +48,37 @@
     table: String,
     key: String,
     revision: u64,
-    /// None once it was removed.
+    /// The value in base64; none if the row was removed.
     value: Option<String>,
 }
 
 #[derive(Default)]
 struct FakeRows {
     revision: u64,
-    /// Calls that asked for a change, whatever became of them.
+    /// The number of transactions, including refused ones.
     change_calls: usize,
-    /// Those of them that were done.
+    /// The number of transactions that were carried out.
     changes_done: usize,
-    /// The revision from which on the history is known.
+    /// The oldest revision from which a watch can continue.
     history_from: u64,
-    /// The rows as they stand.
+    /// The current rows.
     rows: Vec<FakeRow>,
-    /// What stood before, for as long as the history is known.
+    /// Overwritten rows, as far back as the history goes.
     past: Vec<FakeRow>,
-    /// How long each row of a watch's answer takes on its way.
+    /// The time by which each row delays the response of a watch.
     row_delay: Duration,
-    trouble: StoreFault,
-    /// How many rows of each table answers have told, sorted by table.
-    told: Vec<(String, usize)>,
+    fault: StoreFault,
+    /// The number of rows sent of each table, sorted by table.
+    sent: Vec<(String, usize)>,
 }
 
 impl FakeRows {
     fn put(&mut self, table: &str, key: &str, value: Option<String>) {
         self.revision += 1;
-        let is_former = |row: &mut FakeRow| row.table == table && row.key == key;
-        self.past.extend(self.rows.extract_if(.., is_former));
-        if self.past.len() > PAST_MAX {
-            let dropped = self.past.drain(..PAST_MAX / 2);
+        let is_same_row = |row: &mut FakeRow| row.table == table && row.key == key;
+        self.past.extend(self.rows.extract_if(.., is_same_row));
+        if self.past.len() > PAST_ROWS_MAX {
+            let dropped = self.past.drain(..PAST_ROWS_MAX / 2);
             let newest = dropped.map(|row| row.revision).max();
             self.history_from = self.history_from.max(newest.unwrap_or(0));
         }
@@ -89,21 +90,22 @@
         });
     }
 
-    fn note_told(&mut self, table: &str, count: usize) {
-        match self.told.binary_search_by(|(name, _)| (**name).cmp(table)) {
-            Ok(at) => self.told[at].1 += count,
-            Err(at) => self.told.insert(at, (table.to_owned(), count)),
+    fn add_sent(&mut self, table: &str, count: usize) {
+        match self.sent.binary_search_by(|(name, _)| (**name).cmp(table)) {
+            Ok(index) => self.sent[index].1 += count,
+            Err(index) => self.sent.insert(index, (table.to_owned(), count)),
         }
     }
 
+    /// The revision of a row; 0 if it does not exist.
     fn revision_of(&self, table: &str, key: &str) -> u64 {
         let mut rows = self.rows.iter();
         let found = rows.find(|row| row.table == table && row.key == key && row.value.is_some());
         found.map_or(0, |row| row.revision)
     }
 
-    /// Every change behind `since`, also those that others have followed.
-    fn behind(&self, table: &str, since: u64) -> Vec<&FakeRow> {
+    /// All changes after `since`, including overwritten ones.
+    fn changes_after(&self, table: &str, since: u64) -> Vec<&FakeRow> {
         let rows = self.rows.iter().chain(&self.past);
         let mut found: Vec<&FakeRow> = rows
             .filter(|row| row.table == table && row.revision > since)
@@ -112,11 +114,12 @@
         found
     }
 
-    fn has_news(&self, table: &str, since: u64) -> bool {
-        since < self.history_from || !self.behind(table, since).is_empty()
+    fn has_changes(&self, table: &str, since: u64) -> bool {
+        since < self.history_from || !self.changes_after(table, since).is_empty()
     }
 
-    fn live(&self, table: &str) -> Vec<&FakeRow> {
+    /// The existing rows, sorted by key.
+    fn existing(&self, table: &str) -> Vec<&FakeRow> {
         let rows = self.rows.iter();
         let mut found: Vec<&FakeRow> = rows
             .filter(|row| row.table == table && row.value.is_some())
@@ -126,12 +129,13 @@
     }
 }
 
-/// The store; its clones share the rows.
+/// A fake store; clones share the rows.
 #[derive(Clone)]
 pub(crate) struct FakeStore {
-    /// Where it answers.
+    /// The address on which it serves.
     pub(crate) address: SocketAddr,
     rows: Arc<Mutex<FakeRows>>,
+    /// Wakes watches on each change.
     changes: Arc<watch::Sender<u64>>,
 }
 
@@ -142,33 +146,33 @@
         let listener = crate::transport::bind_listener(local).await;
         let listener = listener.expect("a free port");
         let store = Self {
-            address: listener.local_addr().expect("it is bound"),
+            address: listener.local_addr().expect("the listener is bound"),
             rows: Arc::default(),
             changes: Arc::default(),
         };
-        let answering = store.clone();
+        let served = store.clone();
         let router = Router::new().fallback(move |request: Request| {
-            let store = answering.clone();
-            async move { store.answer(request).await }
+            let store = served.clone();
+            async move { store.respond(request).await }
         });
         let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
         tokio::spawn(HttpServer::on(listener, router).run(drain));
         store
     }
 
-    /// Somebody else writes a row, whatever stands there.
+    /// Writes a row unconditionally, as another program would.
     pub(crate) fn put(&self, table: TableName, key: &str, value: &str) {
         self.change(table, key, Some(BASE64.encode(value)));
     }
 
-    /// Somebody else removes a row.
+    /// Removes a row, as another program would.
     pub(crate) fn remove(&self, table: TableName, key: &str) {
         self.change(table, key, None);
     }
 
-    /// What is wrong with it from now on.
-    pub(crate) fn set_fault(&self, trouble: StoreFault) {
-        self.lock().trouble = trouble;
+    /// Injects `fault`, which replaces the current one.
+    pub(crate) fn set_fault(&self, fault: StoreFault) {
+        self.lock().fault = fault;
     }
 
     fn change(&self, table: TableName, key: &str, value: Option<String>) {
@@ -180,9 +184,9 @@
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, request: Request) -> Response {
-        let trouble = self.lock().trouble;
-        match trouble {
+    async fn respond(&self, request: Request) -> Response {
+        let fault = self.lock().fault;
+        match fault {
             StoreFault::None => self.carry_out(request).await,
             StoreFault::Down => json_reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
             StoreFault::Slow(delay) => {
@@ -213,7 +217,7 @@
             }
             "/v1/rows-tx" => {
                 let body = read_body(request.into_body(), BODY_BYTES_MAX).await;
-                let body = body.expect("the call has a body");
+                let body = body.expect("the body can be read");
                 self.transact(&serde_json::from_slice(&body).expect("the call is JSON"))
             }
             _ => (StatusCode::NOT_FOUND, json!({})),
@@ -223,35 +227,35 @@
 
     fn read(&self, table: &str) -> Value {
         let mut rows = self.lock();
-        let found: Vec<Value> = rows.live(table).into_iter().map(row_text).collect();
-        rows.note_told(table, found.len());
+        let found: Vec<Value> = rows.existing(table).into_iter().map(row_text).collect();
+        rows.add_sent(table, found.len());
         json!({ "rows": found, "truncated": false, "ver": rows.revision, "now_ms": now_ms() })
     }
 
     async fn watch(&self, table: &str, since: u64, wait: Duration) -> (StatusCode, Value) {
         let mut changes = self.changes.subscribe();
-        let news = async {
-            while !self.lock().has_news(table, since) {
+        let await_change = async {
+            while !self.lock().has_changes(table, since) {
                 if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
-        // Without a change the answer has no rows.
-        let _ = timeout(wait, news).await;
-        let (body, on_way) = {
+        // After a timeout without a change, the response has no rows.
+        let _ = timeout(wait, await_change).await;
+        let (body, delay) = {
             let mut rows = self.lock();
             if since < rows.history_from {
                 return (StatusCode::GONE, json!({}));
             }
-            let found = rows.behind(table, since);
+            let found = rows.changes_after(table, since);
             let found: Vec<Value> = found.into_iter().map(row_text).collect();
             let count = u32::try_from(found.len()).unwrap_or(u32::MAX);
-            rows.note_told(table, found.len());
+            rows.add_sent(table, found.len());
             let body = json!({ "rows": found, "ver": rows.revision, "now_ms": now_ms() });
             (body, rows.row_delay * count)
         };
-        sleep(on_way).await;
+        sleep(delay).await;
         (StatusCode::OK, body)
     }
 
@@ -266,11 +270,16 @@
         };
         let conditions = entries("precondition");
         if !conditions.iter().all(is_met) {
-            let named = |row: &&FakeRow| {
+            let is_conditional = |row: &&FakeRow| {
                 let mut conditions = conditions.iter();
                 conditions.any(|entry| text(entry, "key") == row.key && row.value.is_some())
             };
-            let found: Vec<Value> = rows.rows.iter().filter(named).map(row_text).collect();
+            let found: Vec<Value> = rows
+                .rows
+                .iter()
+                .filter(is_conditional)
+                .map(row_text)
+                .collect();
             let body = json!({ "rows": found, "ver": rows.revision, "now_ms": now_ms() });
             return (StatusCode::PRECONDITION_FAILED, body);
         }
@@ -292,33 +301,33 @@
     }
 }
 
-/// What only tests ask of it.
+/// Methods for tests only.
 #[cfg(test)]
 impl FakeStore {
-    /// Somebody else writes a row whose bytes need not decode.
+    /// Writes a row whose value is `value` as is, which may be invalid base64.
     pub(crate) fn put_raw(&self, table: TableName, key: &str, value: &str) {
         self.change(table, key, Some(value.to_owned()));
     }
 
-    /// How many calls asked for a change, refused ones included.
+    /// The number of transactions, including refused ones.
     pub(crate) fn change_calls(&self) -> usize {
         self.lock().change_calls
     }
 
-    /// How many of them were done.
+    /// The number of transactions that were carried out.
     pub(crate) fn changes_done(&self) -> usize {
         self.lock().changes_done
     }
 
-    /// How many rows of `table` answers have told so far.
+    /// The number of rows of `table` that responses have contained so far.
     pub(crate) fn rows_sent(&self, table: TableName) -> usize {
         let rows = self.lock();
-        let mut told = rows.told.iter();
-        let found = told.find(|(name, _)| *name == table.as_str());
+        let mut sent = rows.sent.iter();
+        let found = sent.find(|(name, _)| *name == table.as_str());
         found.map_or(0, |(_, count)| *count)
     }
 
-    /// The text of a row, if there is one.
+    /// The value of a row as text; none if it does not exist or its value does not decode.
     pub(crate) fn text_of(&self, table: TableName, key: &str) -> Option<String> {
         let rows = self.lock();
         let mut rows = rows.rows.iter();
@@ -327,7 +336,7 @@
         String::from_utf8(bytes).ok()
     }
 
-    /// It forgets what changed before; watches of before have to read the tables anew.
+    /// Discards the history of changes, so that existing watches must read their tables again.
     pub(crate) fn forget_history(&self) {
         let mut rows = self.lock();
         rows.revision += 1;
@@ -337,7 +346,7 @@
         self.changes.send_modify(|changes| *changes += 1);
     }
 
-    /// From now on it refuses all calls, or no more.
+    /// Makes it refuse all calls, or removes the current fault.
     pub(crate) fn set_down(&self, is_down: bool) {
         self.set_fault(if is_down {
             StoreFault::Down
@@ -346,16 +355,16 @@
         });
     }
 
-    /// Answers to watches take `row_delay` for each of their rows, as over a link that is full.
+    /// Delays responses of watches by `row_delay` per row, as a congested link would.
     pub(crate) fn slow_watches(&self, row_delay: Duration) {
         self.lock().row_delay = row_delay;
     }
 }
 
-/// The store's clock: another one than that of the processes, and steady like theirs.
+/// The store's clock: monotonic, with another origin than the clocks of the processes.
 fn now_ms() -> u64 {
-    let ahead = Duration::from_secs(1_234);
-    let now = clock_now() + ahead;
+    let offset = Duration::from_secs(1_234);
+    let now = clock_now() + offset;
     now.0 / 1000
 }
 
--- a/src/platform/json_object.rs
+++ b/src/platform/json_object.rs
@@ -1,8 +1,9 @@
-//! JSON objects, read by the names of their fields only.
+//! JSON objects, decoded by the names of their fields only.
 //!
-//! What is derived for a type reads a list as well, field by field in the order of the code. A row with
-//! nothing but `[9]` was a document of version 9 without any route, and a list of a text, an address, a
-//! text and a number was a backend server. One would notice `[1100]` with `routes=0`.
+//! A derived `Deserialize` also accepts a JSON array and assigns its elements to the fields in the
+//! order of their declaration. Without this check, the row `[9]` decodes as a document of version 9
+//! without routes, which logs `[1100]` with `routes=0`, and an array of a string, an address, a
+//! string and a number decodes as a backend server.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -11,7 +12,7 @@
 use serde::de::{DeserializeOwned, MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 
-/// A value that is written as an object.
+/// A value that is encoded as a JSON object; arrays are rejected.
 pub(super) struct JsonObject<T>(pub(super) T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for JsonObject<T> {
@@ -35,11 +36,11 @@
     }
 }
 
-/// Reads the object in `bytes`.
+/// Decodes the JSON object in `bytes`.
 ///
 /// # Errors
 ///
-/// When it is no object, or not with the fields of a `T`.
+/// If `bytes` are not a JSON object, or its fields do not match those of `T`.
 pub(crate) fn read_object<T: DeserializeOwned>(bytes: &[u8]) -> serde_json::Result<T> {
     serde_json::from_slice::<JsonObject<T>>(bytes).map(|object| object.0)
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,11 +1,11 @@
-//! Where the product meets its users' platform. Names, formats and calls of the platform are known
-//! here and nowhere else; each is decoded once into a type of the product whose fields say what
-//! they hold. Nothing here decides anything.
+//! Adapters to the users' platform: its store, settings files, header fields, engines and origin of
+//! weights. Only this module knows the platform's names, formats and calls. It decodes each message
+//! once into a type of this crate and makes no decisions. The fakes serve the lab and tests.
 
-mod backend_call;
+mod backend_headers;
 mod backend_row;
 mod command;
-mod document_row;
+mod document_rows;
 mod engine_calls;
 mod fake_backend;
 mod fake_engine;
@@ -23,12 +23,12 @@
 mod tests;
 mod weights_origin;
 
-pub(crate) use backend_call::{
+pub(crate) use backend_headers::{
     PRIORITY_MAX, ResponseHead, ResponseOutcome, SendFields, read_response_head, send_headers,
 };
 pub(crate) use backend_row::read_backend_row;
 pub(crate) use command::{PLATFORM_COMMAND, run_on_platform, with_platform};
-pub(crate) use document_row::{OperatorRow, read_document, read_target_version};
+pub(crate) use document_rows::{OperatorRow, read_document, read_target_version};
 pub(crate) use engine_calls::{EngineClient, EngineReport, LoadOrder, OrderOutcome};
 pub(crate) use fake_backend::{
     BackendRun, EngineLoad, FakeBackend, FakeBackendConfig, RunEnd, RunEvent, stream_event,
@@ -50,5 +50,5 @@
 pub(crate) use store_rows::{StoreRow, TableView};
 pub(crate) use weights_origin::{ChunkDigests, OriginClient};
 
-/// The path of the readiness check that the platform's balancer asks.
+/// The path of the readiness check that the platform's load balancer calls.
 pub(crate) const READY_PATH: &str = "/v1/ready";
--- a/src/platform/request_head.rs
+++ b/src/platform/request_head.rs
@@ -1,4 +1,4 @@
-//! What a client's request says in its header fields.
+//! Reads the header fields of a client's request.
 
 use std::time::Duration;
 
@@ -17,25 +17,25 @@
 const LENGTH_HINT: HeaderName = HeaderName::from_static("savoryswitch-length-hint");
 const KEY_SCHEME: &str = "Bearer ";
 
-/// The header fields that this program acts upon.
+/// The header fields of a request that this program acts upon.
 #[apply(plain!)]
 #[derive(Default)]
 pub(crate) struct RequestHead {
-    /// Names this attempt of the client; a retry has another one.
+    /// Identifies this attempt of the client; a retry has another value.
     pub(crate) attempt: Option<ByteString>,
-    /// How long the client will wait, from when it sent the request.
+    /// How long the client waits, counted from when it sent the request.
     pub(crate) deadline: Option<Duration>,
-    /// The client's key.
+    /// The client's API key.
     pub(crate) api_key: Option<ByteString>,
-    /// The model that the request is for.
+    /// The requested model.
     pub(crate) model: Option<ByteString>,
-    /// Tokens of its prompt.
+    /// Number of tokens in the prompt; 0 if absent or not a number.
     pub(crate) prompt_tokens: u32,
-    /// Tokens that it may be answered with at most.
+    /// The most output tokens that the client accepts; 0 if absent or not a number.
     pub(crate) output_tokens_max: u32,
-    /// The client's guess of the tokens that it will be answered with; right at the median only.
+    /// The client's estimate of the output tokens; half of the responses are longer.
     pub(crate) estimated_output_tokens: Option<u32>,
-    /// The last event of the stream that the client has seen already.
+    /// The last stream event that the client has received, when it resumes a stream.
     pub(crate) last_event: Option<u64>,
 }
 
@@ -46,7 +46,7 @@
     RequestHead {
         attempt: text_of(headers, &ATTEMPT_ID).map(ByteString::from),
         deadline: number_of(headers, &DEADLINE).map(Duration::from_millis),
-        api_key: text_of(headers, &AUTHORIZATION).and_then(key_of),
+        api_key: text_of(headers, &AUTHORIZATION).and_then(api_key_of),
         model: text_of(headers, &MODEL).map(ByteString::from),
         prompt_tokens: prompt.trim().parse().unwrap_or(0),
         output_tokens_max: output.trim().parse().unwrap_or(0),
@@ -56,19 +56,23 @@
     }
 }
 
-fn key_of(text: &str) -> Option<ByteString> {
+/// The key in the value of an `Authorization` field.
+fn api_key_of(text: &str) -> Option<ByteString> {
     text.strip_prefix(KEY_SCHEME)
         .map(|key| ByteString::from(key.trim()))
 }
 
+/// The value of a field as text; none if it is absent or has bytes outside visible ASCII.
 pub(super) fn text_of<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
+/// The value of a field as a number; none if it is absent or not a number.
 pub(super) fn number_of(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     text_of(headers, name).and_then(|text| text.trim().parse().ok())
 }
 
+/// A field value with `number` in decimal.
 pub(super) fn number_value(number: u64) -> HeaderValue {
     HeaderValue::from(number)
 }
--- a/src/platform/sample_files.rs
+++ b/src/platform/sample_files.rs
@@ -1,5 +1,5 @@
-//! What the platform and its operator write for a run of the lab: the settings file of each process
-//! and the document.
+//! The files that the platform and its operator write, as samples for runs of the lab: the settings
+//! file of each process and the operator's document.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -8,56 +8,57 @@
 
 use super::fake_origin::LAYERS;
 
-/// The service of the engines.
+/// The service whose backend servers have engines.
 pub(crate) const ENGINE_SERVICE: &str = "talk";
-/// The service without an engine.
+/// The service whose backend servers have no engine.
 pub(crate) const PLAIN_SERVICE: &str = "plain";
-/// Longer than anything that the lab's plain services do.
+/// Longer than any request of the lab's plain service takes.
 const TIMEOUT_MS: u32 = 4_000;
-/// Longer than streams take whose engines pause now and then.
+/// Longer than a stream takes whose engine pauses repeatedly.
 const STREAM_TIMEOUT_MS: u32 = 12_000;
 const TARGET_MS: u32 = 800;
 const GAP_TARGET_MS: u32 = 300;
 
-/// Where a process stands.
+/// The host and addresses of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct ProcessAddresses {
-    /// Its host's name.
+    /// The name of its host.
     pub(crate) host: String,
-    /// Its host's address.
+    /// The address of its host.
     pub(crate) ip: IpAddr,
-    /// Where it reaches the store.
+    /// The address at which it reaches the store.
     pub(crate) store: SocketAddr,
-    /// Where some entry hosts listen for other processes.
+    /// The control addresses of some entry hosts.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The engine beside it; none for an entry host.
+    /// The engine on the same host; none for an entry host.
     pub(crate) engine: Option<SocketAddr>,
-    /// Where clients, the balancer and other processes reach an entry host.
+    /// The addresses of an entry host for clients, the readiness check and other processes; none
+    /// for hosts of engines.
     pub(crate) listen: Option<[SocketAddr; 3]>,
 }
 
-/// The settings file of the process at `place`, with the bounds of the platform's own example.
-pub(crate) fn settings_text(place: &ProcessAddresses) -> String {
+/// The settings file of a process, with the limits of the platform's own example.
+pub(crate) fn settings_text(process: &ProcessAddresses) -> String {
     let ProcessAddresses {
         host, ip, store, ..
-    } = place;
-    let seeds: Vec<String> = place
+    } = process;
+    let seeds: Vec<String> = process
         .seeds
         .iter()
         .map(|seed| format!("\"{seed}\""))
         .collect();
     let seeds = seeds.join(",");
-    let beside = place.engine.map_or_else(String::new, |engine| {
+    let backend = process.engine.map_or_else(String::new, |engine| {
         format!("app = \"{engine}\"\nservice = \"{ENGINE_SERVICE}\"\n")
     });
-    let listen = place.listen.map_or_else(String::new, |[callers, ready, control]| {
+    let listen = process.listen.map_or_else(String::new, |[callers, ready, control]| {
         format!(
             "[listen]\nfront = \"{callers}\"\nready_addr = \"{ready}\"\ncontrol = \"{control}\"\n"
         )
     });
     format!(
         "node_name = \"{host}\"\nip = \"{ip}\"\nzone = \"hall-a\"\nregion = \"all\"\n\
-         port_range = [7700,7715]\nseeds = [{seeds}]\n{beside}\
+         port_range = [7700,7715]\nseeds = [{seeds}]\n{backend}\
          [zones]\nhall-a = \"all\"\n{listen}\
          [limits]\nlink_mbps = 1000.0\n\
          [bounds]\ngrace_s = 8\nversion_ms = 8000\nretry_budget_ratio = 0.2\n\
@@ -66,31 +67,32 @@
     )
 }
 
-/// How long a route of the lab's document lets a stream take.
+/// The timeout of streams in the lab's document.
 pub(crate) const fn stream_timeout() -> Duration {
     Duration::from_millis(STREAM_TIMEOUT_MS as u64)
 }
 
-/// How long clients wait for an event of a stream, the first one included: 2 s, four times the latency
-/// target or eight times the longest pause that is on time, whichever is longest.
+/// How long clients wait for each event of a stream, including the first: 2 s, four times the
+/// latency target or eight times the longest pause that counts as on time, whichever is longest.
 pub(crate) const fn event_timeout() -> Duration {
-    let (least, targets, pauses) = (2_000, 4 * TARGET_MS, 8 * GAP_TARGET_MS);
-    let most = if targets > pauses { targets } else { pauses };
-    let most = if most > least { most } else { least };
-    Duration::from_millis(most as u64)
+    let (floor, latency, pause) = (2_000, 4 * TARGET_MS, 8 * GAP_TARGET_MS);
+    let longest = if latency > pause { latency } else { pause };
+    let longest = if longest > floor { longest } else { floor };
+    Duration::from_millis(longest as u64)
 }
 
 /// A client account and its keys.
 #[derive(Clone, Debug)]
 pub(crate) struct AccountSample {
-    /// Its name.
+    /// The name of the account.
     pub(crate) name: &'static str,
-    /// The keys that are good.
+    /// The valid keys.
     pub(crate) keys: Vec<String>,
 }
 
-/// The operator's document of `version`: requests that may be repeated below `/read/`, others below
-/// `/write/`, streams of the engines below `/talk/`, and below `/resume/` those that may be resumed.
+/// The operator's document of `version`. The prefix of a route sets the kind of its requests:
+/// `/read/` for those that may be repeated, `/write/` for those that may not, `/talk/` for streams
+/// of engines, and `/resume/` for streams that may also be resumed.
 pub(crate) fn document_text(
     version: u64,
     origin: SocketAddr,
--- a/src/platform/samples.rs
+++ b/src/platform/samples.rs
@@ -1,4 +1,5 @@
-//! The platform's words for the lab and for tests in other folders, so that these need not know them.
+//! Names of the platform's header fields and sample rows of its store, for the lab and for tests in
+//! other folders, so that only this folder depends on the platform's formats.
 
 #[cfg(test)]
 use std::net::SocketAddr;
@@ -6,72 +7,73 @@
 #[cfg(test)]
 use crate::fleet::BackendPhase;
 
-/// The name of the client's attempt.
+/// Identifies the client's attempt.
 pub(crate) const ATTEMPT: &str = "savoryswitch-attempt-id";
-/// How long the client, or a backend server, has.
+/// The milliseconds left until the deadline of the client or backend server.
 pub(crate) const DEADLINE: &str = "savoryswitch-deadline-ms";
-/// A backend server's mark on its answer.
+/// A backend server's seal on its response.
 pub(crate) const SEAL: &str = "savoryswitch-response-seal";
-/// Says that the backend server did not run the request.
+/// Present if the backend server did not run the request.
 pub(crate) const NOT_RUN: &str = "savoryswitch-not-executed";
-/// The backend server that answers.
+/// The id of the backend server that responds.
 pub(crate) const BACKEND_ID: &str = "savoryswitch-instance-id";
-/// The version of weights that the request needs.
+/// The version of weights that must serve the request.
 pub(crate) const EXPECTED_VERSION: &str = "savoryswitch-expected-version";
-/// The version of weights that answers.
+/// The version of weights that served the request.
 pub(crate) const VERSIONS: &str = "savoryswitch-weight-versions";
-/// The model that the request is for.
+/// The requested model.
 pub(crate) const MODEL: &str = "savoryswitch-model";
-/// Tokens of the prompt, and of the answer at most.
+/// The tokens of the prompt, and the most output tokens.
 pub(crate) const TOKENS: &str = "savoryswitch-token-usage";
-/// The last event of a stream that the client has.
+/// The last stream event that the client received.
 pub(crate) const LAST_EVENT: &str = "last-event-id";
-/// The backend server that is meant.
+/// The id of the addressed backend server.
 pub(crate) const TARGET_ID: &str = "savoryswitch-target-instance";
-/// How many requests a second a backend server takes from all entry hosts together.
+/// The advertised limit of a backend server in requests per second, for all entry hosts together.
 #[cfg(test)]
 pub(crate) const RATE_LIMIT: &str = "server-limit";
 /// The client account.
 pub(crate) const ACCOUNT: &str = "savoryswitch-tenant";
 
-/// The key and the text of the operator's document with nothing but a version.
+/// The key and text of an operator's document that has only a version.
 pub(crate) fn document_sample(version: u64) -> (&'static str, String) {
     ("config", format!("{{\"version\":{version}}}"))
 }
 
-/// The key and the text of the row that names a version of the model `m`.
+/// The key and text of the row that sets `version` as the target of the model `m`.
 pub(crate) fn target_sample(version: u64) -> (&'static str, String) {
     let text = format!("{{\"model\":\"m\",\"version\":{version}}}");
     ("version/m", text)
 }
 
-/// The text of a serving backend server's entry.
+/// The entry of a serving backend server.
 #[cfg(test)]
 pub(crate) fn backend_sample() -> String {
     let fields = "\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"slots\":1";
     format!("{{{fields},\"state\":\"ready\"}}")
 }
 
-/// The text of a backend server's entry of the incarnation that started at `born`, its `told`th, in
-/// `phase`.
+/// The entry of a backend server in `phase`, with `sequence` and, if given, the start of the
+/// incarnation `born` in Unix milliseconds.
 #[cfg(test)]
-pub(crate) fn entry_sample(born: Option<u64>, told: u64, phase: BackendPhase) -> String {
-    let state = state_word(phase);
+pub(crate) fn entry_sample(born: Option<u64>, sequence: u64, phase: BackendPhase) -> String {
+    let state = state_text(phase);
     let fields = "\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"slots\":1";
     let born = born.map_or_else(String::new, |born| format!(",\"born\":{born}"));
-    format!("{{{fields},\"state\":\"{state}\",\"sequence\":{told}{born}}}")
+    format!("{{{fields},\"state\":\"{state}\",\"sequence\":{sequence}{born}}}")
 }
 
-/// [`entry_sample`] at `address`, with all 16 layers of `version` of the model `m`; with none for 0.
+/// As [`entry_sample`], at `address` and with all 16 layers of `version` of the model `m` loaded,
+/// or with no layers if `version` is 0.
 #[cfg(test)]
 pub(crate) fn loaded_entry_sample(
     (address, born): (SocketAddr, u64),
-    told: u64,
+    sequence: u64,
     phase: BackendPhase,
     version: u64,
 ) -> String {
-    let state = state_word(phase);
-    let held = if version == 0 {
+    let state = state_text(phase);
+    let holdings = if version == 0 {
         String::from("\"models\":[],\"layers\":[]")
     } else {
         format!(
@@ -79,21 +81,22 @@
              \"layers\":[{{\"from\":0,\"to\":16,\"version\":{version}}}]"
         )
     };
-    let place = format!("\"service\":\"s\",\"address\":\"{address}\",\"zone\":\"z\",\"slots\":4");
-    let telling = format!("\"state\":\"{state}\",\"sequence\":{told},\"born\":{born}");
-    format!("{{{place},{telling},{held}}}")
+    let location =
+        format!("\"service\":\"s\",\"address\":\"{address}\",\"zone\":\"z\",\"slots\":4");
+    let status = format!("\"state\":\"{state}\",\"sequence\":{sequence},\"born\":{born}");
+    format!("{{{location},{status},{holdings}}}")
 }
 
-/// The text of the entry of a serving backend server without an engine, of the incarnation that started at
-/// `born`.
+/// The entry of a serving backend server without an engine, with the start of the incarnation
+/// `born` in Unix milliseconds.
 #[cfg(test)]
 pub(crate) fn plain_entry_sample((address, born): (SocketAddr, u64)) -> String {
-    let place = format!("\"service\":\"plain\",\"address\":\"{address}\",\"zone\":\"hall-a\"");
-    format!("{{{place},\"slots\":16,\"state\":\"ready\",\"sequence\":1,\"born\":{born}}}")
+    let location = format!("\"service\":\"plain\",\"address\":\"{address}\",\"zone\":\"hall-a\"");
+    format!("{{{location},\"slots\":16,\"state\":\"ready\",\"sequence\":1,\"born\":{born}}}")
 }
 
 #[cfg(test)]
-const fn state_word(phase: BackendPhase) -> &'static str {
+const fn state_text(phase: BackendPhase) -> &'static str {
     match phase {
         BackendPhase::Serving => "ready",
         BackendPhase::Leaving => "draining",
--- a/src/platform/settings_file.rs
+++ b/src/platform/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform writes for each process.
+//! The settings file that the platform writes for each process, in TOML.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -10,54 +10,56 @@
 use super::millis::{millis, seconds};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 pub(crate) const SETTINGS_PATH_VARIABLE: &str = "SAVORYSWITCH_CONFIG";
 
-/// Spans that the platform holds the system to.
+/// Limits that the platform sets for the behaviour of the system.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlatformBounds {
-    /// How long a graceful stop may take before the process is killed.
+    /// The time that a graceful shutdown may take before the platform kills the process.
     pub(crate) shutdown_grace: Duration,
-    /// How long after it was named a version of weights must have replaced the older one.
+    /// The time after a target update within which the target version must have replaced the
+    /// previous version.
     pub(crate) weights_deadline: Duration,
-    /// Second sends allowed for each request.
+    /// The number of retries allowed per request, as a ratio.
     pub(crate) retry_ratio: f64,
-    /// Second sends allowed beyond that ratio, over all entry hosts, in each window.
+    /// The retries allowed beyond that ratio in each window, over all entry hosts together.
     pub(crate) retry_extra: f64,
-    /// The length of such a window.
+    /// The length of the window of `retry_extra`.
     pub(crate) retry_window: Duration,
 }
 
-/// What a process is told at its start.
+/// The settings of a process on the platform.
 #[derive(Clone, Debug)]
 pub(crate) struct PlatformSettings {
-    /// The host's name.
+    /// The name of the host.
     pub(crate) host: ByteString,
-    /// The host's address.
+    /// The address of the host.
     pub(crate) ip: IpAddr,
-    /// The data centre that it stands in.
+    /// The data centre of the host.
     pub(crate) data_centre: ByteString,
-    /// Where clients' connections arrive; entry hosts only.
+    /// The address on which an entry host accepts clients; entry hosts only.
     pub(crate) caller_address: Option<SocketAddr>,
-    /// Where the balancer asks whether the process is ready; entry hosts only.
+    /// The address of the readiness check for the load balancer; entry hosts only.
     pub(crate) ready_address: Option<SocketAddr>,
-    /// Where the system's other processes call an entry host.
+    /// The address on which an entry host accepts the other processes of the system; entry hosts
+    /// only.
     pub(crate) control_address: Option<SocketAddr>,
-    /// Where counters and histograms are served; nowhere without a port for them.
+    /// The address that serves metrics; none if no port was given for them.
     pub(crate) metrics_address: Option<SocketAddr>,
-    /// The first of the ports that are free for traffic between the system's processes.
+    /// The first of the ports that are reserved for traffic between the processes of the system.
     pub(crate) peer_port: u16,
-    /// Where some entry hosts listen for other processes; may be stale.
+    /// The control addresses of some entry hosts; may be outdated.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The backend server beside this process; hosts of backend servers only.
+    /// The address of the backend server on the same host; hosts of backend servers only.
     pub(crate) backend_address: Option<SocketAddr>,
     /// The service of that backend server.
     pub(crate) backend_service: Option<ByteString>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub(crate) store_address: SocketAddr,
-    /// The host's link, in bytes a second.
+    /// The bandwidth of the host's network link, in bytes per second.
     pub(crate) link_bytes_per_s: f64,
-    /// The spans that the system is held to.
+    /// The limits that the platform sets for the system.
     pub(crate) bounds: PlatformBounds,
 }
 
@@ -98,7 +100,7 @@
     address: String,
 }
 
-/// Bounds that an installation does not name keep a value that is stricter than any seen.
+/// The defaults are stricter than the limits of any known installation.
 #[derive(Deserialize)]
 #[serde(default)]
 struct BoundsText {
@@ -121,15 +123,16 @@
     }
 }
 
-/// Reads the settings file that the environment names.
+/// Reads the settings file at the path in [`SETTINGS_PATH_VARIABLE`].
 ///
 /// # Errors
 ///
-/// `SettingInvalid` with the field that is missing or does not read.
+/// `SettingInvalid` if the variable is not set or the file cannot be read, or with the field that
+/// is missing or invalid.
 pub(crate) fn read_settings() -> SwitchResult<PlatformSettings> {
     let Ok(path) = std::env::var(SETTINGS_PATH_VARIABLE) else {
         return Err(invalid(format!(
-            "{SETTINGS_PATH_VARIABLE} is not set; it names the settings file that the platform writes"
+            "{SETTINGS_PATH_VARIABLE} is not set; it must have the path of the settings file"
         )));
     };
     let text = std::fs::read_to_string(Path::new(&path))
@@ -137,11 +140,11 @@
     parse_settings(&text)
 }
 
-/// Reads settings from the text of the file.
+/// Parses the text of a settings file. Seeds that are no address are skipped.
 ///
 /// # Errors
 ///
-/// `SettingInvalid` with the field that is missing or does not read.
+/// `SettingInvalid` with the field that is missing or invalid.
 pub(super) fn parse_settings(text: &str) -> SwitchResult<PlatformSettings> {
     let file: FileText =
         toml::from_str(text).map_err(|fault| invalid(format!("settings file: {fault}")))?;
@@ -181,7 +184,7 @@
         Some(text) => match text.parse() {
             Ok(address) => Ok(Some(address)),
             Err(fault) => Err(invalid(format!(
-                "{field}: \"{text}\" is no IP:PORT ({fault})"
+                "{field}: \"{text}\" is not an IP:PORT address ({fault})"
             ))),
         },
     }
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -1,4 +1,5 @@
-//! The platform's store: rows in tables, read as a whole or followed by what changes.
+//! Client of the platform's store, which keeps rows in tables: reads and watches tables, and writes
+//! or removes rows, optionally on the condition that a row has an expected revision.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,22 +20,22 @@
 use crate::time::StoreTime;
 use crate::transport::{AnswerPace, PeerClient};
 
-/// Rows that one call may change.
+/// The most rows that one call may change.
 pub(crate) const CHANGED_ROWS_MAX: usize = 100;
-/// How long the whole body of an answer may take while bytes of it arrive. A megabyte, the most that the store
-/// sends at once, takes 4 s over a twelfth of a link of 25 Mbit/s.
-const ANSWER_WHOLE: Duration = Duration::from_secs(5);
+/// Time limit for the complete body of a response while its bytes keep arriving. 1 MB, the largest
+/// response of the store, takes 4 s over a twelfth of a 25 Mbit/s link.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The tables that the system reads or writes.
+/// The tables of the store that this system reads or writes.
 #[apply(key!)]
 pub(crate) enum TableName {
-    /// The operator's: the document and the versions of weights that are wanted.
+    /// Written by the operator: the document and the target version of each model.
     Operator,
-    /// The backend servers' own entries.
+    /// Written by the backend servers: their entries.
     Backends,
-    /// The system's own: the entry hosts, and which versions of weights were named last.
+    /// Written by this system: the entries of the entry hosts, and the latest target updates.
     System,
-    /// The system's own: which requests were under way at backend servers that crashed.
+    /// Written by this system: the requests that were running at backend servers that crashed.
     Crashes,
 }
 
@@ -43,43 +44,43 @@
         match self {
             Self::Operator => "op",
             Self::Backends => "servers",
-            // The name is from the rows that stood there first.
+            // Named after entry hosts, whose entries were at first the only rows of this table.
             Self::System => "savory-entries",
             Self::Crashes => "savory-crashes",
         }
     }
 }
 
-/// What a watch of a table found.
+/// The result of a watch.
 #[apply(plain!)]
 pub(crate) enum WatchResponse {
-    /// The rows that changed since, in order, and where to go on.
+    /// The rows that changed, in order, and the revision from which to continue.
     Changed(TableView),
-    /// The store no longer has the history since; the table has to be read as a whole.
+    /// The store no longer has the changes since that revision; read the complete table again.
     HistoryExpired,
 }
 
-/// What became of a write under a condition.
+/// The outcome of a conditional write.
 #[apply(plain!)]
 pub(crate) enum WriteOutcome {
-    /// It was done.
+    /// The row was written.
     Done {
-        /// The row's revision now.
+        /// The new revision of the row.
         revision: u64,
     },
-    /// The row has another revision than was expected.
+    /// Nothing was written: the row does not have the expected revision.
     Refused {
-        /// The row as it stands; none when there is none.
+        /// The current row; none if it does not exist.
         row: Option<StoreRow>,
     },
 }
 
-/// The store's answer to a write under a condition.
+/// The store's response to a conditional write.
 #[apply(plain!)]
 pub(crate) struct WriteResponse {
-    /// What became of it.
+    /// The outcome of the write.
     pub(crate) outcome: WriteOutcome,
-    /// What the store's clock showed as it answered.
+    /// The time of the store's clock at its response.
     pub(crate) told_at: StoreTime,
 }
 
@@ -102,7 +103,7 @@
     table: &'static str,
     part: &'static str,
     key: &'a str,
-    /// The revision that the row must have; 0 while there is none.
+    /// The revision that the row must have; 0 if it must not exist.
     ver: u64,
 }
 
@@ -120,7 +121,7 @@
     value: String,
 }
 
-/// The client of the store.
+/// A client of the store; clones share its connections.
 #[derive(Clone)]
 pub(crate) struct StoreClient {
     address: SocketAddr,
@@ -128,16 +129,19 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub(crate) const fn new(address: SocketAddr, client: Arc<PeerClient>) -> Self {
         Self { address, client }
     }
 
-    /// Reads a whole table.
+    /// Reads all rows of a table, in as many pages as the store needs.
+    ///
+    /// `within` limits the wait for the response head of each page and for each further part of it.
     ///
     /// # Errors
     ///
-    /// `TableUnavailable` when the store gave no answer within `within` or refused.
+    /// `TableUnavailable` if the store refuses, pauses for longer than `within`, or needs more than
+    /// 5 s for the body of a page.
     pub(crate) async fn read_table(
         &self,
         table: TableName,
@@ -150,9 +154,10 @@
             let from = rows.last().map(|row| format!("{}\0", row.key));
             let from = from.map_or_else(String::new, |from| format!("&from={}", encode(&from)));
             let path = format!("/v1/rows-get?table={name}&part={from}");
-            let answer = self.get(&path, within).await?;
-            let page = parse_page(&answer)?;
-            // Each page is of its own moment: what changes between two of them is told behind the first.
+            let response = self.get(&path, within).await?;
+            let page = parse_page(&response)?;
+            // Pages may have different revisions. A watch from the first one reports what changed
+            // between them.
             let (revision, told_at) = *first.get_or_insert((page.view.revision, page.view.told_at));
             let read = rows.len();
             rows.extend(page.view.rows);
@@ -163,18 +168,18 @@
                     told_at,
                 });
             }
-            // The same page would be asked for again, and again without a pause.
+            // The next request would be the same, so the loop would never end.
             if rows.len() == read {
-                return Err(unavailable("an answer has no rows and goes on".to_owned()));
+                return Err(unavailable("a truncated response has no rows".to_owned()));
             }
         }
     }
 
-    /// Waits up to `wait` for a change of a table behind `since`.
+    /// Waits up to `wait` for changes of a table after revision `since`.
     ///
     /// # Errors
     ///
-    /// `TableUnavailable` when the store gave no answer within `wait` and `within`, or refused.
+    /// `TableUnavailable` if the store refuses or does not respond within `wait` plus `within`.
     pub(crate) async fn watch_table(
         &self,
         table: TableName,
@@ -198,11 +203,11 @@
         }
     }
 
-    /// Writes a row, whatever stands there.
+    /// Writes a row unconditionally.
     ///
     /// # Errors
     ///
-    /// `TableUnavailable`; the write may have been done all the same.
+    /// `TableUnavailable`; the store may have carried out the write nevertheless.
     pub(crate) async fn write_row(
         &self,
         table: TableName,
@@ -214,11 +219,11 @@
         self.change_rows(&change, within).await.map(drop)
     }
 
-    /// Writes up to [`CHANGED_ROWS_MAX`] rows, whatever stands there; returns their revision.
+    /// Writes up to [`CHANGED_ROWS_MAX`] rows unconditionally; returns their common revision.
     ///
     /// # Errors
     ///
-    /// `TableUnavailable`; the write may have been done all the same.
+    /// `TableUnavailable`; the store may have carried out the write nevertheless.
     pub(crate) async fn write_rows(
         &self,
         table: TableName,
@@ -233,7 +238,7 @@
     ///
     /// # Errors
     ///
-    /// `TableUnavailable`; they may have been removed all the same.
+    /// `TableUnavailable`; the store may have removed the rows nevertheless.
     pub(crate) async fn remove_rows(
         &self,
         table: TableName,
@@ -260,12 +265,12 @@
         }
     }
 
-    /// Writes a row that must have revision `expected`, 0 while there must be none.
+    /// Writes a row on the condition that it has revision `expected`; 0 if it must not exist.
     ///
     /// # Errors
     ///
-    /// `TableUnavailable`; the write may have been done all the same, or be done later if the row
-    /// still has that revision then.
+    /// `TableUnavailable`; the store may have carried out the write nevertheless, or may do so
+    /// later if the row still has that revision.
     pub(crate) async fn write_row_at(
         &self,
         table: TableName,
@@ -331,9 +336,10 @@
         let pace = AnswerPace {
             head: within,
             idle: within,
-            whole: ANSWER_WHOLE,
+            whole: BODY_TIMEOUT,
         };
-        // A connection on which an answer was lost delivers nothing further. The next call opens a new one.
+        // After an error the connections are dropped, since one that lost a response delivers no
+        // other. The next call opens a new one.
         let called =
             exchange_arriving(&self.client, self.address, (method, path, body), pace).await;
         called.map_err(|error| unavailable(error.to_string()))
@@ -367,7 +373,7 @@
 }
 
 fn unreadable(fault: &serde_json::Error) -> SwitchError {
-    unavailable(format!("an answer does not read: {fault}"))
+    unavailable(format!("cannot decode a response: {fault}"))
 }
 
 fn encode(text: &str) -> String {
@@ -375,7 +381,7 @@
 }
 
 fn refused(status: StatusCode) -> SwitchError {
-    unavailable(format!("answered {status}"))
+    unavailable(format!("responded with {status}"))
 }
 
 fn unavailable(detail: String) -> SwitchError {
--- a/src/platform/store_rows.rs
+++ b/src/platform/store_rows.rs
@@ -1,8 +1,9 @@
-//! Rows in the store's answers.
+//! Rows in the store's responses.
 //!
-//! Each row is read by itself. Others write to the store as well, and one row with bytes that do not
-//! decode would else stop its whole table for as long as it stands there: no document, no backend
-//! server and no version would be told any more. One would notice `[1103]` while the store answers.
+//! Each row is decoded on its own. Other programs write to the store too, and if one undecodable
+//! row failed the response, its table could not be read until the row changed: entry hosts would
+//! get no new document, backend server or target version. They would log `[1103]` although the
+//! store responds.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -14,37 +15,37 @@
 use crate::derives::plain;
 use crate::time::StoreTime;
 
-/// What stands for bytes that do not decode: nothing that is kept in a row reads from no bytes.
-const UNREADABLE: Bytes = Bytes::new();
+/// The value of a row whose bytes do not decode. No kind of row is valid with an empty value.
+const UNDECODABLE: Bytes = Bytes::new();
 
-/// A row as the store told it.
+/// A row as the store reported it.
 #[apply(plain!)]
 pub(crate) struct StoreRow {
-    /// Its key.
+    /// The key, unique in the table.
     pub(crate) key: String,
-    /// The store's revision at which it was last written or removed.
+    /// The store's revision of the last write or removal.
     pub(crate) revision: u64,
-    /// Its bytes, empty when they do not decode; none when the row was removed.
+    /// The value; empty if its bytes do not decode, none if the row was removed.
     pub(crate) value: Option<Bytes>,
 }
 
-/// A table as of one moment.
+/// Rows of a table as of one revision of the store.
 #[apply(plain!)]
 pub(crate) struct TableView {
-    /// Its rows, sorted by key.
+    /// The rows: of a table sorted by key, of a watch in the order of the changes.
     pub(crate) rows: Vec<StoreRow>,
-    /// The store's revision as of which they were read.
+    /// The store's revision when it read the rows.
     pub(crate) revision: u64,
-    /// What the store's clock showed as it answered.
+    /// The time of the store's clock at its response.
     pub(crate) told_at: StoreTime,
 }
 
-/// Rows in one answer.
+/// The rows of one response.
 #[apply(plain!)]
 pub(super) struct RowsPage {
-    /// The rows that read as rows.
+    /// The rows that have a key and belong to the part of the table that this system uses.
     pub(super) view: TableView,
-    /// Whether more rows follow the last one.
+    /// Whether the table has more rows after the last one.
     pub(super) is_truncated: bool,
 }
 
@@ -54,17 +55,17 @@
     rows: Vec<Value>,
     #[serde(default)]
     truncated: bool,
-    /// The newest revision in the whole store.
+    /// The newest revision in all tables of the store.
     ver: u64,
-    /// The store's own clock, which has nothing to do with the time of day.
+    /// The store's own clock, which is unrelated to the time of day.
     now_ms: u64,
 }
 
-/// Reads an answer.
+/// Decodes a response.
 ///
 /// # Errors
 ///
-/// When it is no answer about rows.
+/// If the response is not JSON, or lacks the revision or the time.
 pub(super) fn read_page(body: &[u8]) -> serde_json::Result<RowsPage> {
     let text: PageText = serde_json::from_slice(body)?;
     Ok(RowsPage {
@@ -77,9 +78,11 @@
     })
 }
 
-/// A row; none for what has no key, so that nobody knows what it would be about, and for one of another
-/// part of the table. A watch tells of all parts, and a row of another part is not the one with its key
-/// in ours: written there, it would replace a backend server's entry, and removed, end it.
+/// Decodes a row. Returns none if it has no key or belongs to another part of the table.
+///
+/// A watch reports all parts of a table, and the same key in another part is a different row. If
+/// such a row counted, a write to it would replace the entry of a backend server, and its removal
+/// would remove the backend server.
 fn read_row(row: &Value) -> Option<StoreRow> {
     let key = row.get("key")?.as_str()?;
     let part = row.get("part").map_or(Some(""), Value::as_str);
@@ -90,6 +93,7 @@
     })
 }
 
+/// The value of a row; none if the row was removed or has no value.
 fn read_value(row: &Value) -> Option<Bytes> {
     if row.get("deleted").and_then(Value::as_bool) == Some(true) {
         return None;
@@ -98,7 +102,7 @@
         None | Some(Value::Null) => None,
         Some(value) => {
             let bytes = value.as_str().and_then(|text| BASE64.decode(text).ok());
-            Some(bytes.map_or(UNREADABLE, Bytes::from))
+            Some(bytes.map_or(UNDECODABLE, Bytes::from))
         }
     }
 }
--- a/src/platform/tests/entries.rs
+++ b/src/platform/tests/backend_rows.rs
@@ -1,4 +1,4 @@
-//! Entries of backend servers that another writer may have written.
+//! Entries of backend servers with invalid contents.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 const CASES: u32 = 4000;
 const CASE_BYTES: u32 = 512;
 
-fn whole_entry() -> Value {
+fn complete_entry() -> Value {
     json!({
         "service": "s", "address": "10.0.0.9:80", "zone": "z", "slots": 16, "state": "ready",
         "born": 1_790_000_000_000_u64, "sequence": 4, "version": "v1", "cold_remaining_ms": 0,
@@ -27,24 +27,24 @@
 }
 
 fn changed(field: &str, value: Value) -> Value {
-    let mut entry = whole_entry();
+    let mut entry = complete_entry();
     entry[field] = value;
     entry
 }
 
 fn without(field: &str) -> Value {
-    let mut entry = whole_entry();
-    let fields = entry.as_object_mut().expect("it is an object");
+    let mut entry = complete_entry();
+    let fields = entry.as_object_mut().expect("the entry is an object");
     fields.remove(field);
     entry
 }
 
-/// Symptom: requests went to an address where nothing served them. An entry of another writer had no
-/// state, which was taken for one that serves, and no places, which was taken for none but for those
-/// in the queue.
+/// An entry of another program had no state and no slots. The missing state was taken for a serving
+/// one, and the missing slots for a backend server that only queues, so that requests went to an
+/// address where nothing serves them.
 #[test]
-fn an_entry_counts_only_with_all_that_a_backend_server_writes() {
-    let facts = read(&whole_entry()).expect("it is whole");
+fn an_entry_without_a_required_field_is_rejected() {
+    let facts = read(&complete_entry()).expect("the entry is complete");
     assert_eq!(facts.phase, BackendPhase::Serving);
     assert_eq!(
         (facts.slots, facts.born),
@@ -76,10 +76,10 @@
     }
 }
 
-/// Symptom: an entry of another writer was taken for one of a backend server that had told nothing of
-/// its start: the wrong type was the only thing that told them apart.
+/// An entry of another program was taken for that of a backend server that does not report its
+/// start. Only the wrong type of an optional field distinguished the two.
 #[test]
-fn fields_that_are_not_needed_may_be_missing_but_not_of_another_type() {
+fn optional_fields_may_be_missing_but_not_of_another_type() {
     let optional = [
         "born",
         "sequence",
@@ -91,7 +91,7 @@
     ];
     for field in optional {
         assert!(read(&without(field)).is_ok(), "without {field}");
-        // An engine without weights writes that it holds no layers so.
+        // An engine without weights writes `null` for its layers.
         let null = (field != "layers").then_some(Value::Null);
         let others = [json!(true), json!({"x": 1}), json!([1])];
         for value in others.into_iter().chain(null) {
@@ -105,35 +105,33 @@
         assert!(read(&changed("born", born)).is_err());
     }
     let foreign = changed("something new", json!({"x": [1]}));
-    assert!(
-        read(&foreign).is_ok(),
-        "fields that are not known say nothing"
-    );
+    assert!(read(&foreign).is_ok(), "unknown fields are ignored");
 }
 
-/// Symptom: an engine that was added, or had started again, was left out: `[1115] … data did not match any
-/// variant of untagged enum LayersText`. As long as it holds no weights it writes `null` for its layers.
+/// An engine without weights writes `null` for its layers. Its entry was rejected, so that an added
+/// or restarted engine was missing: `[1115] … data did not match any variant of untagged enum
+/// LayersText`.
 #[test]
-fn an_engine_without_weights_is_a_backend_server() {
+fn an_entry_of_an_engine_without_weights_is_accepted() {
     let text = br#"{"service":"s","address":"10.3.0.34:87","zone":"z","version":"v1","slots":16,
         "state":"ready","sequence":1,"cold_remaining_ms":0,"stage":"both","models":[],"layers":null}"#;
-    let facts = read_backend_row("i-1", text).expect("it is one");
+    let facts = read_backend_row("i-1", text).expect("the entry is valid");
     assert_eq!(facts.holdings, crate::fleet::EngineHoldings::default());
 }
 
-/// Symptom: a request ran at a backend server that was not meant. The name of the one that was meant
-/// fitted no header field, so that the request went out without it.
+/// The id of a backend server was no valid header value, so that its requests went out without the
+/// id and ran at whichever backend server had the address.
 #[test]
-fn an_entry_under_a_name_that_no_header_field_carries_names_nobody() {
-    let entry = whole_entry().to_string();
+fn an_entry_with_an_id_that_is_no_header_value_is_rejected() {
+    let entry = complete_entry().to_string();
     assert!(read_backend_row("i-1", entry.as_bytes()).is_ok());
     for id in ["", "i\n1", "i\u{0}"] {
         assert!(read_backend_row(id, entry.as_bytes()).is_err(), "{id:?}");
     }
 }
 
-/// What an entry must hold for a backend server to be named, said a second time.
-fn names_a_backend(entry: &Value) -> bool {
+/// An independent check of whether an entry is valid.
+fn is_valid_entry(entry: &Value) -> bool {
     let texts = ["service", "zone"];
     let absent_or =
         |field: &str, is_right: fn(&Value) -> bool| entry.get(field).is_none_or(is_right);
@@ -153,12 +151,12 @@
 }
 
 #[test]
-fn whatever_stands_in_an_entry_it_names_nobody_by_default() {
+fn a_random_entry_is_accepted_only_if_valid() {
     run_cases(CASES, CASE_BYTES, |u| {
-        let mut entry = whole_entry();
+        let mut entry = complete_entry();
         spoil_json(u, &mut entry)?;
         if let Ok(facts) = read(&entry) {
-            assert!(names_a_backend(&entry), "{entry}");
+            assert!(is_valid_entry(&entry), "{entry}");
             assert_eq!(entry["service"], *facts.service);
             assert_eq!(entry["address"], facts.address.to_string());
             assert_eq!(entry["slots"], facts.slots);
@@ -168,15 +166,15 @@
             );
         }
         let other = any_json(u)?;
-        assert!(read(&other).is_err() || names_a_backend(&other), "{other}");
+        assert!(read(&other).is_err() || is_valid_entry(&other), "{other}");
         assert!(read_backend_row("i-1", u.bytes(u.len())?).is_err());
         Ok(())
     });
 }
 
-/// Symptom: a list of a text, an address, a text, a number and a word was taken for a backend server.
+/// An array of a string, an address, a string, a number and a state was accepted as an entry.
 #[test]
-fn an_entry_reads_by_the_names_of_its_fields_only() {
+fn fields_of_an_entry_are_read_by_name_only() {
     let list = json!(["s", "10.0.0.9:80", "z", 16, "ready", 1, 4, [], []]);
     assert!(read(&list).is_err());
     assert!(read(&changed("models", json!([["m", 2]]))).is_err());
@@ -185,33 +183,40 @@
     assert!(read(&changed("state", json!({ "ready": null }))).is_err());
 }
 
-/// An engine reports what it holds beside other fields, and its layers as a list or as one.
+/// The report of an engine contains the same fields for its holdings among others, and gives its
+/// layers as a range or a list of ranges.
 #[test]
-fn an_engines_report_and_its_entry_say_the_same_of_what_it_holds() {
+fn holdings_are_read_alike_from_reports_and_entries() {
     #[derive(serde::Deserialize)]
     struct Report {
         #[serde(flatten)]
         holdings: HoldingsText,
     }
     let held = |report: &Value| {
-        let report: Report = serde_json::from_str(&report.to_string()).expect("it is one");
+        let report: Report =
+            serde_json::from_str(&report.to_string()).expect("the report is valid");
         read_holdings(report.holdings)
     };
-    let whole = held(&whole_entry());
-    assert_eq!(whole, read(&whole_entry()).expect("it is whole").holdings);
+    let complete = held(&complete_entry());
+    assert_eq!(
+        complete,
+        read(&complete_entry())
+            .expect("the entry is complete")
+            .holdings
+    );
     let layers = HeldLayers {
         from: 0,
         to: 16,
         version: WeightsVersion(2),
     };
-    assert_eq!(whole.layers, [layers]);
-    let one = changed("layers", json!({ "from": 0, "to": 16, "version": 2 }));
-    assert_eq!(held(&one), whole);
+    assert_eq!(complete.layers, [layers]);
+    let single_range = changed("layers", json!({ "from": 0, "to": 16, "version": 2 }));
+    assert_eq!(held(&single_range), complete);
     assert!(held(&without("layers")).layers.is_empty());
 }
 
 #[test]
-fn an_entry_that_is_nested_without_end_does_not_read() {
+fn a_deeply_nested_entry_is_rejected() {
     let nested = format!("{{\"x\":{}", "[".repeat(100_000));
     assert!(read_backend_row("i-1", nested.as_bytes()).is_err());
 }
--- a/src/platform/tests/digests.rs
+++ b/src/platform/tests/chunk_digests.rs
@@ -1,4 +1,4 @@
-//! Digests that may have come to harm on their way from the origin or from another host.
+//! Lists of digests that are corrupt or invalid, from the origin or from another host.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -19,7 +19,7 @@
     }
 }
 
-fn whole_list() -> Value {
+fn complete_list() -> Value {
     json!({
         "model": "m", "version": 2, "chunk_bytes": 32768, "layers": 16,
         "digests": ["ab".repeat(32), "cd".repeat(32)],
@@ -30,39 +30,44 @@
     read_digests(&target(), list.to_string().as_bytes())
 }
 
-/// Symptom: an engine was ordered to load what was staged, of whatever version. The list of digests had
-/// come empty, so that all chunks of the version counted as held.
+/// With an empty list of digests, all chunks of the version counted as present, and the engine was
+/// ordered to load whatever was staged.
 #[test]
-fn a_version_without_digests_is_none() {
-    assert_eq!(read(&whole_list()).expect("it is whole").count(), 2);
-    let mut empty = whole_list();
+fn an_empty_list_of_digests_is_rejected() {
+    assert_eq!(
+        read(&complete_list())
+            .expect("the list is complete")
+            .count(),
+        2
+    );
+    let mut empty = complete_list();
     empty["digests"] = json!([]);
     assert!(read(&empty).is_err());
 }
 
 #[test]
-fn a_digest_that_is_no_digest_does_not_read() {
+fn a_malformed_digest_is_rejected() {
     for digest in [
         "ab".repeat(31),
         format!("+a{}", "ab".repeat(31)),
         format!("ä{}", "ab".repeat(31)),
         "zz".repeat(32),
     ] {
-        let mut list = whole_list();
+        let mut list = complete_list();
         list["digests"][1] = json!(digest);
         assert!(read(&list).is_err(), "{digest}");
     }
 }
 
-/// As the origin's, when another host sends them.
+/// Digests from another host are validated like those of the origin.
 #[test]
-fn digests_of_another_host_need_to_be_whole_ones() {
-    let good = read(&whole_list()).expect("it is whole");
-    let message = encode_message(&good).expect("it encodes");
-    assert_eq!(decode_message::<ChunkDigests>(&message).ok(), Some(good));
+fn digests_from_another_host_are_validated() {
+    let digests = read(&complete_list()).expect("the list is complete");
+    let message = encode_message(&digests).expect("the message encodes");
+    assert_eq!(decode_message::<ChunkDigests>(&message).ok(), Some(digests));
     let sent = |digests: &[u8]| {
         let message = json!({ "digests": digests });
-        let bytes: Bytes = encode_message(&message).expect("it encodes");
+        let bytes: Bytes = encode_message(&message).expect("the message encodes");
         decode_message::<ChunkDigests>(&bytes)
     };
     assert!(sent(&[7; 64]).is_ok());
@@ -71,10 +76,11 @@
 }
 
 #[test]
-fn whatever_is_sent_for_digests_they_are_whole_or_none() {
-    let message = encode_message(&read(&whole_list()).expect("it is whole")).expect("it encodes");
+fn decoded_digests_are_never_empty_or_truncated() {
+    let message = encode_message(&read(&complete_list()).expect("the list is complete"))
+        .expect("the message encodes");
     run_cases(CASES, CASE_BYTES, |u| {
-        let mut list = whole_list();
+        let mut list = complete_list();
         spoil_json(u, &mut list)?;
         if let Ok(digests) = read(&list) {
             let listed = list["digests"].as_array().map(Vec::len);
--- a/src/platform/tests/documents.rs
+++ b/src/platform/tests/document_rows.rs
@@ -1,4 +1,4 @@
-//! Documents, named versions and settings that another writer may have written.
+//! Documents, target versions and settings files with invalid contents.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const CASE_BYTES: u32 = 512;
 const HOUR: Duration = Duration::from_hours(1);
 
-fn whole_document() -> Value {
+fn complete_document() -> Value {
     json!({
         "version": 7,
         "routes": [
@@ -30,57 +30,58 @@
     })
 }
 
-/// Symptom: the thread that follows the store ended while it read a document, and with it all that the
-/// entry host learned. A route gave a time of 1e300 ms, which is beyond what a span holds.
+/// A route with a time of 1e300 ms, which exceeds the range of `Duration`, panicked the thread that
+/// follows the store, so that the entry host received no further changes.
 #[test]
-fn spans_beyond_all_bounds_end_no_thread() {
+fn durations_out_of_range_in_a_document_are_limited() {
     for value in [-1.0, -1e300, 1e300, f64::MAX] {
-        let mut document = whole_document();
+        let mut document = complete_document();
         for field in ["timeout_ms", "target_latency_ms", "gap_target_ms"] {
             document["routes"][0][field] = json!(value);
         }
-        let catalog = read_document(document.to_string().as_bytes()).expect("it reads");
+        let catalog =
+            read_document(document.to_string().as_bytes()).expect("the document is valid");
         let rule = catalog
             .routes
             .find("h.example", "/a/x")
-            .expect("it is there");
-        for span in [rule.timeout, rule.target, rule.pause] {
-            assert_eq!(span, if value < 0.0 { Duration::ZERO } else { HOUR });
+            .expect("the route exists");
+        for duration in [rule.timeout, rule.target, rule.pause] {
+            assert_eq!(duration, if value < 0.0 { Duration::ZERO } else { HOUR });
         }
     }
     assert!(read_document(br#"{"version":7,"routes":[1e999]}"#).is_err());
 }
 
-/// Symptom: a process ended at its start, at a bound of its settings file that is no span.
+/// A limit in the settings file that is no valid duration panicked the process at its start.
 #[test]
-fn bounds_of_the_settings_beyond_all_spans_end_no_process() {
-    let file = |bound: &str| {
+fn durations_out_of_range_in_the_settings_are_limited() {
+    let file = |limit: &str| {
         format!(
             "node_name = \"n\"\nip = \"10.1.0.2\"\nzone = \"z\"\nport_range = [1,2]\n\
-             [bounds]\ngrace_s = {bound}\nversion_ms = {bound}\n\
+             [bounds]\ngrace_s = {limit}\nversion_ms = {limit}\n\
              [platform]\naddress = \"10.2.0.1:80\"\n"
         )
     };
-    for (bound, span) in [
+    for (limit, duration) in [
         ("nan", Duration::ZERO),
         ("-inf", Duration::ZERO),
         ("-3.0", Duration::ZERO),
         ("inf", HOUR),
         ("1e300", HOUR),
     ] {
-        let settings = parse_settings(&file(bound)).expect("it is well formed");
-        assert_eq!(settings.bounds.shutdown_grace, span, "{bound}");
-        assert_eq!(settings.bounds.weights_deadline, span, "{bound}");
+        let settings = parse_settings(&file(limit)).expect("the file is well formed");
+        assert_eq!(settings.bounds.shutdown_grace, duration, "{limit}");
+        assert_eq!(settings.bounds.weights_deadline, duration, "{limit}");
     }
 }
 
-/// Symptom: every engine of one model was to load a version that had never been named for it. It stood
-/// in a row under the key of another model.
+/// A row under the key of another model set a target version for this model, so that all its
+/// engines were to load a version that the operator had never set for it.
 #[test]
-fn a_named_version_reads_only_under_its_own_key() {
+fn a_target_version_is_accepted_only_under_the_key_of_its_model() {
     let read = |key: &str, text: &str| read_target_version(key, text.as_bytes());
-    let named = read("version/m", r#"{"model":"m","version":3}"#).expect("it is well formed");
-    assert_eq!((&*named.model, named.version), ("m", WeightsVersion(3)));
+    let target = read("version/m", r#"{"model":"m","version":3}"#).expect("the row is well formed");
+    assert_eq!((&*target.model, target.version), ("m", WeightsVersion(3)));
     for (key, text) in [
         ("version/m", r#"{"model":"n","version":3}"#),
         ("version/", r#"{"model":"m","version":3}"#),
@@ -97,15 +98,15 @@
     }
 }
 
-/// Without a part that was meant, requests would be answered as if it had been taken away.
+/// If an invalid part were skipped, requests would be answered as if the operator had removed it.
 #[test]
-fn a_document_with_one_part_that_does_not_read_is_not_taken() {
+fn a_document_with_an_invalid_part_is_rejected() {
     for (list, field) in [
         ("routes", "prefix"),
         ("services", "name"),
         ("tenants", "name"),
     ] {
-        let mut document = whole_document();
+        let mut document = complete_document();
         document[list][0][field] = json!(5);
         assert!(
             read_document(document.to_string().as_bytes()).is_err(),
@@ -114,18 +115,18 @@
     }
 }
 
-/// Symptom: every request was answered as one for no route, and no later document was taken. A row with
-/// nothing but a list of one number was read as a document of that version without any route.
+/// An array of one number was decoded as a document of that version without routes. Every request
+/// was then answered as having no route, and no later document replaced it.
 #[test]
-fn a_list_is_no_document_and_names_no_version() {
+fn an_array_is_no_document_and_no_target_version() {
     assert!(read_document(b"[18446744073709551615]").is_err());
     assert!(read_target_version("version/m", br#"["m",3]"#).is_err());
 }
 
 #[test]
-fn whatever_stands_in_a_document_it_reads_as_a_whole_or_not_at_all() {
+fn a_random_document_is_decoded_completely_or_rejected() {
     run_cases(CASES, CASE_BYTES, |u| {
-        let mut document = whole_document();
+        let mut document = complete_document();
         spoil_json(u, &mut document)?;
         if let Ok(catalog) = read_document(document.to_string().as_bytes()) {
             assert_eq!(document["version"], catalog.version.0);
@@ -137,12 +138,12 @@
             }
             let _ = catalog.account_of("k");
         }
-        let mut naming = json!({"model": "m", "version": 3});
-        spoil_json(u, &mut naming)?;
-        if let Ok(named) = read_target_version("version/m", naming.to_string().as_bytes()) {
-            assert_eq!(naming["model"], "m");
-            assert_eq!(naming["version"], named.version.0);
-            assert!(named.version.0 > 0);
+        let mut row = json!({"model": "m", "version": 3});
+        spoil_json(u, &mut row)?;
+        if let Ok(target) = read_target_version("version/m", row.to_string().as_bytes()) {
+            assert_eq!(row["model"], "m");
+            assert_eq!(row["version"], target.version.0);
+            assert!(target.version.0 > 0);
         }
         let other = any_json(u)?.to_string();
         let rest = u.bytes(u.len())?;
