--- a/src/platform/tests/reports.rs
+++ b/src/platform/tests/engine_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of engines that came to harm on the way, or that something else sent.
+//! Reports of engines that are corrupt or that another program sent.
 
 use serde_json::{Value, json};
 
@@ -10,7 +10,7 @@
 const CASES: u32 = 2000;
 const CASE_BYTES: u32 = 512;
 
-fn whole_report() -> Value {
+fn complete_report() -> Value {
     json!({
         "stage": "both", "models": [{"name": "m", "version": 2, "adapters": []}],
         "layers": [{"from": 0, "to": 16, "version": 2}], "born": 1_790_000_000_000_u64,
@@ -20,8 +20,9 @@
 }
 
 #[test]
-fn a_report_is_read_with_the_incarnation_that_it_tells_of() {
-    let report = read_report(whole_report().to_string().as_bytes()).expect("it is whole");
+fn a_report_is_decoded_with_its_incarnation() {
+    let report =
+        read_report(complete_report().to_string().as_bytes()).expect("the report is complete");
     assert_eq!(report.born, Some(WallTime(1_790_000_000_000)));
     assert_eq!(
         (report.orders_accepted, report.active, report.queued),
@@ -30,20 +31,20 @@
     let held = report.holdings.whole_version("m", 16);
     assert_eq!(held, Some(WeightsVersion(2)));
     let empty = br#"{"models":[],"layers":null,"busy":false,"sequence":0}"#;
-    let empty = read_report(empty).expect("an engine without weights writes so");
+    let empty = read_report(empty).expect("a report of an engine without weights is valid");
     assert_eq!(empty.holdings, EngineHoldings::default());
 }
 
-/// What does not read is no report, and what reads never holds a version that was not told.
+/// Random contents are rejected, or decoded without a version that the report does not list.
 #[test]
-fn whatever_an_engine_sends_it_holds_nothing_by_default() {
+fn a_random_report_adds_no_holdings() {
     run_cases(CASES, CASE_BYTES, |u| {
-        let mut report = whole_report();
+        let mut report = complete_report();
         spoil_json(u, &mut report)?;
         let report = if u.ratio(1, 4)? { any_json(u)? } else { report };
         if let Ok(read) = read_report(report.to_string().as_bytes()) {
-            let told = report.get("models").is_some_and(Value::is_array);
-            assert!(told || read.holdings.models.is_empty(), "{report}");
+            let has_models = report.get("models").is_some_and(Value::is_array);
+            assert!(has_models || read.holdings.models.is_empty(), "{report}");
             let _ = read.holdings.whole_version("m", u32::MAX);
         }
         let _ = read_report(u.bytes(u.len())?);
--- a/src/platform/tests/heads.rs
+++ b/src/platform/tests/header_fields.rs
@@ -1,4 +1,4 @@
-//! Header fields with whatever their senders put into them.
+//! Header fields with random values.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 const CASES: u32 = 2000;
 const CASE_BYTES: u32 = 512;
 
-/// The fields that are read of requests and answers.
+/// The header fields that are read from requests and responses.
 const NAMES: [&str; 11] = [
     "authorization",
     "savoryswitch-attempt-id",
@@ -34,7 +34,7 @@
 ];
 
 #[test]
-fn whatever_stands_in_header_fields_ends_no_thread() {
+fn random_header_fields_cause_no_panic() {
     run_cases(CASES, CASE_BYTES, |u| {
         let mut fields = HeaderMap::new();
         for name in NAMES {
@@ -57,7 +57,7 @@
         let outcome =
             read_response_head(StatusCode::OK, &fields, (Some(&attempt), &backend)).outcome;
         assert!(outcome != ResponseOutcome::Run || fields.contains_key("savoryswitch-attempt-id"));
-        let facts = SendFields {
+        let added = SendFields {
             time_left: Duration::MAX,
             backend: &backend,
             account: None,
@@ -65,7 +65,7 @@
             version: Some(WeightsVersion(u64::MAX)),
             last_event: head.last_event,
         };
-        let sent = send_headers(&fields, &facts);
+        let sent = send_headers(&fields, &added);
         assert_eq!(sent["savoryswitch-target-instance"], "i-1");
         Ok(())
     });
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -1,9 +1,9 @@
-mod digests;
-mod documents;
-mod entries;
-mod heads;
-mod reports;
-mod rows;
+mod backend_rows;
+mod chunk_digests;
+mod document_rows;
+mod engine_reports;
+mod header_fields;
+mod store_rows;
 
 use bytestring::ByteString;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
@@ -26,28 +26,28 @@
 }
 
 #[test]
-fn the_settings_of_an_entry_host_and_of_a_backend_servers_host_are_read() {
+fn settings_of_entry_hosts_and_of_backend_hosts_are_read() {
     let common = "node_name = \"n\"\nip = \"10.1.0.2\"\nzone = \"z\"\nregion = \"r\"\n\
         port_range = [7700,7715]\nseeds = [\"10.1.0.2:8000\"]\nnew_field = 3\n";
     let tables =
         "[limits]\nlink_mbps = 8.0\n[bounds]\ngrace_s = 6\n[platform]\naddress = \"10.2.0.1:80\"\n";
     let entry =
         format!("{common}[listen]\nfront = \"10.1.0.2:1\"\ncontrol = \"10.1.0.2:2\"\n{tables}");
-    let settings = parse_settings(&entry).expect("it is well formed");
+    let settings = parse_settings(&entry).expect("the settings are well formed");
     assert_eq!(settings.caller_address, "10.1.0.2:1".parse().ok());
     assert_eq!(settings.peer_port, 7700);
     assert_eq!(settings.bounds.shutdown_grace.as_secs(), 6);
     let host = format!("{common}app = \"10.1.0.2:9\"\nservice = \"s\"\n{tables}");
-    let settings = parse_settings(&host).expect("it is well formed");
+    let settings = parse_settings(&host).expect("the settings are well formed");
     assert_eq!(settings.backend_address, "10.1.0.2:9".parse().ok());
     assert_eq!(settings.caller_address, None);
     let wrong = entry.replace("10.1.0.2:1", "nowhere");
-    let fault = parse_settings(&wrong).expect_err("the address does not read");
+    let fault = parse_settings(&wrong).expect_err("the address is invalid");
     assert!(fault.detail.contains("listen.front"), "{fault}");
 }
 
 #[test]
-fn a_document_is_read_with_the_kinds_that_may_be_repeated() {
+fn a_document_is_read_with_the_repeat_rules_of_its_routes() {
     let text = br#"{"version":7,"routes":[
         {"name":"a","host":"H.example","prefix":"/a/","kind":"streaming","stream_resume":true,"service":"s","max_attempts":2},
         {"name":"b","host":"h.example","prefix":"/b/","kind":"streaming","service":"s"},
@@ -55,28 +55,28 @@
         {"name":"d","host":"h.example","prefix":"/d/","kind":"something new","weighted_services":[{"service":"s","weight":9}]}],
         "services":[{"name":"s","max_connections":5}],
         "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1}]}"#;
-    let catalog = read_document(text).expect("it is well formed");
+    let catalog = read_document(text).expect("the document is well formed");
     let rule = |path: &str| {
         catalog
             .routes
             .find("h.example", path)
-            .expect("there is one")
+            .expect("the route exists")
     };
     assert_eq!(rule("/a/x").repeat, RepeatRule::ResumableStream);
     assert_eq!(rule("/b/x").repeat, RepeatRule::SingleStream);
     assert_eq!(rule("/c/x").repeat, RepeatRule::Idempotent);
     assert_eq!(rule("/d/x").repeat, RepeatRule::AtMostOnce);
-    let account = catalog.account_of("k2").expect("the key is held");
+    let account = catalog.account_of("k2").expect("the key is valid");
     assert_eq!(&*account.name, "t");
     assert!(catalog.account_of("k3").is_none());
 }
 
 #[test]
-fn a_backend_servers_entry_is_read() {
+fn an_entry_of_a_backend_server_is_read() {
     let text = br#"{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":16,
         "state":"draining","models":[{"name":"m","version":2,"adapters":[]}],
         "layers":[{"from":0,"to":16,"version":2}],"sequence":4}"#;
-    let facts = read_backend_row("i-1", text).expect("it is well formed");
+    let facts = read_backend_row("i-1", text).expect("the entry is well formed");
     assert_eq!(facts.phase, BackendPhase::Leaving);
     assert_eq!(
         facts.holdings.whole_version("m", 16),
@@ -85,10 +85,10 @@
     assert!(read_backend_row("i-1", b"{}").is_err());
 }
 
-/// Symptom: a backend server saw a client's key, or a name of an account that the client had made
-/// up. What this program sets itself must replace what a client sent under the same name.
+/// A backend server received a client's API key, or an account name that the client had forged. The
+/// fields that this program sets must replace those that the client sent under the same name.
 #[test]
-fn fields_of_one_connection_keys_and_made_up_fields_are_not_passed_on() {
+fn connection_fields_api_keys_and_forged_fields_are_not_forwarded() {
     let client = headers(&[
         ("authorization", "Bearer k1"),
         ("connection", "keep-alive, x-hop"),
@@ -102,7 +102,7 @@
         ("path", "10.0.0.1:80=0-16"),
     ]);
     let backend = ByteString::from("i-1");
-    let facts = SendFields {
+    let fields = SendFields {
         time_left: std::time::Duration::from_millis(900),
         backend: &backend,
         account: None,
@@ -110,7 +110,7 @@
         version: None,
         last_event: Some(4),
     };
-    let sent = send_headers(&client, &facts);
+    let sent = send_headers(&client, &fields);
     let text = |name: &str| sent.get(name).and_then(|value| value.to_str().ok());
     for name in [
         "authorization",
@@ -130,14 +130,14 @@
     assert_eq!(text("last-event-id"), Some("4"));
 }
 
-/// Symptom: a client got another client's answer. A backend server sent one late, at the point where
-/// the next one was expected on the same connection.
+/// A backend server sent a delayed response where the next one was expected on the connection, so
+/// that a client received the response to another client.
 #[test]
-fn an_answer_counts_only_with_the_attempt_that_was_asked_for() {
+fn a_response_counts_only_with_the_id_of_its_attempt() {
     let attempt = ByteString::from("a1");
     let outcome = |status: StatusCode, fields: &[(&'static str, &'static str)]| {
-        let meant = ByteString::from("i-1");
-        read_response_head(status, &headers(fields), (Some(&attempt), &meant)).outcome
+        let backend = ByteString::from("i-1");
+        read_response_head(status, &headers(fields), (Some(&attempt), &backend)).outcome
     };
     let own = ("savoryswitch-attempt-id", "a1");
     assert_eq!(outcome(StatusCode::OK, &[own]), ResponseOutcome::Run);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_clients_head_is_read() {
+fn the_head_of_a_request_is_read() {
     let head = read_request_head(&headers(&[
         ("authorization", "Bearer k1"),
         ("savoryswitch-attempt-id", "a1"),
@@ -186,7 +186,10 @@
         ("last-event-id", "12"),
     ]));
     assert_eq!(head.api_key.as_deref(), Some("k1"));
-    assert_eq!(head.deadline.map(|span| span.as_millis()), Some(600));
+    assert_eq!(
+        head.deadline.map(|deadline| deadline.as_millis()),
+        Some(600)
+    );
     assert_eq!((head.prompt_tokens, head.output_tokens_max), (1460, 80));
     assert_eq!(head.estimated_output_tokens, Some(40));
     assert_eq!(head.last_event, Some(12));
--- a/src/platform/tests/rows.rs
+++ b/src/platform/tests/store_rows.rs
@@ -1,4 +1,4 @@
-//! Rows in the store's answers that another writer may have written.
+//! Responses of the store with invalid rows or inconsistent pages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,20 +18,20 @@
 const CASES: u32 = 2000;
 const CASE_BYTES: u32 = 512;
 
-fn page(rows: &[Value]) -> RowsPage {
-    let answer = json!({ "rows": rows, "truncated": false, "ver": 9, "now_ms": 1 });
-    read_page(answer.to_string().as_bytes()).expect("the answer is the store's own")
+fn decode_page(rows: &[Value]) -> RowsPage {
+    let response = json!({ "rows": rows, "truncated": false, "ver": 9, "now_ms": 1 });
+    read_page(response.to_string().as_bytes()).expect("the response is valid")
 }
 
-fn good_row(key: &str) -> Value {
+fn valid_row(key: &str) -> Value {
     json!({ "table": "t", "part": "", "key": key, "value": "e30=", "ver": 4 })
 }
 
-/// Symptom: no backend server was told any more, for as long as one row stood in their table whose
-/// bytes did not decode. Each read and each watch failed as a whole, and the log told `[1103]` of a
-/// store that answered.
+/// One row with undecodable bytes failed each read and watch of its table, so that changes of
+/// backend servers were no longer reported until the row changed. The log had `[1103]` although the
+/// store responded.
 #[test]
-fn a_row_whose_bytes_do_not_decode_leaves_the_others() {
+fn a_row_with_undecodable_bytes_does_not_affect_the_others() {
     for value in [
         json!("%%%"),
         json!("e30"),
@@ -40,61 +40,61 @@
         json!({}),
         json!(true),
     ] {
-        let mut bad = good_row("b");
+        let mut bad = valid_row("b");
         bad["value"] = value.clone();
-        let read = page(&[good_row("a"), bad, good_row("c")]).view;
+        let read = decode_page(&[valid_row("a"), bad, valid_row("c")]).view;
         let keys: Vec<&str> = read.rows.iter().map(|row| &*row.key).collect();
         assert_eq!(keys, ["a", "b", "c"], "{value}");
         assert_eq!(read.rows[0].value.as_deref(), Some(&b"{}"[..]));
         assert_eq!(read.rows[1].revision, 4);
-        let bytes = read.rows[1].value.as_deref().expect("there is a row");
+        let bytes = read.rows[1].value.as_deref().expect("the row is present");
         assert!(read_backend_row("b", bytes).is_err());
         assert!(read_document(bytes).is_err());
         assert!(read_target_version("version/b", bytes).is_err());
     }
 }
 
-/// Symptom: a backend server that lived got nothing. Somebody had removed a row with its key in another
-/// part of the table, and a watch tells of all parts.
+/// A row with the key of a running backend server was removed from another part of the table. A
+/// watch reports all parts, so that the backend server counted as removed and received no requests.
 #[test]
-fn a_row_of_another_part_of_the_table_is_not_the_one_with_its_key() {
-    let mut other = good_row("a");
+fn a_row_of_another_part_of_the_table_is_ignored() {
+    let mut other = valid_row("a");
     other["part"] = json!("elsewhere");
-    let gone = json!({ "part": "elsewhere", "key": "a", "ver": 5, "deleted": true });
-    assert!(page(&[other, gone]).view.rows.is_empty());
-    let gone = json!({ "part": "", "key": "a", "ver": 5, "deleted": true });
-    assert_eq!(page(&[gone]).view.rows[0].value, None);
+    let removed = json!({ "part": "elsewhere", "key": "a", "ver": 5, "deleted": true });
+    assert!(decode_page(&[other, removed]).view.rows.is_empty());
+    let removed = json!({ "part": "", "key": "a", "ver": 5, "deleted": true });
+    assert_eq!(decode_page(&[removed]).view.rows[0].value, None);
 }
 
 #[test]
-fn whatever_stands_in_one_row_the_others_hold() {
+fn a_random_row_does_not_affect_the_others() {
     run_cases(CASES, CASE_BYTES, |u| {
-        let mut bad = good_row("b");
+        let mut bad = valid_row("b");
         spoil_json(u, &mut bad)?;
-        let rows = [good_row("a"), bad, any_json(u)?, good_row("c")];
-        let read = page(&rows).view.rows;
-        let good = page(&[good_row("a"), good_row("c")]).view.rows;
+        let rows = [valid_row("a"), bad, any_json(u)?, valid_row("c")];
+        let read = decode_page(&rows).view.rows;
+        let good = decode_page(&[valid_row("a"), valid_row("c")]).view.rows;
         assert_eq!((read.first(), read.last()), (good.first(), good.last()));
         let _ = read_page(u.bytes(u.len())?);
         Ok(())
     });
 }
 
-/// Symptom: a store that answered wrongly was asked again and again without a pause. Its answer had no
-/// rows and said that more follow, so that the next question was the same.
+/// A faulty store responded without rows, but announced more. The next request was the same, so
+/// that the read repeated it without a pause and never ended.
 #[tokio::test]
-async fn an_answer_that_does_not_go_on_ends_the_read() {
+async fn a_truncated_page_without_rows_ends_the_read() {
     let local = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = bind_listener(local).await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
-    let answer = || async {
+    let address = listener.local_addr().expect("the listener is bound");
+    let respond = || async {
         json_reply(
             StatusCode::OK,
             &json!({ "rows": [], "truncated": true, "ver": 1, "now_ms": 1 }),
         )
     };
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
-    tokio::spawn(HttpServer::on(listener, Router::new().fallback(answer)).run(drain));
+    tokio::spawn(HttpServer::on(listener, Router::new().fallback(respond)).run(drain));
     let store = StoreClient::new(address, Arc::new(PeerClient::new(ClientLimits::default())));
     let within = Duration::from_secs(2);
     let read = store.read_table(TableName::Backends, within);
@@ -102,27 +102,28 @@
     assert!(read.expect("the read ends").is_err());
 }
 
-/// A backend server that left while a long table was read stayed until its next change: the rows of the first
-/// page were of before, the revision from which the table was then followed that of the last page.
+/// A watch must continue from the revision of the first page. It continued from that of the last
+/// one, so that a backend server of the first page that was removed during the read stayed listed
+/// until its next change.
 #[tokio::test]
-async fn a_table_in_pages_is_followed_from_its_first_page() {
+async fn a_paged_read_has_the_revision_of_its_first_page() {
     let local = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = bind_listener(local).await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
-    let answer = |request: Request| async move {
-        let goes_on = request.uri().query().unwrap_or_default().contains("from=");
-        let page = if goes_on {
-            json!({ "rows": [good_row("b")], "truncated": false, "ver": 9, "now_ms": 900 })
+    let address = listener.local_addr().expect("the listener is bound");
+    let respond = |request: Request| async move {
+        let is_continued = request.uri().query().unwrap_or_default().contains("from=");
+        let page = if is_continued {
+            json!({ "rows": [valid_row("b")], "truncated": false, "ver": 9, "now_ms": 900 })
         } else {
-            json!({ "rows": [good_row("a")], "truncated": true, "ver": 7, "now_ms": 700 })
+            json!({ "rows": [valid_row("a")], "truncated": true, "ver": 7, "now_ms": 700 })
         };
         json_reply(StatusCode::OK, &page)
     };
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
-    tokio::spawn(HttpServer::on(listener, Router::new().fallback(answer)).run(drain));
+    tokio::spawn(HttpServer::on(listener, Router::new().fallback(respond)).run(drain));
     let store = StoreClient::new(address, Arc::new(PeerClient::new(ClientLimits::default())));
     let read = store.read_table(TableName::Backends, Duration::from_secs(2));
-    let view = read.await.expect("the store answers");
+    let view = read.await.expect("the store responds");
     assert_eq!(view.rows.len(), 2);
     assert_eq!(view.revision, 7);
     assert_eq!(view.told_at, StoreTime::from_millis(700));
--- a/src/platform/weights_origin.rs
+++ b/src/platform/weights_origin.rs
@@ -1,4 +1,5 @@
-//! The origin of weights: the digests of a version's chunks, and the chunks.
+//! Client of the origin of weights, from which hosts fetch the chunks of a version and the digests
+//! by which they verify them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,10 +20,11 @@
 
 const DIGEST_BYTES: usize = 32;
 
-/// The digests of a version's chunks, by which each is checked before it is kept or passed on.
+/// The SHA-256 digests of a version's chunks, by which each chunk is verified before it is stored
+/// or forwarded.
 ///
-/// There is at least one: with none, a host holds all chunks of the version as soon as it has heard of
-/// it, and orders the engine to load whatever is staged.
+/// The list is never empty. With an empty one, a host would consider all chunks of the version
+/// present as soon as it received the list, and order the engine to load whatever is staged.
 #[apply(message!)]
 #[serde(try_from = "DigestsMessage")]
 pub(crate) struct ChunkDigests {
@@ -30,7 +32,7 @@
     digests: Vec<u8>,
 }
 
-/// The digests as another process sends them.
+/// The digests as received from another process, not validated yet.
 #[derive(Deserialize)]
 struct DigestsMessage {
     #[serde(with = "serde_bytes")]
@@ -48,20 +50,20 @@
 impl ChunkDigests {
     fn new(digests: Vec<u8>) -> Result<Self, &'static str> {
         if digests.is_empty() {
-            return Err("there are no digests");
+            return Err("the list of digests is empty");
         }
         if !digests.len().is_multiple_of(DIGEST_BYTES) {
-            return Err("the last digest is cut off");
+            return Err("the last digest is truncated");
         }
         Ok(Self { digests })
     }
 
-    /// How many chunks there are.
+    /// The number of chunks.
     pub(crate) fn count(&self) -> u32 {
         u32::try_from(self.digests.len() / DIGEST_BYTES).unwrap_or(u32::MAX)
     }
 
-    /// Whether `bytes` are chunk `index`.
+    /// Whether `bytes` have the digest of chunk `index`; false if there is no such chunk.
     pub(crate) fn matches(&self, index: u32, bytes: &[u8]) -> bool {
         let start = usize::try_from(index)
             .unwrap_or(usize::MAX)
@@ -78,7 +80,7 @@
     digests: Vec<String>,
 }
 
-/// The client of the origin.
+/// A client of the origin; clones share its connections.
 #[derive(Clone)]
 pub(crate) struct OriginClient {
     address: SocketAddr,
@@ -86,7 +88,7 @@
 }
 
 impl OriginClient {
-    /// A client of the origin at `address`.
+    /// Creates a client of the origin at `address`.
     pub(crate) const fn new(address: SocketAddr, client: Arc<PeerClient>) -> Self {
         Self { address, client }
     }
@@ -95,8 +97,9 @@
     ///
     /// # Errors
     ///
-    /// `OriginUnavailable` when there is no answer, `ManifestInvalid` when it is no list of digests
-    /// of this version.
+    /// `OriginUnavailable` if the origin does not respond or fails, `ObjectMissing` if it no longer
+    /// has the version, `OriginLimited` if it limits the rate of requests, and `ManifestInvalid` if
+    /// the response is no list of digests of this version.
     pub(crate) async fn read_digests(
         &self,
         target: &ModelVersion,
@@ -107,11 +110,11 @@
         read_digests(target, &body)
     }
 
-    /// Reads a chunk, which is not checked yet.
+    /// Reads a chunk. The caller verifies it with [`ChunkDigests::matches`].
     ///
     /// # Errors
     ///
-    /// `OriginUnavailable` when it does not come.
+    /// `OriginUnavailable`, `ObjectMissing` or `OriginLimited`, as [`OriginClient::read_digests`].
     pub(crate) async fn read_chunk(
         &self,
         target: &ModelVersion,
@@ -131,20 +134,21 @@
                 ErrorKind::ObjectMissing,
                 "the origin no longer has this version",
             )),
-            Ok((StatusCode::TOO_MANY_REQUESTS, _)) => {
-                Err(SwitchError::new(ErrorKind::OriginLimited, "answered 429"))
-            }
-            Ok((status, _)) => Err(unavailable(&format!("answered {status}"))),
+            Ok((StatusCode::TOO_MANY_REQUESTS, _)) => Err(SwitchError::new(
+                ErrorKind::OriginLimited,
+                "responded with 429",
+            )),
+            Ok((status, _)) => Err(unavailable(&format!("responded with {status}"))),
             Err(error) => Err(unavailable(&error.to_string())),
         }
     }
 }
 
-/// Reads the origin's list of the digests of `target`.
+/// Decodes the origin's list of the digests of `target`.
 pub(super) fn read_digests(target: &ModelVersion, body: &[u8]) -> SwitchResult<ChunkDigests> {
     let text: DigestsText = read_object(body).map_err(|fault| invalid(&fault.to_string()))?;
     if *text.model != *target.model || text.version != target.version.0 {
-        return Err(invalid("it is of another version"));
+        return Err(invalid("the list belongs to another model or version"));
     }
     let mut digests = Vec::with_capacity(text.digests.len() * DIGEST_BYTES);
     for digest in &text.digests {
@@ -154,23 +158,26 @@
 }
 
 fn push_digest(digests: &mut Vec<u8>, text: &str) -> SwitchResult<()> {
-    // A number may begin with a sign, a digest's byte may not.
+    // `from_str_radix` would also accept a sign.
     let is_hex = text.bytes().all(|digit| digit.is_ascii_hexdigit());
     if text.len() != DIGEST_BYTES * 2 || !is_hex {
-        return Err(invalid("a digest has the wrong length or is none"));
+        return Err(invalid("a digest does not have 64 hexadecimal digits"));
     }
-    for at in (0..text.len()).step_by(2) {
-        let byte = u8::from_str_radix(&text[at..at + 2], 16);
+    for start in (0..text.len()).step_by(2) {
+        let byte = u8::from_str_radix(&text[start..start + 2], 16);
         digests.push(byte.map_err(|fault| invalid(&fault.to_string()))?);
     }
     Ok(())
 }
 
-fn invalid(what: &str) -> SwitchError {
-    let detail = format!("the origin's digests do not read: {what}");
+fn invalid(reason: &str) -> SwitchError {
+    let detail = format!("invalid digests from the origin: {reason}");
     SwitchError::new(ErrorKind::ManifestInvalid, detail)
 }
 
-fn unavailable(what: &str) -> SwitchError {
-    SwitchError::new(ErrorKind::OriginUnavailable, format!("the origin: {what}"))
+fn unavailable(reason: &str) -> SwitchError {
+    SwitchError::new(
+        ErrorKind::OriginUnavailable,
+        format!("the origin: {reason}"),
+    )
 }
