--- a/src/platform/fake_backend.rs
+++ b/src/platform/fake_backend.rs
@@ -251,8 +251,8 @@
         };
         let mut entry = json!({
             "service": service, "address": state.config.advertised_address.to_string(),
-            "zone": "hall-a", "slots": SLOTS, "state": "ready", "version": "1", "cold_remaining_ms": 0,
-            "born": start,
+            "zone": "hall-a", "slots": SLOTS, "state": "ready", "version": "1",
+            "cold_remaining_ms": 0, "born": start,
         });
         if let Some(engine) = &state.engine {
             let report = engine.current_report();
--- a/src/platform/tests/engine_reports.rs
+++ b/src/platform/tests/engine_reports.rs
@@ -14,8 +14,8 @@
     json!({
         "stage": "both", "models": [{"name": "m", "version": 2, "adapters": []}],
         "layers": [{"from": 0, "to": 16, "version": 2}], "born": 1_790_000_000_000_u64,
-        "busy": false, "sequence": 2, "queued": 1, "active": 12, "kv_used": 41000, "kv_total": 90000,
-        "handles": 0,
+        "busy": false, "sequence": 2, "queued": 1, "active": 12, "kv_used": 41000,
+        "kv_total": 90000, "handles": 0,
     })
 }
 
