--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -18,7 +18,9 @@
 use crate::stores::http::HttpWeights;
 use crate::stores::{HostRole, WeightSource};
 use crate::transport::{ClientLimits, HttpServer, PeerClient, bind_listener};
-use crate::weights::{WeightsEdges, WeightsHandle, WeightsLimits, ahead_of_weights, start_weights};
+use crate::weights::{
+    WeightsContext, WeightsHandle, WeightsLimits, meter_live_responses, start_weights_tasks,
+};
 
 /// How long a read from the origin may take; its link is shared by all hosts that read, so that one
 /// chunk may take far longer than the platform's other answers.
@@ -98,7 +100,7 @@
         };
         let guard = start_guard(edges, limits);
         let live = match pacer {
-            Some(pacer) => ahead_of_weights(guard.peer_routes(), pacer),
+            Some(pacer) => meter_live_responses(guard.peer_routes(), pacer),
             None => guard.peer_routes(),
         };
         routes = routes.merge(live);
@@ -130,7 +132,7 @@
         Arc::new(HttpWeights(client))
     };
     let origin = settings.origin_address.map(source)?;
-    let edges = WeightsEdges {
+    let edges = WeightsContext {
         origin,
         store: settings.store_address.map(source),
         table: settings.common.table(),
@@ -145,7 +147,7 @@
         link_bytes_per_second: settings.link_bytes_per_second,
         memory_bytes: settings.memory_bytes,
     };
-    Some(start_weights(edges, limits))
+    Some(start_weights_tasks(edges, limits))
 }
 
 fn backend_server(settings: &HostSettings) -> BackendServer {
--- a/src/lab/soak/rollout.rs
+++ b/src/lab/soak/rollout.rs
@@ -14,8 +14,8 @@
 use crate::time::ClockTime;
 use crate::weights::LeaseHolder;
 use crate::weights::{
-    ActivationMachine, ActivationStep, ActivationView, RolloutRow, RowOutcome, SeenRow,
-    WantedVersion, WeightsDigest,
+    ActivationInputs, ActivationMachine, ActivationStep, RolloutRow, RowSnapshot, RowWriteResult,
+    TargetVersion, WeightsDigest,
 };
 
 const HOSTS_MAX: usize = 5;
@@ -30,7 +30,7 @@
     now: ClockTime,
     hosts: Vec<FakeHost>,
     table: FakeTable,
-    wanted: WantedVersion,
+    target: TargetVersion,
     /// No engine loads it.
     bad: Option<WeightsDigest>,
     is_wild: bool,
@@ -48,7 +48,7 @@
     /// When the order under way is done, and what comes of it.
     order: Option<FakeOrder>,
     /// The document as this host knows it.
-    wanted: WantedVersion,
+    target: TargetVersion,
     incarnation: u64,
     /// Whether the bad version took this host out of service and was refused.
     was_refused: bool,
@@ -97,9 +97,9 @@
     }
     rollout.is_wild = false;
     rollout.table.is_away = false;
-    let newest = rollout.wanted.clone();
+    let newest = rollout.target.clone();
     for host in &mut rollout.hosts {
-        host.wanted = newest.clone();
+        host.target = newest.clone();
         host.is_cut_off = false;
     }
     let mut steps = 0;
@@ -137,7 +137,7 @@
                 },
                 gate: None,
                 order: None,
-                wanted: first.clone(),
+                target: first.clone(),
                 incarnation: 1,
                 was_refused: false,
                 has_served: false,
@@ -150,7 +150,7 @@
             now,
             hosts,
             table: FakeTable::default(),
-            wanted: first,
+            target: first,
             bad: None,
             is_wild: true,
         })
@@ -158,16 +158,16 @@
 
     /// All serve what they should: the wanted version, or, when that is bad, something older.
     fn is_done(&self) -> bool {
-        let wanted = self.wanted.digest;
+        let target = self.target.digest;
         self.hosts.iter().all(|host| {
             let open = host.gate.as_ref().map(|serving| serving.digest);
             let is_right = match self.bad {
                 // A process that found an empty engine knows no older version to go back to.
-                Some(bad) if bad == wanted => match open {
+                Some(bad) if bad == target => match open {
                     Some(digest) => digest != bad,
                     None => !host.has_served,
                 },
-                _ => open == Some(wanted),
+                _ => open == Some(target),
             };
             is_right && !host.machine.is_changing()
         })
@@ -181,7 +181,7 @@
         let hosts: String = hosts.collect();
         format!(
             "wanted {:?}, row {:?}\n{hosts}",
-            self.wanted, self.table.row
+            self.target, self.table.row
         )
     }
 
@@ -195,7 +195,7 @@
             0 => self.table.is_away = !self.table.is_away,
             1 => self.restart_process(index),
             2 => self.hosts[index].engine.serve(None, self.now),
-            3 => self.hosts[index].wanted = self.wanted.clone(),
+            3 => self.hosts[index].target = self.target.clone(),
             _ => self.want_another(u)?,
         }
         Ok(())
@@ -204,19 +204,19 @@
     /// A new document, which some hosts see at once. After a first version that is served
     /// everywhere, one that no engine loads may come.
     fn want_another(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let number = self.wanted.document + 1;
-        let rollout = &self.wanted.rollout;
-        self.wanted = version(
+        let number = self.target.document + 1;
+        let rollout = &self.target.rollout;
+        self.target = version(
             number,
             rollout.max_out_of_service,
             rollout.stop_after_failures,
         );
         let all_serve = self.hosts.iter().all(|host| host.engine.serving.is_some());
-        self.bad = (all_serve && u.ratio(1, 3)?).then_some(self.wanted.digest);
+        self.bad = (all_serve && u.ratio(1, 3)?).then_some(self.target.digest);
         for host in &mut self.hosts {
             host.was_refused = false;
             if u.ratio(3, 4)? {
-                host.wanted = self.wanted.clone();
+                host.target = self.target.clone();
             }
         }
         Ok(())
@@ -239,14 +239,14 @@
             self.finish_order(index);
             self.act(u, index)?;
         }
-        let bound = usize::try_from(self.wanted.rollout.max_out_of_service).unwrap_or(0);
+        let bound = usize::try_from(self.target.rollout.max_out_of_service).unwrap_or(0);
         let out = self.hosts.iter().filter(|host| host.machine.is_swapping());
         assert!(
             out.count() <= bound,
             "more hosts than allowed are out of service: {}",
             self.describe()
         );
-        let stop_after = usize::try_from(self.wanted.rollout.stop_after_failures).unwrap_or(0);
+        let stop_after = usize::try_from(self.target.rollout.stop_after_failures).unwrap_or(0);
         let refused = self.hosts.iter().filter(|host| host.was_refused).count();
         assert!(
             refused < stop_after + bound,
@@ -296,13 +296,13 @@
             let now = self.now;
             let host = &mut self.hosts[index];
             let gate = host.gate.clone();
-            let view = ActivationView {
-                wanted: Some(&host.wanted),
-                is_whole: &|_| true,
+            let view = ActivationInputs {
+                target: Some(&host.target),
+                is_complete: &|_| true,
                 gate: gate.as_ref(),
                 is_live: &|_| true,
-                place: 0,
-                part: PART,
+                batches_ahead: 0,
+                jitter: PART,
             };
             match host.machine.next_step(&view, now) {
                 ActivationStep::WaitUntil(_) => return Ok(()),
@@ -434,7 +434,7 @@
 }
 
 impl FakeTable {
-    fn read(&self) -> std::result::Result<SeenRow, SwitchError> {
+    fn read(&self) -> std::result::Result<RowSnapshot, SwitchError> {
         if self.is_away {
             return Err(away());
         }
@@ -446,12 +446,12 @@
         expected: RowRevision,
         row: RolloutRow,
         is_lost: bool,
-    ) -> std::result::Result<RowOutcome, SwitchError> {
+    ) -> std::result::Result<RowWriteResult, SwitchError> {
         if self.is_away {
             return Err(away());
         }
         if self.seen().revision != expected {
-            return Ok(RowOutcome::Conflict(self.seen()));
+            return Ok(RowWriteResult::Conflict(self.seen()));
         }
         let last = self.row.as_ref().map_or(0, |(_, row)| row.fence);
         assert!(row.fence >= last, "a fencing number went back");
@@ -460,16 +460,16 @@
         if is_lost {
             return Err(away());
         }
-        Ok(RowOutcome::Written)
+        Ok(RowWriteResult::Written)
     }
 
-    fn seen(&self) -> SeenRow {
+    fn seen(&self) -> RowSnapshot {
         match &self.row {
-            Some((revision, row)) => SeenRow {
+            Some((revision, row)) => RowSnapshot {
                 revision: *revision,
                 row: row.clone(),
             },
-            None => SeenRow::absent(),
+            None => RowSnapshot::absent(),
         }
     }
 }
@@ -485,9 +485,9 @@
     }
 }
 
-fn version(number: u64, max_out_of_service: u32, stop_after_failures: u32) -> WantedVersion {
+fn version(number: u64, max_out_of_service: u32, stop_after_failures: u32) -> TargetVersion {
     let digest = WeightsDigest::of(&number.to_be_bytes());
-    WantedVersion {
+    TargetVersion {
         service: "sky-writer".into(),
         document: number,
         spec: WeightsSpec {
--- a/src/lab/soak/weights.rs
+++ b/src/lab/soak/weights.rs
@@ -11,8 +11,8 @@
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightId, FlightSource, HaveWord, LineHost,
-    PeerKey, PlanHost, StagedVersion, VersionManifest, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, PeerKey, StagedVersion, TransferId, VersionManifest, WeightsDigest,
 };
 
 const HOSTS_MAX: usize = 7;
@@ -44,7 +44,7 @@
 }
 
 struct FakeHost {
-    line: LineHost,
+    location: HostLocation,
     plan: FetchPlan,
     staged: StagedVersion,
     is_alive: bool,
@@ -58,8 +58,8 @@
 }
 
 enum News {
-    Asked(PeerKey, std::result::Result<HaveWord, ErrorKind>),
-    Chunk(FlightId, u32, std::result::Result<Bytes, ErrorKind>),
+    Asked(PeerKey, std::result::Result<ChunkAnnouncement, ErrorKind>),
+    Chunk(TransferId, u32, std::result::Result<Bytes, ErrorKind>),
 }
 
 /// Runs one case.
@@ -79,9 +79,11 @@
         burst.step(u)?;
     }
     for host in burst.hosts.iter().filter(|host| host.is_alive) {
-        host.staged.seal().expect("all chunks matched the manifest");
-        let whole = host.staged.whole().expect("it is sealed");
-        assert_eq!(whole, burst.data, "a host ended with other bytes");
+        host.staged
+            .verify()
+            .expect("all chunks matched the manifest");
+        let all_bytes = host.staged.all_bytes().expect("it is sealed");
+        assert_eq!(all_bytes, burst.data, "a host ended with other bytes");
     }
     Ok(())
 }
@@ -132,30 +134,30 @@
                 Bytes::from(vec![u8::try_from(chunk).unwrap_or(0); length])
             })
             .collect();
-        let whole: Vec<u8> = data.concat();
+        let all_bytes: Vec<u8> = data.concat();
         let version = VersionManifest {
             name: "weights".into(),
-            size: whole.len() as u64,
+            size: all_bytes.len() as u64,
             chunk_size: CHUNK_BYTES as u64,
             chunks: data.iter().map(|chunk| WeightsDigest::of(chunk)).collect(),
-            digest: WeightsDigest::of(&whole),
+            digest: WeightsDigest::of(&all_bytes),
         };
         let now = ClockTime(0);
         let hosts = (0..hosts).map(|index| {
-            let line = line_of(index);
+            let location = line_of(index);
             let spans = (Duration::from_millis(20), seed ^ index as u64);
             let held = ChunkMap::empty(version.chunk_count());
             let wanted = (version.digest, objective);
             FakeHost {
                 plan: FetchPlan::new(
-                    line.clone(),
+                    location.clone(),
                     wanted,
                     held,
                     FetchLimits::default(),
                     spans,
                     now,
                 ),
-                line,
+                location,
                 staged: StagedVersion::new(version.clone()),
                 is_alive: true,
                 centre: index % 3,
@@ -183,7 +185,7 @@
     }
 
     fn show_all_hosts(&mut self) {
-        let live: Vec<PlanHost> = (0..self.hosts.len())
+        let live: Vec<PeerHost> = (0..self.hosts.len())
             .filter(|index| self.hosts[*index].is_alive)
             .map(|index| self.plan_host(index))
             .collect();
@@ -192,9 +194,9 @@
         }
     }
 
-    fn plan_host(&self, index: usize) -> PlanHost {
-        PlanHost {
-            line: self.hosts[index].line.clone(),
+    fn plan_host(&self, index: usize) -> PeerHost {
+        PeerHost {
+            location: self.hosts[index].location.clone(),
             address: ([127, 0, 0, 1], u16::try_from(index + 1).unwrap_or(0)).into(),
         }
     }
@@ -237,7 +239,7 @@
         host.staged = StagedVersion::new(self.version.clone());
         let wanted = (self.version.digest, SpreadObjective::OriginBytes);
         host.plan = FetchPlan::new(
-            host.line.clone(),
+            host.location.clone(),
             wanted,
             ChunkMap::empty(count),
             FetchLimits::default(),
@@ -295,7 +297,7 @@
 
     fn carry_out(&mut self, u: &mut Unstructured<'_>, host: usize, step: FetchStep) -> Result<()> {
         match step {
-            FetchStep::Ask(key) => {
+            FetchStep::Query(key) => {
                 let asked = self.find_peer(host, key);
                 let word = self.word_of(u, host, asked)?;
                 let lost = self.is_wild && u.ratio(1, 6)?;
@@ -307,31 +309,31 @@
                     // The question itself says what its sender holds.
                     if let Some(word) = self.word_of(u, asked, Some(host))? {
                         let now = self.now;
-                        self.hosts[asked].plan.on_word(&word, now);
+                        self.hosts[asked].plan.on_announcement(&word, now);
                     }
                 }
                 self.post(host, millis, News::Asked(key, answer));
             }
             FetchStep::Fetch {
-                flight,
+                transfer,
                 index,
                 source,
             } => {
                 let answer = match source {
-                    FlightSource::Peer(key) => self.pull(u, host, key, index)?,
-                    FlightSource::Origin => self.read_origin(u, host, index)?,
+                    ChunkSource::Peer(key) => self.pull(u, host, key, index)?,
+                    ChunkSource::Origin => self.read_origin(u, host, index)?,
                 };
                 // Some are never answered: the plan has to give them up itself.
                 if !(self.is_wild && u.ratio(1, 10)?) {
                     let millis = match source {
-                        FlightSource::Origin if !self.is_wild => self.origin_millis,
+                        ChunkSource::Origin if !self.is_wild => self.origin_millis,
                         _ => self.delay(u)?,
                     };
-                    self.post(host, millis, News::Chunk(flight, index, answer));
+                    self.post(host, millis, News::Chunk(transfer, index, answer));
                 }
             }
-            FetchStep::Cancel(flight, _) => self.arrivals.retain(|arrival| {
-                let is_it = matches!(&arrival.news, News::Chunk(known, ..) if *known == flight);
+            FetchStep::Cancel(transfer, _) => self.arrivals.retain(|arrival| {
+                let is_it = matches!(&arrival.news, News::Chunk(known, ..) if *known == transfer);
                 arrival.host != host || !is_it
             }),
         }
@@ -352,11 +354,11 @@
     }
 
     fn find_peer(&self, host: usize, key: PeerKey) -> Option<usize> {
-        let name = &self.hosts[host].plan.peers().get(key).host.line.host;
+        let name = &self.hosts[host].plan.peers().get(key).host.location.host;
         let found = self
             .hosts
             .iter()
-            .position(|other| other.line.host == *name)?;
+            .position(|other| other.location.host == *name)?;
         self.reaches(host, found).then_some(found)
     }
 
@@ -373,7 +375,7 @@
         u: &mut Unstructured<'_>,
         to: usize,
         asked: Option<usize>,
-    ) -> Result<Option<HaveWord>> {
+    ) -> Result<Option<ChunkAnnouncement>> {
         let Some(asked) = asked.filter(|asked| self.reaches(to, *asked)) else {
             return Ok(None);
         };
@@ -385,8 +387,8 @@
         if self.is_wild && u.ratio(1, 40)? {
             held = ChunkMap::full(self.version.chunk_count() + 1);
         }
-        Ok(Some(HaveWord {
-            host: host.line.host.clone(),
+        Ok(Some(ChunkAnnouncement {
+            host: host.location.host.clone(),
             held,
             claimed: host.plan.claimed(),
             backlog_ms: 0,
@@ -474,30 +476,30 @@
         match news {
             News::Asked(key, answer) => {
                 if let Ok(word) = &answer {
-                    self.plan.on_word(word, now);
+                    self.plan.on_announcement(word, now);
                 }
-                self.plan.on_asked(key, answer.err(), now);
+                self.plan.on_queried(key, answer.err(), now);
             }
-            News::Chunk(flight, index, answer) => {
+            News::Chunk(transfer, index, answer) => {
                 let kept = answer.and_then(|bytes| {
-                    let kept = self.staged.keep_chunk(index, bytes);
+                    let kept = self.staged.store_chunk(index, bytes);
                     kept.map_err(|error| error.kind)
                 });
                 match kept {
                     Ok(()) => {
-                        self.plan.on_delivered(flight, now);
+                        self.plan.on_delivered(transfer, now);
                     }
-                    Err(kind) => self.plan.on_failed(flight, kind, None, now),
+                    Err(kind) => self.plan.on_failed(transfer, kind, None, now),
                 }
             }
         }
     }
 }
 
-fn line_of(index: usize) -> LineHost {
+fn line_of(index: usize) -> HostLocation {
     let centres = ["cusco-hall-a", "arequipa-hall-a", "lima-hall-a"];
     let regions = ["sierra", "sierra", "costa"];
-    LineHost {
+    HostLocation {
         host: format!("host-{index}").into(),
         data_centre: centres[index % 3].into(),
         region: regions[index % 3].into(),
--- a/src/replication/chunk_fetch.rs
+++ b/src/replication/chunk_fetch.rs
@@ -24,8 +24,8 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::PeerClient;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightId, FlightSource, HaveWord, LineHost,
-    LinkPacer, PeerKey, PlanHost, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    LinkPacer, PeerHost, PeerKey, TransferId, WeightsDigest,
 };
 
 /// How often the plan is looked at when nothing happens.
@@ -60,7 +60,7 @@
     pub(super) store: ChunkStore,
     pub(super) client: Arc<PeerClient>,
     pub(super) origin: Option<OriginClient>,
-    pub(super) me: LineHost,
+    pub(super) me: HostLocation,
     /// How long a chunk takes on this host's idle link.
     pub(super) chunk_span: Duration,
     /// This host's link.
@@ -108,9 +108,9 @@
 }
 
 enum FetchNews {
-    Asked(PeerKey, SwitchResult<HaveWord>),
-    Pulled(FlightId, SwitchResult<HaveWord>),
-    Read(FlightId, SwitchResult<()>),
+    Asked(PeerKey, SwitchResult<ChunkAnnouncement>),
+    Pulled(TransferId, SwitchResult<ChunkAnnouncement>),
+    Read(TransferId, SwitchResult<()>),
 }
 
 /// The fetch of one version.
@@ -121,7 +121,7 @@
     news_sender: mpsc::UnboundedSender<FetchNews>,
     news: mpsc::UnboundedReceiver<FetchNews>,
     under_way: JoinSet<()>,
-    flights: Vec<(FlightId, AbortHandle)>,
+    flights: Vec<(TransferId, AbortHandle)>,
     mismatches: u32,
     /// Until when chunks under way tell nothing new of the link.
     slow_until: ClockTime,
@@ -137,9 +137,9 @@
     ) -> Self {
         let limits = FetchLimits {
             pulls_max: PULLS_MAX,
-            turn_span: TURN_SPAN,
+            takeover_delay: TURN_SPAN,
             origin_reads_max: ORIGIN_READS_MAX,
-            origin_within: ORIGIN_WITHIN,
+            origin_read_timeout: ORIGIN_WITHIN,
             ..FetchLimits::default()
         };
         let name = format!("{}/{}", target.model, target.version.0);
@@ -172,13 +172,13 @@
     }
 
     /// The hosts that hold or want the version.
-    pub(super) fn set_hosts(&mut self, hosts: &[PlanHost]) {
+    pub(super) fn set_hosts(&mut self, hosts: &[PeerHost]) {
         self.plan.set_hosts(hosts);
     }
 
     /// The part of the version's chunks that are here or at a host that is known to hold them.
     pub(super) fn known_part(&self) -> f64 {
-        f64::from(self.plan.known_count()) / f64::from(self.plan.held().count().max(1))
+        f64::from(self.plan.known_chunk_count()) / f64::from(self.plan.held().count().max(1))
     }
 
     /// Works until the version is whole, or up to `span`.
@@ -192,7 +192,7 @@
                 return FetchEnd::DigestsDoubted;
             }
             self.watch_pulls(clock_now());
-            let pulls_max = self.edges.pacer.chunks_under_way(PULLS_MAX);
+            let pulls_max = self.edges.pacer.concurrent_chunks(PULLS_MAX);
             self.plan.set_pulls_max(pulls_max);
             for step in self.plan.next_steps(clock_now()) {
                 self.carry_out(step);
@@ -217,7 +217,7 @@
 
     /// Chunks that do not come tell of a slow link sooner than those that come late.
     fn watch_pulls(&mut self, now: ClockTime) {
-        if now < self.slow_until || self.plan.late_sources(PULL_SLOW, now) < SLOW_SOURCES {
+        if now < self.slow_until || self.plan.late_source_count(PULL_SLOW, now) < SLOW_SOURCES {
             return;
         }
         self.slow_until = now + PULL_SLOW;
@@ -230,52 +230,52 @@
         let target = self.target.clone();
         let news = self.news_sender.clone();
         match step {
-            FetchStep::Ask(key) => {
+            FetchStep::Query(key) => {
                 let address = self.address(key);
                 self.under_way.spawn(async move {
                     let _ = news.send(FetchNews::Asked(key, ask(&edges, address, target).await));
                 });
             }
             FetchStep::Fetch {
-                flight,
+                transfer,
                 index,
-                source: FlightSource::Peer(key),
+                source: ChunkSource::Peer(key),
             } => {
                 let address = self.address(key);
                 let task = self.under_way.spawn(async move {
                     let pulled = pull(&edges, address, &target, index).await;
-                    let _ = news.send(FetchNews::Pulled(flight, pulled));
+                    let _ = news.send(FetchNews::Pulled(transfer, pulled));
                 });
-                self.flights.push((flight, task));
+                self.flights.push((transfer, task));
             }
             FetchStep::Fetch {
-                flight,
+                transfer,
                 index,
-                source: FlightSource::Origin,
+                source: ChunkSource::Origin,
             } => {
                 let task = self.under_way.spawn(async move {
                     let read = read_origin(&edges, &target, index).await;
-                    let _ = news.send(FetchNews::Read(flight, read));
+                    let _ = news.send(FetchNews::Read(transfer, read));
                 });
-                self.flights.push((flight, task));
+                self.flights.push((transfer, task));
             }
-            FetchStep::Cancel(flight, source) => {
+            FetchStep::Cancel(transfer, source) => {
                 metrics::count_retry(ErrorKind::PeerSilent);
-                if let FlightSource::Peer(key) = source {
+                if let ChunkSource::Peer(key) = source {
                     // The connection may have gone silent for good while new ones work.
                     self.edges.client.drop_pool(self.address(key));
                 }
-                self.abort(flight);
+                self.abort(transfer);
             }
         }
     }
 
     /// Ends the work on a chunk that is of no more use.
-    fn abort(&mut self, flight: FlightId) {
-        for (_, task) in self.flights.iter().filter(|(known, _)| *known == flight) {
+    fn abort(&mut self, transfer: TransferId) {
+        for (_, task) in self.flights.iter().filter(|(known, _)| *known == transfer) {
             task.abort();
         }
-        self.flights.retain(|(known, _)| *known != flight);
+        self.flights.retain(|(known, _)| *known != transfer);
     }
 
     fn address(&self, key: PeerKey) -> SocketAddr {
@@ -287,27 +287,27 @@
         match news {
             FetchNews::Asked(key, answer) => {
                 if let Ok(word) = &answer {
-                    self.plan.on_word(word, now);
+                    self.plan.on_announcement(word, now);
                 }
                 let failure = answer.err().map(|error| error.kind);
-                self.plan.on_asked(key, failure, now);
+                self.plan.on_queried(key, failure, now);
             }
-            FetchNews::Pulled(flight, pulled) => {
+            FetchNews::Pulled(transfer, pulled) => {
                 if let Ok(word) = &pulled {
-                    self.plan.on_word(word, now);
+                    self.plan.on_announcement(word, now);
                 }
-                self.take_chunk(flight, pulled.map(|_| ()));
+                self.take_chunk(transfer, pulled.map(|_| ()));
             }
-            FetchNews::Read(flight, read) => self.take_chunk(flight, read),
+            FetchNews::Read(transfer, read) => self.take_chunk(transfer, read),
         }
     }
 
-    fn take_chunk(&mut self, flight: FlightId, result: SwitchResult<()>) {
+    fn take_chunk(&mut self, transfer: TransferId, result: SwitchResult<()>) {
         let now = clock_now();
-        self.flights.retain(|(known, _)| *known != flight);
+        self.flights.retain(|(known, _)| *known != transfer);
         match result {
             Ok(()) => {
-                for twin in self.plan.on_delivered(flight, now) {
+                for twin in self.plan.on_delivered(transfer, now) {
                     self.abort(twin);
                 }
             }
@@ -320,7 +320,7 @@
                     log_event!(events::SOURCE_FAILED, "{error}");
                 }
                 self.plan
-                    .on_failed(flight, error.kind, error.retry_after, now);
+                    .on_failed(transfer, error.kind, error.retry_after, now);
             }
         }
     }
@@ -330,7 +330,7 @@
     edges: &FetchEdges,
     address: SocketAddr,
     target: ModelVersion,
-) -> SwitchResult<HaveWord> {
+) -> SwitchResult<ChunkAnnouncement> {
     let ask = ChunkAsk {
         target,
         index: None,
@@ -351,7 +351,7 @@
     address: SocketAddr,
     target: &ModelVersion,
     index: u32,
-) -> SwitchResult<HaveWord> {
+) -> SwitchResult<ChunkAnnouncement> {
     let ask = ChunkAsk {
         target: target.clone(),
         index: Some(index),
--- a/src/replication/chunk_messages.rs
+++ b/src/replication/chunk_messages.rs
@@ -1,14 +1,14 @@
 //! What hosts of backend servers say to each other about chunks.
 //!
 //! `POST /peer/chunks/have` takes a [`ChunkAsk`] and answers with a
-//! [`HaveWord`](crate::weights::HaveWord), `POST /peer/chunks/get` takes one and answers with a
+//! [`ChunkAnnouncement`](crate::weights::HaveWord), `POST /peer/chunks/get` takes one and answers with a
 //! [`ChunkReply`], `POST /peer/chunks/digests` takes one and answers with the version's digests.
 
 use macro_rules_attribute::apply;
 
 use crate::derives::message;
 use crate::fleet::ModelVersion;
-use crate::weights::HaveWord;
+use crate::weights::ChunkAnnouncement;
 
 pub(super) const HAVE_PATH: &str = "/peer/chunks/have";
 pub(super) const GET_PATH: &str = "/peer/chunks/get";
@@ -27,7 +27,7 @@
 #[apply(message!)]
 pub(super) struct ChunkReply {
     /// What the sender holds.
-    pub(super) word: HaveWord,
+    pub(super) word: ChunkAnnouncement,
     /// The chunk.
     #[serde(with = "serde_bytes")]
     pub(super) bytes: Vec<u8>,
--- a/src/replication/chunk_routes.rs
+++ b/src/replication/chunk_routes.rs
@@ -12,7 +12,7 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
 use crate::transport::{error_reply, message_reply, read_message};
-use crate::weights::{HaveWord, LinkDirection, LinkPacer};
+use crate::weights::{ChunkAnnouncement, LinkDirection, LinkPacer};
 
 const ASK_BYTES_MAX: usize = 4 * 1024;
 /// How long a host that asks for a chunk is kept waiting for the link, rather than being turned away
@@ -66,7 +66,7 @@
 
 /// What this host says of a version, with how long its link is busy: others then ask a host whose
 /// link is idle.
-fn word_of(service: &ChunkService, ask: &ChunkAsk) -> SwitchResult<HaveWord> {
+fn word_of(service: &ChunkService, ask: &ChunkAsk) -> SwitchResult<ChunkAnnouncement> {
     let mut word = service.store.word(&ask.target).ok_or_else(not_here)?;
     let backlog = service.pacer.backlog(LinkDirection::Up);
     word.backlog_ms = u64::try_from(backlog.as_millis()).unwrap_or(u64::MAX);
--- a/src/replication/chunk_store.rs
+++ b/src/replication/chunk_store.rs
@@ -10,7 +10,7 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::platform::{ChunkDigests, EngineClient};
-use crate::weights::{ChunkMap, HaveWord};
+use crate::weights::{ChunkAnnouncement, ChunkMap};
 
 /// Versions that are held at a time: one that waits to be loaded, one that is fetched, and the one
 /// that is served.
@@ -136,8 +136,8 @@
     }
 
     /// What this host says of `target`; nothing if it does not know it.
-    pub(super) fn word(&self, target: &ModelVersion) -> Option<HaveWord> {
-        self.with(target, |version| HaveWord {
+    pub(super) fn word(&self, target: &ModelVersion) -> Option<ChunkAnnouncement> {
+        self.with(target, |version| ChunkAnnouncement {
             host: self.host.clone(),
             held: version.held.clone(),
             claimed: version.claimed.clone(),
--- a/src/replication/digest_line.rs
+++ b/src/replication/digest_line.rs
@@ -9,7 +9,7 @@
 
 use crate::fleet::ModelVersion;
 use crate::routing::name_hash;
-use crate::weights::{LineHost, PlanHost};
+use crate::weights::{HostLocation, PeerHost};
 
 /// Hosts that read the origin, and that bring the digests into a data centre; one of them may be down.
 const LEADERS: usize = 2;
@@ -29,19 +29,19 @@
 
 impl DigestLine {
     /// The place of `me` among `hosts` for `target`.
-    pub(super) fn new(hosts: &[PlanHost], me: &LineHost, target: &ModelVersion) -> Self {
+    pub(super) fn new(hosts: &[PeerHost], me: &HostLocation, target: &ModelVersion) -> Self {
         let weight = |host: &str| {
             let name = format!("{host}/{}/{}", target.model, target.version.0);
             name_hash(&name)
         };
         let mine = weight(&me.host);
-        let others = hosts.iter().filter(|host| host.line.host != me.host);
-        let mut before: Vec<(u64, &PlanHost)> = others
-            .map(|host| (weight(&host.line.host), host))
+        let others = hosts.iter().filter(|host| host.location.host != me.host);
+        let mut before: Vec<(u64, &PeerHost)> = others
+            .map(|host| (weight(&host.location.host), host))
             .filter(|(other, _)| *other > mine)
             .collect();
         before.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-        let is_near = |(_, host): &&(u64, &PlanHost)| host.line.data_centre == me.data_centre;
+        let is_near = |(_, host): &&(u64, &PeerHost)| host.location.data_centre == me.data_centre;
         let near: Vec<SocketAddr> = before
             .iter()
             .filter(is_near)
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -21,7 +21,7 @@
 use crate::platform::{EngineClient, PlatformSettings, StoreClient};
 use crate::sync::SharedBook;
 use crate::transport::{ClientLimits, HttpServer, PeerClient, start_metrics};
-use crate::weights::{LineHost, LinkPacer};
+use crate::weights::{HostLocation, LinkPacer};
 
 /// Other hosts find out within one call that this one is gone; nothing waits for it.
 const STOP_LINGER: Duration = Duration::from_millis(100);
@@ -152,7 +152,7 @@
     Ok(HostPlace {
         address: settings.backend_address.ok_or_else(|| missing("app"))?,
         service: service.ok_or_else(|| missing("service"))?,
-        me: LineHost {
+        me: HostLocation {
             host: settings.ip.to_string().into(),
             data_centre: settings.data_centre.clone(),
             region: "all".into(),
--- a/src/replication/load_turn.rs
+++ b/src/replication/load_turn.rs
@@ -9,7 +9,7 @@
 
 use crate::fleet::WantedWeights;
 use crate::time::ClockTime;
-use crate::weights::PlanHost;
+use crate::weights::PeerHost;
 
 /// How long before the bound the last engine begins to change: entry hosts stop sending to older
 /// versions about then.
@@ -25,10 +25,10 @@
 impl LoadRank {
     /// The place of the host called `me`, in `data_centre`, among `others`. Data centres take turns,
     /// so that each loses the same part of its engines at a time.
-    pub(super) fn new(me: &str, data_centre: &str, others: &[PlanHost]) -> Self {
-        let lines = others.iter().map(|host| &host.line);
+    pub(super) fn new(me: &str, data_centre: &str, others: &[PeerHost]) -> Self {
+        let lines = others.iter().map(|host| &host.location);
         let mut hosts: Vec<(&str, &str)> = lines
-            .map(|line| (&*line.data_centre, &*line.host))
+            .map(|location| (&*location.data_centre, &*location.host))
             .filter(|(_, host)| *host != me)
             .collect();
         hosts.push((data_centre, me));
--- a/src/replication/tests/backend_host.rs
+++ b/src/replication/tests/backend_host.rs
@@ -18,7 +18,7 @@
 use crate::sync::{EntryRecord, SyncSettings, start_sync};
 use crate::test_support::free_address;
 use crate::transport::{ClientLimits, PeerClient};
-use crate::weights::HaveWord;
+use crate::weights::ChunkAnnouncement;
 
 /// Far longer than a host needs for anything here, and shorter than the nine seconds for which it
 /// waits for the end of an order.
@@ -145,7 +145,7 @@
     }
 
     /// What it tells other hosts of `version`.
-    pub(super) async fn word(&self, version: u64) -> Option<HaveWord> {
+    pub(super) async fn word(&self, version: u64) -> Option<ChunkAnnouncement> {
         let client = PeerClient::new(ClientLimits::default());
         let target = ModelVersion {
             model: "m".into(),
--- a/src/replication/tests/digest_lines.rs
+++ b/src/replication/tests/digest_lines.rs
@@ -4,15 +4,15 @@
 
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::replication::digest_line::DigestLine;
-use crate::weights::{LineHost, PlanHost};
+use crate::weights::{HostLocation, PeerHost};
 
 const CENTRES: u8 = 5;
 const HOSTS: u8 = 47;
 
-fn hosts() -> Vec<PlanHost> {
+fn hosts() -> Vec<PeerHost> {
     let places = (0..CENTRES).flat_map(|centre| (0..HOSTS).map(move |number| (centre, number)));
-    let host = |(centre, number): (u8, u8)| PlanHost {
-        line: LineHost {
+    let host = |(centre, number): (u8, u8)| PeerHost {
+        location: HostLocation {
             host: format!("10.{centre}.0.{number}").into(),
             data_centre: format!("hall-{centre}").into(),
             region: "all".into(),
@@ -36,13 +36,15 @@
     let hosts = hosts();
     let lines: Vec<DigestLine> = hosts
         .iter()
-        .map(|host| DigestLine::new(&hosts, &host.line, &target()))
+        .map(|host| DigestLine::new(&hosts, &host.location, &target()))
         .collect();
-    let read_at_once = lines.iter().filter(|line| line.choose(0.0).is_none());
-    assert_eq!(read_at_once.count(), 2);
-    let soon = lines
+    let read_at_once = lines
         .iter()
-        .filter(|line| line.choose(0.0).is_some() && line.patience() <= Duration::from_secs(1));
+        .filter(|location| location.choose(0.0).is_none());
+    assert_eq!(read_at_once.count(), 2);
+    let soon = lines.iter().filter(|location| {
+        location.choose(0.0).is_some() && location.patience() <= Duration::from_secs(1)
+    });
     let most = 2 * usize::from(CENTRES);
     assert!(soon.count() <= most, "others wait for those before them");
 }
@@ -53,8 +55,8 @@
     let hosts = hosts();
     let mut asked = vec![0_u32; hosts.len()];
     for host in &hosts {
-        let line = DigestLine::new(&hosts, &host.line, &target());
-        if let Some(address) = line.choose(0.25) {
+        let location = DigestLine::new(&hosts, &host.location, &target());
+        if let Some(address) = location.choose(0.25) {
             let at = hosts.iter().position(|host| host.address == address);
             asked[at.expect("it is one of them")] += 1;
         }
--- a/src/replication/tests/messages.rs
+++ b/src/replication/tests/messages.rs
@@ -4,7 +4,7 @@
 use crate::replication::chunk_messages::{ChunkAsk, ChunkReply};
 use crate::test_support::{run_cases, spoil_bytes};
 use crate::transport::{decode_message, encode_message};
-use crate::weights::{ChunkMap, HaveWord};
+use crate::weights::{ChunkAnnouncement, ChunkMap};
 
 const CASES: u32 = 2000;
 const CASE_BYTES: u32 = 512;
@@ -19,7 +19,7 @@
         index: Some(u32::MAX),
     };
     let reply = ChunkReply {
-        word: HaveWord {
+        word: ChunkAnnouncement {
             host: "h".into(),
             held: ChunkMap::full(96),
             claimed: ChunkMap::empty(96),
--- a/src/replication/tests/restarts.rs
+++ b/src/replication/tests/restarts.rs
@@ -7,7 +7,7 @@
 use super::backend_host::BackendHost;
 use crate::fleet::WeightsVersion;
 use crate::platform::{BirthWord, EngineCall, StagedRest};
-use crate::weights::HaveWord;
+use crate::weights::ChunkAnnouncement;
 
 /// Longer than the host needs to see that its engine is silent.
 const OUTAGE: Duration = Duration::from_millis(500);
@@ -75,7 +75,7 @@
 async fn other_hosts_are_told_at_once_that_nothing_is_held_any_more() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
-    let held = |word: Option<HaveWord>| word.map(|word| word.held.len());
+    let held = |word: Option<ChunkAnnouncement>| word.map(|word| word.held.len());
     let all = host.origin.chunks_read();
     assert_eq!(held(host.word(1).await).map(usize::try_from), Some(Ok(all)));
     host.origin.hand_out_only(all);
--- a/src/replication/version_loop.rs
+++ b/src/replication/version_loop.rs
@@ -23,7 +23,7 @@
 use crate::sync::{ControlSnapshot, SharedBook};
 use crate::time::clock_now;
 use crate::transport::PeerClient;
-use crate::weights::{LineHost, LinkPacer, PlanHost};
+use crate::weights::{HostLocation, LinkPacer, PeerHost};
 
 /// How often it is looked whether another version is wanted.
 const LOOK_PAUSE: Duration = Duration::from_millis(150);
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct HostPlace {
     pub(super) service: ByteString,
-    pub(super) me: LineHost,
+    pub(super) me: HostLocation,
     pub(super) address: SocketAddr,
     /// The port on which all hosts answer each other.
     pub(super) peer_port: u16,
@@ -57,13 +57,13 @@
 
 /// The other hosts of the service, as the fetch plan sees them. All stand in one line to the origin,
 /// in whatever region they are, so that it gives each chunk once.
-pub(super) fn plan_hosts(snapshot: &ControlSnapshot, place: &HostPlace) -> Vec<PlanHost> {
+pub(super) fn plan_hosts(snapshot: &ControlSnapshot, place: &HostPlace) -> Vec<PeerHost> {
     let backends = snapshot.fleet.backends.iter();
     let others = backends
         .filter(|facts| facts.service == place.service && facts.address.ip() != place.address.ip());
-    let mut hosts: Vec<PlanHost> = others
-        .map(|facts| PlanHost {
-            line: LineHost {
+    let mut hosts: Vec<PeerHost> = others
+        .map(|facts| PeerHost {
+            location: HostLocation {
                 host: facts.address.ip().to_string().into(),
                 data_centre: facts.data_centre.clone(),
                 region: place.me.region.clone(),
@@ -71,8 +71,8 @@
             address: SocketAddr::new(facts.address.ip(), place.peer_port),
         })
         .collect();
-    hosts.sort_by(|left, right| left.line.host.cmp(&right.line.host));
-    hosts.dedup_by(|left, right| left.line.host == right.line.host);
+    hosts.sort_by(|left, right| left.location.host.cmp(&right.location.host));
+    hosts.dedup_by(|left, right| left.location.host == right.location.host);
     hosts
 }
 
@@ -164,10 +164,10 @@
         snapshot: &ControlSnapshot,
         target: &ModelVersion,
     ) -> SwitchResult<ChunkDigests> {
-        let line = DigestLine::new(&plan_hosts(snapshot, &self.place), &self.place.me, target);
-        let until = clock_now() + line.patience();
+        let location = DigestLine::new(&plan_hosts(snapshot, &self.place), &self.place.me, target);
+        let until = clock_now() + location.patience();
         while clock_now() < until {
-            let Some(host) = line.choose(rand::random()) else {
+            let Some(host) = location.choose(rand::random()) else {
                 break;
             };
             if let Some(digests) = self.ask_digests(host, target).await {
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -16,7 +16,7 @@
 use crate::test_support::{run_cases, spoil_bytes};
 use crate::time::WallTime;
 use crate::transport::{decode_message, encode_message};
-use crate::weights::{ChunkMap, HaveWord};
+use crate::weights::{ChunkAnnouncement, ChunkMap};
 
 const CASES: u32 = 3000;
 const CASE_BYTES: u32 = 512;
@@ -145,7 +145,7 @@
     let book = lived_book();
     let ask = book.read(ViewBook::ask);
     let answer = book.read(|book| book.answer(&PeerAsk::default(), Duration::ZERO, START));
-    let word = HaveWord {
+    let word = ChunkAnnouncement {
         host: "h".into(),
         held: ChunkMap::full(20),
         claimed: ChunkMap::empty(20),
@@ -183,7 +183,7 @@
         desk.lock().note_report(report, START);
         assert!(desk.pick(&need(), START).is_ok(), "the other one is free");
     }
-    if let Ok(word) = decode_message::<HaveWord>(bytes) {
+    if let Ok(word) = decode_message::<ChunkAnnouncement>(bytes) {
         let _ = word.held.fits(20) && word.held.contains(19);
         let _ = (word.held.contains(u32::MAX), word.held.is_full());
     }
--- a/src/weights/activation.rs
+++ b/src/weights/activation.rs
@@ -10,9 +10,9 @@
 
 use super::digest::WeightsDigest;
 use super::rollout_book::RolloutBook;
-use super::rollout_row::{PermitAnswer, RolloutRow, RowOutcome, SeenRow};
+use super::rollout_row::{PermitAnswer, RolloutRow, RowSnapshot, RowWriteResult};
 use super::version_change::{ChangePhase, EngineReport, VersionChange};
-use super::wanted_version::WantedVersion;
+use super::wanted_version::TargetVersion;
 use crate::derives::plain;
 use crate::documents::TableAwayRule;
 use crate::errors::SwitchResult;
@@ -55,19 +55,19 @@
 }
 
 /// What the machine sees of its surroundings.
-pub(crate) struct ActivationView<'a> {
+pub(crate) struct ActivationInputs<'a> {
     /// What the document wants.
-    pub(crate) wanted: Option<&'a WantedVersion>,
+    pub(crate) target: Option<&'a TargetVersion>,
     /// Whether the whole of a version is here.
-    pub(crate) is_whole: &'a dyn Fn(WeightsDigest) -> bool,
+    pub(crate) is_complete: &'a dyn Fn(WeightsDigest) -> bool,
     /// What the gate is open for.
     pub(crate) gate: Option<&'a ServingVersion>,
     /// Whether a host is there.
     pub(crate) is_live: &'a dyn Fn(&str) -> bool,
     /// How many hosts come before this one among those that still serve another version.
-    pub(crate) place: u32,
+    pub(crate) batches_ahead: u32,
     /// Left to chance; between 0 and 1.
-    pub(crate) part: f64,
+    pub(crate) jitter: f64,
 }
 
 /// One host's activation.
@@ -122,7 +122,7 @@
     /// What to do now.
     pub(crate) fn next_step(
         &mut self,
-        view: &ActivationView<'_>,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         if self.change.is_some() {
@@ -141,78 +141,78 @@
             self.last_served = Some(serving.clone());
         }
         let is_settled = self.is_settled(&report, view);
-        let step = self.book.duty_step(view.wanted, is_settled, now);
+        let step = self.book.duty_step(view.target, is_settled, now);
         step.unwrap_or_else(|| self.version_step(&report, view, now))
     }
 
     /// Whether the engine serves and will go on serving what it does, so that a permit is of no more
     /// use.
-    fn is_settled(&self, report: &EngineReport, view: &ActivationView<'_>) -> bool {
-        let (Some(serving), Some(wanted)) = (&report.serving, view.wanted) else {
+    fn is_settled(&self, report: &EngineReport, view: &ActivationInputs<'_>) -> bool {
+        let (Some(serving), Some(target)) = (&report.serving, view.target) else {
             return false;
         };
         let failed = self.failed.as_ref();
-        let has_failed = failed.is_some_and(|(failed, _)| *failed == wanted.serving());
-        serving.digest == wanted.digest || has_failed || !(view.is_whole)(wanted.digest)
+        let has_failed = failed.is_some_and(|(failed, _)| *failed == target.serving());
+        serving.digest == target.digest || has_failed || !(view.is_complete)(target.digest)
     }
 
     fn version_step(
         &mut self,
         report: &EngineReport,
-        view: &ActivationView<'_>,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         let wait = ActivationStep::WaitUntil(now + CHECK_SPAN);
-        let Some(wanted) = view.wanted else {
+        let Some(target) = view.target else {
             return wait;
         };
         let serving = report.serving.as_ref();
-        if serving.is_some_and(|serving| serving.digest == wanted.digest) {
+        if serving.is_some_and(|serving| serving.digest == target.digest) {
             return wait;
         }
-        let target = wanted.serving();
+        let new_version = target.serving();
         let failed = self.failed.as_ref();
-        if failed.is_some_and(|(failed, until)| *failed == target && now < *until) {
+        if failed.is_some_and(|(failed, until)| *failed == new_version && now < *until) {
             return self.fall_back(report, view, now).unwrap_or(wait);
         }
-        if !(view.is_whole)(wanted.digest) {
+        if !(view.is_complete)(target.digest) {
             return wait;
         }
         if report.serving.is_some() {
-            self.swap_step(wanted, report, view, now)
+            self.swap_step(target, report, view, now)
         } else {
-            self.idle_step(wanted, view, now)
+            self.idle_step(target, view, now)
         }
     }
 
     /// A host that serves something goes out of service only under a permit.
     fn swap_step(
         &mut self,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         report: &EngineReport,
-        view: &ActivationView<'_>,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         if self.book.has_permit(now) {
-            return self.begin(wanted.serving(), true, now);
+            return self.begin(target.serving(), true, now);
         }
-        self.book.permit_step(wanted, report.fence, view, now)
+        self.book.permit_step(target, report.fence, view, now)
     }
 
     /// A host that serves nothing takes nobody out of service: it needs no permit, only the word
     /// that the version was not stopped.
     fn idle_step(
         &mut self,
-        wanted: &WantedVersion,
-        view: &ActivationView<'_>,
+        target: &TargetVersion,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
-        let goes_on = wanted.rollout.table_away == TableAwayRule::IdleHostsOnly;
+        let goes_on = target.rollout.table_away == TableAwayRule::IdleHostsOnly;
         if self.book.is_table_away() && goes_on {
-            return self.begin(wanted.serving(), false, now);
+            return self.begin(target.serving(), false, now);
         }
-        match self.book.refusal(wanted, view.part, now) {
-            Ok(None) => self.begin(wanted.serving(), false, now),
+        match self.book.refusal(target, view.jitter, now) {
+            Ok(None) => self.begin(target.serving(), false, now),
             Ok(Some(PermitAnswer::Stopped(_))) => {
                 let wait = ActivationStep::WaitUntil(now + CHECK_SPAN);
                 let Some(report) = self.report.clone() else {
@@ -229,32 +229,37 @@
     fn fall_back(
         &mut self,
         report: &EngineReport,
-        view: &ActivationView<'_>,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> Option<ActivationStep> {
-        let target = self.last_served.clone()?;
+        let new_version = self.last_served.clone()?;
         let is_wanted = view
-            .wanted
-            .is_some_and(|wanted| wanted.digest == target.digest);
-        if report.serving.is_some() || is_wanted || !(view.is_whole)(target.digest) {
+            .target
+            .is_some_and(|target| target.digest == new_version.digest);
+        if report.serving.is_some() || is_wanted || !(view.is_complete)(new_version.digest) {
             return None;
         }
-        Some(self.begin(target, false, now))
+        Some(self.begin(new_version, false, now))
     }
 
     /// The row, or why it could not be read.
-    pub(crate) fn on_row(&mut self, answer: SwitchResult<SeenRow>, part: f64, now: ClockTime) {
-        self.book.on_row(answer, part, now);
+    pub(crate) fn on_row(
+        &mut self,
+        answer: SwitchResult<RowSnapshot>,
+        jitter: f64,
+        now: ClockTime,
+    ) {
+        self.book.on_row(answer, jitter, now);
     }
 
     /// What became of [`ActivationStep::WriteRow`].
     pub(crate) fn on_written(
         &mut self,
-        answer: SwitchResult<RowOutcome>,
-        part: f64,
+        answer: SwitchResult<RowWriteResult>,
+        jitter: f64,
         now: ClockTime,
     ) {
-        self.book.on_written(answer, part, now);
+        self.book.on_written(answer, jitter, now);
     }
 }
 
@@ -263,7 +268,7 @@
 /// An engine that restarted, or that carried out an order late, serves something else than the gate
 /// lets requests in for. One would notice answers by another version than the one they are
 /// signed with. The gate therefore follows the engine's reports for as long as the process lives.
-fn gate_step(report: &EngineReport, view: &ActivationView<'_>) -> Option<ActivationStep> {
+fn gate_step(report: &EngineReport, view: &ActivationInputs<'_>) -> Option<ActivationStep> {
     match (view.gate, &report.serving) {
         (None, None) => None,
         (None, Some(serving)) => Some(ActivationStep::OpenGate(serving.clone())),
--- a/src/weights/activation_edge.rs
+++ b/src/weights/activation_edge.rs
@@ -7,13 +7,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::activation::{ActivationMachine, ActivationStep, ActivationView};
+use super::activation::{ActivationInputs, ActivationMachine, ActivationStep};
 use super::digest::WeightsDigest;
 use super::events;
-use super::rollout_row::{RolloutRow, RowOutcome, SeenRow};
+use super::rollout_row::{RolloutRow, RowSnapshot, RowWriteResult};
 use super::staged_version::VersionShelf;
-use super::wanted_version::WantedVersion;
-use super::weights_thread::WeightsEdges;
+use super::wanted_version::TargetVersion;
+use super::weights_thread::WeightsContext;
 use crate::control::{ControlSnapshot, MemberState};
 use crate::engines::LoadOrder;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -30,7 +30,7 @@
 
 /// The task that brings the engine to what the document wants.
 pub(crate) struct ActivationEdge {
-    edges: WeightsEdges,
+    edges: WeightsContext,
     shelf: VersionShelf,
     machine: ActivationMachine,
     order: Option<JoinHandle<SwitchResult<()>>>,
@@ -39,7 +39,7 @@
 
 impl ActivationEdge {
     /// The task of the process with `edges`.
-    pub(crate) fn new(edges: WeightsEdges, shelf: VersionShelf) -> Self {
+    pub(crate) fn new(edges: WeightsContext, shelf: VersionShelf) -> Self {
         let identity = edges.control.identity();
         let holder = LeaseHolder {
             host: identity.host.clone(),
@@ -58,42 +58,42 @@
     pub(crate) async fn run(mut self) {
         loop {
             self.take_order().await;
-            let wanted = WantedVersion::read(&self.edges.control);
+            let target = TargetVersion::read(&self.edges.control);
             let gate = self.edges.gate.serving();
-            self.tell_serving(wanted.as_ref(), gate.as_ref());
-            let step = self.decide(wanted.as_ref(), gate.as_ref());
-            self.carry_out(step, wanted.as_ref()).await;
+            self.tell_serving(target.as_ref(), gate.as_ref());
+            let step = self.decide(target.as_ref(), gate.as_ref());
+            self.carry_out(step, target.as_ref()).await;
         }
     }
 
     fn decide(
         &mut self,
-        wanted: Option<&WantedVersion>,
+        target: Option<&TargetVersion>,
         gate: Option<&ServingVersion>,
     ) -> ActivationStep {
         let snapshot = self.edges.control.snapshot().load();
         let is_leaving = self.edges.drain.is_draining() && !self.machine.is_changing();
         let versions = &self.shelf;
-        let view = ActivationView {
+        let view = ActivationInputs {
             // A host that leaves begins no change.
-            wanted: wanted.filter(|_| !is_leaving),
-            is_whole: &|digest: WeightsDigest| {
+            target: target.filter(|_| !is_leaving),
+            is_complete: &|digest: WeightsDigest| {
                 versions
                     .find(digest)
-                    .is_some_and(|version| version.is_whole())
+                    .is_some_and(|version| version.is_complete())
             },
             gate,
             is_live: &|host: &str| {
                 let member = snapshot.member(host);
                 member.is_some_and(|member| member.state == MemberState::Live)
             },
-            place: wanted.map_or(0, |wanted| self.place(&snapshot, wanted)),
-            part: rand::rng().random(),
+            batches_ahead: target.map_or(0, |target| self.batches_ahead(&snapshot, target)),
+            jitter: rand::rng().random(),
         };
         self.machine.next_step(&view, clock_now())
     }
 
-    async fn carry_out(&mut self, step: ActivationStep, wanted: Option<&WantedVersion>) {
+    async fn carry_out(&mut self, step: ActivationStep, target: Option<&TargetVersion>) {
         match step {
             ActivationStep::WaitUntil(until) => {
                 let wait = until.since(clock_now());
@@ -101,15 +101,15 @@
             }
             ActivationStep::ReadEngine => self.read_engine().await,
             ActivationStep::ReadRow => {
-                let answer = self.read_row(wanted).await;
-                let part = rand::rng().random();
-                self.machine.on_row(answer, part, clock_now());
+                let answer = self.read_row(target).await;
+                let jitter = rand::rng().random();
+                self.machine.on_row(answer, jitter, clock_now());
                 self.tell_stopped();
             }
             ActivationStep::WriteRow { expected, row } => {
-                let answer = self.write_row(wanted, expected, &row).await;
-                let part = rand::rng().random();
-                self.machine.on_written(answer, part, clock_now());
+                let answer = self.write_row(target, expected, &row).await;
+                let jitter = rand::rng().random();
+                self.machine.on_written(answer, jitter, clock_now());
             }
             ActivationStep::CloseGate => {
                 let all_ended = self.edges.gate.close(GATE_WAIT).await;
@@ -151,7 +151,7 @@
             return;
         };
         assert!(
-            version.is_whole(),
+            version.is_complete(),
             "an order was given for weights that are not whole"
         );
         let address = self.edges.control.identity().peer_address;
@@ -192,57 +192,57 @@
         self.machine.on_ordered(answer, clock_now());
     }
 
-    async fn read_row(&self, wanted: Option<&WantedVersion>) -> SwitchResult<SeenRow> {
-        let Some(wanted) = wanted else {
-            return Ok(SeenRow::absent());
+    async fn read_row(&self, target: Option<&TargetVersion>) -> SwitchResult<RowSnapshot> {
+        let Some(target) = target else {
+            return Ok(RowSnapshot::absent());
         };
-        let row = self.edges.table.read(&row_key(&wanted.service)).await?;
+        let row = self.edges.table.read(&row_key(&target.service)).await?;
         parse_row(row)
     }
 
     async fn write_row(
         &self,
-        wanted: Option<&WantedVersion>,
+        target: Option<&TargetVersion>,
         expected: RowRevision,
         row: &RolloutRow,
-    ) -> SwitchResult<RowOutcome> {
-        let Some(wanted) = wanted else {
-            return Ok(RowOutcome::Conflict(SeenRow::absent()));
+    ) -> SwitchResult<RowWriteResult> {
+        let Some(target) = target else {
+            return Ok(RowWriteResult::Conflict(RowSnapshot::absent()));
         };
         let text = serde_json::to_vec(row)
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
-        let key = row_key(&wanted.service);
+        let key = row_key(&target.service);
         match self.edges.table.write(&key, expected, text.into()).await? {
-            WriteResult::Written(_) => Ok(RowOutcome::Written),
-            WriteResult::Conflict(standing) => parse_row(standing).map(RowOutcome::Conflict),
+            WriteResult::Written(_) => Ok(RowWriteResult::Written),
+            WriteResult::Conflict(standing) => parse_row(standing).map(RowWriteResult::Conflict),
         }
     }
 
     /// How many hosts come before this one among those that still serve another version.
-    fn place(&self, snapshot: &ControlSnapshot, wanted: &WantedVersion) -> u32 {
+    fn batches_ahead(&self, snapshot: &ControlSnapshot, target: &TargetVersion) -> u32 {
         let me = &self.edges.control.identity().host;
         let waits = snapshot.members.iter().filter(|member| {
             let status = member.status.as_ref();
             let serving = status.and_then(|status| status.serving.as_ref());
             member.host < *me
                 && member.state == MemberState::Live
-                && member.service.as_ref() == Some(&wanted.service)
-                && serving.is_some_and(|serving| serving.digest != wanted.digest)
+                && member.service.as_ref() == Some(&target.service)
+                && serving.is_some_and(|serving| serving.digest != target.digest)
         });
         let waits = u32::try_from(waits.count()).unwrap_or(u32::MAX);
-        waits / wanted.rollout.max_out_of_service.max(1)
+        waits / target.rollout.max_out_of_service.max(1)
     }
 
     /// Says what is served. A version that only got a new name is told under the new one.
-    fn tell_serving(&self, wanted: Option<&WantedVersion>, gate: Option<&ServingVersion>) {
-        let serving = match (wanted, gate) {
-            (Some(wanted), Some(gate)) if gate.digest == wanted.digest => Some(wanted.serving()),
+    fn tell_serving(&self, target: Option<&TargetVersion>, gate: Option<&ServingVersion>) {
+        let serving = match (target, gate) {
+            (Some(target), Some(gate)) if gate.digest == target.digest => Some(target.serving()),
             (_, gate) => gate.cloned(),
         };
         // A host that is about to change says so before its gate closes.
         let serving = serving.filter(|_| !self.machine.is_swapping());
-        let is_done = match (wanted, &serving) {
-            (Some(wanted), Some(serving)) => serving.digest == wanted.digest,
+        let is_done = match (target, &serving) {
+            (Some(target), Some(serving)) => serving.digest == target.digest,
             (None, _) => true,
             _ => false,
         };
@@ -269,9 +269,9 @@
     format!("rollouts/{service}")
 }
 
-fn parse_row(row: Option<TableRow>) -> SwitchResult<SeenRow> {
+fn parse_row(row: Option<TableRow>) -> SwitchResult<RowSnapshot> {
     let Some(row) = row else {
-        return Ok(SeenRow::absent());
+        return Ok(RowSnapshot::absent());
     };
     let parsed = serde_json::from_slice(&row.value).map_err(|fault| {
         SwitchError::new(
@@ -279,7 +279,7 @@
             format!("row {}: {fault}", row.key),
         )
     })?;
-    Ok(SeenRow {
+    Ok(RowSnapshot {
         revision: row.revision,
         row: parsed,
     })
--- a/src/weights/fetch_choice.rs
+++ b/src/weights/fetch_choice.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 
-use super::fetch_plan::{FetchPlan, FetchStep, Flight, FlightSource};
+use super::fetch_plan::{ChunkSource, FetchPlan, FetchStep, Flight};
 use super::peer_table::{PeerKey, PeerPresence, PeerRecord};
 use crate::documents::SpreadObjective;
 use crate::time::ClockTime;
@@ -23,13 +23,13 @@
 
 impl FetchPlan {
     pub(super) fn plan_origin_reads(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
-        let under_way = self.count_flights(FlightSource::Origin);
+        let under_way = self.count_flights(ChunkSource::Origin);
         let mut room = self.limits.origin_reads_max.saturating_sub(under_way);
         while room > 0 && self.turns.may_read(now) {
             let Some(index) = self.choose_origin_read(now) else {
                 return;
             };
-            steps.push(self.launch(index, FlightSource::Origin, now));
+            steps.push(self.launch(index, ChunkSource::Origin, now));
             room -= 1;
         }
     }
@@ -92,18 +92,18 @@
     /// beside others that hold all. One sign of silence frees the places of all pulls from a host.
     pub(super) fn doubt_silent(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
         let late = self.late_span();
-        for flight in self.flights.clone() {
-            let FlightSource::Peer(key) = flight.source else {
+        for transfer in self.flights.clone() {
+            let ChunkSource::Peer(key) = transfer.source else {
                 continue;
             };
             let is_gone = self.is_gone(key);
             let peer = self.peers.get_mut(key);
-            let last = peer.heard_at.max(Some(flight.since)).unwrap_or(now);
+            let last = peer.heard_at.max(Some(transfer.since)).unwrap_or(now);
             // A host that holds the chunk no more started anew, and knows nothing of the pull.
-            let is_anew = last > flight.since && !peer.holds(flight.index);
+            let is_anew = last > transfer.since && !peer.holds(transfer.index);
             if is_anew || (is_gone && peer.presence == PeerPresence::Silent) {
-                self.land(flight.id);
-                steps.push(FetchStep::Cancel(flight.id, flight.source));
+                self.land(transfer.id);
+                steps.push(FetchStep::Cancel(transfer.id, transfer.source));
             } else if now.since(last) > late && peer.presence == PeerPresence::There {
                 peer.presence = PeerPresence::Doubted;
             }
@@ -112,15 +112,18 @@
 
     /// Chunks under way from hosts that are there.
     fn count_pulls(&self) -> usize {
-        let pulls = self.flights.iter().filter(|flight| self.is_sound(flight));
-        pulls.count() - self.count_flights(FlightSource::Origin)
+        let pulls = self
+            .flights
+            .iter()
+            .filter(|transfer| self.is_sound(transfer));
+        pulls.count() - self.count_flights(ChunkSource::Origin)
     }
 
-    /// Whether nothing speaks against the source of `flight`.
-    pub(super) fn is_sound(&self, flight: &Flight) -> bool {
-        match flight.source {
-            FlightSource::Peer(key) => !self.is_gone(key),
-            FlightSource::Origin => true,
+    /// Whether nothing speaks against the source of `transfer`.
+    pub(super) fn is_sound(&self, transfer: &Flight) -> bool {
+        match transfer.source {
+            ChunkSource::Peer(key) => !self.is_gone(key),
+            ChunkSource::Origin => true,
         }
     }
 
@@ -145,7 +148,7 @@
             let Some((index, key)) = choice else {
                 return;
             };
-            steps.push(self.launch(index, FlightSource::Peer(key), now));
+            steps.push(self.launch(index, ChunkSource::Peer(key), now));
         }
     }
 
@@ -182,7 +185,7 @@
     /// In the endgame, a second source for the chunk that is the latest. Bounded, so that the last
     /// chunks of many hosts do not flood the links.
     fn choose_hedge(&mut self, now: ClockTime) -> Option<(u32, PeerKey)> {
-        let is_hedge = |flight: &&Flight| self.flights_of(flight.index).count() > 1;
+        let is_hedge = |transfer: &&Flight| self.flights_of(transfer.index).count() > 1;
         if self.flights.iter().filter(is_hedge).count() >= HEDGES_MAX * FLIGHTS_PER_CHUNK {
             return None;
         }
@@ -190,14 +193,14 @@
         let mut lates: Vec<&Flight> = self
             .flights
             .iter()
-            .filter(|flight| now.since(flight.since) > late)
-            .filter(|flight| self.flights_of(flight.index).count() < FLIGHTS_PER_CHUNK)
+            .filter(|transfer| now.since(transfer.since) > late)
+            .filter(|transfer| self.flights_of(transfer.index).count() < FLIGHTS_PER_CHUNK)
             .collect();
-        lates.sort_by_key(|flight| flight.since);
-        let indexes: Vec<u32> = lates.iter().map(|flight| flight.index).collect();
+        lates.sort_by_key(|transfer| transfer.since);
+        let indexes: Vec<u32> = lates.iter().map(|transfer| transfer.index).collect();
         indexes.into_iter().find_map(|index| {
             let key = self.choose_holder(index, now)?;
-            let is_same = |flight: &Flight| flight.source == FlightSource::Peer(key);
+            let is_same = |transfer: &Flight| transfer.source == ChunkSource::Peer(key);
             (!self.flights_of(index).any(is_same)).then_some((index, key))
         })
     }
@@ -310,7 +313,7 @@
             if (is_doubted || is_due) && !peer.is_asked {
                 peer.is_asked = true;
                 peer.asked_at = Some(now);
-                steps.push(FetchStep::Ask(key));
+                steps.push(FetchStep::Query(key));
             }
         }
     }
--- a/src/weights/fetch_edge.rs
+++ b/src/weights/fetch_edge.rs
@@ -11,7 +11,7 @@
 use volo_http::request::Request;
 
 use super::link_pacer::LinkPacer;
-use super::messages::{ChunkHead, HaveWord};
+use super::messages::{ChunkAnnouncement, ChunkHead};
 use super::peer_service::WORD_BYTES_MAX;
 use super::staged_version::StagedVersion;
 use super::word_board::WordBoard;
@@ -47,7 +47,7 @@
 
 impl FetchEdge {
     /// Asks `peer` what it holds.
-    pub(crate) async fn ask(&self, peer: SocketAddr) -> SwitchResult<HaveWord> {
+    pub(crate) async fn ask(&self, peer: SocketAddr) -> SwitchResult<ChunkAnnouncement> {
         metrics::count_event("weights_asks", 1);
         let path = format!("/peer/weights/{}/have", self.version.digest());
         let word = self.board.word(&self.version);
@@ -62,7 +62,11 @@
     }
 
     /// Pulls chunk `index` from `peer`, checks it and keeps it.
-    pub(crate) async fn pull(&self, peer: SocketAddr, index: u32) -> SwitchResult<HaveWord> {
+    pub(crate) async fn pull(
+        &self,
+        peer: SocketAddr,
+        index: u32,
+    ) -> SwitchResult<ChunkAnnouncement> {
         metrics::count_event("weights_pulls", 1);
         let digest = self.version.digest();
         let body = encode_message(&self.board.word(&self.version))?;
@@ -124,7 +128,7 @@
             metrics::count_event("weights_duplicate_bytes", length);
             return Ok(());
         }
-        self.version.keep_chunk(index, bytes)
+        self.version.store_chunk(index, bytes)
     }
 }
 
--- a/src/weights/fetch_plan.rs
+++ b/src/weights/fetch_plan.rs
@@ -14,10 +14,10 @@
 use super::chunk_map::ChunkMap;
 use super::digest::WeightsDigest;
 use super::import_turns::ImportTurns;
-use super::messages::HaveWord;
+use super::messages::ChunkAnnouncement;
 use super::origin_turns::OriginTurns;
-use super::peer_table::{PeerKey, PeerPresence, PeerTable, PlanHost};
-use super::source_line::LineHost;
+use super::peer_table::{PeerHost, PeerKey, PeerPresence, PeerTable};
+use super::source_line::HostLocation;
 use crate::derives::key;
 use crate::documents::SpreadObjective;
 use crate::errors::ErrorKind;
@@ -42,9 +42,9 @@
     /// Hosts that are asked of this host's own accord.
     pub(crate) neighbours: usize,
     /// How long the first in a chunk's line has before the second looks after it.
-    pub(crate) turn_span: Duration,
+    pub(crate) takeover_delay: Duration,
     /// How long a read from the origin may take.
-    pub(crate) origin_within: Duration,
+    pub(crate) origin_read_timeout: Duration,
 }
 
 impl Default for FetchLimits {
@@ -54,19 +54,19 @@
             pulls_per_peer: 2,
             origin_reads_max: 2,
             neighbours: 12,
-            turn_span: Duration::from_secs(2),
-            origin_within: Duration::from_secs(15),
+            takeover_delay: Duration::from_secs(2),
+            origin_read_timeout: Duration::from_secs(15),
         }
     }
 }
 
 /// One chunk under way.
 #[apply(key!)]
-pub(crate) struct FlightId(u64);
+pub(crate) struct TransferId(u64);
 
 /// Where a chunk comes from.
 #[apply(key!)]
-pub(crate) enum FlightSource {
+pub(crate) enum ChunkSource {
     /// Another host.
     Peer(PeerKey),
     /// The origin.
@@ -77,25 +77,25 @@
 #[apply(key!)]
 pub(crate) enum FetchStep {
     /// Ask a host what it holds.
-    Ask(PeerKey),
+    Query(PeerKey),
     /// Bring a chunk.
     Fetch {
         /// Names it in what is told of it.
-        flight: FlightId,
+        transfer: TransferId,
         /// The chunk.
         index: u32,
         /// Where it comes from.
-        source: FlightSource,
+        source: ChunkSource,
     },
     /// Give a chunk under way up.
-    Cancel(FlightId, FlightSource),
+    Cancel(TransferId, ChunkSource),
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Flight {
-    pub(super) id: FlightId,
+    pub(super) id: TransferId,
     pub(super) index: u32,
-    pub(super) source: FlightSource,
+    pub(super) source: ChunkSource,
     pub(super) since: ClockTime,
     stalls_at: ClockTime,
 }
@@ -109,7 +109,7 @@
     /// The chunks that are pulled before rarer ones.
     pub(super) preferred: Range<u32>,
     /// The view that was set last.
-    hosts: Vec<PlanHost>,
+    hosts: Vec<PeerHost>,
     pub(super) peers: PeerTable,
     pub(super) turns: OriginTurns,
     pub(super) imports: ImportTurns,
@@ -132,7 +132,7 @@
     /// The plan of `me` for the version `digest`, of which it holds `held`. `chunk_span` is how long
     /// a chunk takes on this host's idle link; `seed` sets what is left to chance.
     pub(crate) fn new(
-        me: LineHost,
+        me: HostLocation,
         (digest, objective): (WeightsDigest, SpreadObjective),
         held: ChunkMap,
         limits: FetchLimits,
@@ -148,7 +148,7 @@
             hosts: Vec::new(),
             peers: PeerTable::new(me.clone(), chunks),
             imports: ImportTurns::new(me.clone(), digest, chunks),
-            turns: OriginTurns::new(me, (digest, objective), chunks, limits.turn_span, now),
+            turns: OriginTurns::new(me, (digest, objective), chunks, limits.takeover_delay, now),
             held,
             preferred: 0..0,
             flights: Vec::new(),
@@ -164,7 +164,7 @@
     }
 
     /// A new view of the live hosts that want the version.
-    pub(crate) fn set_hosts(&mut self, hosts: &[PlanHost]) {
+    pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
         if self.hosts == hosts {
             return;
         }
@@ -196,7 +196,7 @@
     }
 
     /// How many chunks are here or at a host that said so.
-    pub(crate) fn known_count(&self) -> u32 {
+    pub(crate) fn known_chunk_count(&self) -> u32 {
         let is_known = |index: &u32| self.held.contains(*index) || self.peers.copies(*index) > 0;
         let known = (0..self.held.count()).filter(is_known);
         u32::try_from(known.count()).unwrap_or(u32::MAX)
@@ -213,25 +213,25 @@
                 claimed.insert(index);
             }
         }
-        for flight in &self.flights {
-            if flight.source == FlightSource::Origin {
-                claimed.insert(flight.index);
+        for transfer in &self.flights {
+            if transfer.source == ChunkSource::Origin {
+                claimed.insert(transfer.index);
             }
         }
         claimed
     }
 
     /// A host said what it holds, of its own accord or asked.
-    pub(crate) fn on_word(&mut self, word: &HaveWord, now: ClockTime) {
+    pub(crate) fn on_announcement(&mut self, word: &ChunkAnnouncement, now: ClockTime) {
         if self.peers.hear(word, now) {
-            let part = self.rng.random();
-            self.turns.on_origin_seen(part, now);
+            let jitter = self.rng.random();
+            self.turns.on_origin_seen(jitter, now);
         }
     }
 
-    /// The answer to [`FetchStep::Ask`] came, or did not.
-    pub(crate) fn on_asked(&mut self, key: PeerKey, failure: Option<ErrorKind>, now: ClockTime) {
-        let part = self.rng.random();
+    /// The answer to [`FetchStep::Query`] came, or did not.
+    pub(crate) fn on_queried(&mut self, key: PeerKey, failure: Option<ErrorKind>, now: ClockTime) {
+        let jitter = self.rng.random();
         let late = self.late_span();
         let peer = self.peers.get_mut(key);
         peer.is_asked = false;
@@ -245,29 +245,29 @@
             // It has not begun with this version yet: it is there, and holds nothing.
             Some(ErrorKind::ChunkMissing) => self.peers.find_empty(key, now),
             Some(_) if is_heard => {}
-            Some(_) => self.peers.lose(key, now, part),
+            Some(_) => self.peers.lose(key, now, jitter),
         }
     }
 
     /// A chunk came and matched. Returns the other flights for it, which are of no more use.
-    pub(crate) fn on_delivered(&mut self, id: FlightId, now: ClockTime) -> Vec<FlightId> {
-        let Some(flight) = self.land(id) else {
+    pub(crate) fn on_delivered(&mut self, id: TransferId, now: ClockTime) -> Vec<TransferId> {
+        let Some(transfer) = self.land(id) else {
             return Vec::new();
         };
-        self.held.insert(flight.index);
-        match flight.source {
-            FlightSource::Peer(key) => {
+        self.held.insert(transfer.index);
+        match transfer.source {
+            ChunkSource::Peer(key) => {
                 self.peers.get_mut(key).clear_strikes();
-                let span = now.since(flight.since);
+                let span = now.since(transfer.since);
                 self.usual_span = (self.usual_span * 7 + span) / 8;
             }
-            FlightSource::Origin => self.turns.on_delivered(),
+            ChunkSource::Origin => self.turns.on_delivered(),
         }
         let twins = self
             .flights
             .iter()
-            .filter(|twin| twin.index == flight.index);
-        let twins: Vec<FlightId> = twins.map(|twin| twin.id).collect();
+            .filter(|twin| twin.index == transfer.index);
+        let twins: Vec<TransferId> = twins.map(|twin| twin.id).collect();
         for twin in &twins {
             self.land(*twin);
         }
@@ -277,30 +277,30 @@
     /// A chunk did not come, or did not match. `wait` is what the source asked for.
     pub(crate) fn on_failed(
         &mut self,
-        id: FlightId,
+        id: TransferId,
         kind: ErrorKind,
         wait: Option<Duration>,
         now: ClockTime,
     ) {
-        let Some(flight) = self.land(id) else {
+        let Some(transfer) = self.land(id) else {
             return;
         };
-        let part = self.rng.random();
-        match (flight.source, kind) {
-            (FlightSource::Origin, _) => self.turns.on_failed(kind, wait, part, now),
-            (FlightSource::Peer(key), ErrorKind::UploadBusy) => {
+        let jitter = self.rng.random();
+        match (transfer.source, kind) {
+            (ChunkSource::Origin, _) => self.turns.on_failed(kind, wait, jitter, now),
+            (ChunkSource::Peer(key), ErrorKind::UploadBusy) => {
                 let wait = wait.unwrap_or(BUSY_LEAST).max(BUSY_LEAST);
-                self.peers.get_mut(key).busy_until = now + wait.mul_f64(0.5 + part);
+                self.peers.get_mut(key).busy_until = now + wait.mul_f64(0.5 + jitter);
                 self.peers.find_there(key, now);
             }
-            (FlightSource::Peer(key), ErrorKind::ChunkMissing) => {
-                self.peers.forget_chunk(key, flight.index);
+            (ChunkSource::Peer(key), ErrorKind::ChunkMissing) => {
+                self.peers.forget_chunk(key, transfer.index);
                 self.peers.find_there(key, now);
             }
-            (FlightSource::Peer(key), _) => {
+            (ChunkSource::Peer(key), _) => {
                 // Whether it is there at all is asked next.
                 let peer = self.peers.get_mut(key);
-                peer.strike(now, part);
+                peer.strike(now, jitter);
                 if peer.presence == PeerPresence::There {
                     peer.presence = PeerPresence::Doubted;
                 }
@@ -327,30 +327,33 @@
         assert!(
             self.flights
                 .iter()
-                .all(|flight| !self.held.contains(flight.index)),
+                .all(|transfer| !self.held.contains(transfer.index)),
             "a chunk that is there was under way again"
         );
         steps
     }
 
     fn cancel_stalled(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
-        let stalled = self.flights.iter().filter(|flight| flight.stalls_at <= now);
+        let stalled = self
+            .flights
+            .iter()
+            .filter(|transfer| transfer.stalls_at <= now);
         let stalled: Vec<Flight> = stalled.copied().collect();
-        for flight in stalled {
-            self.on_failed(flight.id, ErrorKind::PeerSilent, None, now);
-            steps.push(FetchStep::Cancel(flight.id, flight.source));
+        for transfer in stalled {
+            self.on_failed(transfer.id, ErrorKind::PeerSilent, None, now);
+            steps.push(FetchStep::Cancel(transfer.id, transfer.source));
         }
     }
 
-    pub(super) fn launch(&mut self, index: u32, source: FlightSource, now: ClockTime) -> FetchStep {
-        let id = FlightId(self.next_flight);
+    pub(super) fn launch(&mut self, index: u32, source: ChunkSource, now: ClockTime) -> FetchStep {
+        let id = TransferId(self.next_flight);
         self.next_flight += 1;
         let within = match source {
-            FlightSource::Peer(key) => {
+            ChunkSource::Peer(key) => {
                 self.peers.get_mut(key).pulls += 1;
                 (self.usual_span * STALL_SPANS).max(STALL_LEAST)
             }
-            FlightSource::Origin => self.limits.origin_within,
+            ChunkSource::Origin => self.limits.origin_read_timeout,
         };
         self.flights.push(Flight {
             id,
@@ -360,48 +363,49 @@
             stalls_at: now + within,
         });
         FetchStep::Fetch {
-            flight: id,
+            transfer: id,
             index,
             source,
         }
     }
 
-    pub(super) fn land(&mut self, id: FlightId) -> Option<Flight> {
-        let at = self.flights.iter().position(|flight| flight.id == id)?;
-        let flight = self.flights.swap_remove(at);
-        if let FlightSource::Peer(key) = flight.source {
+    pub(super) fn land(&mut self, id: TransferId) -> Option<Flight> {
+        let at = self.flights.iter().position(|transfer| transfer.id == id)?;
+        let transfer = self.flights.swap_remove(at);
+        if let ChunkSource::Peer(key) = transfer.source {
             self.peers.get_mut(key).pulls -= 1;
         }
-        Some(flight)
+        Some(transfer)
     }
 
     pub(super) fn flights_of(&self, index: u32) -> impl Iterator<Item = &Flight> {
         self.flights
             .iter()
-            .filter(move |flight| flight.index == index)
+            .filter(move |transfer| transfer.index == index)
     }
 
     /// Whether chunk `index` is under way from a source that is there.
     pub(super) fn is_flying(&self, index: u32) -> bool {
-        self.flights_of(index).any(|flight| self.is_sound(flight))
+        self.flights_of(index)
+            .any(|transfer| self.is_sound(transfer))
     }
 
     /// How many hosts that are there have let a chunk wait for longer than `span` at `now`.
-    pub(crate) fn late_sources(&self, span: Duration, now: ClockTime) -> usize {
-        let late = self.flights.iter().filter(|flight| {
-            let is_peer = flight.source != FlightSource::Origin;
-            is_peer && now.since(flight.since) > span && self.is_sound(flight)
+    pub(crate) fn late_source_count(&self, span: Duration, now: ClockTime) -> usize {
+        let late = self.flights.iter().filter(|transfer| {
+            let is_peer = transfer.source != ChunkSource::Origin;
+            is_peer && now.since(transfer.since) > span && self.is_sound(transfer)
         });
-        let mut sources: Vec<FlightSource> = late.map(|flight| flight.source).collect();
+        let mut sources: Vec<ChunkSource> = late.map(|transfer| transfer.source).collect();
         sources.sort_unstable();
         sources.dedup();
         sources.len()
     }
 
-    pub(super) fn count_flights(&self, source: FlightSource) -> usize {
+    pub(super) fn count_flights(&self, source: ChunkSource) -> usize {
         self.flights
             .iter()
-            .filter(|flight| flight.source == source)
+            .filter(|transfer| transfer.source == source)
             .count()
     }
 }
--- a/src/weights/fetch_run.rs
+++ b/src/weights/fetch_run.rs
@@ -5,9 +5,9 @@
 
 use super::events;
 use super::fetch_edge::FetchEdge;
-use super::fetch_plan::{FetchPlan, FetchStep, FlightId, FlightSource};
+use super::fetch_plan::{ChunkSource, FetchPlan, FetchStep, TransferId};
 use super::manifest_doubt::ManifestDoubt;
-use super::messages::HaveWord;
+use super::messages::ChunkAnnouncement;
 use super::peer_table::PeerKey;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
@@ -16,9 +16,9 @@
 
 /// What happened to a step of the plan.
 pub(super) enum FetchNews {
-    Asked(PeerKey, SwitchResult<HaveWord>),
-    Pulled(FlightId, u32, SwitchResult<HaveWord>),
-    Read(FlightId, u32, SwitchResult<()>),
+    Asked(PeerKey, SwitchResult<ChunkAnnouncement>),
+    Pulled(TransferId, u32, SwitchResult<ChunkAnnouncement>),
+    Read(TransferId, u32, SwitchResult<()>),
 }
 
 /// The work on one version.
@@ -27,7 +27,7 @@
     pub(super) plan: FetchPlan,
     pub(super) doubt: ManifestDoubt,
     pub(super) is_manifest_doubted: bool,
-    pub(super) under_way: Vec<(FlightId, AbortHandle)>,
+    pub(super) under_way: Vec<(TransferId, AbortHandle)>,
     pub(super) news_sender: mpsc::UnboundedSender<FetchNews>,
     pub(super) news: mpsc::UnboundedReceiver<FetchNews>,
 }
@@ -46,44 +46,44 @@
         let edge = self.edge.clone();
         let news = self.news_sender.clone();
         match step {
-            FetchStep::Ask(key) => {
+            FetchStep::Query(key) => {
                 let address = self.plan.peers().get(key).host.address;
                 tokio::spawn(async move {
                     let _ = news.send(FetchNews::Asked(key, edge.ask(address).await));
                 });
             }
             FetchStep::Fetch {
-                flight,
+                transfer,
                 index,
-                source: FlightSource::Peer(key),
+                source: ChunkSource::Peer(key),
             } => {
                 let address = self.plan.peers().get(key).host.address;
                 let task = tokio::spawn(async move {
                     let pulled = edge.pull(address, index).await;
-                    let _ = news.send(FetchNews::Pulled(flight, index, pulled));
+                    let _ = news.send(FetchNews::Pulled(transfer, index, pulled));
                 });
-                self.under_way.push((flight, task.abort_handle()));
+                self.under_way.push((transfer, task.abort_handle()));
             }
             FetchStep::Fetch {
-                flight,
+                transfer,
                 index,
-                source: FlightSource::Origin,
+                source: ChunkSource::Origin,
             } => {
                 let task = tokio::spawn(async move {
                     let read = edge.read_origin(index).await;
-                    let _ = news.send(FetchNews::Read(flight, index, read));
+                    let _ = news.send(FetchNews::Read(transfer, index, read));
                 });
-                self.under_way.push((flight, task.abort_handle()));
+                self.under_way.push((transfer, task.abort_handle()));
             }
-            FetchStep::Cancel(flight, source) => {
+            FetchStep::Cancel(transfer, source) => {
                 metrics::count_retry(ErrorKind::PeerSilent);
-                if let FlightSource::Peer(key) = source {
+                if let ChunkSource::Peer(key) = source {
                     // The connection may have gone silent for good while new ones work.
                     self.edge
                         .client
                         .drop_pool(self.plan.peers().get(key).host.address);
                 }
-                self.abort(flight);
+                self.abort(transfer);
             }
         }
     }
@@ -93,31 +93,31 @@
         match news {
             FetchNews::Asked(key, answer) => {
                 if let Ok(word) = &answer {
-                    self.plan.on_word(word, now);
+                    self.plan.on_announcement(word, now);
                 }
                 let failure = answer.err().map(|error| error.kind);
-                self.plan.on_asked(key, failure, now);
+                self.plan.on_queried(key, failure, now);
             }
-            FetchNews::Pulled(flight, index, pulled) => {
+            FetchNews::Pulled(transfer, index, pulled) => {
                 if let Ok(word) = &pulled {
-                    self.plan.on_word(word, now);
+                    self.plan.on_announcement(word, now);
                 }
-                self.take_chunk(flight, index, pulled.map(|_| ()));
+                self.take_chunk(transfer, index, pulled.map(|_| ()));
             }
-            FetchNews::Read(flight, index, read) => self.take_chunk(flight, index, read),
+            FetchNews::Read(transfer, index, read) => self.take_chunk(transfer, index, read),
         }
     }
 
-    fn take_chunk(&mut self, flight: FlightId, index: u32, result: SwitchResult<()>) {
+    fn take_chunk(&mut self, transfer: TransferId, index: u32, result: SwitchResult<()>) {
         let now = clock_now();
-        self.under_way.retain(|(known, _)| *known != flight);
+        self.under_way.retain(|(known, _)| *known != transfer);
         match result {
             Ok(()) => {
                 assert!(
                     self.edge.version.chunk(index).is_some(),
                     "a chunk was reported that was not kept"
                 );
-                for twin in self.plan.on_delivered(flight, now) {
+                for twin in self.plan.on_delivered(transfer, now) {
                     self.abort(twin);
                 }
             }
@@ -128,16 +128,20 @@
                     self.is_manifest_doubted |= self.doubt.on_mismatch(index);
                 }
                 self.plan
-                    .on_failed(flight, error.kind, error.retry_after, now);
+                    .on_failed(transfer, error.kind, error.retry_after, now);
             }
         }
     }
 
-    fn abort(&mut self, flight: FlightId) {
-        for (_, task) in self.under_way.iter().filter(|(known, _)| *known == flight) {
+    fn abort(&mut self, transfer: TransferId) {
+        for (_, task) in self
+            .under_way
+            .iter()
+            .filter(|(known, _)| *known == transfer)
+        {
             task.abort();
         }
-        self.under_way.retain(|(known, _)| *known != flight);
+        self.under_way.retain(|(known, _)| *known != transfer);
     }
 }
 
--- a/src/weights/fetch_worker.rs
+++ b/src/weights/fetch_worker.rs
@@ -17,10 +17,10 @@
 use super::manifest::VersionManifest;
 use super::manifest_doubt::ManifestDoubt;
 use super::manifest_edge::find_manifest;
-use super::messages::HaveWord;
+use super::messages::ChunkAnnouncement;
 use super::staged_version::{StagedVersion, VersionShelf};
-use super::wanted_version::{WantedVersion, line_host, wanting_hosts};
-use super::weights_thread::{WeightsEdges, WeightsLimits};
+use super::wanted_version::{TargetVersion, line_host, wanting_hosts};
+use super::weights_thread::{WeightsContext, WeightsLimits};
 use super::word_board::WordBoard;
 use crate::documents::SpreadObjective;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -38,7 +38,7 @@
 /// What the worker works with.
 pub(crate) struct FetchWorker {
     /// The process's edges.
-    pub(crate) edges: WeightsEdges,
+    pub(crate) edges: WeightsContext,
     /// Settings.
     pub(crate) limits: WeightsLimits,
     /// Versions that this host holds.
@@ -48,7 +48,7 @@
     /// The host's link.
     pub(crate) pacer: LinkPacer,
     /// What others say of themselves when they ask.
-    pub(crate) heard: mpsc::Receiver<HaveWord>,
+    pub(crate) heard: mpsc::Receiver<ChunkAnnouncement>,
 }
 
 enum FetchStage {
@@ -64,7 +64,7 @@
 impl FetchWorker {
     /// Works until the process ends.
     pub(crate) async fn run(mut self) {
-        let mut wanted: Option<WantedVersion> = None;
+        let mut target: Option<TargetVersion> = None;
         let mut stage = FetchStage::Idle;
         let mut doubts = 0;
         let mut ticks = interval(TICK);
@@ -74,23 +74,23 @@
             self.wait(&mut stage, &mut ticks).await;
             tick_count = tick_count.wrapping_add(1);
             if tick_count.is_multiple_of(WATCH_TICKS) {
-                let newest = WantedVersion::read(&self.edges.control);
+                let newest = TargetVersion::read(&self.edges.control);
                 if newest.as_ref().map(|newest| newest.digest)
-                    != wanted.as_ref().map(|wanted| wanted.digest)
+                    != target.as_ref().map(|target| target.digest)
                 {
                     doubts = 0;
                     stage.end();
                     stage = self.begin(newest.as_ref(), doubts);
                 }
-                wanted = newest;
-                if let (FetchStage::Chunks(run), Some(wanted)) = (&mut stage, &wanted) {
-                    self.renew_hosts(run, wanted);
+                target = newest;
+                if let (FetchStage::Chunks(run), Some(target)) = (&mut stage, &target) {
+                    self.renew_hosts(run, target);
                 }
             }
-            let Some(wanted) = &wanted else {
+            let Some(target) = &target else {
                 continue;
             };
-            stage = self.advance(stage, wanted, &mut doubts).await;
+            stage = self.advance(stage, target, &mut doubts).await;
         }
     }
 
@@ -106,44 +106,44 @@
         tokio::select! {
             _ = ticks.tick() => {}
             Some(news) = run.news.recv() => run.take(news),
-            Some(word) = self.heard.recv() => run.plan.on_word(&word, now()),
+            Some(word) = self.heard.recv() => run.plan.on_announcement(&word, now()),
         }
         while let Ok(news) = run.news.try_recv() {
             run.take(news);
         }
     }
 
-    fn begin(&self, wanted: Option<&WantedVersion>, doubts: u32) -> FetchStage {
-        let Some(wanted) = wanted else {
+    fn begin(&self, target: Option<&TargetVersion>, doubts: u32) -> FetchStage {
+        let Some(target) = target else {
             return FetchStage::Idle;
         };
         log_event!(
             events::VERSION_WANTED,
             "{} {}",
-            wanted.spec.version,
-            wanted.digest
+            target.spec.version,
+            target.digest
         );
-        match self.shelf.find(wanted.digest) {
-            Some(version) if version.is_whole() => FetchStage::Done,
-            Some(version) => FetchStage::Chunks(Box::new(self.begin_chunks(version, wanted))),
-            None => self.begin_manifest(wanted, doubts),
+        match self.shelf.find(target.digest) {
+            Some(version) if version.is_complete() => FetchStage::Done,
+            Some(version) => FetchStage::Chunks(Box::new(self.begin_chunks(version, target))),
+            None => self.begin_manifest(target, doubts),
         }
     }
 
-    fn begin_manifest(&self, wanted: &WantedVersion, doubts: u32) -> FetchStage {
+    fn begin_manifest(&self, target: &TargetVersion, doubts: u32) -> FetchStage {
         let edges = self.edges.clone();
         let limits = self.limits;
-        let wanted = wanted.clone();
+        let target = target.clone();
         FetchStage::Manifest(tokio::spawn(async move {
-            find_manifest(&edges, limits, &wanted, doubts).await
+            find_manifest(&edges, limits, &target, doubts).await
         }))
     }
 
-    fn begin_chunks(&self, version: Arc<StagedVersion>, wanted: &WantedVersion) -> FetchRun {
+    fn begin_chunks(&self, version: Arc<StagedVersion>, target: &TargetVersion) -> FetchRun {
         let (news_sender, news) = mpsc::unbounded_channel();
         let chunk_span = self.pacer.span_of(version.manifest().chunk_size);
         let limits = FetchLimits {
-            turn_span: match wanted.spec.objective {
+            takeover_delay: match target.spec.objective {
                 SpreadObjective::Time => TURN_SPAN_TIME,
                 SpreadObjective::OriginBytes => TURN_SPAN_BYTES,
             },
@@ -151,7 +151,7 @@
         };
         let plan = FetchPlan::new(
             line_host(self.edges.control.identity()),
-            (wanted.digest, wanted.spec.objective),
+            (target.digest, target.spec.objective),
             version.held(),
             limits,
             (chunk_span, rand::rng().random()),
@@ -160,7 +160,7 @@
         let edge = FetchEdge {
             origin: Arc::clone(&self.edges.origin),
             store: self.edges.store.clone(),
-            source: wanted.spec.source.clone(),
+            source: target.spec.source.clone(),
             client: Arc::clone(&self.edges.client),
             version,
             board: self.board.clone(),
@@ -175,24 +175,24 @@
             news_sender,
             news,
         };
-        self.renew_hosts(&mut run, wanted);
+        self.renew_hosts(&mut run, target);
         run
     }
 
-    fn renew_hosts(&self, run: &mut FetchRun, wanted: &WantedVersion) {
+    fn renew_hosts(&self, run: &mut FetchRun, target: &TargetVersion) {
         let snapshot = self.edges.control.snapshot().load();
-        run.plan.set_hosts(&wanting_hosts(&snapshot, wanted.digest));
+        run.plan.set_hosts(&wanting_hosts(&snapshot, target.digest));
     }
 
     async fn advance(
         &self,
         stage: FetchStage,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         doubts: &mut u32,
     ) -> FetchStage {
         match stage {
             FetchStage::Manifest(task) if task.is_finished() => {
-                self.take_manifest(task.await.ok(), wanted, *doubts)
+                self.take_manifest(task.await.ok(), target, *doubts)
             }
             FetchStage::Chunks(mut run) => {
                 if run.is_manifest_doubted {
@@ -201,17 +201,17 @@
                     metrics::count_refusal(error.kind, "weights");
                     log_event!(events::MANIFEST_REFUSED, "{error}");
                     FetchStage::end_run(&run);
-                    return self.doubt(&run.edge.version, wanted, doubts);
+                    return self.doubt(&run.edge.version, target, doubts);
                 }
                 run.step();
-                self.tell_progress(&run, wanted);
+                self.tell_progress(&run, target);
                 if !run.plan.held().is_full() {
                     return FetchStage::Chunks(run);
                 }
                 let version = Arc::clone(&run.edge.version);
                 let sealed = Arc::clone(&version);
                 // Hashing the whole takes long: not on a thread that serves requests.
-                let task = tokio::task::spawn_blocking(move || sealed.seal());
+                let task = tokio::task::spawn_blocking(move || sealed.verify());
                 FetchStage::Sealing(version, task)
             }
             FetchStage::Sealing(version, task) if task.is_finished() => {
@@ -224,9 +224,9 @@
                         // Every chunk matched a manifest that does not belong to the digest.
                         metrics::count_refusal(error.kind, "weights");
                         log_event!(events::WHOLE_REFUSED, "{error}");
-                        self.doubt(&version, wanted, doubts)
+                        self.doubt(&version, target, doubts)
                     }
-                    Err(_) => self.begin(Some(wanted), *doubts),
+                    Err(_) => self.begin(Some(target), *doubts),
                 }
             }
             other => other,
@@ -237,18 +237,18 @@
     fn doubt(
         &self,
         version: &StagedVersion,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         doubts: &mut u32,
     ) -> FetchStage {
         self.shelf.retain(|kept| kept.digest() != version.digest());
         *doubts += 1;
-        self.begin_manifest(wanted, *doubts)
+        self.begin_manifest(target, *doubts)
     }
 
     fn take_manifest(
         &self,
         found: Option<SwitchResult<VersionManifest>>,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         doubts: u32,
     ) -> FetchStage {
         match found {
@@ -256,14 +256,14 @@
                 self.make_room(&manifest);
                 let version = Arc::new(StagedVersion::new(manifest));
                 self.shelf.put(Arc::clone(&version));
-                FetchStage::Chunks(Box::new(self.begin_chunks(version, wanted)))
+                FetchStage::Chunks(Box::new(self.begin_chunks(version, target)))
             }
             Some(Err(error)) => {
                 metrics::count_refusal(error.kind, "weights");
-                log_event!(events::MEMORY_SHORT, "{}: {error}", wanted.spec.version);
+                log_event!(events::MEMORY_SHORT, "{}: {error}", target.spec.version);
                 FetchStage::Refused
             }
-            None => self.begin_manifest(wanted, doubts),
+            None => self.begin_manifest(target, doubts),
         }
     }
 
@@ -284,9 +284,9 @@
         }
     }
 
-    fn tell_progress(&self, run: &FetchRun, wanted: &WantedVersion) {
+    fn tell_progress(&self, run: &FetchRun, target: &TargetVersion) {
         let progress = StagingProgress {
-            version: wanted.spec.version.clone(),
+            version: target.spec.version.clone(),
             chunks_done: run.plan.held().len(),
             chunks_all: run.plan.held().count(),
         };
--- a/src/weights/import_turns.rs
+++ b/src/weights/import_turns.rs
@@ -11,8 +11,8 @@
 use bytestring::ByteString;
 
 use super::digest::WeightsDigest;
-use super::peer_table::PlanHost;
-use super::source_line::{LineHost, SourceLine};
+use super::peer_table::PeerHost;
+use super::source_line::{HostLocation, SourceLine};
 use crate::documents::SpreadObjective;
 use crate::time::ClockTime;
 
@@ -29,7 +29,7 @@
 /// One host's view of its data centre's lines for one version.
 #[derive(Debug)]
 pub(crate) struct ImportTurns {
-    me: LineHost,
+    me: HostLocation,
     digest: WeightsDigest,
     line: SourceLine,
     /// This host's turn for each chunk, among the hosts that answer; 0 is the first.
@@ -40,7 +40,7 @@
 
 impl ImportTurns {
     /// The view of `me` before it knows of others: it is the first in every line.
-    pub(crate) fn new(me: LineHost, digest: WeightsDigest, chunks: u32) -> Self {
+    pub(crate) fn new(me: HostLocation, digest: WeightsDigest, chunks: u32) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
         let near = std::slice::from_ref(&me);
         Self {
@@ -53,10 +53,10 @@
     }
 
     /// A new view of the live hosts that want the version.
-    pub(crate) fn set_hosts(&mut self, hosts: &[PlanHost]) {
-        let lines = hosts.iter().map(|host| &host.line);
+    pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
+        let lines = hosts.iter().map(|host| &host.location);
         let near = lines.filter(|line| line.data_centre == self.me.data_centre);
-        let mut near: Vec<LineHost> = near.cloned().collect();
+        let mut near: Vec<HostLocation> = near.cloned().collect();
         if !near.iter().any(|line| line.host == self.me.host) {
             near.push(self.me.clone());
         }
--- a/src/weights/link_pacer.rs
+++ b/src/weights/link_pacer.rs
@@ -134,7 +134,7 @@
 
     /// How many of `most` chunks may be under way to this host: all at the full rate, fewer at less, or
     /// those that are under way would fill a narrow link for seconds.
-    pub(crate) fn chunks_under_way(&self, most: usize) -> usize {
+    pub(crate) fn concurrent_chunks(&self, most: usize) -> usize {
         let state = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         (most >> state.halvings).max(1)
     }
--- a/src/weights/live_bytes.rs
+++ b/src/weights/live_bytes.rs
@@ -18,7 +18,7 @@
 /// `routes` with every byte of their answers taken from the link before weights.
 ///
 /// Questions are a few hundred bytes and are left out; answers stream for minutes.
-pub(crate) fn ahead_of_weights(routes: Router, pacer: LinkPacer) -> Router {
+pub(crate) fn meter_live_responses(routes: Router, pacer: LinkPacer) -> Router {
     routes.layer(LiveLayer(pacer))
 }
 
@@ -52,8 +52,8 @@
     ) -> Result<Response, Infallible> {
         let (head, body) = self.inner.call(context, request).await?.into_parts();
         let pacer = self.pacer.clone();
-        let parts = body.into_data_stream().map(move |part| {
-            part.map(|bytes| {
+        let parts = body.into_data_stream().map(move |frame| {
+            frame.map(|bytes| {
                 let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
                 pacer.take_live(LinkDirection::Up, length);
                 Frame::data(bytes)
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -32,7 +32,7 @@
 }
 
 impl VersionManifest {
-    /// Reads the JSON in `text`, which must describe the weights with the digest `wanted` and fit
+    /// Reads the JSON in `text`, which must describe the weights with the digest `target` and fit
     /// into `memory_bytes`.
     ///
     /// # Errors
@@ -41,19 +41,19 @@
     /// `MemoryTooSmall` when the host cannot hold the whole.
     pub(crate) fn read(
         text: &[u8],
-        wanted: WeightsDigest,
+        target: WeightsDigest,
         memory_bytes: u64,
     ) -> SwitchResult<Self> {
         let manifest: Self =
             serde_json::from_slice(text).map_err(|fault| invalid(fault.to_string()))?;
-        manifest.check(wanted, memory_bytes)?;
+        manifest.check(target, memory_bytes)?;
         Ok(manifest)
     }
 
     /// Checks the manifest as [`VersionManifest::read`] does.
-    pub(crate) fn check(&self, wanted: WeightsDigest, memory_bytes: u64) -> SwitchResult<()> {
-        if self.digest != wanted {
-            let detail = format!("it describes {}, wanted is {wanted}", self.digest);
+    pub(crate) fn check(&self, target: WeightsDigest, memory_bytes: u64) -> SwitchResult<()> {
+        if self.digest != target {
+            let detail = format!("it describes {}, wanted is {target}", self.digest);
             return Err(invalid(detail));
         }
         if self.chunk_size == 0 || self.chunk_size > CHUNK_BYTES_MAX {
--- a/src/weights/manifest_doubt.rs
+++ b/src/weights/manifest_doubt.rs
@@ -41,10 +41,12 @@
 
 /// How long to wait before a manifest is read again after `doubts` were given up in a row: nothing
 /// after the first, which a peer may have made up; then longer and longer, since the origin itself
-/// publishes it so. `part` is left to chance.
-pub(crate) fn wait_after(doubts: u32, part: f64) -> Duration {
+/// publishes it so. `jitter` is left to chance.
+pub(crate) fn wait_after(doubts: u32, jitter: f64) -> Duration {
     match doubts {
         0 | 1 => Duration::ZERO,
-        doubts => (REST_FIRST * (1 << (doubts - 2).min(REST_DOUBLINGS))).mul_f64(0.5 + part / 2.0),
+        doubts => {
+            (REST_FIRST * (1 << (doubts - 2).min(REST_DOUBLINGS))).mul_f64(0.5 + jitter / 2.0)
+        }
     }
 }
--- a/src/weights/manifest_edge.rs
+++ b/src/weights/manifest_edge.rs
@@ -11,8 +11,8 @@
 use super::manifest::VersionManifest;
 use super::manifest_doubt::wait_after;
 use super::source_line::SourceLine;
-use super::wanted_version::{WantedVersion, line_host, wanting_hosts};
-use super::weights_thread::{WeightsEdges, WeightsLimits};
+use super::wanted_version::{TargetVersion, line_host, wanting_hosts};
+use super::weights_thread::{WeightsContext, WeightsLimits};
 use crate::errors::{ErrorKind, SwitchResult};
 use crate::events::log_event;
 use crate::metrics;
@@ -29,30 +29,30 @@
 const REST_FIRST: Duration = Duration::from_millis(200);
 const REST_DOUBLINGS: u32 = 6;
 
-/// Looks for the manifest of `wanted` until it is there. After `doubts` earlier ones turned out to
+/// Looks for the manifest of `target` until it is there. After `doubts` earlier ones turned out to
 /// lie, only the origin is asked.
 ///
 /// # Errors
 ///
 /// `MemoryTooSmall` when the version does not fit: looking on is no use.
 pub(crate) async fn find_manifest(
-    edges: &WeightsEdges,
+    edges: &WeightsContext,
     limits: WeightsLimits,
-    wanted: &WantedVersion,
+    target: &TargetVersion,
     doubts: u32,
 ) -> SwitchResult<VersionManifest> {
     let trusts_peers = doubts == 0;
-    let part = rand::rng().random();
-    sleep(wait_after(doubts, part)).await;
+    let jitter = rand::rng().random();
+    sleep(wait_after(doubts, jitter)).await;
     let begun = clock_now();
     let mut failures = 0;
     let mut rest_until = begun;
     loop {
-        let hosts = wanting_hosts(&edges.control.snapshot().load(), wanted.digest);
+        let hosts = wanting_hosts(&edges.control.snapshot().load(), target.digest);
         let now = clock_now();
-        let is_turn = now.since(begun) >= turn_wait(edges, wanted, &hosts) || !trusts_peers;
+        let is_turn = now.since(begun) >= turn_wait(edges, target, &hosts) || !trusts_peers;
         let found = if is_turn && rest_until <= now {
-            let found = read_origin(edges, limits, wanted).await;
+            let found = read_origin(edges, limits, target).await;
             if found.is_err() {
                 let span = REST_FIRST * (1 << failures.min(REST_DOUBLINGS));
                 rest_until = clock_now() + span.mul_f64(rand::rng().random());
@@ -63,7 +63,7 @@
             let own = edges.control.identity().peer_address;
             let others = hosts.iter().map(|host| host.address);
             let others: Vec<SocketAddr> = others.filter(|address| *address != own).collect();
-            ask_some(edges, limits, wanted, &others).await
+            ask_some(edges, limits, target, &others).await
         } else {
             Ok(None)
         };
@@ -76,7 +76,7 @@
                     ErrorKind::ManifestInvalid => events::MANIFEST_REFUSED,
                     _ => events::SOURCE_FAILED,
                 };
-                log_event!(event, "{}: {error}", wanted.spec.source);
+                log_event!(event, "{}: {error}", target.spec.source);
             }
             Ok(None) => {}
         }
@@ -88,13 +88,13 @@
 /// How long after the beginning this host reads from the origin: at once for the first in line,
 /// and later and later for those behind, whom the first have told by then.
 fn turn_wait(
-    edges: &WeightsEdges,
-    wanted: &WantedVersion,
-    hosts: &[super::peer_table::PlanHost],
+    edges: &WeightsContext,
+    target: &TargetVersion,
+    hosts: &[super::peer_table::PeerHost],
 ) -> Duration {
     let me = line_host(edges.control.identity());
-    let line: Vec<_> = hosts.iter().map(|host| host.line.clone()).collect();
-    let line = SourceLine::new(wanted.spec.objective, wanted.digest, &me.region, &line);
+    let line: Vec<_> = hosts.iter().map(|host| host.location.clone()).collect();
+    let line = SourceLine::new(target.spec.objective, target.digest, &me.region, &line);
     let turn = line.turn_of(&me.host, MANIFEST_INDEX).unwrap_or(0);
     if turn < FIRST_READERS {
         return Duration::ZERO;
@@ -103,32 +103,32 @@
 }
 
 async fn read_origin(
-    edges: &WeightsEdges,
+    edges: &WeightsContext,
     limits: WeightsLimits,
-    wanted: &WantedVersion,
+    target: &TargetVersion,
 ) -> SwitchResult<Option<VersionManifest>> {
     let text = match (
-        edges.origin.read_manifest(&wanted.spec.source).await,
+        edges.origin.read_manifest(&target.spec.source).await,
         &edges.store,
     ) {
         (Ok(text), _) => text,
-        (Err(_), Some(store)) => store.read_manifest(&wanted.spec.source).await?,
+        (Err(_), Some(store)) => store.read_manifest(&target.spec.source).await?,
         (Err(error), None) => return Err(error),
     };
     metrics::count_event(
         "weights_origin_bytes",
         u64::try_from(text.len()).unwrap_or(0),
     );
-    VersionManifest::read(&text, wanted.digest, limits.memory_bytes).map(Some)
+    VersionManifest::read(&text, target.digest, limits.memory_bytes).map(Some)
 }
 
 async fn ask_some(
-    edges: &WeightsEdges,
+    edges: &WeightsContext,
     limits: WeightsLimits,
-    wanted: &WantedVersion,
+    target: &TargetVersion,
     others: &[SocketAddr],
 ) -> SwitchResult<Option<VersionManifest>> {
-    let path = format!("/peer/weights/{}/manifest", wanted.digest);
+    let path = format!("/peer/weights/{}/manifest", target.digest);
     let chosen: Vec<SocketAddr> = others
         .sample(&mut rand::rng(), ASKED_AT_ONCE)
         .copied()
@@ -141,7 +141,7 @@
             .await;
         // A peer that has none yet or does not answer is nothing to tell of.
         if let Ok(manifest) = answer {
-            manifest.check(wanted.digest, limits.memory_bytes)?;
+            manifest.check(target.digest, limits.memory_bytes)?;
             return Ok(Some(manifest));
         }
     }
--- a/src/weights/messages.rs
+++ b/src/weights/messages.rs
@@ -1,9 +1,9 @@
 //! What hosts say to each other about weights. Each message about a version carries what its
 //! sender holds, so that while chunks flow no message is needed only for that.
 //!
-//! `POST /peer/weights/DIGEST/have` takes a [`HaveWord`] and answers with one.
+//! `POST /peer/weights/DIGEST/have` takes a [`ChunkAnnouncement`] and answers with one.
 //! `POST /peer/weights/DIGEST/chunk/INDEX` takes one and answers with a [`ChunkHead`] as one frame,
-//! then the chunk's bytes as they are. `POST /peer/weights/DIGEST/manifest` takes a [`HaveWord`]
+//! then the chunk's bytes as they are. `POST /peer/weights/DIGEST/manifest` takes a [`ChunkAnnouncement`]
 //! and answers with the manifest.
 
 use bytestring::ByteString;
@@ -15,7 +15,7 @@
 
 /// What a host says of a version.
 #[apply(message!)]
-pub(crate) struct HaveWord {
+pub(crate) struct ChunkAnnouncement {
     /// The host's name.
     pub(crate) host: ByteString,
     /// The chunks that it holds.
@@ -34,5 +34,5 @@
     /// Which chunk it is.
     pub(crate) index: u32,
     /// What its sender holds.
-    pub(crate) word: HaveWord,
+    pub(crate) word: ChunkAnnouncement,
 }
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -36,17 +36,19 @@
 
 pub use digest::WeightsDigest;
 
-pub(crate) use activation::{ActivationMachine, ActivationStep, ActivationView};
+pub(crate) use activation::{ActivationInputs, ActivationMachine, ActivationStep};
 pub(crate) use chunk_map::ChunkMap;
-pub(crate) use fetch_plan::{FetchLimits, FetchPlan, FetchStep, FlightId, FlightSource};
+pub(crate) use fetch_plan::{ChunkSource, FetchLimits, FetchPlan, FetchStep, TransferId};
 pub(crate) use lease_holder::LeaseHolder;
 pub(crate) use link_pacer::{LinkDirection, LinkPacer};
-pub(crate) use live_bytes::ahead_of_weights;
+pub(crate) use live_bytes::meter_live_responses;
 pub(crate) use manifest::VersionManifest;
-pub(crate) use messages::HaveWord;
-pub(crate) use peer_table::{PeerKey, PlanHost};
-pub(crate) use rollout_row::{RolloutRow, RowOutcome, SeenRow};
-pub(crate) use source_line::LineHost;
+pub(crate) use messages::ChunkAnnouncement;
+pub(crate) use peer_table::{PeerHost, PeerKey};
+pub(crate) use rollout_row::{RolloutRow, RowSnapshot, RowWriteResult};
+pub(crate) use source_line::HostLocation;
 pub(crate) use staged_version::StagedVersion;
-pub(crate) use wanted_version::WantedVersion;
-pub(crate) use weights_thread::{WeightsEdges, WeightsHandle, WeightsLimits, start_weights};
+pub(crate) use wanted_version::TargetVersion;
+pub(crate) use weights_thread::{
+    WeightsContext, WeightsHandle, WeightsLimits, start_weights_tasks,
+};
--- a/src/weights/origin_turns.rs
+++ b/src/weights/origin_turns.rs
@@ -10,8 +10,8 @@
 use bytestring::ByteString;
 
 use super::digest::WeightsDigest;
-use super::peer_table::{PeerKey, PeerPresence, PeerTable, PlanHost};
-use super::source_line::{LineHost, SourceLine};
+use super::peer_table::{PeerHost, PeerKey, PeerPresence, PeerTable};
+use super::source_line::{HostLocation, SourceLine};
 use crate::documents::SpreadObjective;
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
@@ -37,10 +37,10 @@
 /// One host's view of the lines for one version.
 #[derive(Debug)]
 pub(crate) struct OriginTurns {
-    me: LineHost,
+    me: HostLocation,
     digest: WeightsDigest,
     objective: SpreadObjective,
-    turn_span: Duration,
+    takeover_delay: Duration,
     begun: ClockTime,
     line: SourceLine,
     /// This host's turn for each chunk.
@@ -58,10 +58,10 @@
 impl OriginTurns {
     /// The view of `me` before it knows of others: it is the first in every line.
     pub(crate) fn new(
-        me: LineHost,
+        me: HostLocation,
         (digest, objective): (WeightsDigest, SpreadObjective),
         chunks: u32,
-        turn_span: Duration,
+        takeover_delay: Duration,
         now: ClockTime,
     ) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
@@ -70,7 +70,7 @@
             me,
             digest,
             objective,
-            turn_span,
+            takeover_delay,
             begun: now,
             line,
             turns: vec![0; chunks],
@@ -84,8 +84,8 @@
     }
 
     /// A new view of the live hosts that want the version.
-    pub(crate) fn set_hosts(&mut self, hosts: &[PlanHost]) {
-        let mut line: Vec<LineHost> = hosts.iter().map(|host| host.line.clone()).collect();
+    pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
+        let mut line: Vec<HostLocation> = hosts.iter().map(|host| host.location.clone()).collect();
         if !line.iter().any(|host| host.host == self.me.host) {
             line.push(self.me.clone());
         }
@@ -98,7 +98,7 @@
             if *turn != mine {
                 *turn = mine;
                 *live_turn = mine;
-                *due_at = self.begun + turn_wait(self.turn_span, mine);
+                *due_at = self.begun + turn_wait(self.takeover_delay, mine);
             }
         }
     }
@@ -113,8 +113,8 @@
         for (index, (turn, (live_turn, due_at))) in (0..).zip(self.turns.iter().zip(places)) {
             let mine = self.line.live_turn(*turn, index, silent);
             if mine < *live_turn {
-                let passed_on = now + turn_wait(self.turn_span, mine.min(PASSED_TURNS));
-                *due_at = passed_on.max(self.begun + turn_wait(self.turn_span, mine));
+                let passed_on = now + turn_wait(self.takeover_delay, mine.min(PASSED_TURNS));
+                *due_at = passed_on.max(self.begun + turn_wait(self.takeover_delay, mine));
             }
             *live_turn = mine;
         }
@@ -153,7 +153,7 @@
                 .heard_at
                 .is_some_and(|heard_at| now.since(heard_at) < FRESH_SPAN);
             if is_fresh && (peer.claims(index) || peer.holds(index)) {
-                look_again = Some(now + self.turn_span);
+                look_again = Some(now + self.takeover_delay);
                 break;
             }
             if !is_fresh && peer.presence != PeerPresence::Silent {
@@ -201,10 +201,10 @@
         self.failures_in_row = 0;
     }
 
-    /// Another host holds a chunk that nobody held before: the origin answers. `part` is random.
-    pub(crate) fn on_origin_seen(&mut self, part: f64, now: ClockTime) {
+    /// Another host holds a chunk that nobody held before: the origin answers. `jitter` is random.
+    pub(crate) fn on_origin_seen(&mut self, jitter: f64, now: ClockTime) {
         if self.is_cut_off() {
-            let soon = now + REST_FIRST.mul_f64(part.clamp(0.0, 1.0));
+            let soon = now + REST_FIRST.mul_f64(jitter.clamp(0.0, 1.0));
             self.rest_until = self.rest_until.min(soon);
         }
     }
@@ -215,7 +215,7 @@
         &mut self,
         kind: ErrorKind,
         wait: Option<Duration>,
-        part: f64,
+        jitter: f64,
         now: ClockTime,
     ) {
         let (count, doublings) = if kind == ErrorKind::OriginLimited {
@@ -226,7 +226,7 @@
         let span = REST_FIRST * (1 << (*count).min(doublings));
         *count += 1;
         let asked = wait.unwrap_or(Duration::ZERO);
-        self.rest_until = now + asked + span.mul_f64(part.clamp(0.0, 1.0));
+        self.rest_until = now + asked + span.mul_f64(jitter.clamp(0.0, 1.0));
     }
 
     fn turn(&self, index: u32) -> u32 {
--- a/src/weights/peer_service.rs
+++ b/src/weights/peer_service.rs
@@ -14,7 +14,7 @@
 use volo_http::server::route::{Router, post};
 
 use super::link_pacer::LinkPacer;
-use super::messages::{ChunkHead, HaveWord};
+use super::messages::{ChunkAnnouncement, ChunkHead};
 use super::staged_version::{StagedVersion, VersionShelf};
 use super::version_routes::read_digest;
 use super::word_board::WordBoard;
@@ -41,7 +41,7 @@
     board: WordBoard,
     pacer: LinkPacer,
     uploads: Arc<Semaphore>,
-    heard: mpsc::Sender<HaveWord>,
+    heard: mpsc::Sender<ChunkAnnouncement>,
 }
 
 impl PeerService {
@@ -51,7 +51,7 @@
         shelf: VersionShelf,
         board: WordBoard,
         pacer: LinkPacer,
-        heard: mpsc::Sender<HaveWord>,
+        heard: mpsc::Sender<ChunkAnnouncement>,
     ) -> Self {
         Self {
             shelf,
--- a/src/weights/peer_table.rs
+++ b/src/weights/peer_table.rs
@@ -7,8 +7,8 @@
 use macro_rules_attribute::apply;
 
 use super::chunk_map::ChunkMap;
-use super::messages::HaveWord;
-use super::source_line::{LineHost, hash_of, mix};
+use super::messages::ChunkAnnouncement;
+use super::source_line::{HostLocation, hash_of, mix};
 use crate::derives::{key, plain};
 use crate::time::ClockTime;
 
@@ -25,9 +25,9 @@
 
 /// A host that wants the version.
 #[apply(plain!)]
-pub(crate) struct PlanHost {
+pub(crate) struct PeerHost {
     /// Where it stands.
-    pub(crate) line: LineHost,
+    pub(crate) location: HostLocation,
     /// Where its process listens.
     pub(crate) address: SocketAddr,
 }
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerRecord {
     /// Who it is.
-    pub(crate) host: PlanHost,
+    pub(crate) host: PeerHost,
     /// Whether the newest view of the hosts has it.
     pub(crate) is_listed: bool,
     /// Whether this host asks it of its own accord.
@@ -76,7 +76,7 @@
 /// The other hosts, each in a fixed place.
 #[derive(Debug)]
 pub(crate) struct PeerTable {
-    me: LineHost,
+    me: HostLocation,
     peers: Vec<PeerRecord>,
     /// Sorted by name.
     by_name: Vec<PeerKey>,
@@ -88,7 +88,7 @@
 
 impl PeerTable {
     /// The table of `me`, without others yet, for a version of `chunks` chunks.
-    pub(crate) fn new(me: LineHost, chunks: u32) -> Self {
+    pub(crate) fn new(me: HostLocation, chunks: u32) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
         Self {
             me,
@@ -101,12 +101,12 @@
 
     /// Takes over a new view of the hosts and chooses up to `neighbours` to ask: half of them in
     /// this data centre, half beyond, the same in each round by rendezvous hashing.
-    pub(crate) fn set_hosts(&mut self, hosts: &[PlanHost], neighbours: usize) {
+    pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost], neighbours: usize) {
         for peer in &mut self.peers {
             peer.is_listed = false;
         }
         let me = self.me.host.clone();
-        for host in hosts.iter().filter(|host| host.line.host != me) {
+        for host in hosts.iter().filter(|host| host.location.host != me) {
             self.list(host);
         }
         self.choose_neighbours(neighbours);
@@ -137,7 +137,7 @@
 
     /// Whether the host at `key` stands in this host's data centre.
     pub(crate) fn is_near(&self, key: PeerKey) -> bool {
-        self.get(key).host.line.data_centre == self.me.data_centre
+        self.get(key).host.location.data_centre == self.me.data_centre
     }
 
     /// How many hosts are known to hold chunk `index`.
@@ -148,7 +148,7 @@
 
     /// Takes in what a host said of itself. Words whose maps do not fit the version are left out. Returns
     /// whether it holds a chunk that nobody was known to hold.
-    pub(crate) fn hear(&mut self, word: &HaveWord, now: ClockTime) -> bool {
+    pub(crate) fn hear(&mut self, word: &ChunkAnnouncement, now: ClockTime) -> bool {
         let chunks = u32::try_from(self.copies.len()).unwrap_or(u32::MAX);
         let Some(key) = self.find(&word.host) else {
             return false;
@@ -200,7 +200,7 @@
         let silent = self.listed();
         let silent = silent.filter(|(_, peer)| peer.presence == PeerPresence::Silent);
         silent
-            .map(|(_, peer)| peer.host.line.host.clone())
+            .map(|(_, peer)| peer.host.location.host.clone())
             .collect()
     }
 
@@ -224,19 +224,19 @@
     /// counted as holding chunks, the others of its data centre neither brought them in from another one
     /// nor read them from the origin, and waited for it. One would notice data centres without weights
     /// beside others that have them whole.
-    pub(crate) fn lose(&mut self, key: PeerKey, now: ClockTime, part: f64) {
+    pub(crate) fn lose(&mut self, key: PeerKey, now: ClockTime, jitter: f64) {
         let peer = &mut self.peers[key.at()];
         self.is_silence_changed |= peer.presence != PeerPresence::Silent;
         peer.presence = PeerPresence::Silent;
         peer.held = None;
         peer.claimed = None;
         peer.strikes = peer.strikes.min(SILENT_DOUBLINGS);
-        peer.strike(now, part);
+        peer.strike(now, jitter);
         self.count_copies();
     }
 
-    fn list(&mut self, host: &PlanHost) {
-        match self.place(&host.line.host) {
+    fn list(&mut self, host: &PeerHost) {
+        match self.place(&host.location.host) {
             Ok(at) => {
                 let peer = &mut self.peers[self.by_name[at].at()];
                 if peer.host.address != host.address {
@@ -255,7 +255,7 @@
 
     fn choose_neighbours(&mut self, neighbours: usize) {
         let me = hash_of(self.me.host.as_bytes());
-        let pair = |peer: &PeerRecord| mix(me ^ mix(hash_of(peer.host.line.host.as_bytes())));
+        let pair = |peer: &PeerRecord| mix(me ^ mix(hash_of(peer.host.location.host.as_bytes())));
         let mut order: Vec<(u64, usize)> = (0..)
             .zip(&self.peers)
             .filter(|(_, peer)| peer.is_listed)
@@ -268,7 +268,7 @@
         let (near, far): (Vec<usize>, Vec<usize>) = order
             .iter()
             .map(|(_, at)| *at)
-            .partition(|at| self.peers[*at].host.line.data_centre == self.me.data_centre);
+            .partition(|at| self.peers[*at].host.location.data_centre == self.me.data_centre);
         let near_count = near
             .len()
             .min(neighbours.saturating_sub(far.len().min(neighbours / 2)));
@@ -292,7 +292,7 @@
 
     fn place(&self, name: &str) -> Result<usize, usize> {
         self.by_name
-            .binary_search_by(|key| (*self.peers[key.at()].host.line.host).cmp(name))
+            .binary_search_by(|key| (*self.peers[key.at()].host.location.host).cmp(name))
     }
 }
 
@@ -303,7 +303,7 @@
 }
 
 impl PeerRecord {
-    const fn new(host: PlanHost) -> Self {
+    const fn new(host: PeerHost) -> Self {
         Self {
             host,
             is_listed: true,
@@ -337,10 +337,10 @@
     }
 
     /// It failed: it loses its turn for a time that doubles with each failure in a row, less a
-    /// random part (`part` is between 0 and 1).
-    pub(crate) fn strike(&mut self, now: ClockTime, part: f64) {
+    /// random part (`jitter` is between 0 and 1).
+    pub(crate) fn strike(&mut self, now: ClockTime, jitter: f64) {
         let span = REST_FIRST * (1 << self.strikes.min(STRIKES_MAX));
         self.strikes += 1;
-        self.rest_until = now + span.mul_f64(part.clamp(0.0, 1.0).midpoint(1.0));
+        self.rest_until = now + span.mul_f64(jitter.clamp(0.0, 1.0).midpoint(1.0));
     }
 }
--- a/src/weights/rollout_book.rs
+++ b/src/weights/rollout_book.rs
@@ -5,11 +5,11 @@
 
 use bytestring::ByteString;
 
-use super::activation::{ActivationStep, ActivationView};
+use super::activation::{ActivationInputs, ActivationStep};
 use super::rollout_row::{
-    HeldPermit, PermitAnswer, PermitWatch, RolloutPermit, RolloutRow, RowOutcome, SeenRow,
+    HeldPermit, PermitAnswer, PermitWatch, RolloutPermit, RolloutRow, RowSnapshot, RowWriteResult,
 };
-use super::wanted_version::WantedVersion;
+use super::wanted_version::TargetVersion;
 use crate::errors::SwitchResult;
 use crate::membership::ServingVersion;
 use crate::stores::RowRevision;
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct RolloutBook {
     holder: LeaseHolder,
-    seen: SeenRow,
+    seen: RowSnapshot,
     seen_at: Option<ClockTime>,
     is_table_away: bool,
     watch: PermitWatch,
@@ -74,7 +74,7 @@
     pub(crate) fn new(holder: LeaseHolder, now: ClockTime) -> Self {
         Self {
             holder,
-            seen: SeenRow::absent(),
+            seen: RowSnapshot::absent(),
             seen_at: None,
             is_table_away: false,
             watch: PermitWatch::default(),
@@ -111,27 +111,27 @@
         }
     }
 
-    /// This host's engine did not load `target`.
-    pub(crate) fn note_failure(&mut self, target: &ServingVersion, reason: &str) {
-        self.failure = Some((target.clone(), reason.into()));
+    /// This host's engine did not load `new_version`.
+    pub(crate) fn note_failure(&mut self, new_version: &ServingVersion, reason: &str) {
+        self.failure = Some((new_version.clone(), reason.into()));
     }
 
     /// What has to be written before anything else: a failure, and the end of a permit that is no
     /// longer needed because the engine serves again.
     pub(crate) fn duty_step(
         &mut self,
-        wanted: Option<&WantedVersion>,
+        target: Option<&TargetVersion>,
         is_settled: bool,
         now: ClockTime,
     ) -> Option<ActivationStep> {
-        let wanted = wanted?;
-        if let Some((target, reason)) = self.failure.clone() {
-            if target != wanted.serving() {
+        let target = target?;
+        if let Some((new_version, reason)) = self.failure.clone() {
+            if new_version != target.serving() {
                 self.failure = None;
                 return None;
             }
             return self.with_row(now, |book, row, revision| {
-                let next = row.with_failure(wanted, &book.holder.host, &reason);
+                let next = row.with_failure(target, &book.holder.host, &reason);
                 if next == *row {
                     book.failure = None;
                     return None;
@@ -158,21 +158,21 @@
         })
     }
 
-    /// What the row says against loading `wanted` on a host that needs no permit.
+    /// What the row says against loading `target` on a host that needs no permit.
     ///
     /// # Errors
     ///
     /// What has to come first.
     pub(crate) fn refusal(
         &mut self,
-        wanted: &WantedVersion,
-        part: f64,
+        target: &TargetVersion,
+        jitter: f64,
         now: ClockTime,
     ) -> Result<Option<PermitAnswer>, RowWant> {
         self.fresh_row(now)?;
-        let refusal = self.seen.row.refusal(wanted);
+        let refusal = self.seen.row.refusal(target);
         if refusal.is_some() {
-            self.rest(STOPPED_SPAN, part, now);
+            self.rest(STOPPED_SPAN, jitter, now);
         }
         Ok(refusal)
     }
@@ -180,9 +180,9 @@
     /// The next step towards a permit for a host whose engine has seen `engine_fence`.
     pub(crate) fn permit_step(
         &mut self,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         engine_fence: u64,
-        view: &ActivationView<'_>,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         let revision = match self.fresh_row(now) {
@@ -197,17 +197,17 @@
         let answer = self
             .seen
             .row
-            .ask(wanted, &self.holder, engine_fence, lapsed);
+            .ask(target, &self.holder, engine_fence, lapsed);
         match answer {
             PermitAnswer::Write(row, fence) => {
                 self.write(WritePurpose::Take(fence), revision, row, now)
             }
             PermitAnswer::Full => {
-                let span = (PLACE_SPAN * (view.place + 1)).min(PLACE_SPAN_MOST);
-                self.rest(span, view.part, now)
+                let span = (PLACE_SPAN * (view.batches_ahead + 1)).min(PLACE_SPAN_MOST);
+                self.rest(span, view.jitter, now)
             }
             PermitAnswer::Stopped(_) | PermitAnswer::Outdated => {
-                self.rest(STOPPED_SPAN, view.part, now)
+                self.rest(STOPPED_SPAN, view.jitter, now)
             }
         }
     }
@@ -232,11 +232,16 @@
     }
 
     /// The row, or why it could not be read.
-    pub(crate) fn on_row(&mut self, answer: SwitchResult<SeenRow>, part: f64, now: ClockTime) {
+    pub(crate) fn on_row(
+        &mut self,
+        answer: SwitchResult<RowSnapshot>,
+        jitter: f64,
+        now: ClockTime,
+    ) {
         let Ok(seen) = answer else {
             self.is_table_away = true;
             self.seen_at = None;
-            self.rest(AWAY_SPAN, part, now);
+            self.rest(AWAY_SPAN, jitter, now);
             return;
         };
         self.is_table_away = false;
@@ -249,29 +254,29 @@
     /// What became of a write: the new revision, or what stands instead, or no answer.
     pub(crate) fn on_written(
         &mut self,
-        answer: SwitchResult<RowOutcome>,
-        part: f64,
+        answer: SwitchResult<RowWriteResult>,
+        jitter: f64,
         now: ClockTime,
     ) {
         match answer {
-            Ok(RowOutcome::Written) => {
+            Ok(RowWriteResult::Written) => {
                 if let Some((purpose, sent_at)) = self.sent.take() {
                     self.settle_write(purpose, sent_at);
                 }
                 // The row is read again before the next write.
                 self.seen_at = None;
             }
-            Ok(RowOutcome::Conflict(standing)) => {
+            Ok(RowWriteResult::Conflict(standing)) => {
                 self.sent = None;
-                self.on_row(Ok(standing), part, now);
-                self.rest(CONFLICT_SPAN, part, now);
+                self.on_row(Ok(standing), jitter, now);
+                self.rest(CONFLICT_SPAN, jitter, now);
             }
             Err(_) => {
                 // It may have been written: reading the row back settles it.
                 self.may_hold_old = true;
                 self.is_table_away = true;
                 self.seen_at = None;
-                self.rest(CONFLICT_SPAN, part, now);
+                self.rest(CONFLICT_SPAN, jitter, now);
             }
         }
     }
@@ -358,8 +363,8 @@
 
     /// Rests for a random part of `span` (full jitter), so that hosts that were refused together do
     /// not come back together.
-    fn rest(&mut self, span: Duration, part: f64, now: ClockTime) -> ActivationStep {
-        self.rest_until = now + span.mul_f64(part.clamp(0.05, 1.0));
+    fn rest(&mut self, span: Duration, jitter: f64, now: ClockTime) -> ActivationStep {
+        self.rest_until = now + span.mul_f64(jitter.clamp(0.05, 1.0));
         self.seen_at = None;
         ActivationStep::WaitUntil(self.rest_until)
     }
--- a/src/weights/rollout_row.rs
+++ b/src/weights/rollout_row.rs
@@ -6,7 +6,7 @@
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::wanted_version::WantedVersion;
+use super::wanted_version::TargetVersion;
 use crate::derives::{message, plain};
 use crate::stores::RowRevision;
 use crate::time::ClockTime;
@@ -73,28 +73,28 @@
 }
 
 impl RolloutRow {
-    /// The row as it stands for `wanted`: a newer document with another version begins a new
+    /// The row as it stands for `target`: a newer document with another version begins a new
     /// rollout, in which earlier failures no longer count but permits still do.
-    pub(crate) fn adapted(&self, wanted: &WantedVersion) -> Self {
+    pub(crate) fn adapted(&self, target: &TargetVersion) -> Self {
         let mut row = self.clone();
-        if wanted.document <= row.document {
+        if target.document <= row.document {
             return row;
         }
-        row.document = wanted.document;
-        if row.version != wanted.spec.version {
-            row.version = wanted.spec.version.clone();
+        row.document = target.document;
+        if row.version != target.spec.version {
+            row.version = target.spec.version.clone();
             row.failures.clear();
             row.stopped = None;
         }
         row
     }
 
-    /// Why `wanted` must not be loaded, if so.
-    pub(crate) fn refusal(&self, wanted: &WantedVersion) -> Option<PermitAnswer> {
-        if self.document > wanted.document && self.version != wanted.spec.version {
+    /// Why `target` must not be loaded, if so.
+    pub(crate) fn refusal(&self, target: &TargetVersion) -> Option<PermitAnswer> {
+        if self.document > target.document && self.version != target.spec.version {
             return Some(PermitAnswer::Outdated);
         }
-        let row = self.adapted(wanted);
+        let row = self.adapted(target);
         row.stopped.map(PermitAnswer::Stopped)
     }
 
@@ -102,19 +102,19 @@
     /// permit whether it may be taken away.
     pub(crate) fn ask(
         &self,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         holder: &LeaseHolder,
         engine_fence: u64,
         lapsed: impl Fn(&RolloutPermit) -> bool,
     ) -> PermitAnswer {
-        if let Some(refusal) = self.refusal(wanted) {
+        if let Some(refusal) = self.refusal(target) {
             return refusal;
         }
-        let mut row = self.adapted(wanted);
+        let mut row = self.adapted(target);
         // An earlier process on this host may have held one; there is only one host to count.
         row.permits
             .retain(|permit| permit.holder.host != holder.host && !lapsed(permit));
-        let bound = usize::try_from(wanted.rollout.max_out_of_service).unwrap_or(usize::MAX);
+        let bound = usize::try_from(target.rollout.max_out_of_service).unwrap_or(usize::MAX);
         if row.permits.len() >= bound {
             return PermitAnswer::Full;
         }
@@ -150,16 +150,16 @@
         row
     }
 
-    /// The row after the engine of `host` did not load `wanted`. When as many hosts failed as the
+    /// The row after the engine of `host` did not load `target`. When as many hosts failed as the
     /// document allows, the version is stopped.
     pub(crate) fn with_failure(
         &self,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         host: &ByteString,
         reason: &str,
     ) -> Self {
-        let mut row = self.adapted(wanted);
-        if row.version != wanted.spec.version {
+        let mut row = self.adapted(target);
+        if row.version != target.spec.version {
             return row;
         }
         let known = row.failures.iter().any(|failure| failure.host == *host);
@@ -169,7 +169,7 @@
                 reason: reason.into(),
             });
         }
-        let limit = usize::try_from(wanted.rollout.stop_after_failures).unwrap_or(usize::MAX);
+        let limit = usize::try_from(target.rollout.stop_after_failures).unwrap_or(usize::MAX);
         if row.stopped.is_none() && row.failures.len() >= limit.clamp(1, FAILURES_KEPT) {
             let count = row.failures.len();
             let text = format!("{count} engines did not load it, the last on {host}: {reason}");
@@ -235,14 +235,14 @@
 
 /// A row as it was read.
 #[apply(plain!)]
-pub(crate) struct SeenRow {
+pub(crate) struct RowSnapshot {
     /// The revision to expect when writing.
     pub(crate) revision: RowRevision,
     /// The row; empty when it is absent.
     pub(crate) row: RolloutRow,
 }
 
-impl SeenRow {
+impl RowSnapshot {
     /// A row that is absent.
     pub(crate) fn absent() -> Self {
         Self {
@@ -254,9 +254,9 @@
 
 /// What became of a write that the table answered.
 #[apply(plain!)]
-pub(crate) enum RowOutcome {
+pub(crate) enum RowWriteResult {
     /// It took effect.
     Written,
     /// Another write came first; this stands.
-    Conflict(SeenRow),
+    Conflict(RowSnapshot),
 }
--- a/src/weights/source_line.rs
+++ b/src/weights/source_line.rs
@@ -20,7 +20,7 @@
 
 /// A host that wants the version, as the line sees it.
 #[apply(plain!)]
-pub(crate) struct LineHost {
+pub(crate) struct HostLocation {
     /// The host's name.
     pub(crate) host: ByteString,
     /// The data centre that it stands in.
@@ -58,14 +58,14 @@
         objective: SpreadObjective,
         digest: WeightsDigest,
         region: &str,
-        hosts: &[LineHost],
+        hosts: &[HostLocation],
     ) -> Self {
         let salt = hash_of(digest.as_bytes());
-        let is_in = |host: &&LineHost| match objective {
+        let is_in = |host: &&HostLocation| match objective {
             SpreadObjective::Time => true,
             SpreadObjective::OriginBytes => *host.region == *region,
         };
-        let members: Vec<&LineHost> = hosts.iter().filter(is_in).collect();
+        let members: Vec<&HostLocation> = hosts.iter().filter(is_in).collect();
         let centres = rank_centres(objective, salt, &members);
         let entries = members.iter().map(|host| LineEntry {
             host: host.host.clone(),
@@ -175,7 +175,7 @@
 }
 
 /// The data centres among `hosts`, the one that reads the origin first.
-fn rank_centres(objective: SpreadObjective, salt: u64, hosts: &[&LineHost]) -> Vec<ByteString> {
+fn rank_centres(objective: SpreadObjective, salt: u64, hosts: &[&HostLocation]) -> Vec<ByteString> {
     if objective == SpreadObjective::Time {
         return Vec::new();
     }
--- a/src/weights/staged_version.rs
+++ b/src/weights/staged_version.rs
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// `ChunkCorrupt` when length or digest differ.
-    pub(crate) fn keep_chunk(&self, index: u32, bytes: Bytes) -> SwitchResult<()> {
+    pub(crate) fn store_chunk(&self, index: u32, bytes: Bytes) -> SwitchResult<()> {
         let Some((place, digest)) = self.place(index) else {
             return Err(corrupt(index, "the version has no such chunk"));
         };
@@ -92,7 +92,7 @@
     ///
     /// `ChunkMissing` while one is missing, `ManifestInvalid` when all chunks match the manifest
     /// but the whole does not match its digest.
-    pub(crate) fn seal(&self) -> SwitchResult<()> {
+    pub(crate) fn verify(&self) -> SwitchResult<()> {
         let mut hasher = blake3::Hasher::new();
         for place in &self.chunks {
             let Some(bytes) = place.get() else {
@@ -111,12 +111,12 @@
     }
 
     /// Whether the whole was checked.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.sealed.get().is_some()
     }
 
     /// The whole, in order; `None` before it was checked.
-    pub(crate) fn whole(&self) -> Option<Vec<Bytes>> {
+    pub(crate) fn all_bytes(&self) -> Option<Vec<Bytes>> {
         self.sealed.get()?;
         self.chunks
             .iter()
--- a/src/weights/tests/checks.rs
+++ b/src/weights/tests/checks.rs
@@ -17,9 +17,9 @@
     }
 }
 
-fn read(manifest: &VersionManifest, wanted: WeightsDigest) -> Result<VersionManifest, ErrorKind> {
+fn read(manifest: &VersionManifest, target: WeightsDigest) -> Result<VersionManifest, ErrorKind> {
     let text = serde_json::to_vec(manifest).expect("a manifest is JSON");
-    VersionManifest::read(&text, wanted, MEMORY).map_err(|error| error.kind)
+    VersionManifest::read(&text, target, MEMORY).map_err(|error| error.kind)
 }
 
 /// Symptom: a host that fetches chunks that do not exist, or asks for memory that it does not
@@ -78,32 +78,32 @@
     let version = StagedVersion::new(manifest(data, 5));
     let wrong: [&'static [u8]; 4] = [b"some", b"some w", b"Some ", b""];
     for bytes in wrong {
-        let kept = version.keep_chunk(0, Bytes::from_static(bytes));
+        let kept = version.store_chunk(0, Bytes::from_static(bytes));
         assert_eq!(
             kept.map_err(|error| error.kind),
             Err(ErrorKind::ChunkCorrupt)
         );
         assert_eq!(version.chunk(0), None);
     }
-    let beyond = version.keep_chunk(3, Bytes::from_static(b"some "));
+    let beyond = version.store_chunk(3, Bytes::from_static(b"some "));
     assert_eq!(
         beyond.map_err(|error| error.kind),
         Err(ErrorKind::ChunkCorrupt)
     );
     for (index, chunk) in (0..).zip(data.chunks(5)) {
         assert!(
-            version.whole().is_none(),
+            version.all_bytes().is_none(),
             "a part was given away as the whole"
         );
-        let early = version.seal().map_err(|error| error.kind);
+        let early = version.verify().map_err(|error| error.kind);
         assert_eq!(early, Err(ErrorKind::ChunkMissing));
         version
-            .keep_chunk(index, Bytes::copy_from_slice(chunk))
+            .store_chunk(index, Bytes::copy_from_slice(chunk))
             .expect("it matches");
     }
-    version.seal().expect("all is there");
+    version.verify().expect("all is there");
     assert_eq!(
-        version.whole().map(|whole| whole.concat()),
+        version.all_bytes().map(|all_bytes| all_bytes.concat()),
         Some(data.to_vec())
     );
 }
@@ -121,10 +121,10 @@
     let version = StagedVersion::new(lie);
     for (index, chunk) in (0..).zip(b"wrong weights".chunks(5)) {
         version
-            .keep_chunk(index, Bytes::copy_from_slice(chunk))
+            .store_chunk(index, Bytes::copy_from_slice(chunk))
             .expect("it matches");
     }
-    let sealed = version.seal().map_err(|error| error.kind);
+    let sealed = version.verify().map_err(|error| error.kind);
     assert_eq!(sealed, Err(ErrorKind::ManifestInvalid));
-    assert!(!version.is_whole() && version.whole().is_none());
+    assert!(!version.is_complete() && version.all_bytes().is_none());
 }
--- a/src/weights/tests/dark_hosts.rs
+++ b/src/weights/tests/dark_hosts.rs
@@ -6,8 +6,8 @@
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightSource, HaveWord, LineHost, PeerKey,
-    PlanHost, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, PeerKey, WeightsDigest,
 };
 
 const START: ClockTime = ClockTime::from_millis(100_000);
@@ -18,9 +18,9 @@
 /// How long a question to a live host is open.
 const ANSWER_SPAN: Duration = Duration::from_millis(20);
 
-fn plan_host(host: &str, port: u16) -> PlanHost {
-    PlanHost {
-        line: LineHost {
+fn plan_host(host: &str, port: u16) -> PeerHost {
+    PeerHost {
+        location: HostLocation {
             host: host.into(),
             data_centre: "here".into(),
             region: "all".into(),
@@ -33,17 +33,17 @@
     let limits = FetchLimits {
         pulls_max: 6,
         neighbours,
-        turn_span: Duration::from_millis(300),
+        takeover_delay: Duration::from_millis(300),
         origin_reads_max: 1,
-        origin_within: Duration::from_millis(2500),
+        origin_read_timeout: Duration::from_millis(2500),
         ..FetchLimits::default()
     };
-    let hosts: Vec<PlanHost> = (1..)
+    let hosts: Vec<PeerHost> = (1..)
         .zip(others)
         .map(|(port, host)| plan_host(host, port))
         .collect();
     let mut plan = FetchPlan::new(
-        plan_host("me", 100).line,
+        plan_host("me", 100).location,
         (WeightsDigest::of(b"v2"), SpreadObjective::OriginBytes),
         ChunkMap::empty(CHUNKS),
         limits,
@@ -54,8 +54,8 @@
     plan
 }
 
-fn holds_all(host: &str) -> HaveWord {
-    HaveWord {
+fn holds_all(host: &str) -> ChunkAnnouncement {
+    ChunkAnnouncement {
         host: host.into(),
         held: ChunkMap::full(CHUNKS),
         claimed: ChunkMap::empty(CHUNKS),
@@ -74,7 +74,7 @@
 
 impl Watch<'_> {
     /// A look at the plan: the chunks that it asks for.
-    fn look(&mut self) -> Vec<(u32, FlightSource)> {
+    fn look(&mut self) -> Vec<(u32, ChunkSource)> {
         let now = self.now;
         let questions = std::mem::take(&mut self.questions);
         for (at, key) in questions {
@@ -82,30 +82,30 @@
                 self.questions.push((at, key));
                 continue;
             }
-            let host = self.plan.peers().get(key).host.line.host.clone();
+            let host = self.plan.peers().get(key).host.location.host.clone();
             if self.live.contains(&&*host) {
-                self.plan.on_word(&holds_all(&host), now);
-                self.plan.on_asked(key, None, now);
+                self.plan.on_announcement(&holds_all(&host), now);
+                self.plan.on_queried(key, None, now);
             } else {
-                self.plan.on_asked(key, Some(ErrorKind::PeerSilent), now);
+                self.plan.on_queried(key, Some(ErrorKind::PeerSilent), now);
             }
         }
         let mut fetches = Vec::new();
         for step in self.plan.next_steps(now) {
             match step {
-                FetchStep::Ask(key) => {
-                    let host = &*self.plan.peers().get(key).host.line.host;
+                FetchStep::Query(key) => {
+                    let host = &*self.plan.peers().get(key).host.location.host;
                     let is_live = self.live.contains(&host);
                     let span = if is_live { ANSWER_SPAN } else { ASK_WITHIN };
                     self.questions.push((now + span, key));
                 }
                 FetchStep::Fetch {
-                    flight,
+                    transfer,
                     index,
                     source,
                 } => {
-                    if source == FlightSource::Origin {
-                        self.plan.on_delivered(flight, now);
+                    if source == ChunkSource::Origin {
+                        self.plan.on_delivered(transfer, now);
                     }
                     fetches.push((index, source));
                 }
@@ -125,10 +125,10 @@
 fn pulls_from_dark_hosts_leave_their_places_to_others() {
     let mut plan = plan_among(&["dark-1", "dark-2", "dark-3", "live"], 12);
     for host in ["dark-1", "dark-2", "dark-3"] {
-        plan.on_word(&holds_all(host), START);
+        plan.on_announcement(&holds_all(host), START);
     }
     let live = plan.peers().find("live").expect("it is listed");
-    plan.on_asked(live, Some(ErrorKind::ChunkMissing), START);
+    plan.on_queried(live, Some(ErrorKind::ChunkMissing), START);
     let mut watch = Watch {
         plan,
         live: &["live"],
@@ -141,7 +141,7 @@
         if watch
             .look()
             .iter()
-            .any(|(_, source)| *source == FlightSource::Peer(live))
+            .any(|(_, source)| *source == ChunkSource::Peer(live))
         {
             return;
         }
@@ -154,7 +154,7 @@
 #[test]
 fn a_host_that_gave_a_sign_of_silence_gets_no_more_pulls() {
     let mut plan = plan_among(&["dark"], 0);
-    plan.on_word(&holds_all("dark"), START);
+    plan.on_announcement(&holds_all("dark"), START);
     let mut watch = Watch {
         plan,
         live: &[],
@@ -163,7 +163,7 @@
     };
     assert!(!watch.look().is_empty());
     while watch.now < START + Duration::from_secs(8) {
-        let dark = |(_, source): &(u32, FlightSource)| *source != FlightSource::Origin;
+        let dark = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
         assert!(!watch.look().iter().any(dark), "it is pulled from again");
     }
 }
@@ -197,7 +197,7 @@
     let late: Vec<&str> = late.iter().map(|host| &**host).collect();
     let mut plan = plan_among(&late, 12);
     for host in &late {
-        plan.on_word(&holds_all(host), START);
+        plan.on_announcement(&holds_all(host), START);
     }
     let mut watch = Watch {
         plan,
@@ -208,7 +208,7 @@
     assert_eq!(watch.look().len(), 6);
     while watch.now < START + Duration::from_millis(1400) {
         let more = watch.look();
-        let pulled = |(_, source): &(u32, FlightSource)| *source != FlightSource::Origin;
+        let pulled = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
         assert!(!more.iter().any(pulled), "{more:?} on top of six");
     }
 }
--- a/src/weights/tests/dark_hosts_driver.rs
+++ b/src/weights/tests/dark_hosts_driver.rs
@@ -9,8 +9,8 @@
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightId, FlightSource, HaveWord, LineHost,
-    PeerKey, PlanHost, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, PeerKey, TransferId, WeightsDigest,
 };
 
 const HOSTS_MAX: usize = 9;
@@ -25,7 +25,7 @@
 
 /// Another host. A dark one answers nothing, and what was under way from it never comes.
 struct Other {
-    host: PlanHost,
+    host: PeerHost,
     is_live: bool,
     /// Counts its times of being up.
     life: u32,
@@ -36,7 +36,7 @@
 
 enum News {
     Asked(PeerKey),
-    Chunk(FlightId),
+    Chunk(TransferId),
 }
 
 /// What comes from `source` (the origin if none), if it lives on until then.
@@ -59,14 +59,14 @@
     asked_at: Vec<ClockTime>,
 }
 
-fn plan_host(index: usize) -> PlanHost {
+fn plan_host(index: usize) -> PeerHost {
     let data_centre = if index.is_multiple_of(2) {
         "here"
     } else {
         "there"
     };
-    PlanHost {
-        line: LineHost {
+    PeerHost {
+        location: HostLocation {
             host: format!("host-{index}").into(),
             data_centre: data_centre.into(),
             region: "all".into(),
@@ -77,7 +77,7 @@
 
 fn new_plan(limits: FetchLimits, span: Duration, seed: u64, now: ClockTime) -> FetchPlan {
     FetchPlan::new(
-        plan_host(0).line,
+        plan_host(0).location,
         (WeightsDigest::of(b"v2"), SpreadObjective::OriginBytes),
         ChunkMap::empty(CHUNKS),
         limits,
@@ -91,9 +91,9 @@
         let now = ClockTime::from_millis(100_000);
         let limits = FetchLimits {
             pulls_max: u.int_in_range(1..=6)?,
-            turn_span: Duration::from_millis(300),
+            takeover_delay: Duration::from_millis(300),
             origin_reads_max: 1,
-            origin_within: Duration::from_millis(2500),
+            origin_read_timeout: Duration::from_millis(2500),
             ..FetchLimits::default()
         };
         let chunk_span = Duration::from_millis(u.int_in_range(5..=60)?);
@@ -121,7 +121,7 @@
 
     /// Dark hosts stay listed.
     fn show_hosts(&mut self) {
-        let hosts: Vec<PlanHost> = self.others.iter().map(|other| other.host.clone()).collect();
+        let hosts: Vec<PeerHost> = self.others.iter().map(|other| other.host.clone()).collect();
         self.plan.set_hosts(&hosts);
     }
 
@@ -148,11 +148,11 @@
     }
 
     fn find(&self, key: PeerKey) -> usize {
-        let name = &self.plan.peers().get(key).host.line.host;
+        let name = &self.plan.peers().get(key).host.location.host;
         let found = self
             .others
             .iter()
-            .position(|other| other.host.line.host == *name);
+            .position(|other| other.host.location.host == *name);
         found.expect("it is listed")
     }
 
@@ -169,27 +169,27 @@
             });
             match (arrival.news, arrival.source) {
                 (News::Asked(key), Some((index, _))) if is_there => {
-                    self.plan.on_word(&self.word_of(index), now);
-                    self.plan.on_asked(key, None, now);
+                    self.plan.on_announcement(&self.word_of(index), now);
+                    self.plan.on_queried(key, None, now);
                 }
                 (News::Asked(key), Some(_)) => {
-                    self.plan.on_asked(key, Some(ErrorKind::PeerSilent), now);
+                    self.plan.on_queried(key, Some(ErrorKind::PeerSilent), now);
                 }
-                (News::Chunk(flight), None) if !self.has_origin => {
+                (News::Chunk(transfer), None) if !self.has_origin => {
                     let kind = ErrorKind::OriginUnavailable;
-                    self.plan.on_failed(flight, kind, None, now);
+                    self.plan.on_failed(transfer, kind, None, now);
                 }
-                (News::Chunk(flight), _) if is_there => {
-                    self.plan.on_delivered(flight, now);
+                (News::Chunk(transfer), _) if is_there => {
+                    self.plan.on_delivered(transfer, now);
                 }
                 _ => {}
             }
         }
     }
 
-    fn word_of(&self, index: usize) -> HaveWord {
-        HaveWord {
-            host: self.others[index].host.line.host.clone(),
+    fn word_of(&self, index: usize) -> ChunkAnnouncement {
+        ChunkAnnouncement {
+            host: self.others[index].host.location.host.clone(),
             held: self.others[index].held.clone(),
             claimed: ChunkMap::empty(CHUNKS),
             backlog_ms: 0,
@@ -198,7 +198,7 @@
 
     fn carry_out(&mut self, step: FetchStep) {
         match step {
-            FetchStep::Ask(key) => {
+            FetchStep::Query(key) => {
                 let index = self.find(key);
                 let other = &self.others[index];
                 let span = if other.is_live {
@@ -209,23 +209,23 @@
                 self.post(span, Some(index), News::Asked(key));
             }
             FetchStep::Fetch {
-                flight,
+                transfer,
                 index,
                 source,
             } => {
                 let source = match source {
-                    FlightSource::Peer(key) => Some(self.find(key)),
-                    FlightSource::Origin => None,
+                    ChunkSource::Peer(key) => Some(self.find(key)),
+                    ChunkSource::Origin => None,
                 };
                 let is_there = source.map_or(self.has_origin, |at| self.others[at].is_live);
                 if is_there {
                     self.asked_at[at(index)] = self.now;
                 }
-                self.post(self.chunk_span, source, News::Chunk(flight));
+                self.post(self.chunk_span, source, News::Chunk(transfer));
             }
-            FetchStep::Cancel(flight, _) => self
+            FetchStep::Cancel(transfer, _) => self
                 .arrivals
-                .retain(|arrival| !matches!(arrival.news, News::Chunk(known) if known == flight)),
+                .retain(|arrival| !matches!(arrival.news, News::Chunk(known) if known == transfer)),
         }
     }
 
--- a/src/weights/tests/link.rs
+++ b/src/weights/tests/link.rs
@@ -52,7 +52,7 @@
         pacer.slow_down();
     }
     assert_eq!(pacer.span_of(24_000), full * 8);
-    assert_eq!(pacer.chunks_under_way(6), 1);
+    assert_eq!(pacer.concurrent_chunks(6), 1);
     for _ in 0..20 {
         pacer.slow_down();
     }
@@ -61,5 +61,5 @@
         pacer.speed_up();
     }
     assert_eq!(pacer.span_of(24_000), full);
-    assert_eq!(pacer.chunks_under_way(6), 6);
+    assert_eq!(pacer.concurrent_chunks(6), 6);
 }
--- a/src/weights/tests/lost_hosts.rs
+++ b/src/weights/tests/lost_hosts.rs
@@ -6,30 +6,30 @@
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightSource, HaveWord, LineHost, PeerKey,
-    PlanHost, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, PeerKey, WeightsDigest,
 };
 
 const START: ClockTime = ClockTime::from_millis(100_000);
 const CHUNKS: u32 = 4;
 
-fn line(host: &str, data_centre: &str) -> LineHost {
-    LineHost {
+fn line(host: &str, data_centre: &str) -> HostLocation {
+    HostLocation {
         host: host.into(),
         data_centre: data_centre.into(),
         region: "all".into(),
     }
 }
 
-fn plan_host(host: &str, data_centre: &str, port: u16) -> PlanHost {
-    PlanHost {
-        line: line(host, data_centre),
+fn plan_host(host: &str, data_centre: &str, port: u16) -> PeerHost {
+    PeerHost {
+        location: line(host, data_centre),
         address: ([127, 0, 0, 1], port).into(),
     }
 }
 
-fn holds_all(host: &str) -> HaveWord {
-    HaveWord {
+fn holds_all(host: &str) -> ChunkAnnouncement {
+    ChunkAnnouncement {
         host: host.into(),
         held: ChunkMap::full(CHUNKS),
         claimed: ChunkMap::empty(CHUNKS),
@@ -47,8 +47,8 @@
         START,
     );
     plan.set_hosts(&[plan_host("far", "there", 1), plan_host("near", "here", 2)]);
-    plan.on_word(&holds_all("near"), START);
-    plan.on_word(&holds_all("far"), START);
+    plan.on_announcement(&holds_all("near"), START);
+    plan.on_announcement(&holds_all("far"), START);
     plan
 }
 
@@ -57,7 +57,7 @@
     let steps = plan.next_steps(now);
     let sources = steps.iter().filter_map(|step| match step {
         FetchStep::Fetch {
-            source: FlightSource::Peer(key),
+            source: ChunkSource::Peer(key),
             ..
         } => Some(*key),
         _ => None,
@@ -79,7 +79,7 @@
     // The pulls hang, and so does the question that follows.
     let mut now = START + Duration::from_secs(2);
     let _ = pulls(&mut plan, now);
-    plan.on_asked(near, Some(ErrorKind::PeerSilent), now);
+    plan.on_queried(near, Some(ErrorKind::PeerSilent), now);
     now = now + Duration::from_secs(2);
     let second = pulls(&mut plan, now);
     assert!(
@@ -87,7 +87,7 @@
         "{second:?}: nothing is brought in from the other data centre"
     );
     // Heard again, it gives what it holds.
-    plan.on_word(&holds_all("near"), now);
+    plan.on_announcement(&holds_all("near"), now);
     assert_eq!(plan.peers().copies(0), 2);
 }
 
@@ -103,5 +103,5 @@
     let _ = plan.next_steps(START);
     // In the same look that gives the pull up, not after a rest.
     let asks = plan.next_steps(START + Duration::from_secs(2));
-    assert!(asks.contains(&FetchStep::Ask(near)), "{asks:?}");
+    assert!(asks.contains(&FetchStep::Query(near)), "{asks:?}");
 }
--- a/src/weights/tests/origin_away.rs
+++ b/src/weights/tests/origin_away.rs
@@ -6,8 +6,8 @@
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightId, FlightSource, HaveWord, LineHost,
-    PlanHost, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, TransferId, WeightsDigest,
 };
 
 const START: ClockTime = ClockTime::from_millis(100_000);
@@ -15,8 +15,8 @@
 const LOOK: Duration = Duration::from_millis(10);
 const AWAY: Duration = Duration::from_secs(6);
 
-fn line(host: &str) -> LineHost {
-    LineHost {
+fn line(host: &str) -> HostLocation {
+    HostLocation {
         host: host.into(),
         data_centre: "here".into(),
         region: "all".into(),
@@ -34,14 +34,14 @@
     )
 }
 
-fn origin_reads(plan: &mut FetchPlan, now: ClockTime) -> Vec<FlightId> {
+fn origin_reads(plan: &mut FetchPlan, now: ClockTime) -> Vec<TransferId> {
     let steps = plan.next_steps(now);
     let reads = steps.iter().filter_map(|step| match step {
         FetchStep::Fetch {
-            flight,
-            source: FlightSource::Origin,
+            transfer,
+            source: ChunkSource::Origin,
             ..
-        } => Some(*flight),
+        } => Some(*transfer),
         _ => None,
     });
     reads.collect()
@@ -51,8 +51,8 @@
 fn live_through_outage(plan: &mut FetchPlan) -> ClockTime {
     let mut now = START;
     while now < START + AWAY {
-        for flight in origin_reads(plan, now) {
-            plan.on_failed(flight, ErrorKind::OriginUnavailable, None, now);
+        for transfer in origin_reads(plan, now) {
+            plan.on_failed(transfer, ErrorKind::OriginUnavailable, None, now);
         }
         now = now + LOOK;
     }
@@ -90,20 +90,20 @@
 fn a_chunk_that_nobody_held_before_ends_the_rest_of_all() {
     for seed in 0..40 {
         let mut plan = lonely_plan(seed);
-        plan.set_hosts(&[PlanHost {
-            line: line("other"),
+        plan.set_hosts(&[PeerHost {
+            location: line("other"),
             address: ([127, 0, 0, 1], 1).into(),
         }]);
         let back = live_through_outage(&mut plan);
         let mut held = ChunkMap::empty(CHUNKS);
         held.insert(0);
-        let word = HaveWord {
+        let word = ChunkAnnouncement {
             host: "other".into(),
             held,
             claimed: ChunkMap::empty(CHUNKS),
             backlog_ms: 0,
         };
-        plan.on_word(&word, back);
+        plan.on_announcement(&word, back);
         let waited = first_read(&mut plan, back).since(back);
         assert!(waited <= Duration::from_millis(110), "{waited:?}");
     }
--- a/src/weights/tests/slow_links.rs
+++ b/src/weights/tests/slow_links.rs
@@ -5,16 +5,16 @@
 use crate::documents::SpreadObjective;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightSource, HaveWord, LineHost, PlanHost,
-    WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, WeightsDigest,
 };
 
 const START: ClockTime = ClockTime::from_millis(100_000);
 const CHUNKS: u32 = 48;
 const LATE: Duration = Duration::from_millis(700);
 
-fn line(host: &str) -> LineHost {
-    LineHost {
+fn line(host: &str) -> HostLocation {
+    HostLocation {
         host: host.into(),
         data_centre: "here".into(),
         region: "all".into(),
@@ -31,22 +31,22 @@
         (Duration::from_millis(42), 1),
         START,
     );
-    let listed: Vec<PlanHost> = (1..)
+    let listed: Vec<PeerHost> = (1..)
         .zip(hosts)
-        .map(|(port, host)| PlanHost {
-            line: line(host),
+        .map(|(port, host)| PeerHost {
+            location: line(host),
             address: ([127, 0, 0, 1], port).into(),
         })
         .collect();
     plan.set_hosts(&listed);
     for host in hosts {
-        let word = HaveWord {
+        let word = ChunkAnnouncement {
             host: (*host).into(),
             held: ChunkMap::full(CHUNKS),
             claimed: ChunkMap::empty(CHUNKS),
             backlog_ms: 0,
         };
-        plan.on_word(&word, START);
+        plan.on_announcement(&word, START);
     }
     plan
 }
@@ -56,7 +56,7 @@
     let pulls = steps.iter().filter_map(|step| match step {
         FetchStep::Fetch {
             index,
-            source: FlightSource::Peer(_),
+            source: ChunkSource::Peer(_),
             ..
         } => Some(*index),
         _ => None,
@@ -80,11 +80,11 @@
 fn chunks_under_way_from_two_hosts_tell_of_a_slow_link() {
     let mut plan = plan_beside(&["a", "b"]);
     assert!(pulled(&mut plan).len() > 2);
-    assert_eq!(plan.late_sources(LATE, START + LATE), 0);
+    assert_eq!(plan.late_source_count(LATE, START + LATE), 0);
     let later = START + LATE + Duration::from_millis(1);
-    assert_eq!(plan.late_sources(LATE, later), 2);
+    assert_eq!(plan.late_source_count(LATE, later), 2);
     // One host alone may be slow itself.
     let mut plan = plan_beside(&["a"]);
     assert!(!pulled(&mut plan).is_empty());
-    assert_eq!(plan.late_sources(LATE, later), 1);
+    assert_eq!(plan.late_source_count(LATE, later), 1);
 }
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -6,8 +6,8 @@
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightId, FlightSource, HaveWord, LineHost,
-    PeerKey, PlanHost, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, PeerKey, TransferId, WeightsDigest,
 };
 
 const START: ClockTime = ClockTime::from_millis(100_000);
@@ -31,15 +31,15 @@
 const OVER_ORIGIN: f64 = 1.25;
 
 enum News {
-    Word(PeerKey, HaveWord),
+    Word(PeerKey, ChunkAnnouncement),
     Empty(PeerKey),
-    Chunk(FlightId, Option<HaveWord>),
-    Busy(FlightId, Duration),
-    Reset(FlightId),
+    Chunk(TransferId, Option<ChunkAnnouncement>),
+    Busy(TransferId, Duration),
+    Reset(TransferId),
 }
 
 struct FleetHost {
-    host: PlanHost,
+    host: PeerHost,
     plan: FetchPlan,
     begun: ClockTime,
     uplink_until: ClockTime,
@@ -53,17 +53,17 @@
     now: ClockTime,
     hosts: Vec<FleetHost>,
     /// Reads under way at the origin, which share its link: host, flight, and what is left to send.
-    origin_reads: Vec<(usize, FlightId, Duration)>,
+    origin_reads: Vec<(usize, TransferId, Duration)>,
     origin_copies: u32,
     /// Chunks that crossed between two data centres.
     crossings: u32,
     questions: u32,
 }
 
-fn plan_host(centre: usize, number: usize) -> PlanHost {
-    let [centre, number] = [centre, number].map(|part| u8::try_from(part).expect("small"));
-    PlanHost {
-        line: LineHost {
+fn plan_host(centre: usize, number: usize) -> PeerHost {
+    let [centre, number] = [centre, number].map(|jitter| u8::try_from(jitter).expect("small"));
+    PeerHost {
+        location: HostLocation {
             host: format!("10.{centre}.0.{number}").into(),
             data_centre: format!("hall-{centre}").into(),
             region: "all".into(),
@@ -74,20 +74,20 @@
 
 impl Fleet {
     fn new(centres: usize, hosts: usize, tick: Duration) -> Self {
-        let all: Vec<PlanHost> = (0..centres)
+        let all: Vec<PeerHost> = (0..centres)
             .flat_map(|centre| (0..hosts).map(move |number| plan_host(centre, number)))
             .collect();
         let limits = FetchLimits {
             pulls_max: 6,
-            turn_span: Duration::from_millis(300),
+            takeover_delay: Duration::from_millis(300),
             origin_reads_max: 1,
-            origin_within: Duration::from_millis(2500),
+            origin_read_timeout: Duration::from_millis(2500),
             ..FetchLimits::default()
         };
         let started = (0_u32..).zip(&all).map(|(at, host)| {
             let begun = START + HEARD_WITHIN.mul_f64(f64::from(at % 7) / 7.0);
             let mut plan = FetchPlan::new(
-                host.line.clone(),
+                host.location.clone(),
                 (WeightsDigest::of(b"m/2"), SpreadObjective::OriginBytes),
                 ChunkMap::empty(CHUNKS),
                 limits,
@@ -148,23 +148,25 @@
         for (_, news) in due {
             match news {
                 News::Word(key, word) => {
-                    host.plan.on_word(&word, now);
-                    host.plan.on_asked(key, None, now);
+                    host.plan.on_announcement(&word, now);
+                    host.plan.on_queried(key, None, now);
                 }
-                News::Empty(key) => host.plan.on_asked(key, Some(ErrorKind::ChunkMissing), now),
-                News::Chunk(flight, word) => {
+                News::Empty(key) => host
+                    .plan
+                    .on_queried(key, Some(ErrorKind::ChunkMissing), now),
+                News::Chunk(transfer, word) => {
                     if let Some(word) = &word {
-                        host.plan.on_word(word, now);
+                        host.plan.on_announcement(word, now);
                     }
-                    host.plan.on_delivered(flight, now);
+                    host.plan.on_delivered(transfer, now);
                 }
-                News::Reset(flight) => {
+                News::Reset(transfer) => {
                     host.plan
-                        .on_failed(flight, ErrorKind::OriginUnavailable, None, now);
+                        .on_failed(transfer, ErrorKind::OriginUnavailable, None, now);
                 }
-                News::Busy(flight, wait) => {
+                News::Busy(transfer, wait) => {
                     host.plan
-                        .on_failed(flight, ErrorKind::UploadBusy, Some(wait), now);
+                        .on_failed(transfer, ErrorKind::UploadBusy, Some(wait), now);
                 }
             }
         }
@@ -179,10 +181,10 @@
             let sent = least.unwrap_or_default().min(left / reads);
             left = left.saturating_sub((sent * reads).max(Duration::from_micros(1)));
             let due = self.now + ANSWER_SPAN;
-            for (host, flight, rest) in &mut self.origin_reads {
+            for (host, transfer, rest) in &mut self.origin_reads {
                 *rest = rest.saturating_sub(sent);
                 if rest.is_zero() {
-                    let news = News::Chunk(*flight, None);
+                    let news = News::Chunk(*transfer, None);
                     self.hosts[*host].arrivals.push((due, news));
                     self.origin_copies += 1;
                 }
@@ -200,11 +202,11 @@
         found.expect("it is listed")
     }
 
-    fn word(&self, at: usize) -> HaveWord {
+    fn word(&self, at: usize) -> ChunkAnnouncement {
         let host = &self.hosts[at];
         let backlog = host.uplink_until.since(self.now);
-        HaveWord {
-            host: host.host.line.host.clone(),
+        ChunkAnnouncement {
+            host: host.host.location.host.clone(),
             held: host.plan.held().clone(),
             claimed: host.plan.claimed(),
             backlog_ms: u64::try_from(backlog.as_millis()).expect("small"),
@@ -214,7 +216,7 @@
     fn carry_out(&mut self, at: usize, step: FetchStep) {
         let answered = self.now + ANSWER_SPAN;
         match step {
-            FetchStep::Ask(key) => {
+            FetchStep::Query(key) => {
                 self.questions += 1;
                 let other = self.find(at, key);
                 let news = if self.hosts[other].begun <= self.now {
@@ -225,54 +227,54 @@
                 self.hosts[at].arrivals.push((answered, news));
             }
             FetchStep::Fetch {
-                flight,
-                source: FlightSource::Origin,
+                transfer,
+                source: ChunkSource::Origin,
                 ..
             } => {
                 if self.origin_reads.len() >= ORIGIN_CONNECTIONS {
                     self.hosts[at]
                         .arrivals
-                        .push((answered, News::Reset(flight)));
+                        .push((answered, News::Reset(transfer)));
                 } else {
-                    self.origin_reads.push((at, flight, ORIGIN_SPAN));
+                    self.origin_reads.push((at, transfer, ORIGIN_SPAN));
                 }
             }
             FetchStep::Fetch {
-                flight,
-                source: FlightSource::Peer(key),
+                transfer,
+                source: ChunkSource::Peer(key),
                 ..
-            } => self.pull(at, flight, key),
-            FetchStep::Cancel(flight, _) => {
+            } => self.pull(at, transfer, key),
+            FetchStep::Cancel(transfer, _) => {
                 self.origin_reads
-                    .retain(|(host, known, _)| (*host, *known) != (at, flight));
+                    .retain(|(host, known, _)| (*host, *known) != (at, transfer));
                 self.hosts[at].arrivals.retain(|(_, news)| {
-                    !matches!(news, News::Chunk(known, _) | News::Busy(known, _) if *known == flight)
+                    !matches!(news, News::Chunk(known, _) | News::Busy(known, _) if *known == transfer)
                 });
             }
         }
     }
 
-    fn pull(&mut self, at: usize, flight: FlightId, key: PeerKey) {
+    fn pull(&mut self, at: usize, transfer: TransferId, key: PeerKey) {
         let other = self.find(at, key);
         let backlog = self.hosts[other].uplink_until.since(self.now);
         if backlog > BACKLOG_MAX {
             let due = self.now + ANSWER_SPAN;
             self.hosts[at]
                 .arrivals
-                .push((due, News::Busy(flight, backlog)));
+                .push((due, News::Busy(transfer, backlog)));
             return;
         }
         let sent = self.hosts[other].uplink_until.max(self.now) + HOST_SPAN;
         self.hosts[other].uplink_until = sent;
         let word = self.word(other);
-        if self.hosts[other].host.line.data_centre != self.hosts[at].host.line.data_centre {
+        if self.hosts[other].host.location.data_centre != self.hosts[at].host.location.data_centre {
             self.crossings += 1;
         }
         let host = &mut self.hosts[at];
         let taken = sent.max(host.downlink_until + HOST_SPAN);
         host.downlink_until = taken;
         let due = taken + ANSWER_SPAN;
-        host.arrivals.push((due, News::Chunk(flight, Some(word))));
+        host.arrivals.push((due, News::Chunk(transfer, Some(word))));
     }
 
     fn slowest(&self) -> Option<Duration> {
@@ -288,10 +290,10 @@
     let mut fleet = Fleet::new(centres, hosts, tick);
     let within = HEARD_WITHIN + (ORIGIN_SPAN * CHUNKS).mul_f64(OVER_ORIGIN);
     fleet.run(within * 2);
-    let whole = fleet.hosts.iter().filter(|host| host.whole_at.is_some());
+    let all_bytes = fleet.hosts.iter().filter(|host| host.whole_at.is_some());
     let figures = format!(
         "{} of {} whole, the last after {:?}; {} origin reads, {} crossings, {} questions",
-        whole.count(),
+        all_bytes.count(),
         fleet.hosts.len(),
         fleet.slowest(),
         fleet.origin_copies,
--- a/src/weights/version_change.rs
+++ b/src/weights/version_change.rs
@@ -4,7 +4,7 @@
 
 use macro_rules_attribute::apply;
 
-use super::activation::{ActivationMachine, ActivationStep, ActivationView, CHECK_SPAN};
+use super::activation::{ActivationInputs, ActivationMachine, ActivationStep, CHECK_SPAN};
 use crate::derives::{key, plain};
 use crate::engines::EngineState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -39,7 +39,7 @@
 /// A change of version under way.
 #[apply(plain!)]
 pub(super) struct VersionChange {
-    pub(super) target: ServingVersion,
+    pub(super) new_version: ServingVersion,
     pub(super) phase: ChangePhase,
     /// Whether the host served something before.
     pub(super) is_swap: bool,
@@ -62,7 +62,7 @@
 impl ActivationMachine {
     pub(super) fn begin(
         &mut self,
-        target: ServingVersion,
+        new_version: ServingVersion,
         is_swap: bool,
         now: ClockTime,
     ) -> ActivationStep {
@@ -71,7 +71,7 @@
             "a host went out of service without a permit"
         );
         self.change = Some(VersionChange {
-            target,
+            new_version,
             phase: if is_swap {
                 ChangePhase::Announced
             } else {
@@ -91,7 +91,7 @@
 
     pub(super) fn change_step(
         &mut self,
-        view: &ActivationView<'_>,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         if let Some(step) = self.book.renew_step(now) {
@@ -126,7 +126,7 @@
     fn order_step(
         &mut self,
         change: &VersionChange,
-        view: &ActivationView<'_>,
+        view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         let is_first = change.tries == 0;
@@ -135,7 +135,7 @@
             return self.read_engine(now);
         }
         assert!(
-            (view.is_whole)(change.target.digest),
+            (view.is_complete)(change.new_version.digest),
             "an order was due for weights that are not whole"
         );
         let seen = self.report.as_ref().map_or(0, |report| report.fence);
@@ -148,7 +148,7 @@
         }
         ActivationStep::Order {
             fence,
-            serving: change.target.clone(),
+            serving: change.new_version.clone(),
         }
     }
 
@@ -210,7 +210,7 @@
         if report.as_of < change.ordered_at {
             return;
         }
-        if report.serving.as_ref() == Some(&change.target) {
+        if report.serving.as_ref() == Some(&change.new_version) {
             self.valid_from = change.ordered_at;
             self.change = None;
             return;
@@ -238,9 +238,9 @@
     }
 
     fn give_up(&mut self, change: &VersionChange, reason: &str, now: ClockTime) {
-        self.failed = Some((change.target.clone(), now + FAILED_SPAN));
+        self.failed = Some((change.new_version.clone(), now + FAILED_SPAN));
         self.valid_from = change.answered_at;
-        self.book.note_failure(&change.target, reason);
+        self.book.note_failure(&change.new_version, reason);
         self.change = None;
     }
 }
--- a/src/weights/version_routes.rs
+++ b/src/weights/version_routes.rs
@@ -15,11 +15,11 @@
 
 /// The engine's routes, under `/engine/weights/`.
 pub(crate) fn engine_routes(shelf: VersionShelf) -> Router {
-    let whole = move |PathParams(digest): PathParams<String>| {
+    let all_bytes = move |PathParams(digest): PathParams<String>| {
         let reply = whole_reply(&shelf, &digest);
         async move { reply }
     };
-    Router::new().route("/engine/weights/{digest}", get(whole))
+    Router::new().route("/engine/weights/{digest}", get(all_bytes))
 }
 
 fn whole_reply(shelf: &VersionShelf, digest: &str) -> Response {
@@ -37,8 +37,8 @@
 
 fn find_whole(shelf: &VersionShelf, digest: &str) -> SwitchResult<Vec<Bytes>> {
     let digest = read_digest(digest)?;
-    let whole = shelf.find(digest).and_then(|version| version.whole());
-    whole.ok_or_else(|| {
+    let all_bytes = shelf.find(digest).and_then(|version| version.all_bytes());
+    all_bytes.ok_or_else(|| {
         SwitchError::new(
             ErrorKind::WeightsNotReady,
             format!("{digest} is not whole here"),
--- a/src/weights/wanted_version.rs
+++ b/src/weights/wanted_version.rs
@@ -4,8 +4,8 @@
 use macro_rules_attribute::apply;
 
 use super::digest::WeightsDigest;
-use super::peer_table::PlanHost;
-use super::source_line::LineHost;
+use super::peer_table::PeerHost;
+use super::source_line::HostLocation;
 use crate::control::{ControlHandle, ControlSnapshot, MemberRecord, MemberState};
 use crate::derives::plain;
 use crate::documents::{RolloutSpec, WeightsSpec};
@@ -14,7 +14,7 @@
 
 /// The version that this host should serve.
 #[apply(plain!)]
-pub(crate) struct WantedVersion {
+pub(crate) struct TargetVersion {
     /// The service.
     pub(crate) service: ByteString,
     /// The version of the document that says so.
@@ -27,7 +27,7 @@
     pub(crate) digest: WeightsDigest,
 }
 
-impl WantedVersion {
+impl TargetVersion {
     /// What the document in force wants of the host of `control`; `None` while there is no document
     /// or it names no weights.
     pub(crate) fn read(control: &ControlHandle) -> Option<Self> {
@@ -56,8 +56,8 @@
 }
 
 /// The place of `identity` in lines.
-pub(crate) fn line_host(identity: &HostIdentity) -> LineHost {
-    LineHost {
+pub(crate) fn line_host(identity: &HostIdentity) -> HostLocation {
+    HostLocation {
         host: identity.host.clone(),
         data_centre: identity.data_centre.clone(),
         region: identity.region.clone(),
@@ -65,7 +65,7 @@
 }
 
 /// The live hosts whose service wants the weights `digest`, of any service, sorted by name.
-pub(crate) fn wanting_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PlanHost> {
+pub(crate) fn wanting_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PeerHost> {
     let digest = ByteString::from(digest.to_string());
     let wants = |member: &MemberRecord| {
         let service = member
@@ -78,8 +78,8 @@
     let members = snapshot.members.iter().filter(|member| {
         member.role == HostRole::Backend && member.state == MemberState::Live && wants(member)
     });
-    let hosts = members.map(|member| PlanHost {
-        line: LineHost {
+    let hosts = members.map(|member| PeerHost {
+        location: HostLocation {
             host: member.host.clone(),
             data_centre: member.data_centre.clone(),
             region: member.region.clone(),
--- a/src/weights/weights_thread.rs
+++ b/src/weights/weights_thread.rs
@@ -25,7 +25,7 @@
 
 /// What the weights' edge works with.
 #[derive(Clone)]
-pub(crate) struct WeightsEdges {
+pub(crate) struct WeightsContext {
     /// The origin of weights.
     pub(crate) origin: Arc<dyn WeightSource>,
     /// The platform's rate-limited weight store, where there is one.
@@ -65,7 +65,7 @@
 
 /// Starts to bring in what the documents want and to serve it to peers. Must be called inside the
 /// traffic runtime; ends with it.
-pub(crate) fn start_weights(edges: WeightsEdges, limits: WeightsLimits) -> WeightsHandle {
+pub(crate) fn start_weights_tasks(edges: WeightsContext, limits: WeightsLimits) -> WeightsHandle {
     let shelf = VersionShelf::default();
     let pacer = LinkPacer::new(limits.link_bytes_per_second);
     let board = WordBoard::new(edges.control.identity().host.clone(), pacer.clone());
--- a/src/weights/word_board.rs
+++ b/src/weights/word_board.rs
@@ -8,10 +8,10 @@
 use super::chunk_map::ChunkMap;
 use super::digest::WeightsDigest;
 use super::link_pacer::{LinkDirection, LinkPacer};
-use super::messages::HaveWord;
+use super::messages::ChunkAnnouncement;
 use super::staged_version::StagedVersion;
 
-/// Makes this host's [`HaveWord`]s. Clones share what is claimed.
+/// Makes this host's [`ChunkAnnouncement`]s. Clones share what is claimed.
 #[derive(Clone, Debug)]
 pub(crate) struct WordBoard {
     host: ByteString,
@@ -35,13 +35,13 @@
     }
 
     /// What there is to say of `version`.
-    pub(crate) fn word(&self, version: &StagedVersion) -> HaveWord {
+    pub(crate) fn word(&self, version: &StagedVersion) -> ChunkAnnouncement {
         let claimed = match &**self.claimed.load() {
             Some((digest, claimed)) if *digest == version.digest() => claimed.clone(),
             _ => ChunkMap::empty(version.manifest().chunk_count()),
         };
         let backlog = self.pacer.backlog(LinkDirection::Up);
-        HaveWord {
+        ChunkAnnouncement {
             host: self.host.clone(),
             held: version.held(),
             claimed,
