--- a/src/weights/activation.rs
+++ b/src/weights/activation.rs
@@ -9,10 +9,10 @@
 use macro_rules_attribute::apply;
 
 use super::digest::WeightsDigest;
-use super::rollout_book::RolloutBook;
-use super::rollout_row::{PermitAnswer, RolloutRow, RowSnapshot, RowWriteResult};
+use super::host_rollout_state::HostRolloutState;
+use super::rollout_row::{PermitDecision, RolloutRow, RowSnapshot, RowWriteResult};
+use super::target_version::TargetVersion;
 use super::version_change::{ChangePhase, EngineReport, VersionChange};
-use super::wanted_version::TargetVersion;
 use crate::derives::plain;
 use crate::documents::TableAwayRule;
 use crate::errors::SwitchResult;
@@ -22,8 +22,8 @@
 use crate::weights::LeaseHolder;
 
 /// How often the engine is looked at while nothing changes.
-const WATCH_SPAN: Duration = Duration::from_secs(1);
-pub(super) const CHECK_SPAN: Duration = Duration::from_millis(200);
+const ENGINE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+pub(super) const STEP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What the edge has to do next.
 #[apply(plain!)]
@@ -78,7 +78,7 @@
     pub(super) valid_from: ClockTime,
     pub(super) read_after: ClockTime,
     pub(super) change: Option<VersionChange>,
-    pub(super) book: RolloutBook,
+    pub(super) rollout: HostRolloutState,
     /// The last version that the engine served, for a way back.
     pub(super) last_served: Option<ServingVersion>,
     pub(super) failed: Option<(ServingVersion, ClockTime)>,
@@ -92,7 +92,7 @@
             valid_from: now,
             read_after: now,
             change: None,
-            book: RolloutBook::new(holder, now),
+            rollout: HostRolloutState::new(holder, now),
             last_served: None,
             failed: None,
         }
@@ -116,7 +116,7 @@
 
     /// Why the rollout does not go on, for people.
     pub(crate) fn stopped(&self) -> Option<&str> {
-        self.book.stopped()
+        self.rollout.stopped()
     }
 
     /// What to do now.
@@ -129,7 +129,7 @@
             return self.change_step(view, now);
         }
         let fresh = self.report.clone().filter(|report| {
-            report.as_of >= self.valid_from && now.since(report.read_at) < WATCH_SPAN
+            report.as_of >= self.valid_from && now.since(report.read_at) < ENGINE_CHECK_INTERVAL
         });
         let Some(report) = fresh else {
             return self.read_engine(now);
@@ -141,7 +141,9 @@
             self.last_served = Some(serving.clone());
         }
         let is_settled = self.is_settled(&report, view);
-        let step = self.book.duty_step(view.target, is_settled, now);
+        let step = self
+            .rollout
+            .pending_write_step(view.target, is_settled, now);
         step.unwrap_or_else(|| self.version_step(&report, view, now))
     }
 
@@ -162,7 +164,7 @@
         view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
-        let wait = ActivationStep::WaitUntil(now + CHECK_SPAN);
+        let wait = ActivationStep::WaitUntil(now + STEP_INTERVAL);
         let Some(target) = view.target else {
             return wait;
         };
@@ -193,10 +195,10 @@
         view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
-        if self.book.has_permit(now) {
-            return self.begin(target.serving(), true, now);
+        if self.rollout.has_permit(now) {
+            return self.begin_change(target.serving(), true, now);
         }
-        self.book.permit_step(target, report.fence, view, now)
+        self.rollout.permit_step(target, report.fence, view, now)
     }
 
     /// A host that serves nothing takes nobody out of service: it needs no permit, only the word
@@ -208,19 +210,19 @@
         now: ClockTime,
     ) -> ActivationStep {
         let goes_on = target.rollout.table_away == TableAwayRule::IdleHostsOnly;
-        if self.book.is_table_away() && goes_on {
-            return self.begin(target.serving(), false, now);
+        if self.rollout.is_table_unavailable() && goes_on {
+            return self.begin_change(target.serving(), false, now);
         }
-        match self.book.refusal(target, view.jitter, now) {
-            Ok(None) => self.begin(target.serving(), false, now),
-            Ok(Some(PermitAnswer::Stopped(_))) => {
-                let wait = ActivationStep::WaitUntil(now + CHECK_SPAN);
+        match self.rollout.refusal(target, view.jitter, now) {
+            Ok(None) => self.begin_change(target.serving(), false, now),
+            Ok(Some(PermitDecision::Stopped(_))) => {
+                let wait = ActivationStep::WaitUntil(now + STEP_INTERVAL);
                 let Some(report) = self.report.clone() else {
                     return wait;
                 };
                 self.fall_back(&report, view, now).unwrap_or(wait)
             }
-            Ok(Some(_)) => ActivationStep::WaitUntil(now + CHECK_SPAN),
+            Ok(Some(_)) => ActivationStep::WaitUntil(now + STEP_INTERVAL),
             Err(want) => want.into_step(),
         }
     }
@@ -239,7 +241,7 @@
         if report.serving.is_some() || is_wanted || !(view.is_complete)(new_version.digest) {
             return None;
         }
-        Some(self.begin(new_version, false, now))
+        Some(self.begin_change(new_version, false, now))
     }
 
     /// The row, or why it could not be read.
@@ -249,7 +251,7 @@
         jitter: f64,
         now: ClockTime,
     ) {
-        self.book.on_row(answer, jitter, now);
+        self.rollout.on_row(answer, jitter, now);
     }
 
     /// What became of [`ActivationStep::WriteRow`].
@@ -259,7 +261,7 @@
         jitter: f64,
         now: ClockTime,
     ) {
-        self.book.on_written(answer, jitter, now);
+        self.rollout.on_written(answer, jitter, now);
     }
 }
 
--- a/src/weights/activation_edge.rs
+++ b/src/weights/activation_driver.rs
@@ -11,9 +11,9 @@
 use super::digest::WeightsDigest;
 use super::events;
 use super::rollout_row::{RolloutRow, RowSnapshot, RowWriteResult};
-use super::staged_version::VersionShelf;
-use super::wanted_version::TargetVersion;
-use super::weights_thread::WeightsContext;
+use super::staged_version::VersionCache;
+use super::target_version::TargetVersion;
+use super::weights_tasks::WeightsContext;
 use crate::control::{ControlSnapshot, MemberState};
 use crate::engines::LoadOrder;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -24,45 +24,45 @@
 use crate::time::clock_now;
 use crate::weights::LeaseHolder;
 
-const WAIT_MOST: Duration = Duration::from_millis(200);
-const WAIT_LEAST: Duration = Duration::from_millis(5);
-const GATE_WAIT: Duration = Duration::from_millis(500);
+const WAIT_MAX: Duration = Duration::from_millis(200);
+const WAIT_MIN: Duration = Duration::from_millis(5);
+const GATE_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The task that brings the engine to what the document wants.
-pub(crate) struct ActivationEdge {
-    edges: WeightsContext,
-    shelf: VersionShelf,
+pub(crate) struct ActivationDriver {
+    context: WeightsContext,
+    versions: VersionCache,
     machine: ActivationMachine,
     order: Option<JoinHandle<SwitchResult<()>>>,
-    stopped_told: bool,
+    is_stop_logged: bool,
 }
 
-impl ActivationEdge {
-    /// The task of the process with `edges`.
-    pub(crate) fn new(edges: WeightsContext, shelf: VersionShelf) -> Self {
-        let identity = edges.control.identity();
+impl ActivationDriver {
+    /// The task of the process with `context`.
+    pub(crate) fn new(context: WeightsContext, versions: VersionCache) -> Self {
+        let identity = context.control.identity();
         let holder = LeaseHolder {
             host: identity.host.clone(),
             incarnation: identity.incarnation,
         };
         Self {
             machine: ActivationMachine::new(holder, clock_now()),
-            edges,
-            shelf,
+            context,
+            versions,
             order: None,
-            stopped_told: false,
+            is_stop_logged: false,
         }
     }
 
     /// Works until the process ends.
     pub(crate) async fn run(mut self) {
         loop {
-            self.take_order().await;
-            let target = TargetVersion::read(&self.edges.control);
-            let gate = self.edges.gate.serving();
-            self.tell_serving(target.as_ref(), gate.as_ref());
+            self.collect_order_result().await;
+            let target = TargetVersion::read(&self.context.control);
+            let gate = self.context.gate.serving();
+            self.publish_serving(target.as_ref(), gate.as_ref());
             let step = self.decide(target.as_ref(), gate.as_ref());
-            self.carry_out(step, target.as_ref()).await;
+            self.execute(step, target.as_ref()).await;
         }
     }
 
@@ -71,9 +71,9 @@
         target: Option<&TargetVersion>,
         gate: Option<&ServingVersion>,
     ) -> ActivationStep {
-        let snapshot = self.edges.control.snapshot().load();
-        let is_leaving = self.edges.drain.is_draining() && !self.machine.is_changing();
-        let versions = &self.shelf;
+        let snapshot = self.context.control.snapshot().load();
+        let is_leaving = self.context.drain.is_draining() && !self.machine.is_changing();
+        let versions = &self.versions;
         let view = ActivationInputs {
             // A host that leaves begins no change.
             target: target.filter(|_| !is_leaving),
@@ -93,18 +93,18 @@
         self.machine.next_step(&view, clock_now())
     }
 
-    async fn carry_out(&mut self, step: ActivationStep, target: Option<&TargetVersion>) {
+    async fn execute(&mut self, step: ActivationStep, target: Option<&TargetVersion>) {
         match step {
             ActivationStep::WaitUntil(until) => {
                 let wait = until.since(clock_now());
-                sleep(wait.clamp(WAIT_LEAST, WAIT_MOST)).await;
+                sleep(wait.clamp(WAIT_MIN, WAIT_MAX)).await;
             }
             ActivationStep::ReadEngine => self.read_engine().await,
             ActivationStep::ReadRow => {
                 let answer = self.read_row(target).await;
                 let jitter = rand::rng().random();
                 self.machine.on_row(answer, jitter, clock_now());
-                self.tell_stopped();
+                self.log_stopped();
             }
             ActivationStep::WriteRow { expected, row } => {
                 let answer = self.write_row(target, expected, &row).await;
@@ -112,40 +112,40 @@
                 self.machine.on_written(answer, jitter, clock_now());
             }
             ActivationStep::CloseGate => {
-                let all_ended = self.edges.gate.close(GATE_WAIT).await;
+                let all_ended = self.context.gate.close(GATE_CLOSE_TIMEOUT).await;
                 if !all_ended {
-                    log_event!(events::GATE_WAITS);
+                    log_event!(events::GATE_CLOSE_PENDING);
                 }
                 self.machine.on_gate_closed(all_ended);
             }
             ActivationStep::Order { fence, serving } => self.give_order(fence, serving),
             ActivationStep::OpenGate(serving) => {
                 // Requests of an earlier version must have ended, or two versions would mix.
-                if self.edges.gate.close(GATE_WAIT).await {
+                if self.context.gate.close(GATE_CLOSE_TIMEOUT).await {
                     log_event!(
                         events::VERSION_SERVED,
                         "{} {}",
                         serving.version,
                         serving.digest
                     );
-                    self.edges.gate.open(serving);
+                    self.context.gate.open(serving);
                 }
             }
         }
     }
 
     async fn read_engine(&mut self) {
-        let asked_at = clock_now();
-        let answer = self.edges.engine.read_state().await;
+        let queried_at = clock_now();
+        let answer = self.context.engine.read_state().await;
         if let Err(error) = &answer {
             metrics::count_retry(error.kind);
-            log_event!(events::ENGINE_SILENT, "{error}");
+            log_event!(events::ENGINE_UNREADABLE, "{error}");
         }
-        self.machine.on_engine(answer, asked_at, clock_now());
+        self.machine.on_engine(answer, queried_at, clock_now());
     }
 
     fn give_order(&mut self, fence: u64, serving: ServingVersion) {
-        let Some(version) = self.shelf.find(serving.digest) else {
+        let Some(version) = self.versions.find(serving.digest) else {
             let gone = SwitchError::new(ErrorKind::Internal, "the version was let go");
             self.machine.on_ordered(Err(gone), clock_now());
             return;
@@ -154,7 +154,7 @@
             version.is_complete(),
             "an order was given for weights that are not whole"
         );
-        let address = self.edges.control.identity().peer_address;
+        let address = self.context.control.identity().peer_address;
         let order = LoadOrder {
             fence,
             source_url: format!("http://{address}/engine/weights/{}", serving.digest),
@@ -166,14 +166,14 @@
             "{} fence {fence}",
             order.serving.version
         );
-        let engine = std::sync::Arc::clone(&self.edges.engine);
+        let engine = std::sync::Arc::clone(&self.context.engine);
         self.order = Some(tokio::spawn(
             async move { engine.load_version(&order).await },
         ));
     }
 
     /// Takes the answer to an order, once it is there.
-    async fn take_order(&mut self) {
+    async fn collect_order_result(&mut self) {
         let Some(task) = self.order.take_if(|task| task.is_finished()) else {
             return;
         };
@@ -185,7 +185,7 @@
             metrics::count_refusal(error.kind, "weights");
             let event = match error.kind {
                 ErrorKind::ActivationFailed => events::LOAD_FAILED,
-                _ => events::READ_BACK,
+                _ => events::ORDER_READ_BACK,
             };
             log_event!(event, "{error}");
         }
@@ -196,7 +196,7 @@
         let Some(target) = target else {
             return Ok(RowSnapshot::absent());
         };
-        let row = self.edges.table.read(&row_key(&target.service)).await?;
+        let row = self.context.table.read(&row_key(&target.service)).await?;
         parse_row(row)
     }
 
@@ -212,7 +212,12 @@
         let text = serde_json::to_vec(row)
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
         let key = row_key(&target.service);
-        match self.edges.table.write(&key, expected, text.into()).await? {
+        match self
+            .context
+            .table
+            .write(&key, expected, text.into())
+            .await?
+        {
             WriteResult::Written(_) => Ok(RowWriteResult::Written),
             WriteResult::Conflict(standing) => parse_row(standing).map(RowWriteResult::Conflict),
         }
@@ -220,11 +225,11 @@
 
     /// How many hosts come before this one among those that still serve another version.
     fn batches_ahead(&self, snapshot: &ControlSnapshot, target: &TargetVersion) -> u32 {
-        let me = &self.edges.control.identity().host;
+        let local = &self.context.control.identity().host;
         let waits = snapshot.members.iter().filter(|member| {
             let status = member.status.as_ref();
             let serving = status.and_then(|status| status.serving.as_ref());
-            member.host < *me
+            member.host < *local
                 && member.state == MemberState::Live
                 && member.service.as_ref() == Some(&target.service)
                 && serving.is_some_and(|serving| serving.digest != target.digest)
@@ -234,7 +239,7 @@
     }
 
     /// Says what is served. A version that only got a new name is told under the new one.
-    fn tell_serving(&self, target: Option<&TargetVersion>, gate: Option<&ServingVersion>) {
+    fn publish_serving(&self, target: Option<&TargetVersion>, gate: Option<&ServingVersion>) {
         let serving = match (target, gate) {
             (Some(target), Some(gate)) if gate.digest == target.digest => Some(target.serving()),
             (_, gate) => gate.cloned(),
@@ -246,7 +251,7 @@
             (None, _) => true,
             _ => false,
         };
-        self.edges.board.update(|status| {
+        self.context.board.update(|status| {
             status.serving = serving;
             if is_done {
                 status.staging = None;
@@ -254,14 +259,14 @@
         });
     }
 
-    fn tell_stopped(&mut self) {
+    fn log_stopped(&mut self) {
         let stopped = self.machine.stopped().map(ToOwned::to_owned);
         if let Some(reason) = &stopped
-            && !self.stopped_told
+            && !self.is_stop_logged
         {
             log_event!(events::ROLLOUT_STOPPED, "{reason}");
         }
-        self.stopped_told = stopped.is_some();
+        self.is_stop_logged = stopped.is_some();
     }
 }
 
--- a/src/weights/word_board.rs
+++ b/src/weights/chunk_announcer.rs
@@ -13,13 +13,13 @@
 
 /// Makes this host's [`ChunkAnnouncement`]s. Clones share what is claimed.
 #[derive(Clone, Debug)]
-pub(crate) struct WordBoard {
+pub(crate) struct ChunkAnnouncer {
     host: ByteString,
     pacer: LinkPacer,
     claimed: Arc<ArcSwap<Option<(WeightsDigest, ChunkMap)>>>,
 }
 
-impl WordBoard {
+impl ChunkAnnouncer {
     /// The words of `host`.
     pub(crate) fn new(host: ByteString, pacer: LinkPacer) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 
     /// What there is to say of `version`.
-    pub(crate) fn word(&self, version: &StagedVersion) -> ChunkAnnouncement {
+    pub(crate) fn announcement(&self, version: &StagedVersion) -> ChunkAnnouncement {
         let claimed = match &**self.claimed.load() {
             Some((digest, claimed)) if *digest == version.digest() => claimed.clone(),
             _ => ChunkMap::empty(version.manifest().chunk_count()),
--- a/src/weights/fetch_edge.rs
+++ b/src/weights/chunk_fetcher.rs
@@ -10,25 +10,25 @@
 use volo_http::body::Body;
 use volo_http::request::Request;
 
+use super::chunk_announcer::ChunkAnnouncer;
 use super::link_pacer::LinkPacer;
 use super::messages::{ChunkAnnouncement, ChunkHead};
-use super::peer_service::WORD_BYTES_MAX;
+use super::peer_service::ANNOUNCEMENT_BYTES_MAX;
 use super::staged_version::StagedVersion;
-use super::word_board::WordBoard;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
 use crate::stores::WeightSource;
 use crate::transport::{PeerClient, decode_message, encode_message, read_body, read_error};
 
 const LENGTH_BYTES: usize = 4;
-const ASK_WITHIN: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 /// The plan gives a pull up earlier; this is only against one that nobody waits for any more.
-const PULL_WITHIN: Duration = Duration::from_mins(1);
+const PULL_TIMEOUT: Duration = Duration::from_mins(1);
 const ERROR_BYTES_MAX: usize = 64 * 1024;
 
 /// What the fetches of one version work with. Clones share it.
 #[derive(Clone)]
-pub(crate) struct FetchEdge {
+pub(crate) struct ChunkFetcher {
     /// The origin.
     pub(crate) origin: Arc<dyn WeightSource>,
     /// The weight store, where there is one.
@@ -40,18 +40,21 @@
     /// The version.
     pub(crate) version: Arc<StagedVersion>,
     /// What this host says of it.
-    pub(crate) board: WordBoard,
+    pub(crate) announcer: ChunkAnnouncer,
     /// The host's link.
     pub(crate) pacer: LinkPacer,
 }
 
-impl FetchEdge {
+impl ChunkFetcher {
     /// Asks `peer` what it holds.
-    pub(crate) async fn ask(&self, peer: SocketAddr) -> SwitchResult<ChunkAnnouncement> {
+    pub(crate) async fn query_peer(&self, peer: SocketAddr) -> SwitchResult<ChunkAnnouncement> {
         metrics::count_event("weights_asks", 1);
         let path = format!("/peer/weights/{}/have", self.version.digest());
-        let word = self.board.word(&self.version);
-        let answer = self.client.call(peer, &path, &word, ASK_WITHIN).await;
+        let announcement = self.announcer.announcement(&self.version);
+        let answer = self
+            .client
+            .call(peer, &path, &announcement, QUERY_TIMEOUT)
+            .await;
         if let Err(error) = &answer
             && error.kind == ErrorKind::PeerSilent
         {
@@ -62,27 +65,27 @@
     }
 
     /// Pulls chunk `index` from `peer`, checks it and keeps it.
-    pub(crate) async fn pull(
+    pub(crate) async fn pull_chunk(
         &self,
         peer: SocketAddr,
         index: u32,
     ) -> SwitchResult<ChunkAnnouncement> {
         metrics::count_event("weights_pulls", 1);
         let digest = self.version.digest();
-        let body = encode_message(&self.board.word(&self.version))?;
+        let body = encode_message(&self.announcer.announcement(&self.version))?;
         let request = http::Request::builder()
             .method(Method::POST)
             .uri(format!("/peer/weights/{digest}/chunk/{index}"))
             .body(Body::from(body))
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
         let mut answer = self.exchange(peer, request, index).await?;
-        let head = take_head(&mut answer)?;
+        let head = split_head(&mut answer)?;
         if head.digest != digest || head.index != index {
             let detail = format!("{peer} sent chunk {} of {}", head.index, head.digest);
             return Err(SwitchError::new(ErrorKind::ChunkCorrupt, detail));
         }
-        self.keep("weights_peer_bytes", index, answer).await?;
-        Ok(head.word)
+        self.store("weights_peer_bytes", index, answer).await?;
+        Ok(head.announcement)
     }
 
     /// Reads chunk `index` from the origin, or from the weight store when the origin does not
@@ -99,7 +102,7 @@
             }
             (Err(error), None) => return Err(error),
         };
-        self.keep("weights_origin_bytes", index, bytes).await
+        self.store("weights_origin_bytes", index, bytes).await
     }
 
     async fn exchange(
@@ -108,7 +111,7 @@
         request: Request,
         index: u32,
     ) -> SwitchResult<Bytes> {
-        let answer = self.client.send(peer, request, PULL_WITHIN).await?;
+        let answer = self.client.send(peer, request, PULL_TIMEOUT).await?;
         let status = answer.status();
         if status != StatusCode::OK {
             let text = read_body(answer.into_body(), ERROR_BYTES_MAX).await?;
@@ -116,13 +119,13 @@
         }
         let (_, length) = self.version.manifest().chunk_range(index);
         let length = usize::try_from(length).unwrap_or(usize::MAX);
-        let limit = length.saturating_add(LENGTH_BYTES + WORD_BYTES_MAX);
+        let limit = length.saturating_add(LENGTH_BYTES + ANNOUNCEMENT_BYTES_MAX);
         read_body(answer.into_body(), limit).await
     }
 
-    async fn keep(&self, counted_as: &'static str, index: u32, bytes: Bytes) -> SwitchResult<()> {
+    async fn store(&self, metric: &'static str, index: u32, bytes: Bytes) -> SwitchResult<()> {
         let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
-        metrics::count_event(counted_as, length);
+        metrics::count_event(metric, length);
         self.pacer.take_in(length).await;
         if self.version.chunk(index).is_some() {
             metrics::count_event("weights_duplicate_bytes", length);
@@ -132,7 +135,7 @@
     }
 }
 
-fn take_head(answer: &mut Bytes) -> SwitchResult<ChunkHead> {
+fn split_head(answer: &mut Bytes) -> SwitchResult<ChunkHead> {
     let short = || SwitchError::new(ErrorKind::ChunkCorrupt, "the answer ends in its head");
     if answer.len() < LENGTH_BYTES {
         return Err(short());
--- a/src/weights/fetch_plan.rs
+++ b/src/weights/fetch_plan.rs
@@ -1,7 +1,7 @@
 //! Decides which chunk is asked of whom, and what follows from each answer and each silence.
 //!
 //! A host pulls the rarest chunk that a peer holds; a chunk that nobody seems to hold is read from
-//! the origin by the host whose turn it is in the chunk's [`SourceLine`]. The plan knows no sockets
+//! the origin by the host whose turn it is in the chunk's [`HostRanking`]. The plan knows no sockets
 //! and no clocks: the edge carries out its steps and tells it what came of them.
 
 use std::ops::Range;
@@ -13,22 +13,22 @@
 
 use super::chunk_map::ChunkMap;
 use super::digest::WeightsDigest;
-use super::import_turns::ImportTurns;
+use super::host_ranking::HostLocation;
+use super::import_schedule::ImportSchedule;
 use super::messages::ChunkAnnouncement;
-use super::origin_turns::OriginTurns;
-use super::peer_table::{PeerHost, PeerKey, PeerPresence, PeerTable};
-use super::source_line::HostLocation;
+use super::origin_schedule::OriginSchedule;
+use super::peer_table::{PeerHost, PeerKey, PeerLiveness, PeerTable};
 use crate::derives::key;
 use crate::documents::SpreadObjective;
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 
 /// How many times the usual span of a pull must have passed before it counts as stalled.
-const STALL_SPANS: u32 = 10;
-const STALL_LEAST: Duration = Duration::from_millis(1500);
-const ASK_STARVED_LEAST: Duration = Duration::from_millis(80);
-const ASK_STARVED_MOST: Duration = Duration::from_millis(500);
-const BUSY_LEAST: Duration = Duration::from_millis(10);
+const STALL_FACTOR: u32 = 10;
+const STALL_TIMEOUT_MIN: Duration = Duration::from_millis(1500);
+const QUERY_INTERVAL_MIN: Duration = Duration::from_millis(80);
+const QUERY_INTERVAL_MAX: Duration = Duration::from_millis(500);
+const BUSY_WAIT_MIN: Duration = Duration::from_millis(10);
 
 /// What the plan may do at a time.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Flight {
+pub(super) struct ChunkTransfer {
     pub(super) id: TransferId,
     pub(super) index: u32,
     pub(super) source: ChunkSource,
@@ -111,28 +111,28 @@
     /// The view that was set last.
     hosts: Vec<PeerHost>,
     pub(super) peers: PeerTable,
-    pub(super) turns: OriginTurns,
-    pub(super) imports: ImportTurns,
-    pub(super) flights: Vec<Flight>,
-    next_flight: u64,
+    pub(super) origin_schedule: OriginSchedule,
+    pub(super) import_schedule: ImportSchedule,
+    pub(super) transfers: Vec<ChunkTransfer>,
+    next_transfer: u64,
     /// How long a pull usually takes.
-    pub(super) usual_span: Duration,
-    pub(super) begun: ClockTime,
+    pub(super) typical_duration: Duration,
+    pub(super) started_at: ClockTime,
     /// Hosts that have, or are about to have, what this host brings into its data centre; sorted.
     pub(super) import_sources: Vec<PeerKey>,
     /// When it is looked next who reads what this host brings in.
-    pub(super) sources_due: ClockTime,
-    pub(super) asks_every: Duration,
+    pub(super) import_sources_due: ClockTime,
+    pub(super) query_interval: Duration,
     /// When the newest question was asked that was answered.
-    pub(super) answered_from: Option<ClockTime>,
+    pub(super) last_answered_query_at: Option<ClockTime>,
     pub(super) rng: StdRng,
 }
 
 impl FetchPlan {
-    /// The plan of `me` for the version `digest`, of which it holds `held`. `chunk_span` is how long
+    /// The plan of `local` for the version `digest`, of which it holds `held`. `chunk_span` is how long
     /// a chunk takes on this host's idle link; `seed` sets what is left to chance.
     pub(crate) fn new(
-        me: HostLocation,
+        local: HostLocation,
         (digest, objective): (WeightsDigest, SpreadObjective),
         held: ChunkMap,
         limits: FetchLimits,
@@ -140,25 +140,31 @@
         now: ClockTime,
     ) -> Self {
         let chunks = held.count();
-        let usual_span = (chunk_span * 4).max(Duration::from_millis(40));
-        let starved = (chunk_span * 2).clamp(ASK_STARVED_LEAST, ASK_STARVED_MOST);
+        let typical_duration = (chunk_span * 4).max(Duration::from_millis(40));
+        let starved = (chunk_span * 2).clamp(QUERY_INTERVAL_MIN, QUERY_INTERVAL_MAX);
         Self {
             limits,
             objective,
             hosts: Vec::new(),
-            peers: PeerTable::new(me.clone(), chunks),
-            imports: ImportTurns::new(me.clone(), digest, chunks),
-            turns: OriginTurns::new(me, (digest, objective), chunks, limits.takeover_delay, now),
+            peers: PeerTable::new(local.clone(), chunks),
+            import_schedule: ImportSchedule::new(local.clone(), digest, chunks),
+            origin_schedule: OriginSchedule::new(
+                local,
+                (digest, objective),
+                chunks,
+                limits.takeover_delay,
+                now,
+            ),
             held,
             preferred: 0..0,
-            flights: Vec::new(),
-            next_flight: 0,
-            usual_span,
-            begun: now,
+            transfers: Vec::new(),
+            next_transfer: 0,
+            typical_duration,
+            started_at: now,
             import_sources: Vec::new(),
-            sources_due: now,
-            asks_every: starved,
-            answered_from: None,
+            import_sources_due: now,
+            query_interval: starved,
+            last_answered_query_at: None,
             rng: StdRng::seed_from_u64(seed),
         }
     }
@@ -170,9 +176,9 @@
         }
         self.hosts = hosts.to_vec();
         self.peers.set_hosts(hosts, self.limits.neighbours);
-        self.turns.set_hosts(hosts);
-        self.imports.set_hosts(hosts);
-        self.sources_due = ClockTime(0);
+        self.origin_schedule.set_hosts(hosts);
+        self.import_schedule.set_hosts(hosts);
+        self.import_sources_due = ClockTime(0);
     }
 
     /// The chunks of `range` are pulled before rarer ones: a host can make use of them by themselves.
@@ -197,7 +203,8 @@
 
     /// How many chunks are here or at a host that said so.
     pub(crate) fn known_chunk_count(&self) -> u32 {
-        let is_known = |index: &u32| self.held.contains(*index) || self.peers.copies(*index) > 0;
+        let is_known =
+            |index: &u32| self.held.contains(*index) || self.peers.copy_count(*index) > 0;
         let known = (0..self.held.count()).filter(is_known);
         u32::try_from(known.count()).unwrap_or(u32::MAX)
     }
@@ -205,15 +212,15 @@
     /// The chunks that this host is about to read from the origin.
     pub(crate) fn claimed(&self) -> ChunkMap {
         let mut claimed = ChunkMap::empty(self.held.count());
-        if self.turns.is_cut_off() {
+        if self.origin_schedule.is_origin_unreachable() {
             return claimed;
         }
         for index in 0..self.held.count() {
-            if !self.held.contains(index) && self.turns.is_first(index) {
+            if !self.held.contains(index) && self.origin_schedule.is_first(index) {
                 claimed.insert(index);
             }
         }
-        for transfer in &self.flights {
+        for transfer in &self.transfers {
             if transfer.source == ChunkSource::Origin {
                 claimed.insert(transfer.index);
             }
@@ -222,56 +229,56 @@
     }
 
     /// A host said what it holds, of its own accord or asked.
-    pub(crate) fn on_announcement(&mut self, word: &ChunkAnnouncement, now: ClockTime) {
-        if self.peers.hear(word, now) {
+    pub(crate) fn on_announcement(&mut self, announcement: &ChunkAnnouncement, now: ClockTime) {
+        if self.peers.record_announcement(announcement, now) {
             let jitter = self.rng.random();
-            self.turns.on_origin_seen(jitter, now);
+            self.origin_schedule.on_origin_available(jitter, now);
         }
     }
 
     /// The answer to [`FetchStep::Query`] came, or did not.
     pub(crate) fn on_queried(&mut self, key: PeerKey, failure: Option<ErrorKind>, now: ClockTime) {
         let jitter = self.rng.random();
-        let late = self.late_span();
+        let late = self.late_threshold();
         let peer = self.peers.get_mut(key);
-        peer.is_asked = false;
+        peer.is_query_pending = false;
         if matches!(failure, None | Some(ErrorKind::ChunkMissing)) {
-            self.answered_from = self.answered_from.max(peer.asked_at);
+            self.last_answered_query_at = self.last_answered_query_at.max(peer.queried_at);
         }
         // The question was lost, but it was heard in another way.
-        let is_heard = peer.heard_at.is_some_and(|at| now.since(at) <= late);
+        let is_heard = peer.last_heard_at.is_some_and(|at| now.since(at) <= late);
         match failure {
-            None => self.peers.find_there(key, now),
+            None => self.peers.mark_responsive(key, now),
             // It has not begun with this version yet: it is there, and holds nothing.
-            Some(ErrorKind::ChunkMissing) => self.peers.find_empty(key, now),
+            Some(ErrorKind::ChunkMissing) => self.peers.mark_empty(key, now),
             Some(_) if is_heard => {}
-            Some(_) => self.peers.lose(key, now, jitter),
+            Some(_) => self.peers.mark_unresponsive(key, now, jitter),
         }
     }
 
     /// A chunk came and matched. Returns the other flights for it, which are of no more use.
     pub(crate) fn on_delivered(&mut self, id: TransferId, now: ClockTime) -> Vec<TransferId> {
-        let Some(transfer) = self.land(id) else {
+        let Some(transfer) = self.end_transfer(id) else {
             return Vec::new();
         };
         self.held.insert(transfer.index);
         match transfer.source {
             ChunkSource::Peer(key) => {
-                self.peers.get_mut(key).clear_strikes();
+                self.peers.get_mut(key).clear_failures();
                 let span = now.since(transfer.since);
-                self.usual_span = (self.usual_span * 7 + span) / 8;
+                self.typical_duration = (self.typical_duration * 7 + span) / 8;
             }
-            ChunkSource::Origin => self.turns.on_delivered(),
+            ChunkSource::Origin => self.origin_schedule.on_delivered(),
         }
-        let twins = self
-            .flights
+        let duplicates = self
+            .transfers
             .iter()
-            .filter(|twin| twin.index == transfer.index);
-        let twins: Vec<TransferId> = twins.map(|twin| twin.id).collect();
-        for twin in &twins {
-            self.land(*twin);
+            .filter(|duplicate| duplicate.index == transfer.index);
+        let duplicates: Vec<TransferId> = duplicates.map(|duplicate| duplicate.id).collect();
+        for duplicate in &duplicates {
+            self.end_transfer(*duplicate);
         }
-        twins
+        duplicates
     }
 
     /// A chunk did not come, or did not match. `wait` is what the source asked for.
@@ -282,27 +289,27 @@
         wait: Option<Duration>,
         now: ClockTime,
     ) {
-        let Some(transfer) = self.land(id) else {
+        let Some(transfer) = self.end_transfer(id) else {
             return;
         };
         let jitter = self.rng.random();
         match (transfer.source, kind) {
-            (ChunkSource::Origin, _) => self.turns.on_failed(kind, wait, jitter, now),
+            (ChunkSource::Origin, _) => self.origin_schedule.on_failed(kind, wait, jitter, now),
             (ChunkSource::Peer(key), ErrorKind::UploadBusy) => {
-                let wait = wait.unwrap_or(BUSY_LEAST).max(BUSY_LEAST);
+                let wait = wait.unwrap_or(BUSY_WAIT_MIN).max(BUSY_WAIT_MIN);
                 self.peers.get_mut(key).busy_until = now + wait.mul_f64(0.5 + jitter);
-                self.peers.find_there(key, now);
+                self.peers.mark_responsive(key, now);
             }
             (ChunkSource::Peer(key), ErrorKind::ChunkMissing) => {
                 self.peers.forget_chunk(key, transfer.index);
-                self.peers.find_there(key, now);
+                self.peers.mark_responsive(key, now);
             }
             (ChunkSource::Peer(key), _) => {
                 // Whether it is there at all is asked next.
                 let peer = self.peers.get_mut(key);
-                peer.strike(now, jitter);
-                if peer.presence == PeerPresence::There {
-                    peer.presence = PeerPresence::Doubted;
+                peer.record_failure(now, jitter);
+                if peer.liveness == PeerLiveness::Responsive {
+                    peer.liveness = PeerLiveness::Suspected;
                 }
             }
         }
@@ -315,17 +322,17 @@
             return steps;
         }
         self.cancel_stalled(now, &mut steps);
-        self.doubt_silent(now, &mut steps);
-        if self.peers.take_silence_change() {
-            let silent = self.peers.silent();
-            self.turns.pass_over(&silent, now);
-            self.imports.pass_over(&silent);
+        self.check_unresponsive_sources(now, &mut steps);
+        if self.peers.take_liveness_change() {
+            let unresponsive = self.peers.unresponsive();
+            self.origin_schedule.skip_hosts(&unresponsive, now);
+            self.import_schedule.skip_hosts(&unresponsive);
         }
         self.plan_origin_reads(now, &mut steps);
         self.plan_pulls(now, &mut steps);
-        self.plan_asks(now, &mut steps);
+        self.plan_queries(now, &mut steps);
         assert!(
-            self.flights
+            self.transfers
                 .iter()
                 .all(|transfer| !self.held.contains(transfer.index)),
             "a chunk that is there was under way again"
@@ -335,27 +342,32 @@
 
     fn cancel_stalled(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
         let stalled = self
-            .flights
+            .transfers
             .iter()
             .filter(|transfer| transfer.stalls_at <= now);
-        let stalled: Vec<Flight> = stalled.copied().collect();
+        let stalled: Vec<ChunkTransfer> = stalled.copied().collect();
         for transfer in stalled {
             self.on_failed(transfer.id, ErrorKind::PeerSilent, None, now);
             steps.push(FetchStep::Cancel(transfer.id, transfer.source));
         }
     }
 
-    pub(super) fn launch(&mut self, index: u32, source: ChunkSource, now: ClockTime) -> FetchStep {
-        let id = TransferId(self.next_flight);
-        self.next_flight += 1;
+    pub(super) fn start_transfer(
+        &mut self,
+        index: u32,
+        source: ChunkSource,
+        now: ClockTime,
+    ) -> FetchStep {
+        let id = TransferId(self.next_transfer);
+        self.next_transfer += 1;
         let within = match source {
             ChunkSource::Peer(key) => {
                 self.peers.get_mut(key).pulls += 1;
-                (self.usual_span * STALL_SPANS).max(STALL_LEAST)
+                (self.typical_duration * STALL_FACTOR).max(STALL_TIMEOUT_MIN)
             }
             ChunkSource::Origin => self.limits.origin_read_timeout,
         };
-        self.flights.push(Flight {
+        self.transfers.push(ChunkTransfer {
             id,
             index,
             source,
@@ -369,32 +381,35 @@
         }
     }
 
-    pub(super) fn land(&mut self, id: TransferId) -> Option<Flight> {
-        let at = self.flights.iter().position(|transfer| transfer.id == id)?;
-        let transfer = self.flights.swap_remove(at);
+    pub(super) fn end_transfer(&mut self, id: TransferId) -> Option<ChunkTransfer> {
+        let at = self
+            .transfers
+            .iter()
+            .position(|transfer| transfer.id == id)?;
+        let transfer = self.transfers.swap_remove(at);
         if let ChunkSource::Peer(key) = transfer.source {
             self.peers.get_mut(key).pulls -= 1;
         }
         Some(transfer)
     }
 
-    pub(super) fn flights_of(&self, index: u32) -> impl Iterator<Item = &Flight> {
-        self.flights
+    pub(super) fn transfers_of(&self, index: u32) -> impl Iterator<Item = &ChunkTransfer> {
+        self.transfers
             .iter()
             .filter(move |transfer| transfer.index == index)
     }
 
     /// Whether chunk `index` is under way from a source that is there.
-    pub(super) fn is_flying(&self, index: u32) -> bool {
-        self.flights_of(index)
-            .any(|transfer| self.is_sound(transfer))
+    pub(super) fn is_in_transfer(&self, index: u32) -> bool {
+        self.transfers_of(index)
+            .any(|transfer| self.is_source_responsive(transfer))
     }
 
     /// How many hosts that are there have let a chunk wait for longer than `span` at `now`.
     pub(crate) fn late_source_count(&self, span: Duration, now: ClockTime) -> usize {
-        let late = self.flights.iter().filter(|transfer| {
+        let late = self.transfers.iter().filter(|transfer| {
             let is_peer = transfer.source != ChunkSource::Origin;
-            is_peer && now.since(transfer.since) > span && self.is_sound(transfer)
+            is_peer && now.since(transfer.since) > span && self.is_source_responsive(transfer)
         });
         let mut sources: Vec<ChunkSource> = late.map(|transfer| transfer.source).collect();
         sources.sort_unstable();
@@ -402,8 +417,8 @@
         sources.len()
     }
 
-    pub(super) fn count_flights(&self, source: ChunkSource) -> usize {
-        self.flights
+    pub(super) fn count_transfers(&self, source: ChunkSource) -> usize {
+        self.transfers
             .iter()
             .filter(|transfer| transfer.source == source)
             .count()
--- a/src/weights/fetch_run.rs
+++ b/src/weights/fetch_session.rs
@@ -3,11 +3,11 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
+use super::chunk_fetcher::ChunkFetcher;
 use super::events;
-use super::fetch_edge::FetchEdge;
 use super::fetch_plan::{ChunkSource, FetchPlan, FetchStep, TransferId};
-use super::manifest_doubt::ManifestDoubt;
 use super::messages::ChunkAnnouncement;
+use super::mismatch_counter::MismatchCounter;
 use super::peer_table::PeerKey;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
@@ -15,41 +15,44 @@
 use crate::time::clock_now;
 
 /// What happened to a step of the plan.
-pub(super) enum FetchNews {
-    Asked(PeerKey, SwitchResult<ChunkAnnouncement>),
+pub(super) enum FetchEvent {
+    Queried(PeerKey, SwitchResult<ChunkAnnouncement>),
     Pulled(TransferId, u32, SwitchResult<ChunkAnnouncement>),
-    Read(TransferId, u32, SwitchResult<()>),
+    OriginRead(TransferId, u32, SwitchResult<()>),
 }
 
 /// The work on one version.
-pub(super) struct FetchRun {
-    pub(super) edge: FetchEdge,
+pub(super) struct FetchSession {
+    pub(super) fetcher: ChunkFetcher,
     pub(super) plan: FetchPlan,
-    pub(super) doubt: ManifestDoubt,
-    pub(super) is_manifest_doubted: bool,
-    pub(super) under_way: Vec<(TransferId, AbortHandle)>,
-    pub(super) news_sender: mpsc::UnboundedSender<FetchNews>,
-    pub(super) news: mpsc::UnboundedReceiver<FetchNews>,
+    pub(super) mismatches: MismatchCounter,
+    pub(super) is_manifest_suspect: bool,
+    pub(super) transfers: Vec<(TransferId, AbortHandle)>,
+    pub(super) event_sender: mpsc::UnboundedSender<FetchEvent>,
+    pub(super) events: mpsc::UnboundedReceiver<FetchEvent>,
 }
 
-impl FetchRun {
+impl FetchSession {
     pub(super) fn step(&mut self) {
         let now = clock_now();
         for step in self.plan.next_steps(now) {
-            self.carry_out(step);
+            self.execute_step(step);
         }
         let claimed = self.plan.claimed();
-        self.edge.board.claim(self.edge.version.digest(), claimed);
+        self.fetcher
+            .announcer
+            .claim(self.fetcher.version.digest(), claimed);
     }
 
-    fn carry_out(&mut self, step: FetchStep) {
-        let edge = self.edge.clone();
-        let news = self.news_sender.clone();
+    fn execute_step(&mut self, step: FetchStep) {
+        let fetcher = self.fetcher.clone();
+        let events = self.event_sender.clone();
         match step {
             FetchStep::Query(key) => {
                 let address = self.plan.peers().get(key).host.address;
                 tokio::spawn(async move {
-                    let _ = news.send(FetchNews::Asked(key, edge.ask(address).await));
+                    let _ =
+                        events.send(FetchEvent::Queried(key, fetcher.query_peer(address).await));
                 });
             }
             FetchStep::Fetch {
@@ -59,10 +62,10 @@
             } => {
                 let address = self.plan.peers().get(key).host.address;
                 let task = tokio::spawn(async move {
-                    let pulled = edge.pull(address, index).await;
-                    let _ = news.send(FetchNews::Pulled(transfer, index, pulled));
+                    let pulled = fetcher.pull_chunk(address, index).await;
+                    let _ = events.send(FetchEvent::Pulled(transfer, index, pulled));
                 });
-                self.under_way.push((transfer, task.abort_handle()));
+                self.transfers.push((transfer, task.abort_handle()));
             }
             FetchStep::Fetch {
                 transfer,
@@ -70,16 +73,16 @@
                 source: ChunkSource::Origin,
             } => {
                 let task = tokio::spawn(async move {
-                    let read = edge.read_origin(index).await;
-                    let _ = news.send(FetchNews::Read(transfer, index, read));
+                    let read = fetcher.read_origin(index).await;
+                    let _ = events.send(FetchEvent::OriginRead(transfer, index, read));
                 });
-                self.under_way.push((transfer, task.abort_handle()));
+                self.transfers.push((transfer, task.abort_handle()));
             }
             FetchStep::Cancel(transfer, source) => {
                 metrics::count_retry(ErrorKind::PeerSilent);
                 if let ChunkSource::Peer(key) = source {
                     // The connection may have gone silent for good while new ones work.
-                    self.edge
+                    self.fetcher
                         .client
                         .drop_pool(self.plan.peers().get(key).host.address);
                 }
@@ -88,44 +91,44 @@
         }
     }
 
-    pub(super) fn take(&mut self, news: FetchNews) {
+    pub(super) fn apply_event(&mut self, events: FetchEvent) {
         let now = clock_now();
-        match news {
-            FetchNews::Asked(key, answer) => {
-                if let Ok(word) = &answer {
-                    self.plan.on_announcement(word, now);
+        match events {
+            FetchEvent::Queried(key, answer) => {
+                if let Ok(announcement) = &answer {
+                    self.plan.on_announcement(announcement, now);
                 }
                 let failure = answer.err().map(|error| error.kind);
                 self.plan.on_queried(key, failure, now);
             }
-            FetchNews::Pulled(transfer, index, pulled) => {
-                if let Ok(word) = &pulled {
-                    self.plan.on_announcement(word, now);
+            FetchEvent::Pulled(transfer, index, pulled) => {
+                if let Ok(announcement) = &pulled {
+                    self.plan.on_announcement(announcement, now);
                 }
-                self.take_chunk(transfer, index, pulled.map(|_| ()));
+                self.on_chunk(transfer, index, pulled.map(|_| ()));
             }
-            FetchNews::Read(transfer, index, read) => self.take_chunk(transfer, index, read),
+            FetchEvent::OriginRead(transfer, index, read) => self.on_chunk(transfer, index, read),
         }
     }
 
-    fn take_chunk(&mut self, transfer: TransferId, index: u32, result: SwitchResult<()>) {
+    fn on_chunk(&mut self, transfer: TransferId, index: u32, result: SwitchResult<()>) {
         let now = clock_now();
-        self.under_way.retain(|(known, _)| *known != transfer);
+        self.transfers.retain(|(known, _)| *known != transfer);
         match result {
             Ok(()) => {
                 assert!(
-                    self.edge.version.chunk(index).is_some(),
+                    self.fetcher.version.chunk(index).is_some(),
                     "a chunk was reported that was not kept"
                 );
-                for twin in self.plan.on_delivered(transfer, now) {
-                    self.abort(twin);
+                for duplicate in self.plan.on_delivered(transfer, now) {
+                    self.abort(duplicate);
                 }
             }
             Err(error) => {
                 metrics::count_retry(error.kind);
-                tell_failure(&error);
+                log_failure(&error);
                 if error.kind == ErrorKind::ChunkCorrupt {
-                    self.is_manifest_doubted |= self.doubt.on_mismatch(index);
+                    self.is_manifest_suspect |= self.mismatches.on_mismatch(index);
                 }
                 self.plan
                     .on_failed(transfer, error.kind, error.retry_after, now);
@@ -135,17 +138,17 @@
 
     fn abort(&mut self, transfer: TransferId) {
         for (_, task) in self
-            .under_way
+            .transfers
             .iter()
             .filter(|(known, _)| *known == transfer)
         {
             task.abort();
         }
-        self.under_way.retain(|(known, _)| *known != transfer);
+        self.transfers.retain(|(known, _)| *known != transfer);
     }
 }
 
-fn tell_failure(error: &SwitchError) {
+fn log_failure(error: &SwitchError) {
     let event = match error.kind {
         ErrorKind::ChunkCorrupt | ErrorKind::BodyTooLarge => events::CHUNK_REFUSED,
         _ => events::SOURCE_FAILED,
--- a/src/weights/source_line.rs
+++ b/src/weights/host_ranking.rs
@@ -13,10 +13,10 @@
 use crate::documents::SpreadObjective;
 
 /// Hosts of the reading data centre that come before other data centres get their turn.
-const FIRST_CENTRE_TURNS: u32 = 2;
+const READING_CENTRE_PRIORITIES: u32 = 2;
 /// Hosts that share the first places. An origin takes a limited number of connections, and the more
 /// chunks share its link, the later each of them can be passed on.
-const FIRSTS_MAX: usize = 12;
+const PREFERRED_READERS_MAX: usize = 12;
 
 /// A host that wants the version, as the line sees it.
 #[apply(plain!)]
@@ -34,25 +34,25 @@
 /// With the objective `time` all hosts stand in one line. With `origin_bytes` each region has its
 /// own, in which one data centre reads and the first hosts of the others come next.
 #[apply(plain!)]
-pub(crate) struct SourceLine {
+pub(crate) struct HostRanking {
     objective: SpreadObjective,
     salt: u64,
-    entries: Vec<LineEntry>,
+    entries: Vec<RankedHost>,
     centres: u32,
     /// For each chunk the hash of the host that is first in its line; empty while the hashes decide
     /// alone.
-    firsts: Vec<u64>,
+    preferred_readers: Vec<u64>,
 }
 
 #[apply(plain!)]
-struct LineEntry {
+struct RankedHost {
     host: ByteString,
     hash: u64,
     /// The rank of its data centre; 0 reads the origin.
     centre: u32,
 }
 
-impl SourceLine {
+impl HostRanking {
     /// The lines of the version `digest` among `hosts`, as seen from `region`.
     pub(crate) fn new(
         objective: SpreadObjective,
@@ -66,11 +66,11 @@
             SpreadObjective::OriginBytes => *host.region == *region,
         };
         let members: Vec<&HostLocation> = hosts.iter().filter(is_in).collect();
-        let centres = rank_centres(objective, salt, &members);
-        let entries = members.iter().map(|host| LineEntry {
+        let centres = rank_data_centres(objective, salt, &members);
+        let entries = members.iter().map(|host| RankedHost {
             host: host.host.clone(),
             hash: hash_of(host.host.as_bytes()),
-            centre: centre_rank(&centres, &host.data_centre),
+            centre: data_centre_rank(&centres, &host.data_centre),
         });
         let entries = entries.collect();
         let centres = u32::try_from(centres.len()).unwrap_or(u32::MAX);
@@ -79,7 +79,7 @@
             salt,
             entries,
             centres,
-            firsts: Vec::new(),
+            preferred_readers: Vec::new(),
         }
     }
 
@@ -89,11 +89,11 @@
     /// two hosts read the rest one by one over a link that was idle for three quarters of the time,
     /// and a version took 3.8 s to leave the origin in place of 2.9 s (time from its naming to the
     /// last chunk read, 24 hosts, 96 chunks).
-    pub(crate) fn with_even_firsts(mut self, chunks: u32) -> Self {
+    pub(crate) fn with_balanced_readers(mut self, chunks: u32) -> Self {
         let reading = self.entries.iter().filter(|entry| entry.centre == 0);
         let mut readers: Vec<u64> = reading.map(|entry| entry.hash).collect();
         readers.sort_unstable_by_key(|hash| Reverse(mix(*hash ^ self.salt)));
-        readers.truncate(FIRSTS_MAX);
+        readers.truncate(PREFERRED_READERS_MAX);
         let quota = chunks.div_ceil(u32::try_from(readers.len()).unwrap_or(u32::MAX).max(1));
         let mut room: Vec<(u64, u32)> = readers.into_iter().map(|hash| (hash, quota)).collect();
         for index in 0..chunks {
@@ -102,7 +102,7 @@
             let first = open.max_by_key(|(hash, _)| mix(*hash ^ mix(salt ^ u64::from(index))));
             if let Some((hash, left)) = first {
                 *left -= 1;
-                self.firsts.push(*hash);
+                self.preferred_readers.push(*hash);
             }
         }
         self
@@ -110,7 +110,7 @@
 
     /// How many turns come before `host`'s for chunk `index`; `None` when it stands in no line.
     /// Hosts late in the line may share a turn.
-    pub(crate) fn turn_of(&self, host: &str, index: u32) -> Option<u32> {
+    pub(crate) fn priority_of(&self, host: &str, index: u32) -> Option<u32> {
         let entry = self.entries.iter().find(|entry| *entry.host == *host)?;
         let weight = self.weight(entry, index);
         let ahead = self
@@ -118,56 +118,66 @@
             .iter()
             .filter(|other| other.centre == entry.centre && self.weight(other, index) > weight);
         let rank = u32::try_from(ahead.count()).unwrap_or(u32::MAX);
-        Some(self.turn(entry.centre, rank))
+        Some(self.priority(entry.centre, rank))
     }
 
-    /// The first host in the line of chunk `index` without the `silent` ones.
-    pub(crate) fn first(&self, index: u32, silent: &[ByteString]) -> Option<&ByteString> {
+    /// The first host in the line of chunk `index` without the `unresponsive` ones.
+    pub(crate) fn top_host(&self, index: u32, unresponsive: &[ByteString]) -> Option<&ByteString> {
         let live = self
             .entries
             .iter()
-            .filter(|entry| !silent.contains(&entry.host));
-        let first = live.min_by_key(|entry| (entry.centre, Reverse(self.weight(entry, index))));
-        first.map(|entry| &entry.host)
+            .filter(|entry| !unresponsive.contains(&entry.host));
+        let top_host = live.min_by_key(|entry| (entry.centre, Reverse(self.weight(entry, index))));
+        top_host.map(|entry| &entry.host)
     }
 
-    /// The hosts whose turn for chunk `index` comes before turn `turn`.
-    pub(crate) fn before(&self, turn: u32, index: u32) -> Vec<ByteString> {
-        let mut order: Vec<&LineEntry> = self.entries.iter().collect();
+    /// The hosts whose turn for chunk `index` comes before turn `priority`.
+    pub(crate) fn hosts_before(&self, priority: u32, index: u32) -> Vec<ByteString> {
+        let mut order: Vec<&RankedHost> = self.entries.iter().collect();
         order.sort_by_cached_key(|entry| (entry.centre, Reverse(self.weight(entry, index))));
         let mut earlier = Vec::new();
         for line in order.chunk_by(|left, right| left.centre == right.centre) {
             let ranked = (0..).zip(line);
-            let ahead = ranked.filter(|(rank, entry)| self.turn(entry.centre, *rank) < turn);
+            let ahead =
+                ranked.filter(|(rank, entry)| self.priority(entry.centre, *rank) < priority);
             earlier.extend(ahead.map(|(_, entry)| entry.host.clone()));
         }
         earlier
     }
 
-    /// The turn that a host whose turn for chunk `index` is `turn` has without the `silent` ones.
-    pub(crate) fn live_turn(&self, turn: u32, index: u32, silent: &[ByteString]) -> u32 {
-        if silent.is_empty() {
-            return turn;
+    /// The turn that a host whose turn for chunk `index` is `priority` has without the `unresponsive` ones.
+    pub(crate) fn live_priority(
+        &self,
+        priority: u32,
+        index: u32,
+        unresponsive: &[ByteString],
+    ) -> u32 {
+        if unresponsive.is_empty() {
+            return priority;
         }
-        let before = self.before(turn, index);
-        let live = before.iter().filter(|host| !silent.contains(host));
-        u32::try_from(live.count()).unwrap_or(u32::MAX).min(turn)
+        let hosts_before = self.hosts_before(priority, index);
+        let live = hosts_before
+            .iter()
+            .filter(|host| !unresponsive.contains(host));
+        u32::try_from(live.count())
+            .unwrap_or(u32::MAX)
+            .min(priority)
     }
 
     /// The turn of the host that is `rank`th in the data centre ranked `centre`.
-    fn turn(&self, centre: u32, rank: u32) -> u32 {
+    fn priority(&self, centre: u32, rank: u32) -> u32 {
         let others = self.centres.saturating_sub(1);
         match (centre, rank) {
-            (0, rank) if rank < FIRST_CENTRE_TURNS => rank,
+            (0, rank) if rank < READING_CENTRE_PRIORITIES => rank,
             (0, rank) => others.saturating_add(rank),
-            (centre, 0) => FIRST_CENTRE_TURNS + centre - 1,
-            (_, rank) => (others + FIRST_CENTRE_TURNS).saturating_add(rank),
+            (centre, 0) => READING_CENTRE_PRIORITIES + centre - 1,
+            (_, rank) => (others + READING_CENTRE_PRIORITIES).saturating_add(rank),
         }
     }
 
-    fn weight(&self, entry: &LineEntry, index: u32) -> u64 {
+    fn weight(&self, entry: &RankedHost, index: u32) -> u64 {
         let at = usize::try_from(index).unwrap_or(usize::MAX);
-        if self.firsts.get(at) == Some(&entry.hash) {
+        if self.preferred_readers.get(at) == Some(&entry.hash) {
             return u64::MAX;
         }
         mix(entry.hash ^ mix(self.salt ^ u64::from(index)))
@@ -175,7 +185,11 @@
 }
 
 /// The data centres among `hosts`, the one that reads the origin first.
-fn rank_centres(objective: SpreadObjective, salt: u64, hosts: &[&HostLocation]) -> Vec<ByteString> {
+fn rank_data_centres(
+    objective: SpreadObjective,
+    salt: u64,
+    hosts: &[&HostLocation],
+) -> Vec<ByteString> {
     if objective == SpreadObjective::Time {
         return Vec::new();
     }
@@ -186,7 +200,7 @@
     centres
 }
 
-fn centre_rank(centres: &[ByteString], centre: &str) -> u32 {
+fn data_centre_rank(centres: &[ByteString], centre: &str) -> u32 {
     let at = centres.iter().position(|known| **known == *centre);
     at.and_then(|at| u32::try_from(at).ok()).unwrap_or(0)
 }
--- a/src/weights/rollout_book.rs
+++ b/src/weights/host_rollout_state.rs
@@ -7,9 +7,10 @@
 
 use super::activation::{ActivationInputs, ActivationStep};
 use super::rollout_row::{
-    HeldPermit, PermitAnswer, PermitWatch, RolloutPermit, RolloutRow, RowSnapshot, RowWriteResult,
+    HeldPermit, PermitDecision, PermitTracker, RolloutPermit, RolloutRow, RowSnapshot,
+    RowWriteResult,
 };
-use super::wanted_version::TargetVersion;
+use super::target_version::TargetVersion;
 use crate::errors::SwitchResult;
 use crate::membership::ServingVersion;
 use crate::stores::RowRevision;
@@ -17,90 +18,90 @@
 use crate::weights::LeaseHolder;
 
 /// How long a reading of the row counts.
-const ROW_SPAN: Duration = Duration::from_secs(2);
+const ROW_FRESHNESS: Duration = Duration::from_secs(2);
 /// How long a host waits for a place, for each host before it.
-const PLACE_SPAN: Duration = Duration::from_millis(300);
-const PLACE_SPAN_MOST: Duration = Duration::from_secs(10);
-const CONFLICT_SPAN: Duration = Duration::from_millis(200);
-const AWAY_SPAN: Duration = Duration::from_secs(2);
-const STOPPED_SPAN: Duration = Duration::from_secs(5);
+const BATCH_WAIT: Duration = Duration::from_millis(300);
+const BATCH_WAIT_MAX: Duration = Duration::from_secs(10);
+const CONFLICT_BACKOFF: Duration = Duration::from_millis(200);
+const TABLE_UNAVAILABLE_BACKOFF: Duration = Duration::from_secs(2);
+const STOPPED_BACKOFF: Duration = Duration::from_secs(5);
 
 /// What a write that is under way was for.
 #[derive(Clone, Copy, Debug)]
 enum WritePurpose {
-    Take(u64),
+    Acquire(u64),
     Renew,
     Release,
-    Failure,
+    ReportFailure,
 }
 
 /// What has to come before the row can be used.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum RowWant {
+pub(crate) enum RowRequirement {
     /// It has to be read.
     Read,
     /// The table is left alone until then.
-    Rest(ClockTime),
+    Wait(ClockTime),
 }
 
-impl RowWant {
+impl RowRequirement {
     /// The step that goes with it.
     pub(crate) const fn into_step(self) -> ActivationStep {
         match self {
             Self::Read => ActivationStep::ReadRow,
-            Self::Rest(until) => ActivationStep::WaitUntil(until),
+            Self::Wait(until) => ActivationStep::WaitUntil(until),
         }
     }
 }
 
 /// One host's dealings with the row.
 #[derive(Debug)]
-pub(crate) struct RolloutBook {
+pub(crate) struct HostRolloutState {
     holder: LeaseHolder,
-    seen: RowSnapshot,
-    seen_at: Option<ClockTime>,
-    is_table_away: bool,
-    watch: PermitWatch,
+    snapshot: RowSnapshot,
+    read_at: Option<ClockTime>,
+    is_table_unavailable: bool,
+    permit_tracker: PermitTracker,
     permit: Option<HeldPermit>,
-    sent: Option<(WritePurpose, ClockTime)>,
-    failure: Option<(ServingVersion, ByteString)>,
+    pending_write: Option<(WritePurpose, ClockTime)>,
+    pending_failure: Option<(ServingVersion, ByteString)>,
     /// An earlier process on this host may have left a permit behind.
-    may_hold_old: bool,
-    rest_until: ClockTime,
+    may_hold_stale_permit: bool,
+    retry_at: ClockTime,
 }
 
-impl RolloutBook {
+impl HostRolloutState {
     /// The dealings of a process that has just started.
     pub(crate) fn new(holder: LeaseHolder, now: ClockTime) -> Self {
         Self {
             holder,
-            seen: RowSnapshot::absent(),
-            seen_at: None,
-            is_table_away: false,
-            watch: PermitWatch::default(),
+            snapshot: RowSnapshot::absent(),
+            read_at: None,
+            is_table_unavailable: false,
+            permit_tracker: PermitTracker::default(),
             permit: None,
-            sent: None,
-            failure: None,
-            may_hold_old: true,
-            rest_until: now,
+            pending_write: None,
+            pending_failure: None,
+            may_hold_stale_permit: true,
+            retry_at: now,
         }
     }
 
     /// Whether the table did not answer the last time.
-    pub(crate) const fn is_table_away(&self) -> bool {
-        self.is_table_away
+    pub(crate) const fn is_table_unavailable(&self) -> bool {
+        self.is_table_unavailable
     }
 
     /// Why the rollout was stopped, as last seen.
     pub(crate) fn stopped(&self) -> Option<&str> {
-        self.seen.row.stopped.as_deref()
+        self.snapshot.row.stopped.as_deref()
     }
 
     /// Whether this host may be out of service now.
     pub(crate) fn has_permit(&self, now: ClockTime) -> bool {
         self.permit
             .as_ref()
-            .is_some_and(|permit| permit.is_good(now))
+            .is_some_and(|permit| permit.is_valid(now))
     }
 
     /// The fencing number for the next order to an engine that has seen `engine_fence`.
@@ -112,49 +113,49 @@
     }
 
     /// This host's engine did not load `new_version`.
-    pub(crate) fn note_failure(&mut self, new_version: &ServingVersion, reason: &str) {
-        self.failure = Some((new_version.clone(), reason.into()));
+    pub(crate) fn record_failure(&mut self, new_version: &ServingVersion, reason: &str) {
+        self.pending_failure = Some((new_version.clone(), reason.into()));
     }
 
     /// What has to be written before anything else: a failure, and the end of a permit that is no
     /// longer needed because the engine serves again.
-    pub(crate) fn duty_step(
+    pub(crate) fn pending_write_step(
         &mut self,
         target: Option<&TargetVersion>,
         is_settled: bool,
         now: ClockTime,
     ) -> Option<ActivationStep> {
         let target = target?;
-        if let Some((new_version, reason)) = self.failure.clone() {
+        if let Some((new_version, reason)) = self.pending_failure.clone() {
             if new_version != target.serving() {
-                self.failure = None;
+                self.pending_failure = None;
                 return None;
             }
-            return self.with_row(now, |book, row, revision| {
-                let next = row.with_failure(target, &book.holder.host, &reason);
+            return self.with_row(now, |state, row, revision| {
+                let next = row.with_failure(target, &state.holder.host, &reason);
                 if next == *row {
-                    book.failure = None;
+                    state.pending_failure = None;
                     return None;
                 }
-                Some(book.write(WritePurpose::Failure, revision, next, now))
+                Some(state.write(WritePurpose::ReportFailure, revision, next, now))
             });
         }
-        let may_hold = self.permit.is_some() || self.may_hold_old;
+        let may_hold = self.permit.is_some() || self.may_hold_stale_permit;
         if !is_settled || !may_hold {
             return None;
         }
-        self.with_row(now, |book, row, revision| {
-            let next = row.released(&book.holder.host);
+        self.with_row(now, |state, row, revision| {
+            let next = row.released(&state.holder.host);
             if next == *row {
-                book.permit = None;
-                book.may_hold_old = false;
+                state.permit = None;
+                state.may_hold_stale_permit = false;
                 return None;
             }
             // Forgotten before it is given back: when the write's answer is lost, another host may
             // have the place already, and a change begun now would put one too many out of service.
-            book.permit = None;
-            book.may_hold_old = true;
-            Some(book.write(WritePurpose::Release, revision, next, now))
+            state.permit = None;
+            state.may_hold_stale_permit = true;
+            Some(state.write(WritePurpose::Release, revision, next, now))
         })
     }
 
@@ -168,11 +169,11 @@
         target: &TargetVersion,
         jitter: f64,
         now: ClockTime,
-    ) -> Result<Option<PermitAnswer>, RowWant> {
+    ) -> Result<Option<PermitDecision>, RowRequirement> {
         self.fresh_row(now)?;
-        let refusal = self.seen.row.refusal(target);
+        let refusal = self.snapshot.row.refusal(target);
         if refusal.is_some() {
-            self.rest(STOPPED_SPAN, jitter, now);
+            self.back_off(STOPPED_BACKOFF, jitter, now);
         }
         Ok(refusal)
     }
@@ -187,47 +188,47 @@
     ) -> ActivationStep {
         let revision = match self.fresh_row(now) {
             Ok(revision) => revision,
-            Err(want) => return want.into_step(),
+            Err(requirement) => return requirement.into_step(),
         };
         let lapsed = |permit: &RolloutPermit| {
             // A holder that is there may still be out of service, cut off from the table: its place
             // is taken only when it is gone too.
-            self.watch.is_overdue(permit, now) && !(view.is_live)(&permit.holder.host)
+            self.permit_tracker.is_expired(permit, now) && !(view.is_live)(&permit.holder.host)
         };
         let answer = self
-            .seen
+            .snapshot
             .row
-            .ask(target, &self.holder, engine_fence, lapsed);
+            .request_permit(target, &self.holder, engine_fence, lapsed);
         match answer {
-            PermitAnswer::Write(row, fence) => {
-                self.write(WritePurpose::Take(fence), revision, row, now)
+            PermitDecision::Write(row, fence) => {
+                self.write(WritePurpose::Acquire(fence), revision, row, now)
             }
-            PermitAnswer::Full => {
-                let span = (PLACE_SPAN * (view.batches_ahead + 1)).min(PLACE_SPAN_MOST);
-                self.rest(span, view.jitter, now)
+            PermitDecision::Full => {
+                let span = (BATCH_WAIT * (view.batches_ahead + 1)).min(BATCH_WAIT_MAX);
+                self.back_off(span, view.jitter, now)
             }
-            PermitAnswer::Stopped(_) | PermitAnswer::Outdated => {
-                self.rest(STOPPED_SPAN, view.jitter, now)
+            PermitDecision::Stopped(_) | PermitDecision::Outdated => {
+                self.back_off(STOPPED_BACKOFF, view.jitter, now)
             }
         }
     }
 
     /// Renews the permit in time while a change is under way.
     pub(crate) fn renew_step(&mut self, now: ClockTime) -> Option<ActivationStep> {
-        let is_due = self
+        let is_renewal_due = self
             .permit
             .as_ref()
-            .is_some_and(|permit| permit.is_due(now));
-        if !is_due || now < self.rest_until {
+            .is_some_and(|permit| permit.is_renewal_due(now));
+        if !is_renewal_due || now < self.retry_at {
             return None;
         }
-        self.with_row(now, |book, row, revision| {
-            let Some(next) = row.renewed(&book.holder) else {
+        self.with_row(now, |state, row, revision| {
+            let Some(next) = row.renewed(&state.holder) else {
                 // Taken away: this host counted as gone.
-                book.permit = None;
+                state.permit = None;
                 return None;
             };
-            Some(book.write(WritePurpose::Renew, revision, next, now))
+            Some(state.write(WritePurpose::Renew, revision, next, now))
         })
     }
 
@@ -238,17 +239,17 @@
         jitter: f64,
         now: ClockTime,
     ) {
-        let Ok(seen) = answer else {
-            self.is_table_away = true;
-            self.seen_at = None;
-            self.rest(AWAY_SPAN, jitter, now);
+        let Ok(snapshot) = answer else {
+            self.is_table_unavailable = true;
+            self.read_at = None;
+            self.back_off(TABLE_UNAVAILABLE_BACKOFF, jitter, now);
             return;
         };
-        self.is_table_away = false;
-        self.watch.see(&seen.row, now);
-        self.settle_doubt(&seen.row);
-        self.seen = seen;
-        self.seen_at = Some(now);
+        self.is_table_unavailable = false;
+        self.permit_tracker.observe(&snapshot.row, now);
+        self.resolve_uncertain_write(&snapshot.row);
+        self.snapshot = snapshot;
+        self.read_at = Some(now);
     }
 
     /// What became of a write: the new revision, or what stands instead, or no answer.
@@ -260,77 +261,77 @@
     ) {
         match answer {
             Ok(RowWriteResult::Written) => {
-                if let Some((purpose, sent_at)) = self.sent.take() {
-                    self.settle_write(purpose, sent_at);
+                if let Some((purpose, sent_at)) = self.pending_write.take() {
+                    self.apply_write(purpose, sent_at);
                 }
                 // The row is read again before the next write.
-                self.seen_at = None;
+                self.read_at = None;
             }
-            Ok(RowWriteResult::Conflict(standing)) => {
-                self.sent = None;
-                self.on_row(Ok(standing), jitter, now);
-                self.rest(CONFLICT_SPAN, jitter, now);
+            Ok(RowWriteResult::Conflict(current)) => {
+                self.pending_write = None;
+                self.on_row(Ok(current), jitter, now);
+                self.back_off(CONFLICT_BACKOFF, jitter, now);
             }
             Err(_) => {
                 // It may have been written: reading the row back settles it.
-                self.may_hold_old = true;
-                self.is_table_away = true;
-                self.seen_at = None;
-                self.rest(CONFLICT_SPAN, jitter, now);
+                self.may_hold_stale_permit = true;
+                self.is_table_unavailable = true;
+                self.read_at = None;
+                self.back_off(CONFLICT_BACKOFF, jitter, now);
             }
         }
     }
 
     /// The answer to a write was lost: what stands tells whether it took effect. The permit counts
     /// from when the write was sent, not from when it was read back.
-    fn settle_doubt(&mut self, row: &RolloutRow) {
-        let Some((purpose, sent_at)) = self.sent.take() else {
+    fn resolve_uncertain_write(&mut self, row: &RolloutRow) {
+        let Some((purpose, sent_at)) = self.pending_write.take() else {
             return;
         };
         let own = row
             .permits
             .iter()
             .find(|permit| permit.holder == self.holder);
-        if let (WritePurpose::Take(fence), Some(permit)) = (purpose, own)
+        if let (WritePurpose::Acquire(fence), Some(permit)) = (purpose, own)
             && permit.fence == fence
         {
-            self.settle_write(purpose, sent_at);
+            self.apply_write(purpose, sent_at);
         }
     }
 
-    fn settle_write(&mut self, purpose: WritePurpose, sent_at: ClockTime) {
+    fn apply_write(&mut self, purpose: WritePurpose, sent_at: ClockTime) {
         match purpose {
-            WritePurpose::Take(fence) => {
+            WritePurpose::Acquire(fence) => {
                 self.permit = Some(HeldPermit {
                     fence,
-                    begun: sent_at,
+                    renewed_at: sent_at,
                 });
-                self.may_hold_old = false;
+                self.may_hold_stale_permit = false;
             }
             WritePurpose::Renew => {
                 if let Some(permit) = self.permit.as_mut() {
-                    permit.begun = sent_at;
+                    permit.renewed_at = sent_at;
                 }
             }
             WritePurpose::Release => {
                 self.permit = None;
-                self.may_hold_old = false;
+                self.may_hold_stale_permit = false;
             }
-            WritePurpose::Failure => self.failure = None,
+            WritePurpose::ReportFailure => self.pending_failure = None,
         }
     }
 
-    fn fresh_row(&self, now: ClockTime) -> Result<RowRevision, RowWant> {
-        if now < self.rest_until {
-            return Err(RowWant::Rest(self.rest_until));
+    fn fresh_row(&self, now: ClockTime) -> Result<RowRevision, RowRequirement> {
+        if now < self.retry_at {
+            return Err(RowRequirement::Wait(self.retry_at));
         }
         let is_fresh = self
-            .seen_at
-            .is_some_and(|seen_at| now.since(seen_at) < ROW_SPAN);
+            .read_at
+            .is_some_and(|read_at| now.since(read_at) < ROW_FRESHNESS);
         if is_fresh {
-            Ok(self.seen.revision)
+            Ok(self.snapshot.revision)
         } else {
-            Err(RowWant::Read)
+            Err(RowRequirement::Read)
         }
     }
 
@@ -342,11 +343,11 @@
     ) -> Option<ActivationStep> {
         match self.fresh_row(now) {
             Ok(revision) => {
-                let row = self.seen.row.clone();
+                let row = self.snapshot.row.clone();
                 act(self, &row, revision)
             }
-            Err(RowWant::Read) => Some(ActivationStep::ReadRow),
-            Err(RowWant::Rest(_)) => None,
+            Err(RowRequirement::Read) => Some(ActivationStep::ReadRow),
+            Err(RowRequirement::Wait(_)) => None,
         }
     }
 
@@ -357,15 +358,15 @@
         row: RolloutRow,
         now: ClockTime,
     ) -> ActivationStep {
-        self.sent = Some((purpose, now));
+        self.pending_write = Some((purpose, now));
         ActivationStep::WriteRow { expected, row }
     }
 
     /// Rests for a random part of `span` (full jitter), so that hosts that were refused together do
     /// not come back together.
-    fn rest(&mut self, span: Duration, jitter: f64, now: ClockTime) -> ActivationStep {
-        self.rest_until = now + span.mul_f64(jitter.clamp(0.05, 1.0));
-        self.seen_at = None;
-        ActivationStep::WaitUntil(self.rest_until)
+    fn back_off(&mut self, span: Duration, jitter: f64, now: ClockTime) -> ActivationStep {
+        self.retry_at = now + span.mul_f64(jitter.clamp(0.05, 1.0));
+        self.read_at = None;
+        ActivationStep::WaitUntil(self.retry_at)
     }
 }
--- a/src/weights/link_pacer.rs
+++ b/src/weights/link_pacer.rs
@@ -33,21 +33,21 @@
     /// Gives `bytes` of weights to the link behind all that was given before. Returns when they are
     /// through.
     pub(crate) fn reserve(&mut self, bytes: u64, now: ClockTime) -> ClockTime {
-        self.free_at = self.free_at.max(now) + self.span_of(bytes);
+        self.free_at = self.free_at.max(now) + self.transfer_time(bytes);
         self.free_at
     }
 
     /// `bytes` of weights have just come. The link took them in while their sender sent them, so
     /// that they count from as long ago as they need on the idle link. Returns when the link has
     /// taken them in behind all that came before.
-    pub(crate) fn arrive(&mut self, bytes: u64, now: ClockTime) -> ClockTime {
-        let span = self.span_of(bytes);
+    pub(crate) fn record_arrival(&mut self, bytes: u64, now: ClockTime) -> ClockTime {
+        let span = self.transfer_time(bytes);
         self.free_at = self.free_at.max(now - span) + span;
         self.free_at
     }
 
     /// Live requests took `bytes` of the link. They never wait; the weights behind them do.
-    pub(crate) fn take_live(&mut self, bytes: u64, now: ClockTime) {
+    pub(crate) fn record_live(&mut self, bytes: u64, now: ClockTime) {
         let _ = self.reserve(bytes, now);
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// How long `bytes` take on the idle link.
-    pub(crate) fn span_of(&self, bytes: u64) -> Duration {
+    pub(crate) fn transfer_time(&self, bytes: u64) -> Duration {
         if self.bytes_per_second == 0 {
             return Duration::ZERO;
         }
@@ -79,7 +79,7 @@
 ///
 /// Weights that fill the link make live answers wait behind whole chunks. One would notice live
 /// requests' p99 rising with each burst. Weights therefore wait for the link here, before they are
-/// sent, and live bytes, told by [`LinkPacer::take_live`], push them back.
+/// sent, and live bytes, told by [`LinkPacer::record_live`], push them back.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkPacer {
     shared: Arc<Mutex<LinkState>>,
@@ -119,9 +119,9 @@
     }
 
     /// Live requests took `bytes` of the link.
-    pub(crate) fn take_live(&self, direction: LinkDirection, bytes: u64) {
+    pub(crate) fn record_live(&self, direction: LinkDirection, bytes: u64) {
         let now = clock_now();
-        self.with(direction, |bucket| bucket.take_live(bytes, now));
+        self.with(direction, |bucket| bucket.record_live(bytes, now));
     }
 
     /// Weights came far too slowly for this link: it carries less than it should, and whatever goes
@@ -153,16 +153,18 @@
     }
 
     /// How long `bytes` take on the idle link.
-    pub(crate) fn span_of(&self, bytes: u64) -> Duration {
-        self.with(LinkDirection::Up, |bucket| bucket.span_of(bytes))
+    pub(crate) fn transfer_time(&self, bytes: u64) -> Duration {
+        self.with(LinkDirection::Up, |bucket| bucket.transfer_time(bytes))
     }
 
     /// Waits until the link has taken in `bytes` that have just come: the next are asked for only
     /// then.
     pub(crate) async fn take_in(&self, bytes: u64) {
         let now = clock_now();
-        let through = self.with(LinkDirection::Down, |bucket| bucket.arrive(bytes, now));
-        let wait = through.since(now);
+        let done_at = self.with(LinkDirection::Down, |bucket| {
+            bucket.record_arrival(bytes, now)
+        });
+        let wait = done_at.since(now);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
@@ -176,14 +178,14 @@
     /// The link's backlog when it is longer.
     pub(crate) async fn send_out(&self, bytes: u64, backlog_max: Duration) -> Result<(), Duration> {
         let now = clock_now();
-        let through = self.with(LinkDirection::Up, |bucket| {
+        let done_at = self.with(LinkDirection::Up, |bucket| {
             let backlog = bucket.backlog(now);
             if backlog > backlog_max {
                 return Err(backlog);
             }
             Ok(bucket.reserve(bytes, now))
         })?;
-        let wait = through.since(now);
+        let wait = done_at.since(now);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
--- a/src/weights/live_bytes.rs
+++ b/src/weights/live_meter.rs
@@ -19,29 +19,29 @@
 ///
 /// Questions are a few hundred bytes and are left out; answers stream for minutes.
 pub(crate) fn meter_live_responses(routes: Router, pacer: LinkPacer) -> Router {
-    routes.layer(LiveLayer(pacer))
+    routes.layer(LiveMeterLayer(pacer))
 }
 
 #[derive(Clone)]
-struct LiveLayer(LinkPacer);
+struct LiveMeterLayer(LinkPacer);
 
-impl Layer<Route> for LiveLayer {
-    type Service = LiveService;
+impl Layer<Route> for LiveMeterLayer {
+    type Service = LiveMeterService;
 
-    fn layer(self, inner: Route) -> LiveService {
-        LiveService {
+    fn layer(self, inner: Route) -> LiveMeterService {
+        LiveMeterService {
             inner,
             pacer: self.0,
         }
     }
 }
 
-struct LiveService {
+struct LiveMeterService {
     inner: Route,
     pacer: LinkPacer,
 }
 
-impl Service<ServerContext, Request> for LiveService {
+impl Service<ServerContext, Request> for LiveMeterService {
     type Response = Response;
     type Error = Infallible;
 
@@ -55,7 +55,7 @@
         let parts = body.into_data_stream().map(move |frame| {
             frame.map(|bytes| {
                 let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
-                pacer.take_live(LinkDirection::Up, length);
+                pacer.record_live(LinkDirection::Up, length);
                 Frame::data(bytes)
             })
         });
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -32,7 +32,7 @@
 }
 
 impl VersionManifest {
-    /// Reads the JSON in `text`, which must describe the weights with the digest `target` and fit
+    /// Reads the JSON in `text`, which must describe the weights with the digest `expected` and fit
     /// into `memory_bytes`.
     ///
     /// # Errors
@@ -41,19 +41,19 @@
     /// `MemoryTooSmall` when the host cannot hold the whole.
     pub(crate) fn read(
         text: &[u8],
-        target: WeightsDigest,
+        expected: WeightsDigest,
         memory_bytes: u64,
     ) -> SwitchResult<Self> {
         let manifest: Self =
             serde_json::from_slice(text).map_err(|fault| invalid(fault.to_string()))?;
-        manifest.check(target, memory_bytes)?;
+        manifest.check(expected, memory_bytes)?;
         Ok(manifest)
     }
 
     /// Checks the manifest as [`VersionManifest::read`] does.
-    pub(crate) fn check(&self, target: WeightsDigest, memory_bytes: u64) -> SwitchResult<()> {
-        if self.digest != target {
-            let detail = format!("it describes {}, wanted is {target}", self.digest);
+    pub(crate) fn check(&self, expected: WeightsDigest, memory_bytes: u64) -> SwitchResult<()> {
+        if self.digest != expected {
+            let detail = format!("it describes {}, wanted is {expected}", self.digest);
             return Err(invalid(detail));
         }
         if self.chunk_size == 0 || self.chunk_size > CHUNK_BYTES_MAX {
@@ -63,13 +63,13 @@
             );
             return Err(invalid(detail));
         }
-        let expected = self.size.div_ceil(self.chunk_size);
-        if expected == 0 || expected > CHUNKS_MAX {
-            return Err(invalid(format!("{expected} chunks; 1 to {CHUNKS_MAX}")));
+        let chunk_count = self.size.div_ceil(self.chunk_size);
+        if chunk_count == 0 || chunk_count > CHUNKS_MAX {
+            return Err(invalid(format!("{chunk_count} chunks; 1 to {CHUNKS_MAX}")));
         }
-        if usize::try_from(expected) != Ok(self.chunks.len()) {
+        if usize::try_from(chunk_count) != Ok(self.chunks.len()) {
             let detail = format!(
-                "{} chunk digests, but {} bytes make {expected} chunks",
+                "{} chunk digests, but {} bytes make {chunk_count} chunks",
                 self.chunks.len(),
                 self.size
             );
--- a/src/weights/messages.rs
+++ b/src/weights/messages.rs
@@ -34,5 +34,6 @@
     /// Which chunk it is.
     pub(crate) index: u32,
     /// What its sender holds.
-    pub(crate) word: ChunkAnnouncement,
+    #[serde(rename = "word")]
+    pub(crate) announcement: ChunkAnnouncement,
 }
--- a/src/weights/manifest_doubt.rs
+++ b/src/weights/mismatch_counter.rs
@@ -10,16 +10,16 @@
 
 /// Mismatches of one chunk in a row after which the manifest is given up.
 const MISMATCHES_MAX: u8 = 4;
-const REST_FIRST: Duration = Duration::from_secs(2);
-const REST_DOUBLINGS: u32 = 5;
+const BACKOFF_INITIAL: Duration = Duration::from_secs(2);
+const BACKOFF_DOUBLINGS_MAX: u32 = 5;
 
 /// Counts mismatches under one manifest.
 #[derive(Clone, Debug)]
-pub(crate) struct ManifestDoubt {
+pub(crate) struct MismatchCounter {
     mismatches: Vec<u8>,
 }
 
-impl ManifestDoubt {
+impl MismatchCounter {
     /// No doubt yet about a manifest of `chunks` chunks.
     pub(crate) fn new(chunks: u32) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
@@ -39,14 +39,14 @@
     }
 }
 
-/// How long to wait before a manifest is read again after `doubts` were given up in a row: nothing
+/// How long to wait before a manifest is read again after `rejected_manifests` were given up in a row: nothing
 /// after the first, which a peer may have made up; then longer and longer, since the origin itself
 /// publishes it so. `jitter` is left to chance.
-pub(crate) fn wait_after(doubts: u32, jitter: f64) -> Duration {
-    match doubts {
+pub(crate) fn manifest_retry_delay(rejected_manifests: u32, jitter: f64) -> Duration {
+    match rejected_manifests {
         0 | 1 => Duration::ZERO,
-        doubts => {
-            (REST_FIRST * (1 << (doubts - 2).min(REST_DOUBLINGS))).mul_f64(0.5 + jitter / 2.0)
-        }
+        rejected_manifests => (BACKOFF_INITIAL
+            * (1 << (rejected_manifests - 2).min(BACKOFF_DOUBLINGS_MAX)))
+        .mul_f64(0.5 + jitter / 2.0),
     }
 }
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -2,53 +2,51 @@
 //! loaded, and a host serves a version only when all of it is there and its engine says so.
 
 mod activation;
-mod activation_edge;
+mod activation_driver;
+mod chunk_announcer;
+mod chunk_fetcher;
 mod chunk_map;
 mod digest;
 pub(crate) mod events;
-mod fetch_choice;
-mod fetch_edge;
 mod fetch_plan;
-mod fetch_run;
+mod fetch_selection;
+mod fetch_session;
 mod fetch_worker;
-mod import_turns;
+mod host_ranking;
+mod host_rollout_state;
+mod import_schedule;
 mod lease_holder;
 mod link_pacer;
-mod live_bytes;
+mod live_meter;
 mod manifest;
-mod manifest_doubt;
-mod manifest_edge;
+mod manifest_fetch;
 mod messages;
-mod origin_turns;
+mod mismatch_counter;
+mod origin_schedule;
 mod peer_service;
 mod peer_table;
-mod rollout_book;
 mod rollout_row;
-mod source_line;
 mod staged_version;
+mod target_version;
 #[cfg(test)]
 mod tests;
 mod version_change;
 mod version_routes;
-mod wanted_version;
-mod weights_thread;
-mod word_board;
+mod weights_tasks;
 
 pub use digest::WeightsDigest;
 
 pub(crate) use activation::{ActivationInputs, ActivationMachine, ActivationStep};
 pub(crate) use chunk_map::ChunkMap;
 pub(crate) use fetch_plan::{ChunkSource, FetchLimits, FetchPlan, FetchStep, TransferId};
+pub(crate) use host_ranking::HostLocation;
 pub(crate) use lease_holder::LeaseHolder;
 pub(crate) use link_pacer::{LinkDirection, LinkPacer};
-pub(crate) use live_bytes::meter_live_responses;
+pub(crate) use live_meter::meter_live_responses;
 pub(crate) use manifest::VersionManifest;
 pub(crate) use messages::ChunkAnnouncement;
 pub(crate) use peer_table::{PeerHost, PeerKey};
 pub(crate) use rollout_row::{RolloutRow, RowSnapshot, RowWriteResult};
-pub(crate) use source_line::HostLocation;
 pub(crate) use staged_version::StagedVersion;
-pub(crate) use wanted_version::TargetVersion;
-pub(crate) use weights_thread::{
-    WeightsContext, WeightsHandle, WeightsLimits, start_weights_tasks,
-};
+pub(crate) use target_version::TargetVersion;
+pub(crate) use weights_tasks::{WeightsContext, WeightsHandle, WeightsLimits, start_weights_tasks};
--- a/src/weights/peer_service.rs
+++ b/src/weights/peer_service.rs
@@ -13,52 +13,52 @@
 use volo_http::server::param::PathParams;
 use volo_http::server::route::{Router, post};
 
+use super::chunk_announcer::ChunkAnnouncer;
 use super::link_pacer::LinkPacer;
 use super::messages::{ChunkAnnouncement, ChunkHead};
-use super::staged_version::{StagedVersion, VersionShelf};
+use super::staged_version::{StagedVersion, VersionCache};
 use super::version_routes::read_digest;
-use super::word_board::WordBoard;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
 use crate::transport::{encode_message, error_reply, message_reply, read_message};
 
 /// The largest word that is read, in bytes: two maps of the most chunks, and a name.
-pub(crate) const WORD_BYTES_MAX: usize = 64 * 1024;
+pub(crate) const ANNOUNCEMENT_BYTES_MAX: usize = 64 * 1024;
 /// Chunks that go out at a time.
 const UPLOADS_MAX: usize = 8;
 /// How many chunks may wait for this host's link.
-const UPLOAD_QUEUE: u32 = 4;
+const UPLOAD_QUEUE_CHUNKS: u32 = 4;
 /// How long a reader may take before its upload no longer counts. Readers that went silent would
 /// otherwise hold all places for good, and every other host would be told "busy".
-const UPLOAD_LONGEST: Duration = Duration::from_secs(10);
+const UPLOAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// What a full queue without pacing asks a reader to wait.
-const UNPACED_WAIT: Duration = Duration::from_millis(50);
+const UNPACED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Answers other hosts. Clones share its limits.
 #[derive(Clone)]
 pub(crate) struct PeerService {
-    shelf: VersionShelf,
-    board: WordBoard,
+    versions: VersionCache,
+    announcer: ChunkAnnouncer,
     pacer: LinkPacer,
     uploads: Arc<Semaphore>,
-    heard: mpsc::Sender<ChunkAnnouncement>,
+    announcements: mpsc::Sender<ChunkAnnouncement>,
 }
 
 impl PeerService {
-    /// Answers from `shelf`, within what `pacer` lets through. What askers say of themselves goes
-    /// to `heard`; words are dropped when it is full, since newer ones follow.
+    /// Answers from `versions`, within what `pacer` lets through. What askers say of themselves goes
+    /// to `announcements`; words are dropped when it is full, since newer ones follow.
     pub(crate) fn new(
-        shelf: VersionShelf,
-        board: WordBoard,
+        versions: VersionCache,
+        announcer: ChunkAnnouncer,
         pacer: LinkPacer,
-        heard: mpsc::Sender<ChunkAnnouncement>,
+        announcements: mpsc::Sender<ChunkAnnouncement>,
     ) -> Self {
         Self {
-            shelf,
-            board,
+            versions,
+            announcer,
             pacer,
             uploads: Arc::new(Semaphore::new(UPLOADS_MAX)),
-            heard,
+            announcements,
         }
     }
 
@@ -70,10 +70,10 @@
             async move { reply.unwrap_or_else(|error| refuse(&error)) }
         };
         let service = self.clone();
-        let have = move |PathParams(digest): PathParams<String>, request: Request| {
+        let holdings = move |PathParams(digest): PathParams<String>, request: Request| {
             let service = service.clone();
             async move {
-                let reply = service.have(&digest, request).await;
+                let reply = service.holdings(&digest, request).await;
                 reply.unwrap_or_else(|error| refuse(&error))
             }
         };
@@ -88,7 +88,7 @@
         };
         Router::new()
             .route("/peer/weights/{digest}/manifest", post(manifest))
-            .route("/peer/weights/{digest}/have", post(have))
+            .route("/peer/weights/{digest}/have", post(holdings))
             .route("/peer/weights/{digest}/chunk/{index}", post(chunk))
     }
 
@@ -96,15 +96,15 @@
         Ok(message_reply(self.find(digest)?.manifest()))
     }
 
-    async fn have(&self, digest: &str, request: Request) -> SwitchResult<Response> {
+    async fn holdings(&self, digest: &str, request: Request) -> SwitchResult<Response> {
         let version = self.find(digest)?;
-        self.hear(request).await?;
-        Ok(message_reply(&self.board.word(&version)))
+        self.receive_announcement(request).await?;
+        Ok(message_reply(&self.announcer.announcement(&version)))
     }
 
     async fn chunk(&self, digest: &str, index: u32, request: Request) -> SwitchResult<Response> {
         let version = self.find(digest)?;
-        self.hear(request).await?;
+        self.receive_announcement(request).await?;
         let Some(bytes) = version.chunk(index) else {
             let detail = format!("chunk {index} is not here");
             return Err(SwitchError::new(ErrorKind::ChunkMissing, detail));
@@ -118,14 +118,14 @@
         let head = ChunkHead {
             digest: version.digest(),
             index,
-            word: self.board.word(&version),
+            announcement: self.announcer.announcement(&version),
         };
         chunk_reply(&head, bytes, slot)
     }
 
     fn find(&self, digest: &str) -> SwitchResult<Arc<StagedVersion>> {
         let digest = read_digest(digest)?;
-        self.shelf.find(digest).ok_or_else(|| {
+        self.versions.find(digest).ok_or_else(|| {
             SwitchError::new(
                 ErrorKind::ChunkMissing,
                 format!("nothing of {digest} is here"),
@@ -133,21 +133,21 @@
         })
     }
 
-    async fn hear(&self, request: Request) -> SwitchResult<()> {
-        let word = read_message(request.into_body(), WORD_BYTES_MAX).await?;
-        let _ = self.heard.try_send(word);
+    async fn receive_announcement(&self, request: Request) -> SwitchResult<()> {
+        let announcement = read_message(request.into_body(), ANNOUNCEMENT_BYTES_MAX).await?;
+        let _ = self.announcements.try_send(announcement);
         Ok(())
     }
 
     fn take_slot(&self) -> SwitchResult<UploadSlot> {
         let permit = Arc::clone(&self.uploads).try_acquire_owned();
-        let permit = permit.map_err(|_| busy(UNPACED_WAIT))?;
+        let permit = permit.map_err(|_| busy(UNPACED_RETRY_DELAY))?;
         Ok(UploadSlot::new(permit))
     }
 
     async fn wait_for_link(&self, bytes: &Bytes) -> SwitchResult<()> {
         let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
-        let queue = self.pacer.span_of(length) * UPLOAD_QUEUE;
+        let queue = self.pacer.transfer_time(length) * UPLOAD_QUEUE_CHUNKS;
         let passed = self.pacer.send_out(length, queue).await;
         passed.map_err(|backlog| busy(backlog.saturating_sub(queue)))
     }
@@ -178,7 +178,7 @@
 }
 
 /// One of the uploads that may go on at a time; free again when dropped, or after
-/// [`UPLOAD_LONGEST`].
+/// [`UPLOAD_TIMEOUT`].
 struct UploadSlot {
     _permit: Arc<Mutex<Option<OwnedSemaphorePermit>>>,
 }
@@ -186,10 +186,10 @@
 impl UploadSlot {
     fn new(permit: OwnedSemaphorePermit) -> Self {
         let shared = Arc::new(Mutex::new(Some(permit)));
-        let late = Arc::downgrade(&shared);
+        let weak_permit = Arc::downgrade(&shared);
         tokio::spawn(async move {
-            tokio::time::sleep(UPLOAD_LONGEST).await;
-            if let Some(permit) = late.upgrade() {
+            tokio::time::sleep(UPLOAD_TIMEOUT).await;
+            if let Some(permit) = weak_permit.upgrade() {
                 drop(permit.lock().unwrap_or_else(PoisonError::into_inner).take());
             }
         });
--- a/src/weights/peer_table.rs
+++ b/src/weights/peer_table.rs
@@ -7,17 +7,17 @@
 use macro_rules_attribute::apply;
 
 use super::chunk_map::ChunkMap;
+use super::host_ranking::{HostLocation, hash_of, mix};
 use super::messages::ChunkAnnouncement;
-use super::source_line::{HostLocation, hash_of, mix};
 use crate::derives::{key, plain};
 use crate::time::ClockTime;
 
 /// Failures in a row after which the rest between two tries no longer grows.
-const STRIKES_MAX: u32 = 6;
-const REST_FIRST: Duration = Duration::from_millis(200);
+const BACKOFF_DOUBLINGS_MAX: u32 = 6;
+const BACKOFF_INITIAL: Duration = Duration::from_millis(200);
 /// Doublings of the rest of a host that does not answer, up to 0.8 s. A question to it costs nearly
 /// nothing, and each moment that it is back unnoticed others do without what it holds.
-const SILENT_DOUBLINGS: u32 = 2;
+const UNRESPONSIVE_BACKOFF_DOUBLINGS: u32 = 2;
 
 /// A host's place in the [`PeerTable`].
 #[apply(key!)]
@@ -34,13 +34,13 @@
 
 /// Whether a host is there, by its last sign.
 #[apply(key!)]
-pub(crate) enum PeerPresence {
+pub(crate) enum PeerLiveness {
     /// It answered, or was never asked.
-    There,
+    Responsive,
     /// A chunk did not come from it, or is late: it is asked whether it is there.
-    Doubted,
+    Suspected,
     /// It did not answer.
-    Silent,
+    Unresponsive,
 }
 
 /// What is known of one other host.
@@ -57,45 +57,45 @@
     /// The chunks that it said it is about to read from the origin.
     pub(crate) claimed: Option<ChunkMap>,
     /// When it was last heard.
-    pub(crate) heard_at: Option<ClockTime>,
+    pub(crate) last_heard_at: Option<ClockTime>,
     /// When it was last asked.
-    pub(crate) asked_at: Option<ClockTime>,
+    pub(crate) queried_at: Option<ClockTime>,
     /// Whether its answer is outstanding.
-    pub(crate) is_asked: bool,
+    pub(crate) is_query_pending: bool,
     /// Whether it is there.
-    pub(crate) presence: PeerPresence,
+    pub(crate) liveness: PeerLiveness,
     /// Chunks under way from it.
     pub(crate) pulls: u32,
     /// Until when nothing is asked of it, after failures.
-    pub(crate) rest_until: ClockTime,
+    pub(crate) retry_at: ClockTime,
     /// Until when its link is busy.
     pub(crate) busy_until: ClockTime,
-    strikes: u32,
+    consecutive_failures: u32,
 }
 
 /// The other hosts, each in a fixed place.
 #[derive(Debug)]
 pub(crate) struct PeerTable {
-    me: HostLocation,
+    local: HostLocation,
     peers: Vec<PeerRecord>,
     /// Sorted by name.
     by_name: Vec<PeerKey>,
     /// For each chunk, how many of the listed hosts said that they hold it.
-    copies: Vec<u16>,
+    copy_counts: Vec<u16>,
     /// Whether a host came, fell silent, or was heard again since this was last taken.
-    is_silence_changed: bool,
+    is_liveness_changed: bool,
 }
 
 impl PeerTable {
-    /// The table of `me`, without others yet, for a version of `chunks` chunks.
-    pub(crate) fn new(me: HostLocation, chunks: u32) -> Self {
+    /// The table of `local`, without others yet, for a version of `chunks` chunks.
+    pub(crate) fn new(local: HostLocation, chunks: u32) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
         Self {
-            me,
+            local,
             peers: Vec::new(),
             by_name: Vec::new(),
-            copies: vec![0; chunks],
-            is_silence_changed: false,
+            copy_counts: vec![0; chunks],
+            is_liveness_changed: false,
         }
     }
 
@@ -105,28 +105,30 @@
         for peer in &mut self.peers {
             peer.is_listed = false;
         }
-        let me = self.me.host.clone();
-        for host in hosts.iter().filter(|host| host.location.host != me) {
-            self.list(host);
+        let local = self.local.host.clone();
+        for host in hosts.iter().filter(|host| host.location.host != local) {
+            self.add_or_update(host);
         }
         self.choose_neighbours(neighbours);
         self.count_copies();
-        self.is_silence_changed = true;
+        self.is_liveness_changed = true;
     }
 
     /// The host called `name`.
     pub(crate) fn find(&self, name: &str) -> Option<PeerKey> {
-        self.place(name).ok().map(|at| self.by_name[at])
+        self.position(name)
+            .ok()
+            .map(|position| self.by_name[position])
     }
 
     /// The record at `key`.
     pub(crate) fn get(&self, key: PeerKey) -> &PeerRecord {
-        &self.peers[key.at()]
+        &self.peers[key.position()]
     }
 
     /// The record at `key`, to be changed.
     pub(crate) fn get_mut(&mut self, key: PeerKey) -> &mut PeerRecord {
-        &mut self.peers[key.at()]
+        &mut self.peers[key.position()]
     }
 
     /// Every listed host.
@@ -136,82 +138,87 @@
     }
 
     /// Whether the host at `key` stands in this host's data centre.
-    pub(crate) fn is_near(&self, key: PeerKey) -> bool {
-        self.get(key).host.location.data_centre == self.me.data_centre
+    pub(crate) fn is_local(&self, key: PeerKey) -> bool {
+        self.get(key).host.location.data_centre == self.local.data_centre
     }
 
     /// How many hosts are known to hold chunk `index`.
-    pub(crate) fn copies(&self, index: u32) -> u16 {
-        let at = usize::try_from(index).unwrap_or(usize::MAX);
-        self.copies.get(at).copied().unwrap_or(0)
+    pub(crate) fn copy_count(&self, index: u32) -> u16 {
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
+        self.copy_counts.get(position).copied().unwrap_or(0)
     }
 
     /// Takes in what a host said of itself. Words whose maps do not fit the version are left out. Returns
     /// whether it holds a chunk that nobody was known to hold.
-    pub(crate) fn hear(&mut self, word: &ChunkAnnouncement, now: ClockTime) -> bool {
-        let chunks = u32::try_from(self.copies.len()).unwrap_or(u32::MAX);
-        let Some(key) = self.find(&word.host) else {
+    pub(crate) fn record_announcement(
+        &mut self,
+        announcement: &ChunkAnnouncement,
+        now: ClockTime,
+    ) -> bool {
+        let chunks = u32::try_from(self.copy_counts.len()).unwrap_or(u32::MAX);
+        let Some(key) = self.find(&announcement.host) else {
             return false;
         };
-        if !word.held.fits(chunks) || !word.claimed.fits(chunks) {
+        if !announcement.held.fits(chunks) || !announcement.claimed.fits(chunks) {
             return false;
         }
         let mut is_first_copy = false;
-        let peer = &mut self.peers[key.at()];
+        let peer = &mut self.peers[key.position()];
         let before = peer.held.take();
         if peer.is_listed {
-            for (index, copies) in (0..).zip(self.copies.iter_mut()) {
+            for (index, count) in (0..).zip(self.copy_counts.iter_mut()) {
                 let had = before.as_ref().is_some_and(|map| map.contains(index));
-                let has = word.held.contains(index);
-                is_first_copy |= has && *copies == 0;
-                *copies = (*copies + u16::from(has)).saturating_sub(u16::from(had));
+                let has = announcement.held.contains(index);
+                is_first_copy |= has && *count == 0;
+                *count = (*count + u16::from(has)).saturating_sub(u16::from(had));
             }
         }
-        peer.held = Some(word.held.clone());
-        peer.claimed = Some(word.claimed.clone());
-        peer.busy_until = now + Duration::from_millis(word.backlog_ms);
-        self.find_there(key, now);
+        peer.held = Some(announcement.held.clone());
+        peer.claimed = Some(announcement.claimed.clone());
+        peer.busy_until = now + Duration::from_millis(announcement.backlog_ms);
+        self.mark_responsive(key, now);
         is_first_copy
     }
 
     /// The host at `key` gave a sign of itself. What it holds can be had at once: it rested only
     /// because it was silent.
-    pub(crate) fn find_there(&mut self, key: PeerKey, now: ClockTime) {
-        let peer = &mut self.peers[key.at()];
-        peer.heard_at = Some(now);
-        if peer.presence == PeerPresence::Silent {
-            peer.rest_until = now;
-            self.is_silence_changed = true;
+    pub(crate) fn mark_responsive(&mut self, key: PeerKey, now: ClockTime) {
+        let peer = &mut self.peers[key.position()];
+        peer.last_heard_at = Some(now);
+        if peer.liveness == PeerLiveness::Unresponsive {
+            peer.retry_at = now;
+            self.is_liveness_changed = true;
         }
-        peer.presence = PeerPresence::There;
+        peer.liveness = PeerLiveness::Responsive;
     }
 
     /// The host at `key` is there and holds nothing.
-    pub(crate) fn find_empty(&mut self, key: PeerKey, now: ClockTime) {
-        let peer = &mut self.peers[key.at()];
+    pub(crate) fn mark_empty(&mut self, key: PeerKey, now: ClockTime) {
+        let peer = &mut self.peers[key.position()];
         peer.held = None;
         peer.claimed = None;
         self.count_copies();
-        self.find_there(key, now);
+        self.mark_responsive(key, now);
     }
 
     /// The names of the listed hosts that did not answer when they were last asked.
-    pub(crate) fn silent(&self) -> Vec<ByteString> {
-        let silent = self.listed();
-        let silent = silent.filter(|(_, peer)| peer.presence == PeerPresence::Silent);
-        silent
+    pub(crate) fn unresponsive(&self) -> Vec<ByteString> {
+        let unresponsive = self.listed();
+        let unresponsive =
+            unresponsive.filter(|(_, peer)| peer.liveness == PeerLiveness::Unresponsive);
+        unresponsive
             .map(|(_, peer)| peer.host.location.host.clone())
             .collect()
     }
 
     /// Whether a host came, fell silent, or was heard again since this was last asked.
-    pub(crate) const fn take_silence_change(&mut self) -> bool {
-        std::mem::replace(&mut self.is_silence_changed, false)
+    pub(crate) const fn take_liveness_change(&mut self) -> bool {
+        std::mem::replace(&mut self.is_liveness_changed, false)
     }
 
     /// A host turned out not to hold a chunk that it said it holds.
     pub(crate) fn forget_chunk(&mut self, key: PeerKey, index: u32) {
-        let peer = &mut self.peers[key.at()];
+        let peer = &mut self.peers[key.position()];
         if let Some(held) = peer.held.as_mut() {
             held.remove(index);
         }
@@ -224,80 +231,88 @@
     /// counted as holding chunks, the others of its data centre neither brought them in from another one
     /// nor read them from the origin, and waited for it. One would notice data centres without weights
     /// beside others that have them whole.
-    pub(crate) fn lose(&mut self, key: PeerKey, now: ClockTime, jitter: f64) {
-        let peer = &mut self.peers[key.at()];
-        self.is_silence_changed |= peer.presence != PeerPresence::Silent;
-        peer.presence = PeerPresence::Silent;
+    pub(crate) fn mark_unresponsive(&mut self, key: PeerKey, now: ClockTime, jitter: f64) {
+        let peer = &mut self.peers[key.position()];
+        self.is_liveness_changed |= peer.liveness != PeerLiveness::Unresponsive;
+        peer.liveness = PeerLiveness::Unresponsive;
         peer.held = None;
         peer.claimed = None;
-        peer.strikes = peer.strikes.min(SILENT_DOUBLINGS);
-        peer.strike(now, jitter);
+        peer.consecutive_failures = peer
+            .consecutive_failures
+            .min(UNRESPONSIVE_BACKOFF_DOUBLINGS);
+        peer.record_failure(now, jitter);
         self.count_copies();
     }
 
-    fn list(&mut self, host: &PeerHost) {
-        match self.place(&host.location.host) {
-            Ok(at) => {
-                let peer = &mut self.peers[self.by_name[at].at()];
+    fn add_or_update(&mut self, host: &PeerHost) {
+        match self.position(&host.location.host) {
+            Ok(position) => {
+                let peer = &mut self.peers[self.by_name[position].position()];
                 if peer.host.address != host.address {
                     // Another process under the same name holds nothing of what the earlier said.
                     *peer = PeerRecord::new(host.clone());
                 }
                 peer.is_listed = true;
             }
-            Err(at) => {
+            Err(position) => {
                 let key = PeerKey(u32::try_from(self.peers.len()).unwrap_or(u32::MAX));
-                self.by_name.insert(at, key);
+                self.by_name.insert(position, key);
                 self.peers.push(PeerRecord::new(host.clone()));
             }
         }
     }
 
     fn choose_neighbours(&mut self, neighbours: usize) {
-        let me = hash_of(self.me.host.as_bytes());
-        let pair = |peer: &PeerRecord| mix(me ^ mix(hash_of(peer.host.location.host.as_bytes())));
+        let local = hash_of(self.local.host.as_bytes());
+        let pair =
+            |peer: &PeerRecord| mix(local ^ mix(hash_of(peer.host.location.host.as_bytes())));
         let mut order: Vec<(u64, usize)> = (0..)
             .zip(&self.peers)
             .filter(|(_, peer)| peer.is_listed)
-            .map(|(at, peer)| (pair(peer), at))
+            .map(|(position, peer)| (pair(peer), position))
             .collect();
         order.sort_unstable();
         for peer in &mut self.peers {
             peer.is_neighbour = false;
         }
-        let (near, far): (Vec<usize>, Vec<usize>) = order
+        let (local_peers, remote_peers): (Vec<usize>, Vec<usize>) = order
             .iter()
-            .map(|(_, at)| *at)
-            .partition(|at| self.peers[*at].host.location.data_centre == self.me.data_centre);
-        let near_count = near
+            .map(|(_, position)| *position)
+            .partition(|position| {
+                self.peers[*position].host.location.data_centre == self.local.data_centre
+            });
+        let local_count = local_peers
             .len()
-            .min(neighbours.saturating_sub(far.len().min(neighbours / 2)));
-        let far_count = far.len().min(neighbours - near_count);
-        for at in near[..near_count].iter().chain(&far[..far_count]) {
-            self.peers[*at].is_neighbour = true;
+            .min(neighbours.saturating_sub(remote_peers.len().min(neighbours / 2)));
+        let remote_count = remote_peers.len().min(neighbours - local_count);
+        for position in local_peers[..local_count]
+            .iter()
+            .chain(&remote_peers[..remote_count])
+        {
+            self.peers[*position].is_neighbour = true;
         }
     }
 
     fn count_copies(&mut self) {
-        self.copies.fill(0);
+        self.copy_counts.fill(0);
         for peer in self.peers.iter().filter(|peer| peer.is_listed) {
             let Some(held) = peer.held.as_ref() else {
                 continue;
             };
-            for (index, copies) in (0..).zip(self.copies.iter_mut()) {
-                *copies += u16::from(held.contains(index));
+            for (index, count) in (0..).zip(self.copy_counts.iter_mut()) {
+                *count += u16::from(held.contains(index));
             }
         }
     }
 
-    fn place(&self, name: &str) -> Result<usize, usize> {
+    fn position(&self, name: &str) -> Result<usize, usize> {
         self.by_name
-            .binary_search_by(|key| (*self.peers[key.at()].host.location.host).cmp(name))
+            .binary_search_by(|key| (*self.peers[key.position()].host.location.host).cmp(name))
     }
 }
 
 impl PeerKey {
-    fn at(self) -> usize {
+    fn position(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
 }
@@ -310,14 +325,14 @@
             is_neighbour: false,
             held: None,
             claimed: None,
-            heard_at: None,
-            asked_at: None,
-            is_asked: false,
-            presence: PeerPresence::There,
+            last_heard_at: None,
+            queried_at: None,
+            is_query_pending: false,
+            liveness: PeerLiveness::Responsive,
             pulls: 0,
-            rest_until: ClockTime(0),
+            retry_at: ClockTime(0),
             busy_until: ClockTime(0),
-            strikes: 0,
+            consecutive_failures: 0,
         }
     }
 
@@ -332,15 +347,15 @@
     }
 
     /// It delivered.
-    pub(crate) fn clear_strikes(&mut self) {
-        self.strikes = 0;
+    pub(crate) fn clear_failures(&mut self) {
+        self.consecutive_failures = 0;
     }
 
     /// It failed: it loses its turn for a time that doubles with each failure in a row, less a
     /// random part (`jitter` is between 0 and 1).
-    pub(crate) fn strike(&mut self, now: ClockTime, jitter: f64) {
-        let span = REST_FIRST * (1 << self.strikes.min(STRIKES_MAX));
-        self.strikes += 1;
-        self.rest_until = now + span.mul_f64(jitter.clamp(0.0, 1.0).midpoint(1.0));
+    pub(crate) fn record_failure(&mut self, now: ClockTime, jitter: f64) {
+        let span = BACKOFF_INITIAL * (1 << self.consecutive_failures.min(BACKOFF_DOUBLINGS_MAX));
+        self.consecutive_failures += 1;
+        self.retry_at = now + span.mul_f64(jitter.clamp(0.0, 1.0).midpoint(1.0));
     }
 }
--- a/src/weights/rollout_row.rs
+++ b/src/weights/rollout_row.rs
@@ -6,18 +6,18 @@
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::wanted_version::TargetVersion;
+use super::target_version::TargetVersion;
 use crate::derives::{message, plain};
 use crate::stores::RowRevision;
 use crate::time::ClockTime;
 use crate::weights::LeaseHolder;
 
 /// How long a permit holds from each renewal.
-pub(crate) const PERMIT_LENGTH: Duration = Duration::from_secs(10);
+pub(crate) const PERMIT_DURATION: Duration = Duration::from_secs(10);
 /// The part of it that a holder does not use and a taker adds, against clocks that differ in speed.
 const MARGIN_DIVISOR: u32 = 5;
 /// Failures that are kept, so that the row stays small.
-const FAILURES_KEPT: usize = 16;
+const FAILURES_MAX: usize = 16;
 
 /// The row `rollouts/SERVICE`, in JSON.
 #[apply(message!)]
@@ -61,7 +61,7 @@
 
 /// What a row says to a host that wants a permit.
 #[apply(plain!)]
-pub(crate) enum PermitAnswer {
+pub(crate) enum PermitDecision {
     /// Write this row; once written, the permit has this fencing number.
     Write(RolloutRow, u64),
     /// As many hosts as allowed are out of service.
@@ -75,7 +75,7 @@
 impl RolloutRow {
     /// The row as it stands for `target`: a newer document with another version begins a new
     /// rollout, in which earlier failures no longer count but permits still do.
-    pub(crate) fn adapted(&self, target: &TargetVersion) -> Self {
+    pub(crate) fn for_target(&self, target: &TargetVersion) -> Self {
         let mut row = self.clone();
         if target.document <= row.document {
             return row;
@@ -90,33 +90,33 @@
     }
 
     /// Why `target` must not be loaded, if so.
-    pub(crate) fn refusal(&self, target: &TargetVersion) -> Option<PermitAnswer> {
+    pub(crate) fn refusal(&self, target: &TargetVersion) -> Option<PermitDecision> {
         if self.document > target.document && self.version != target.spec.version {
-            return Some(PermitAnswer::Outdated);
+            return Some(PermitDecision::Outdated);
         }
-        let row = self.adapted(target);
-        row.stopped.map(PermitAnswer::Stopped)
+        let row = self.for_target(target);
+        row.stopped.map(PermitDecision::Stopped)
     }
 
-    /// What the row says to `holder`, whose engine has seen `engine_fence`. `lapsed` tells of a
+    /// What the row says to `holder`, whose engine has seen `engine_fence`. `is_lapsed` tells of a
     /// permit whether it may be taken away.
-    pub(crate) fn ask(
+    pub(crate) fn request_permit(
         &self,
         target: &TargetVersion,
         holder: &LeaseHolder,
         engine_fence: u64,
-        lapsed: impl Fn(&RolloutPermit) -> bool,
-    ) -> PermitAnswer {
+        is_lapsed: impl Fn(&RolloutPermit) -> bool,
+    ) -> PermitDecision {
         if let Some(refusal) = self.refusal(target) {
             return refusal;
         }
-        let mut row = self.adapted(target);
+        let mut row = self.for_target(target);
         // An earlier process on this host may have held one; there is only one host to count.
         row.permits
-            .retain(|permit| permit.holder.host != holder.host && !lapsed(permit));
-        let bound = usize::try_from(target.rollout.max_out_of_service).unwrap_or(usize::MAX);
-        if row.permits.len() >= bound {
-            return PermitAnswer::Full;
+            .retain(|permit| permit.holder.host != holder.host && !is_lapsed(permit));
+        let limit = usize::try_from(target.rollout.max_out_of_service).unwrap_or(usize::MAX);
+        if row.permits.len() >= limit {
+            return PermitDecision::Full;
         }
         row.fence = row.fence.max(engine_fence) + 1;
         row.permits.push(RolloutPermit {
@@ -125,11 +125,11 @@
             renewals: 0,
         });
         assert!(
-            row.permits.len() <= bound,
+            row.permits.len() <= limit,
             "more hosts than allowed would be out of service"
         );
         let fence = row.fence;
-        PermitAnswer::Write(row, fence)
+        PermitDecision::Write(row, fence)
     }
 
     /// The row after a renewal by `holder`; `None` when its permit is no longer there.
@@ -158,19 +158,19 @@
         host: &ByteString,
         reason: &str,
     ) -> Self {
-        let mut row = self.adapted(target);
+        let mut row = self.for_target(target);
         if row.version != target.spec.version {
             return row;
         }
         let known = row.failures.iter().any(|failure| failure.host == *host);
-        if !known && row.failures.len() < FAILURES_KEPT {
+        if !known && row.failures.len() < FAILURES_MAX {
             row.failures.push(RolloutFailure {
                 host: host.clone(),
                 reason: reason.into(),
             });
         }
         let limit = usize::try_from(target.rollout.stop_after_failures).unwrap_or(usize::MAX);
-        if row.stopped.is_none() && row.failures.len() >= limit.clamp(1, FAILURES_KEPT) {
+        if row.stopped.is_none() && row.failures.len() >= limit.clamp(1, FAILURES_MAX) {
             let count = row.failures.len();
             let text = format!("{count} engines did not load it, the last on {host}: {reason}");
             row.stopped = Some(text.into());
@@ -184,19 +184,19 @@
 /// Wall clocks of hosts differ and jump, so a permit's age is counted from when this host first saw
 /// it in its present state, by this host's monotonic clock.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PermitWatch {
-    seen: Vec<(RolloutPermit, ClockTime)>,
+pub(crate) struct PermitTracker {
+    observed: Vec<(RolloutPermit, ClockTime)>,
 }
 
-impl PermitWatch {
+impl PermitTracker {
     /// Takes in the permits of a row read at `now`.
-    pub(crate) fn see(&mut self, row: &RolloutRow, now: ClockTime) {
-        let known = std::mem::take(&mut self.seen);
-        self.seen = row
+    pub(crate) fn observe(&mut self, row: &RolloutRow, now: ClockTime) {
+        let known = std::mem::take(&mut self.observed);
+        self.observed = row
             .permits
             .iter()
             .map(|permit| {
-                let earlier = known.iter().find(|(seen, _)| seen == permit);
+                let earlier = known.iter().find(|(observed, _)| observed == permit);
                 let since = earlier.map_or(now, |(_, since)| *since);
                 (permit.clone(), since)
             })
@@ -204,10 +204,13 @@
     }
 
     /// Whether `permit` was seen unchanged for its whole length and a margin.
-    pub(crate) fn is_overdue(&self, permit: &RolloutPermit, now: ClockTime) -> bool {
-        let seen = self.seen.iter().find(|(seen, _)| seen == permit);
-        seen.is_some_and(|(_, since)| {
-            now.since(*since) >= PERMIT_LENGTH + PERMIT_LENGTH / MARGIN_DIVISOR
+    pub(crate) fn is_expired(&self, permit: &RolloutPermit, now: ClockTime) -> bool {
+        let observed = self
+            .observed
+            .iter()
+            .find(|(observed, _)| observed == permit);
+        observed.is_some_and(|(_, since)| {
+            now.since(*since) >= PERMIT_DURATION + PERMIT_DURATION / MARGIN_DIVISOR
         })
     }
 }
@@ -218,18 +221,18 @@
     /// Its fencing number.
     pub(crate) fence: u64,
     /// When the write that gave or renewed it was sent.
-    pub(crate) begun: ClockTime,
+    pub(crate) renewed_at: ClockTime,
 }
 
 impl HeldPermit {
     /// Whether it still holds: a fifth of its length is not used.
-    pub(crate) fn is_good(&self, now: ClockTime) -> bool {
-        now < self.begun + PERMIT_LENGTH - PERMIT_LENGTH / MARGIN_DIVISOR
+    pub(crate) fn is_valid(&self, now: ClockTime) -> bool {
+        now < self.renewed_at + PERMIT_DURATION - PERMIT_DURATION / MARGIN_DIVISOR
     }
 
     /// Whether it is time to renew it.
-    pub(crate) fn is_due(&self, now: ClockTime) -> bool {
-        now >= self.begun + PERMIT_LENGTH / 3
+    pub(crate) fn is_renewal_due(&self, now: ClockTime) -> bool {
+        now >= self.renewed_at + PERMIT_DURATION / 3
     }
 }
 
--- a/src/weights/staged_version.rs
+++ b/src/weights/staged_version.rs
@@ -20,7 +20,7 @@
 pub(crate) struct StagedVersion {
     manifest: VersionManifest,
     chunks: Vec<OnceLock<Bytes>>,
-    sealed: OnceLock<()>,
+    verified: OnceLock<()>,
 }
 
 impl StagedVersion {
@@ -30,7 +30,7 @@
         Self {
             manifest,
             chunks,
-            sealed: OnceLock::new(),
+            verified: OnceLock::new(),
         }
     }
 
@@ -51,7 +51,7 @@
     ///
     /// `ChunkCorrupt` when length or digest differ.
     pub(crate) fn store_chunk(&self, index: u32, bytes: Bytes) -> SwitchResult<()> {
-        let Some((place, digest)) = self.place(index) else {
+        let Some((slot, digest)) = self.slot(index) else {
             return Err(corrupt(index, "the version has no such chunk"));
         };
         let (_, length) = self.manifest.chunk_range(index);
@@ -63,13 +63,13 @@
             return Err(corrupt(index, "the digest differs"));
         }
         // A chunk that came twice at the same time is the same chunk: both matched.
-        let _ = place.set(bytes);
+        let _ = slot.set(bytes);
         Ok(())
     }
 
     /// The bytes of chunk `index`, when they are there.
     pub(crate) fn chunk(&self, index: u32) -> Option<Bytes> {
-        self.place(index)?.0.get().cloned()
+        self.slot(index)?.0.get().cloned()
     }
 
     /// Which chunks are there.
@@ -77,8 +77,8 @@
         let mut map = ChunkMap::empty(self.manifest.chunk_count());
         for index in 0..self.manifest.chunk_count() {
             if self
-                .place(index)
-                .is_some_and(|(place, _)| place.get().is_some())
+                .slot(index)
+                .is_some_and(|(slot, _)| slot.get().is_some())
             {
                 map.insert(index);
             }
@@ -94,8 +94,8 @@
     /// but the whole does not match its digest.
     pub(crate) fn verify(&self) -> SwitchResult<()> {
         let mut hasher = blake3::Hasher::new();
-        for place in &self.chunks {
-            let Some(bytes) = place.get() else {
+        for slot in &self.chunks {
+            let Some(bytes) = slot.get() else {
                 let detail = "a version with a gap cannot be whole";
                 return Err(SwitchError::new(ErrorKind::ChunkMissing, detail));
             };
@@ -106,25 +106,22 @@
             let detail = format!("the chunks make {digest}, not {}", self.manifest.digest);
             return Err(SwitchError::new(ErrorKind::ManifestInvalid, detail));
         }
-        let _ = self.sealed.set(());
+        let _ = self.verified.set(());
         Ok(())
     }
 
     /// Whether the whole was checked.
     pub(crate) fn is_complete(&self) -> bool {
-        self.sealed.get().is_some()
+        self.verified.get().is_some()
     }
 
     /// The whole, in order; `None` before it was checked.
     pub(crate) fn all_bytes(&self) -> Option<Vec<Bytes>> {
-        self.sealed.get()?;
-        self.chunks
-            .iter()
-            .map(|place| place.get().cloned())
-            .collect()
+        self.verified.get()?;
+        self.chunks.iter().map(|slot| slot.get().cloned()).collect()
     }
 
-    fn place(&self, index: u32) -> Option<(&OnceLock<Bytes>, WeightsDigest)> {
+    fn slot(&self, index: u32) -> Option<(&OnceLock<Bytes>, WeightsDigest)> {
         let at = usize::try_from(index).ok()?;
         Some((self.chunks.get(at)?, *self.manifest.chunks.get(at)?))
     }
@@ -136,11 +133,11 @@
 
 /// The versions that a host holds, whole or in part. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct VersionShelf {
+pub(crate) struct VersionCache {
     versions: Arc<RwLock<Vec<Arc<StagedVersion>>>>,
 }
 
-impl VersionShelf {
+impl VersionCache {
     /// The version with `digest`.
     pub(crate) fn find(&self, digest: WeightsDigest) -> Option<Arc<StagedVersion>> {
         let versions = self.versions.read().unwrap_or_else(PoisonError::into_inner);
@@ -149,7 +146,7 @@
     }
 
     /// Puts `version` in, in place of one with the same digest.
-    pub(crate) fn put(&self, version: Arc<StagedVersion>) {
+    pub(crate) fn insert(&self, version: Arc<StagedVersion>) {
         let digest = version.digest();
         let mut versions = self
             .versions
@@ -167,8 +164,9 @@
             .versions
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        let (kept, gone): (Vec<_>, Vec<_>) = versions.drain(..).partition(|version| keep(version));
+        let (kept, evicted): (Vec<_>, Vec<_>) =
+            versions.drain(..).partition(|version| keep(version));
         *versions = kept;
-        gone.iter().map(|version| version.digest()).collect()
+        evicted.iter().map(|version| version.digest()).collect()
     }
 }
--- a/src/weights/wanted_version.rs
+++ b/src/weights/target_version.rs
@@ -4,8 +4,8 @@
 use macro_rules_attribute::apply;
 
 use super::digest::WeightsDigest;
+use super::host_ranking::HostLocation;
 use super::peer_table::PeerHost;
-use super::source_line::HostLocation;
 use crate::control::{ControlHandle, ControlSnapshot, MemberRecord, MemberState};
 use crate::derives::plain;
 use crate::documents::{RolloutSpec, WeightsSpec};
@@ -56,7 +56,7 @@
 }
 
 /// The place of `identity` in lines.
-pub(crate) fn line_host(identity: &HostIdentity) -> HostLocation {
+pub(crate) fn host_location(identity: &HostIdentity) -> HostLocation {
     HostLocation {
         host: identity.host.clone(),
         data_centre: identity.data_centre.clone(),
@@ -65,7 +65,7 @@
 }
 
 /// The live hosts whose service wants the weights `digest`, of any service, sorted by name.
-pub(crate) fn wanting_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PeerHost> {
+pub(crate) fn target_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PeerHost> {
     let digest = ByteString::from(digest.to_string());
     let wants = |member: &MemberRecord| {
         let service = member
--- a/src/weights/tests/link.rs
+++ b/src/weights/tests/link_pacing.rs
@@ -17,16 +17,16 @@
     run_cases(100, 256, |u| {
         let mut bucket = LinkBucket::new(RATE);
         let mut now = ClockTime(0);
-        let mut through = Vec::new();
+        let mut done_at = Vec::new();
         for _ in 0..30 {
             now = now + Duration::from_micros(u.int_in_range(0..=3_000)?);
-            through.push(if u.arbitrary()? {
+            done_at.push(if u.arbitrary()? {
                 bucket.reserve(CHUNK, now)
             } else {
-                bucket.arrive(CHUNK, now)
+                bucket.record_arrival(CHUNK, now)
             });
         }
-        for pair in through.windows(2) {
+        for pair in done_at.windows(2) {
             assert!(pair[1].since(pair[0]) >= CHUNK_SPAN, "two chunks at a time");
         }
         Ok(())
@@ -37,7 +37,7 @@
 fn weights_wait_behind_live_bytes() {
     let now = ClockTime::from_millis(10);
     let mut bucket = LinkBucket::new(RATE);
-    bucket.take_live(5 * CHUNK, now);
+    bucket.record_live(5 * CHUNK, now);
     assert_eq!(bucket.backlog(now), 5 * CHUNK_SPAN);
     assert_eq!(bucket.reserve(CHUNK, now), now + 6 * CHUNK_SPAN);
 }
@@ -47,19 +47,19 @@
 #[test]
 fn a_link_that_became_narrow_is_given_less() {
     let pacer = LinkPacer::new(1_000_000);
-    let full = pacer.span_of(24_000);
+    let full = pacer.transfer_time(24_000);
     for _ in 0..3 {
         pacer.slow_down();
     }
-    assert_eq!(pacer.span_of(24_000), full * 8);
+    assert_eq!(pacer.transfer_time(24_000), full * 8);
     assert_eq!(pacer.concurrent_chunks(6), 1);
     for _ in 0..20 {
         pacer.slow_down();
     }
-    assert_eq!(pacer.span_of(24_000), full * 16);
+    assert_eq!(pacer.transfer_time(24_000), full * 16);
     for _ in 0..20 {
         pacer.speed_up();
     }
-    assert_eq!(pacer.span_of(24_000), full);
+    assert_eq!(pacer.transfer_time(24_000), full);
     assert_eq!(pacer.concurrent_chunks(6), 6);
 }
--- a/src/weights/tests/mod.rs
+++ b/src/weights/tests/mod.rs
@@ -1,12 +1,12 @@
 //! Tests of the weights' state machines and checks.
 
-mod checks;
-mod dark_hosts;
-mod dark_hosts_driver;
-mod link;
-mod lost_hosts;
-mod origin_away;
+mod link_pacing;
+mod origin_outage;
+mod replaced_hosts;
 mod rollout;
 mod slow_links;
 mod spread;
+mod unresponsive_hosts;
+mod unresponsive_hosts_driver;
+mod verification;
 mod wide_fleet;
--- a/src/weights/tests/origin_away.rs
+++ b/src/weights/tests/origin_outage.rs
@@ -12,10 +12,10 @@
 
 const START: ClockTime = ClockTime::from_millis(100_000);
 const CHUNKS: u32 = 4;
-const LOOK: Duration = Duration::from_millis(10);
-const AWAY: Duration = Duration::from_secs(6);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const OUTAGE: Duration = Duration::from_secs(6);
 
-fn line(host: &str) -> HostLocation {
+fn location(host: &str) -> HostLocation {
     HostLocation {
         host: host.into(),
         data_centre: "here".into(),
@@ -23,9 +23,9 @@
     }
 }
 
-fn lonely_plan(seed: u64) -> FetchPlan {
+fn single_host_plan(seed: u64) -> FetchPlan {
     FetchPlan::new(
-        line("me"),
+        location("me"),
         (WeightsDigest::of(b"v2"), SpreadObjective::OriginBytes),
         ChunkMap::empty(CHUNKS),
         FetchLimits::default(),
@@ -47,21 +47,21 @@
     reads.collect()
 }
 
-/// The origin refuses every connection for [`AWAY`].
-fn live_through_outage(plan: &mut FetchPlan) -> ClockTime {
+/// The origin refuses every connection for [`OUTAGE`].
+fn run_outage(plan: &mut FetchPlan) -> ClockTime {
     let mut now = START;
-    while now < START + AWAY {
+    while now < START + OUTAGE {
         for transfer in origin_reads(plan, now) {
             plan.on_failed(transfer, ErrorKind::OriginUnavailable, None, now);
         }
-        now = now + LOOK;
+        now = now + POLL_INTERVAL;
     }
     now
 }
 
 fn first_read(plan: &mut FetchPlan, mut now: ClockTime) -> ClockTime {
     while origin_reads(plan, now).is_empty() {
-        now = now + LOOK;
+        now = now + POLL_INTERVAL;
         assert!(
             now < START + Duration::from_mins(1),
             "it is never asked again"
@@ -77,9 +77,9 @@
 #[test]
 fn an_origin_that_is_back_is_read_within_a_second() {
     for seed in 0..40 {
-        let mut plan = lonely_plan(seed);
-        let back = live_through_outage(&mut plan);
-        let waited = first_read(&mut plan, back).since(back);
+        let mut plan = single_host_plan(seed);
+        let outage_end = run_outage(&mut plan);
+        let waited = first_read(&mut plan, outage_end).since(outage_end);
         assert!(waited <= Duration::from_millis(800), "{waited:?}");
     }
 }
@@ -89,22 +89,22 @@
 #[test]
 fn a_chunk_that_nobody_held_before_ends_the_rest_of_all() {
     for seed in 0..40 {
-        let mut plan = lonely_plan(seed);
+        let mut plan = single_host_plan(seed);
         plan.set_hosts(&[PeerHost {
-            location: line("other"),
+            location: location("other"),
             address: ([127, 0, 0, 1], 1).into(),
         }]);
-        let back = live_through_outage(&mut plan);
+        let outage_end = run_outage(&mut plan);
         let mut held = ChunkMap::empty(CHUNKS);
         held.insert(0);
-        let word = ChunkAnnouncement {
+        let announcement = ChunkAnnouncement {
             host: "other".into(),
             held,
             claimed: ChunkMap::empty(CHUNKS),
             backlog_ms: 0,
         };
-        plan.on_announcement(&word, back);
-        let waited = first_read(&mut plan, back).since(back);
+        plan.on_announcement(&announcement, outage_end);
+        let waited = first_read(&mut plan, outage_end).since(outage_end);
         assert!(waited <= Duration::from_millis(110), "{waited:?}");
     }
 }
--- a/src/weights/tests/lost_hosts.rs
+++ b/src/weights/tests/replaced_hosts.rs
@@ -13,7 +13,7 @@
 const START: ClockTime = ClockTime::from_millis(100_000);
 const CHUNKS: u32 = 4;
 
-fn line(host: &str, data_centre: &str) -> HostLocation {
+fn location(host: &str, data_centre: &str) -> HostLocation {
     HostLocation {
         host: host.into(),
         data_centre: data_centre.into(),
@@ -23,7 +23,7 @@
 
 fn plan_host(host: &str, data_centre: &str, port: u16) -> PeerHost {
     PeerHost {
-        location: line(host, data_centre),
+        location: location(host, data_centre),
         address: ([127, 0, 0, 1], port).into(),
     }
 }
@@ -37,9 +37,9 @@
     }
 }
 
-fn plan_with(limits: FetchLimits) -> FetchPlan {
+fn new_plan(limits: FetchLimits) -> FetchPlan {
     let mut plan = FetchPlan::new(
-        line("me", "here"),
+        location("me", "here"),
         (WeightsDigest::of(b"v2"), SpreadObjective::OriginBytes),
         ChunkMap::empty(CHUNKS),
         limits,
@@ -71,24 +71,24 @@
 /// the others from bringing the chunks in once more.
 #[test]
 fn chunks_of_a_host_that_is_no_more_are_brought_in_again() {
-    let mut plan = plan_with(FetchLimits::default());
-    let near = plan.peers().find("near").expect("it is listed");
-    let far = plan.peers().find("far").expect("it is listed");
+    let mut plan = new_plan(FetchLimits::default());
+    let local_peers = plan.peers().find("near").expect("it is listed");
+    let remote_peers = plan.peers().find("far").expect("it is listed");
     let first = pulls(&mut plan, START);
-    assert!(!first.is_empty() && first.iter().all(|key| *key == near));
+    assert!(!first.is_empty() && first.iter().all(|key| *key == local_peers));
     // The pulls hang, and so does the question that follows.
     let mut now = START + Duration::from_secs(2);
     let _ = pulls(&mut plan, now);
-    plan.on_queried(near, Some(ErrorKind::PeerSilent), now);
+    plan.on_queried(local_peers, Some(ErrorKind::PeerSilent), now);
     now = now + Duration::from_secs(2);
     let second = pulls(&mut plan, now);
     assert!(
-        second.contains(&far),
+        second.contains(&remote_peers),
         "{second:?}: nothing is brought in from the other data centre"
     );
     // Heard again, it gives what it holds.
     plan.on_announcement(&holds_all("near"), now);
-    assert_eq!(plan.peers().copies(0), 2);
+    assert_eq!(plan.peers().copy_count(0), 2);
 }
 
 /// A host that nobody asks of its own accord is asked once a pull from it has failed.
@@ -98,10 +98,10 @@
         neighbours: 0,
         ..FetchLimits::default()
     };
-    let mut plan = plan_with(limits);
-    let near = plan.peers().find("near").expect("it is listed");
+    let mut plan = new_plan(limits);
+    let local_peers = plan.peers().find("near").expect("it is listed");
     let _ = plan.next_steps(START);
     // In the same look that gives the pull up, not after a rest.
     let asks = plan.next_steps(START + Duration::from_secs(2));
-    assert!(asks.contains(&FetchStep::Query(near)), "{asks:?}");
+    assert!(asks.contains(&FetchStep::Query(local_peers)), "{asks:?}");
 }
--- a/src/weights/tests/slow_links.rs
+++ b/src/weights/tests/slow_links.rs
@@ -13,7 +13,7 @@
 const CHUNKS: u32 = 48;
 const LATE: Duration = Duration::from_millis(700);
 
-fn line(host: &str) -> HostLocation {
+fn location(host: &str) -> HostLocation {
     HostLocation {
         host: host.into(),
         data_centre: "here".into(),
@@ -22,9 +22,9 @@
 }
 
 /// A plan beside `hosts` that hold all chunks.
-fn plan_beside(hosts: &[&str]) -> FetchPlan {
+fn plan_with_full_peers(hosts: &[&str]) -> FetchPlan {
     let mut plan = FetchPlan::new(
-        line("me"),
+        location("me"),
         (WeightsDigest::of(b"v2"), SpreadObjective::OriginBytes),
         ChunkMap::empty(CHUNKS),
         FetchLimits::default(),
@@ -34,19 +34,19 @@
     let listed: Vec<PeerHost> = (1..)
         .zip(hosts)
         .map(|(port, host)| PeerHost {
-            location: line(host),
+            location: location(host),
             address: ([127, 0, 0, 1], port).into(),
         })
         .collect();
     plan.set_hosts(&listed);
     for host in hosts {
-        let word = ChunkAnnouncement {
+        let announcement = ChunkAnnouncement {
             host: (*host).into(),
             held: ChunkMap::full(CHUNKS),
             claimed: ChunkMap::empty(CHUNKS),
             backlog_ms: 0,
         };
-        plan.on_announcement(&word, START);
+        plan.on_announcement(&announcement, START);
     }
     plan
 }
@@ -67,7 +67,7 @@
 /// Guards against a host that has chunks of each layer, and none whole, while its link carries little.
 #[test]
 fn preferred_chunks_are_pulled_first() {
-    let mut plan = plan_beside(&["a", "b"]);
+    let mut plan = plan_with_full_peers(&["a", "b"]);
     plan.set_pulls_max(3);
     plan.prefer(30..33);
     let mut first = pulled(&mut plan);
@@ -78,13 +78,13 @@
 /// Guards against chunks that fill a narrow link for seconds before the first of them has come.
 #[test]
 fn chunks_under_way_from_two_hosts_tell_of_a_slow_link() {
-    let mut plan = plan_beside(&["a", "b"]);
+    let mut plan = plan_with_full_peers(&["a", "b"]);
     assert!(pulled(&mut plan).len() > 2);
     assert_eq!(plan.late_source_count(LATE, START + LATE), 0);
     let later = START + LATE + Duration::from_millis(1);
     assert_eq!(plan.late_source_count(LATE, later), 2);
     // One host alone may be slow itself.
-    let mut plan = plan_beside(&["a"]);
+    let mut plan = plan_with_full_peers(&["a"]);
     assert!(!pulled(&mut plan).is_empty());
     assert_eq!(plan.late_source_count(LATE, later), 1);
 }
--- a/src/weights/tests/dark_hosts.rs
+++ b/src/weights/tests/unresponsive_hosts.rs
@@ -12,11 +12,11 @@
 
 const START: ClockTime = ClockTime::from_millis(100_000);
 const CHUNKS: u32 = 40;
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a question to a dark host is open.
-const ASK_WITHIN: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a question to a live host is open.
-const ANSWER_SPAN: Duration = Duration::from_millis(20);
+const RESPONSE_DELAY: Duration = Duration::from_millis(20);
 
 fn plan_host(host: &str, port: u16) -> PeerHost {
     PeerHost {
@@ -65,21 +65,21 @@
 
 /// One host's plan, and what became of its questions: hosts in `live` answer that they hold all, the
 /// others nothing.
-struct Watch<'a> {
+struct PlanFixture<'a> {
     plan: FetchPlan,
     live: &'a [&'a str],
     now: ClockTime,
-    questions: Vec<(ClockTime, PeerKey)>,
+    queries: Vec<(ClockTime, PeerKey)>,
 }
 
-impl Watch<'_> {
+impl PlanFixture<'_> {
     /// A look at the plan: the chunks that it asks for.
-    fn look(&mut self) -> Vec<(u32, ChunkSource)> {
+    fn poll(&mut self) -> Vec<(u32, ChunkSource)> {
         let now = self.now;
-        let questions = std::mem::take(&mut self.questions);
-        for (at, key) in questions {
+        let queries = std::mem::take(&mut self.queries);
+        for (at, key) in queries {
             if at > now {
-                self.questions.push((at, key));
+                self.queries.push((at, key));
                 continue;
             }
             let host = self.plan.peers().get(key).host.location.host.clone();
@@ -96,8 +96,12 @@
                 FetchStep::Query(key) => {
                     let host = &*self.plan.peers().get(key).host.location.host;
                     let is_live = self.live.contains(&host);
-                    let span = if is_live { ANSWER_SPAN } else { ASK_WITHIN };
-                    self.questions.push((now + span, key));
+                    let span = if is_live {
+                        RESPONSE_DELAY
+                    } else {
+                        QUERY_TIMEOUT
+                    };
+                    self.queries.push((now + span, key));
                 }
                 FetchStep::Fetch {
                     transfer,
@@ -112,7 +116,7 @@
                 FetchStep::Cancel(..) => {}
             }
         }
-        self.now = now + LOOK;
+        self.now = now + POLL_INTERVAL;
         fetches
     }
 }
@@ -129,17 +133,17 @@
     }
     let live = plan.peers().find("live").expect("it is listed");
     plan.on_queried(live, Some(ErrorKind::ChunkMissing), START);
-    let mut watch = Watch {
+    let mut fixture = PlanFixture {
         plan,
         live: &["live"],
         now: START,
-        questions: Vec::new(),
+        queries: Vec::new(),
     };
-    let first = watch.look();
+    let first = fixture.poll();
     assert_eq!(first.len(), 6, "all places are taken at dark hosts");
-    while watch.now < START + Duration::from_secs(1) {
-        if watch
-            .look()
+    while fixture.now < START + Duration::from_secs(1) {
+        if fixture
+            .poll()
             .iter()
             .any(|(_, source)| *source == ChunkSource::Peer(live))
         {
@@ -155,16 +159,16 @@
 fn a_host_that_gave_a_sign_of_silence_gets_no_more_pulls() {
     let mut plan = plan_among(&["dark"], 0);
     plan.on_announcement(&holds_all("dark"), START);
-    let mut watch = Watch {
+    let mut fixture = PlanFixture {
         plan,
         live: &[],
         now: START,
-        questions: Vec::new(),
+        queries: Vec::new(),
     };
-    assert!(!watch.look().is_empty());
-    while watch.now < START + Duration::from_secs(8) {
+    assert!(!fixture.poll().is_empty());
+    while fixture.now < START + Duration::from_secs(8) {
         let dark = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
-        assert!(!watch.look().iter().any(dark), "it is pulled from again");
+        assert!(!fixture.poll().iter().any(dark), "it is pulled from again");
     }
 }
 
@@ -175,15 +179,15 @@
 fn the_turns_of_dark_hosts_are_passed_over() {
     let dark: Vec<String> = (0..9).map(|index| format!("dark-{index}")).collect();
     let dark: Vec<&str> = dark.iter().map(|host| &**host).collect();
-    let mut watch = Watch {
+    let mut fixture = PlanFixture {
         plan: plan_among(&dark, 12),
         live: &[],
         now: START,
-        questions: Vec::new(),
+        queries: Vec::new(),
     };
     let mut read = 0;
-    while watch.now < START + Duration::from_secs(3) {
-        read += watch.look().len();
+    while fixture.now < START + Duration::from_secs(3) {
+        read += fixture.poll().len();
     }
     assert_eq!(read, 40, "chunks were left to hosts that do not answer");
 }
@@ -199,15 +203,15 @@
     for host in &late {
         plan.on_announcement(&holds_all(host), START);
     }
-    let mut watch = Watch {
+    let mut fixture = PlanFixture {
         plan,
         live: &[],
         now: START,
-        questions: Vec::new(),
+        queries: Vec::new(),
     };
-    assert_eq!(watch.look().len(), 6);
-    while watch.now < START + Duration::from_millis(1400) {
-        let more = watch.look();
+    assert_eq!(fixture.poll().len(), 6);
+    while fixture.now < START + Duration::from_millis(1400) {
+        let more = fixture.poll();
         let pulled = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
         assert!(!more.iter().any(pulled), "{more:?} on top of six");
     }
--- a/src/weights/tests/dark_hosts_driver.rs
+++ b/src/weights/tests/unresponsive_hosts_driver.rs
@@ -17,25 +17,25 @@
 const CHUNKS: u32 = 24;
 const TICK: Duration = Duration::from_millis(20);
 const RUN_SPAN: Duration = Duration::from_secs(20);
-const ANSWER_SPAN: Duration = Duration::from_millis(20);
+const RESPONSE_DELAY: Duration = Duration::from_millis(20);
 /// How long a question to a dark host is open.
-const ASK_WITHIN: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a chunk may go unasked for while the same live host, or the origin, could serve it.
-const ASKED_WITHIN: Duration = Duration::from_secs(4);
+const REQUESTED_WITHIN: Duration = Duration::from_secs(4);
 
 /// Another host. A dark one answers nothing, and what was under way from it never comes.
-struct Other {
+struct SimulatedHost {
     host: PeerHost,
     is_live: bool,
     /// Counts its times of being up.
-    life: u32,
+    incarnation: u32,
     held: ChunkMap,
     /// Since when it has held each chunk.
     held_since: Vec<ClockTime>,
 }
 
-enum News {
-    Asked(PeerKey),
+enum NetworkEvent {
+    Queried(PeerKey),
     Chunk(TransferId),
 }
 
@@ -43,20 +43,20 @@
 struct Arrival {
     at: ClockTime,
     source: Option<(usize, u32)>,
-    news: News,
+    event: NetworkEvent,
 }
 
-struct World {
+struct Simulation {
     now: ClockTime,
     plan: FetchPlan,
-    begun: ClockTime,
+    started_at: ClockTime,
     limits: FetchLimits,
     chunk_span: Duration,
     has_origin: bool,
-    others: Vec<Other>,
+    others: Vec<SimulatedHost>,
     arrivals: Vec<Arrival>,
     /// When each chunk was last asked of a source that is there.
-    asked_at: Vec<ClockTime>,
+    requested_at: Vec<ClockTime>,
 }
 
 fn plan_host(index: usize) -> PeerHost {
@@ -86,7 +86,7 @@
     )
 }
 
-impl World {
+impl Simulation {
     fn new(u: &mut Unstructured<'_>) -> Result<Self> {
         let now = ClockTime::from_millis(100_000);
         let limits = FetchLimits {
@@ -97,30 +97,30 @@
             ..FetchLimits::default()
         };
         let chunk_span = Duration::from_millis(u.int_in_range(5..=60)?);
-        let others = (1..=u.int_in_range(1..=HOSTS_MAX)?).map(|index| Other {
+        let others = (1..=u.int_in_range(1..=HOSTS_MAX)?).map(|index| SimulatedHost {
             host: plan_host(index),
             is_live: true,
-            life: 0,
+            incarnation: 0,
             held: ChunkMap::empty(CHUNKS),
             held_since: vec![now; 24],
         });
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             plan: new_plan(limits, chunk_span, u.arbitrary()?, now),
-            begun: now,
+            started_at: now,
             limits,
             chunk_span,
             has_origin: u.arbitrary()?,
             others: others.collect(),
             arrivals: Vec::new(),
-            asked_at: vec![now; 24],
+            requested_at: vec![now; 24],
         };
-        world.show_hosts();
-        Ok(world)
+        simulation.list_hosts();
+        Ok(simulation)
     }
 
     /// Dark hosts stay listed.
-    fn show_hosts(&mut self) {
+    fn list_hosts(&mut self) {
         let hosts: Vec<PeerHost> = self.others.iter().map(|other| other.host.clone()).collect();
         self.plan.set_hosts(&hosts);
     }
@@ -139,7 +139,7 @@
             for other in &mut self.others {
                 if u.ratio(1, 3)? {
                     other.is_live = !other.is_live;
-                    other.life += 1;
+                    other.incarnation += 1;
                     other.held = ChunkMap::empty(CHUNKS);
                 }
             }
@@ -164,22 +164,22 @@
         self.arrivals = rest;
         let due: Vec<Arrival> = due;
         for arrival in due {
-            let is_there = arrival.source.is_none_or(|(index, life)| {
-                self.others[index].is_live && self.others[index].life == life
+            let is_alive = arrival.source.is_none_or(|(index, incarnation)| {
+                self.others[index].is_live && self.others[index].incarnation == incarnation
             });
-            match (arrival.news, arrival.source) {
-                (News::Asked(key), Some((index, _))) if is_there => {
-                    self.plan.on_announcement(&self.word_of(index), now);
+            match (arrival.event, arrival.source) {
+                (NetworkEvent::Queried(key), Some((index, _))) if is_alive => {
+                    self.plan.on_announcement(&self.announcement_of(index), now);
                     self.plan.on_queried(key, None, now);
                 }
-                (News::Asked(key), Some(_)) => {
+                (NetworkEvent::Queried(key), Some(_)) => {
                     self.plan.on_queried(key, Some(ErrorKind::PeerSilent), now);
                 }
-                (News::Chunk(transfer), None) if !self.has_origin => {
+                (NetworkEvent::Chunk(transfer), None) if !self.has_origin => {
                     let kind = ErrorKind::OriginUnavailable;
                     self.plan.on_failed(transfer, kind, None, now);
                 }
-                (News::Chunk(transfer), _) if is_there => {
+                (NetworkEvent::Chunk(transfer), _) if is_alive => {
                     self.plan.on_delivered(transfer, now);
                 }
                 _ => {}
@@ -187,7 +187,7 @@
         }
     }
 
-    fn word_of(&self, index: usize) -> ChunkAnnouncement {
+    fn announcement_of(&self, index: usize) -> ChunkAnnouncement {
         ChunkAnnouncement {
             host: self.others[index].host.location.host.clone(),
             held: self.others[index].held.clone(),
@@ -202,11 +202,11 @@
                 let index = self.find(key);
                 let other = &self.others[index];
                 let span = if other.is_live {
-                    ANSWER_SPAN
+                    RESPONSE_DELAY
                 } else {
-                    ASK_WITHIN
+                    QUERY_TIMEOUT
                 };
-                self.post(span, Some(index), News::Asked(key));
+                self.schedule(span, Some(index), NetworkEvent::Queried(key));
             }
             FetchStep::Fetch {
                 transfer,
@@ -217,22 +217,22 @@
                     ChunkSource::Peer(key) => Some(self.find(key)),
                     ChunkSource::Origin => None,
                 };
-                let is_there = source.map_or(self.has_origin, |at| self.others[at].is_live);
-                if is_there {
-                    self.asked_at[at(index)] = self.now;
+                let is_alive = source.map_or(self.has_origin, |at| self.others[at].is_live);
+                if is_alive {
+                    self.requested_at[at(index)] = self.now;
                 }
-                self.post(self.chunk_span, source, News::Chunk(transfer));
+                self.schedule(self.chunk_span, source, NetworkEvent::Chunk(transfer));
             }
-            FetchStep::Cancel(transfer, _) => self
-                .arrivals
-                .retain(|arrival| !matches!(arrival.news, News::Chunk(known) if known == transfer)),
+            FetchStep::Cancel(transfer, _) => self.arrivals.retain(
+                |arrival| !matches!(arrival.event, NetworkEvent::Chunk(known) if known == transfer),
+            ),
         }
     }
 
-    fn post(&mut self, span: Duration, source: Option<usize>, news: News) {
-        let source = source.map(|index| (index, self.others[index].life));
+    fn schedule(&mut self, span: Duration, source: Option<usize>, event: NetworkEvent) {
+        let source = source.map(|index| (index, self.others[index].incarnation));
         let at = self.now + span;
-        self.arrivals.push(Arrival { at, source, news });
+        self.arrivals.push(Arrival { at, source, event });
     }
 
     /// Each chunk that the same live host, or the origin, could have served all the while was asked for.
@@ -241,14 +241,17 @@
             let live = self.others.iter().filter(|other| other.is_live);
             let holders = live.filter(|other| other.held.contains(index));
             let since = holders.map(|other| other.held_since[at(index)]);
-            let Some(since) = since.chain(self.has_origin.then_some(self.begun)).min() else {
+            let Some(since) = since
+                .chain(self.has_origin.then_some(self.started_at))
+                .min()
+            else {
                 continue;
             };
             let waited = self
                 .now
-                .since(since.max(self.begun).max(self.asked_at[at(index)]));
+                .since(since.max(self.started_at).max(self.requested_at[at(index)]));
             assert!(
-                waited <= ASKED_WITHIN,
+                waited <= REQUESTED_WITHIN,
                 "chunk {index} was not asked of a source that is there for {waited:?}"
             );
         }
@@ -260,24 +263,29 @@
 }
 
 fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut world = World::new(u)?;
-    let ends = world.now + RUN_SPAN;
-    while world.now < ends && !u.is_empty() {
-        world.disturb(u)?;
-        world.deliver();
-        let now = world.now;
-        for step in world.plan.next_steps(now) {
-            world.carry_out(step);
+    let mut simulation = Simulation::new(u)?;
+    let ends = simulation.now + RUN_SPAN;
+    while simulation.now < ends && !u.is_empty() {
+        simulation.disturb(u)?;
+        simulation.deliver();
+        let now = simulation.now;
+        for step in simulation.plan.next_steps(now) {
+            simulation.carry_out(step);
         }
-        world.check();
-        if world.plan.held().is_full() {
+        simulation.check();
+        if simulation.plan.held().is_full() {
             // A new process on this host begins with nothing.
-            world.plan = new_plan(world.limits, world.chunk_span, u.arbitrary()?, now);
-            world.begun = now;
-            world.arrivals.clear();
-            world.show_hosts();
+            simulation.plan = new_plan(
+                simulation.limits,
+                simulation.chunk_span,
+                u.arbitrary()?,
+                now,
+            );
+            simulation.started_at = now;
+            simulation.arrivals.clear();
+            simulation.list_hosts();
         }
-        world.now = now + TICK;
+        simulation.now = now + TICK;
     }
     Ok(())
 }
--- a/src/weights/tests/checks.rs
+++ b/src/weights/tests/verification.rs
@@ -124,7 +124,7 @@
             .store_chunk(index, Bytes::copy_from_slice(chunk))
             .expect("it matches");
     }
-    let sealed = version.verify().map_err(|error| error.kind);
-    assert_eq!(sealed, Err(ErrorKind::ManifestInvalid));
+    let verified = version.verify().map_err(|error| error.kind);
+    assert_eq!(verified, Err(ErrorKind::ManifestInvalid));
     assert!(!version.is_complete() && version.all_bytes().is_none());
 }
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -22,16 +22,16 @@
 const HOST_SPAN: Duration = Duration::from_millis(27);
 /// Connections that the origin takes; it resets those beyond.
 const ORIGIN_CONNECTIONS: usize = 48;
-const ANSWER_SPAN: Duration = Duration::from_millis(10);
+const RESPONSE_DELAY: Duration = Duration::from_millis(10);
 /// How long a chunk waits for its sender's link before it is turned away.
 const BACKLOG_MAX: Duration = Duration::from_millis(120);
 /// When the last hosts hear of the version.
-const HEARD_WITHIN: Duration = Duration::from_millis(500);
+const START_SPREAD: Duration = Duration::from_millis(500);
 /// How much longer the last host may take than the origin's link needs for one copy.
-const OVER_ORIGIN: f64 = 1.25;
+const ORIGIN_TIME_FACTOR: f64 = 1.25;
 
-enum News {
-    Word(PeerKey, ChunkAnnouncement),
+enum Event {
+    Announcement(PeerKey, ChunkAnnouncement),
     Empty(PeerKey),
     Chunk(TransferId, Option<ChunkAnnouncement>),
     Busy(TransferId, Duration),
@@ -41,11 +41,11 @@
 struct FleetHost {
     host: PeerHost,
     plan: FetchPlan,
-    begun: ClockTime,
+    started_at: ClockTime,
     uplink_until: ClockTime,
     downlink_until: ClockTime,
-    arrivals: Vec<(ClockTime, News)>,
-    whole_at: Option<ClockTime>,
+    arrivals: Vec<(ClockTime, Event)>,
+    complete_at: Option<ClockTime>,
 }
 
 struct Fleet {
@@ -57,7 +57,7 @@
     origin_copies: u32,
     /// Chunks that crossed between two data centres.
     crossings: u32,
-    questions: u32,
+    queries: u32,
 }
 
 fn plan_host(centre: usize, number: usize) -> PeerHost {
@@ -85,24 +85,24 @@
             ..FetchLimits::default()
         };
         let started = (0_u32..).zip(&all).map(|(at, host)| {
-            let begun = START + HEARD_WITHIN.mul_f64(f64::from(at % 7) / 7.0);
+            let started_at = START + START_SPREAD.mul_f64(f64::from(at % 7) / 7.0);
             let mut plan = FetchPlan::new(
                 host.location.clone(),
                 (WeightsDigest::of(b"m/2"), SpreadObjective::OriginBytes),
                 ChunkMap::empty(CHUNKS),
                 limits,
                 (HOST_SPAN, SEED + u64::from(at)),
-                begun,
+                started_at,
             );
             plan.set_hosts(&all);
             FleetHost {
                 host: host.clone(),
                 plan,
-                begun,
+                started_at,
                 uplink_until: START,
                 downlink_until: START,
                 arrivals: Vec::new(),
-                whole_at: None,
+                complete_at: None,
             }
         });
         Self {
@@ -112,18 +112,19 @@
             origin_reads: Vec::new(),
             origin_copies: 0,
             crossings: 0,
-            questions: 0,
+            queries: 0,
         }
     }
 
     fn run(&mut self, span: Duration) {
-        while self.now.since(START) < span && self.hosts.iter().any(|host| host.whole_at.is_none())
+        while self.now.since(START) < span
+            && self.hosts.iter().any(|host| host.complete_at.is_none())
         {
             self.now = self.now + self.tick;
             self.send_from_origin();
             for at in 0..self.hosts.len() {
                 self.deliver(at);
-                if self.hosts[at].begun > self.now {
+                if self.hosts[at].started_at > self.now {
                     continue;
                 }
                 let now = self.now;
@@ -132,7 +133,7 @@
                 }
                 let host = &mut self.hosts[at];
                 if host.plan.held().is_full() {
-                    host.whole_at.get_or_insert(now);
+                    host.complete_at.get_or_insert(now);
                 }
             }
         }
@@ -145,26 +146,26 @@
             .into_iter()
             .partition(|(due, _)| *due <= now);
         host.arrivals = rest;
-        for (_, news) in due {
-            match news {
-                News::Word(key, word) => {
-                    host.plan.on_announcement(&word, now);
+        for (_, event) in due {
+            match event {
+                Event::Announcement(key, announcement) => {
+                    host.plan.on_announcement(&announcement, now);
                     host.plan.on_queried(key, None, now);
                 }
-                News::Empty(key) => host
+                Event::Empty(key) => host
                     .plan
                     .on_queried(key, Some(ErrorKind::ChunkMissing), now),
-                News::Chunk(transfer, word) => {
-                    if let Some(word) = &word {
-                        host.plan.on_announcement(word, now);
+                Event::Chunk(transfer, announcement) => {
+                    if let Some(announcement) = &announcement {
+                        host.plan.on_announcement(announcement, now);
                     }
                     host.plan.on_delivered(transfer, now);
                 }
-                News::Reset(transfer) => {
+                Event::Reset(transfer) => {
                     host.plan
                         .on_failed(transfer, ErrorKind::OriginUnavailable, None, now);
                 }
-                News::Busy(transfer, wait) => {
+                Event::Busy(transfer, wait) => {
                     host.plan
                         .on_failed(transfer, ErrorKind::UploadBusy, Some(wait), now);
                 }
@@ -180,12 +181,12 @@
             let least = self.origin_reads.iter().map(|(.., rest)| *rest).min();
             let sent = least.unwrap_or_default().min(left / reads);
             left = left.saturating_sub((sent * reads).max(Duration::from_micros(1)));
-            let due = self.now + ANSWER_SPAN;
+            let due = self.now + RESPONSE_DELAY;
             for (host, transfer, rest) in &mut self.origin_reads {
                 *rest = rest.saturating_sub(sent);
                 if rest.is_zero() {
-                    let news = News::Chunk(*transfer, None);
-                    self.hosts[*host].arrivals.push((due, news));
+                    let event = Event::Chunk(*transfer, None);
+                    self.hosts[*host].arrivals.push((due, event));
                     self.origin_copies += 1;
                 }
             }
@@ -202,7 +203,7 @@
         found.expect("it is listed")
     }
 
-    fn word(&self, at: usize) -> ChunkAnnouncement {
+    fn announcement(&self, at: usize) -> ChunkAnnouncement {
         let host = &self.hosts[at];
         let backlog = host.uplink_until.since(self.now);
         ChunkAnnouncement {
@@ -214,17 +215,17 @@
     }
 
     fn carry_out(&mut self, at: usize, step: FetchStep) {
-        let answered = self.now + ANSWER_SPAN;
+        let answered = self.now + RESPONSE_DELAY;
         match step {
             FetchStep::Query(key) => {
-                self.questions += 1;
+                self.queries += 1;
                 let other = self.find(at, key);
-                let news = if self.hosts[other].begun <= self.now {
-                    News::Word(key, self.word(other))
+                let event = if self.hosts[other].started_at <= self.now {
+                    Event::Announcement(key, self.announcement(other))
                 } else {
-                    News::Empty(key)
+                    Event::Empty(key)
                 };
-                self.hosts[at].arrivals.push((answered, news));
+                self.hosts[at].arrivals.push((answered, event));
             }
             FetchStep::Fetch {
                 transfer,
@@ -234,7 +235,7 @@
                 if self.origin_reads.len() >= ORIGIN_CONNECTIONS {
                     self.hosts[at]
                         .arrivals
-                        .push((answered, News::Reset(transfer)));
+                        .push((answered, Event::Reset(transfer)));
                 } else {
                     self.origin_reads.push((at, transfer, ORIGIN_SPAN));
                 }
@@ -247,8 +248,8 @@
             FetchStep::Cancel(transfer, _) => {
                 self.origin_reads
                     .retain(|(host, known, _)| (*host, *known) != (at, transfer));
-                self.hosts[at].arrivals.retain(|(_, news)| {
-                    !matches!(news, News::Chunk(known, _) | News::Busy(known, _) if *known == transfer)
+                self.hosts[at].arrivals.retain(|(_, event)| {
+                    !matches!(event, Event::Chunk(known, _) | Event::Busy(known, _) if *known == transfer)
                 });
             }
         }
@@ -258,39 +259,40 @@
         let other = self.find(at, key);
         let backlog = self.hosts[other].uplink_until.since(self.now);
         if backlog > BACKLOG_MAX {
-            let due = self.now + ANSWER_SPAN;
+            let due = self.now + RESPONSE_DELAY;
             self.hosts[at]
                 .arrivals
-                .push((due, News::Busy(transfer, backlog)));
+                .push((due, Event::Busy(transfer, backlog)));
             return;
         }
         let sent = self.hosts[other].uplink_until.max(self.now) + HOST_SPAN;
         self.hosts[other].uplink_until = sent;
-        let word = self.word(other);
+        let announcement = self.announcement(other);
         if self.hosts[other].host.location.data_centre != self.hosts[at].host.location.data_centre {
             self.crossings += 1;
         }
         let host = &mut self.hosts[at];
         let taken = sent.max(host.downlink_until + HOST_SPAN);
         host.downlink_until = taken;
-        let due = taken + ANSWER_SPAN;
-        host.arrivals.push((due, News::Chunk(transfer, Some(word))));
+        let due = taken + RESPONSE_DELAY;
+        host.arrivals
+            .push((due, Event::Chunk(transfer, Some(announcement))));
     }
 
     fn slowest(&self) -> Option<Duration> {
         let spans = self
             .hosts
             .iter()
-            .map(|host| host.whole_at.map(|at| at.since(START)));
+            .map(|host| host.complete_at.map(|at| at.since(START)));
         spans.collect::<Option<Vec<Duration>>>()?.into_iter().max()
     }
 }
 
 fn check_spread(centres: usize, hosts: usize, tick: Duration) {
     let mut fleet = Fleet::new(centres, hosts, tick);
-    let within = HEARD_WITHIN + (ORIGIN_SPAN * CHUNKS).mul_f64(OVER_ORIGIN);
+    let within = START_SPREAD + (ORIGIN_SPAN * CHUNKS).mul_f64(ORIGIN_TIME_FACTOR);
     fleet.run(within * 2);
-    let all_bytes = fleet.hosts.iter().filter(|host| host.whole_at.is_some());
+    let all_bytes = fleet.hosts.iter().filter(|host| host.complete_at.is_some());
     let figures = format!(
         "{} of {} whole, the last after {:?}; {} origin reads, {} crossings, {} questions",
         all_bytes.count(),
@@ -298,7 +300,7 @@
         fleet.slowest(),
         fleet.origin_copies,
         fleet.crossings,
-        fleet.questions
+        fleet.queries
     );
     println!("{figures}");
     assert!(
--- a/src/weights/version_change.rs
+++ b/src/weights/version_change.rs
@@ -4,7 +4,7 @@
 
 use macro_rules_attribute::apply;
 
-use super::activation::{ActivationInputs, ActivationMachine, ActivationStep, CHECK_SPAN};
+use super::activation::{ActivationInputs, ActivationMachine, ActivationStep, STEP_INTERVAL};
 use crate::derives::{key, plain};
 use crate::engines::EngineState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -12,15 +12,15 @@
 use crate::time::ClockTime;
 
 /// How often it is looked at while an order is under way.
-const READ_BACK_SPAN: Duration = Duration::from_millis(200);
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long an order in doubt is waited for before it is given again.
-const DOUBT_SPAN: Duration = Duration::from_secs(10);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a host that is about to go out of service still takes requests, so that those who were
 /// told meanwhile send none into a closed gate: each would be refused and have to go elsewhere.
-const ANNOUNCE_SPAN: Duration = Duration::from_millis(400);
-const ORDER_TRIES: u32 = 3;
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(400);
+const ORDER_ATTEMPTS_MAX: u32 = 3;
 /// How long a host waits before it tries a version again that its engine did not load.
-const FAILED_SPAN: Duration = Duration::from_secs(30);
+const FAILED_VERSION_RETRY_DELAY: Duration = Duration::from_secs(30);
 
 #[apply(key!)]
 pub(super) enum ChangePhase {
@@ -43,7 +43,7 @@
     pub(super) phase: ChangePhase,
     /// Whether the host served something before.
     pub(super) is_swap: bool,
-    pub(super) tries: u32,
+    pub(super) attempts: u32,
     pub(super) ordered_at: ClockTime,
     pub(super) answered_at: ClockTime,
     pub(super) refusal: Option<SwitchError>,
@@ -60,14 +60,14 @@
 }
 
 impl ActivationMachine {
-    pub(super) fn begin(
+    pub(super) fn begin_change(
         &mut self,
         new_version: ServingVersion,
         is_swap: bool,
         now: ClockTime,
     ) -> ActivationStep {
         assert!(
-            !is_swap || self.book.has_permit(now),
+            !is_swap || self.rollout.has_permit(now),
             "a host went out of service without a permit"
         );
         self.change = Some(VersionChange {
@@ -78,13 +78,13 @@
                 ChangePhase::Closing
             },
             is_swap,
-            tries: 0,
+            attempts: 0,
             ordered_at: now,
             answered_at: now,
             refusal: None,
         });
         if is_swap {
-            return ActivationStep::WaitUntil(now + ANNOUNCE_SPAN);
+            return ActivationStep::WaitUntil(now + ANNOUNCEMENT_DELAY);
         }
         ActivationStep::CloseGate
     }
@@ -94,25 +94,25 @@
         view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
-        if let Some(step) = self.book.renew_step(now) {
+        if let Some(step) = self.rollout.renew_step(now) {
             return step;
         }
         let Some(change) = self.change.clone() else {
             return ActivationStep::WaitUntil(now);
         };
         match change.phase {
-            ChangePhase::Announced if now.since(change.ordered_at) < ANNOUNCE_SPAN => {
-                ActivationStep::WaitUntil(change.ordered_at + ANNOUNCE_SPAN)
+            ChangePhase::Announced if now.since(change.ordered_at) < ANNOUNCEMENT_DELAY => {
+                ActivationStep::WaitUntil(change.ordered_at + ANNOUNCEMENT_DELAY)
             }
             ChangePhase::Announced | ChangePhase::Closing => self.close_step(&change, now),
             ChangePhase::Ready => self.order_step(&change, view, now),
-            ChangePhase::Ordering => ActivationStep::WaitUntil(now + CHECK_SPAN),
+            ChangePhase::Ordering => ActivationStep::WaitUntil(now + STEP_INTERVAL),
             ChangePhase::ReadingBack => self.read_engine(now),
         }
     }
 
     fn close_step(&mut self, change: &VersionChange, now: ClockTime) -> ActivationStep {
-        if change.is_swap && !self.book.has_permit(now) {
+        if change.is_swap && !self.rollout.has_permit(now) {
             // Others may be out of service in its place by now; the old version goes on.
             self.change = None;
             return self.read_engine(now);
@@ -129,8 +129,8 @@
         view: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
-        let is_first = change.tries == 0;
-        if is_first && change.is_swap && !self.book.has_permit(now) {
+        let is_first = change.attempts == 0;
+        if is_first && change.is_swap && !self.rollout.has_permit(now) {
             self.change = None;
             return self.read_engine(now);
         }
@@ -139,11 +139,11 @@
             "an order was due for weights that are not whole"
         );
         let seen = self.report.as_ref().map_or(0, |report| report.fence);
-        let fence = self.book.next_fence(seen);
+        let fence = self.rollout.next_fence(seen);
         if let Some(change) = self.change.as_mut() {
             change.phase = ChangePhase::Ordering;
             change.ordered_at = now;
-            change.tries += 1;
+            change.attempts += 1;
             change.refusal = None;
         }
         ActivationStep::Order {
@@ -180,14 +180,14 @@
         self.read_after = now;
     }
 
-    /// The engine's state, or why it could not be read, asked at `asked_at`.
+    /// The engine's state, or why it could not be read, asked at `queried_at`.
     pub(crate) fn on_engine(
         &mut self,
         answer: SwitchResult<EngineState>,
-        asked_at: ClockTime,
+        queried_at: ClockTime,
         now: ClockTime,
     ) {
-        self.read_after = now + READ_BACK_SPAN;
+        self.read_after = now + READ_BACK_INTERVAL;
         let Ok(state) = answer else {
             return;
         };
@@ -195,18 +195,18 @@
             serving: state.serving,
             fence: state.fence,
             read_at: now,
-            as_of: asked_at - Duration::from_millis(state.age_ms),
+            as_of: queried_at - Duration::from_millis(state.age_ms),
         };
         self.report = Some(report.clone());
         if let Some(change) = self.change.clone()
             && change.phase == ChangePhase::ReadingBack
         {
-            self.settle(&change, &report, now);
+            self.resolve_order(&change, &report, now);
         }
     }
 
     /// What an order came to, by what the engine reports after it.
-    fn settle(&mut self, change: &VersionChange, report: &EngineReport, now: ClockTime) {
+    fn resolve_order(&mut self, change: &VersionChange, report: &EngineReport, now: ClockTime) {
         if report.as_of < change.ordered_at {
             return;
         }
@@ -219,17 +219,17 @@
         match &change.refusal {
             Some(error) if error.kind == ErrorKind::ActivationFailed && is_old => {}
             Some(error) if error.kind == ErrorKind::ActivationFailed => {
-                self.give_up(change, &error.detail, now);
+                self.abandon_change(change, &error.detail, now);
             }
             Some(error) if error.kind == ErrorKind::OrderStale => self.order_again(change, now),
-            _ if now.since(change.answered_at) >= DOUBT_SPAN => self.order_again(change, now),
+            _ if now.since(change.answered_at) >= ORDER_TIMEOUT => self.order_again(change, now),
             _ => {}
         }
     }
 
     fn order_again(&mut self, change: &VersionChange, now: ClockTime) {
-        if change.tries >= ORDER_TRIES {
-            self.give_up(change, "the engine does not report the version", now);
+        if change.attempts >= ORDER_ATTEMPTS_MAX {
+            self.abandon_change(change, "the engine does not report the version", now);
             return;
         }
         if let Some(change) = self.change.as_mut() {
@@ -237,10 +237,10 @@
         }
     }
 
-    fn give_up(&mut self, change: &VersionChange, reason: &str, now: ClockTime) {
-        self.failed = Some((change.new_version.clone(), now + FAILED_SPAN));
+    fn abandon_change(&mut self, change: &VersionChange, reason: &str, now: ClockTime) {
+        self.failed = Some((change.new_version.clone(), now + FAILED_VERSION_RETRY_DELAY));
         self.valid_from = change.answered_at;
-        self.book.note_failure(&change.new_version, reason);
+        self.rollout.record_failure(&change.new_version, reason);
         self.change = None;
     }
 }
--- a/src/weights/version_routes.rs
+++ b/src/weights/version_routes.rs
@@ -8,22 +8,22 @@
 use volo_http::server::route::{Router, get};
 
 use super::digest::WeightsDigest;
-use super::staged_version::VersionShelf;
+use super::staged_version::VersionCache;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
 use crate::transport::error_reply;
 
 /// The engine's routes, under `/engine/weights/`.
-pub(crate) fn engine_routes(shelf: VersionShelf) -> Router {
+pub(crate) fn engine_routes(versions: VersionCache) -> Router {
     let all_bytes = move |PathParams(digest): PathParams<String>| {
-        let reply = whole_reply(&shelf, &digest);
+        let reply = whole_reply(&versions, &digest);
         async move { reply }
     };
     Router::new().route("/engine/weights/{digest}", get(all_bytes))
 }
 
-fn whole_reply(shelf: &VersionShelf, digest: &str) -> Response {
-    match find_whole(shelf, digest) {
+fn whole_reply(versions: &VersionCache, digest: &str) -> Response {
+    match find_whole(versions, digest) {
         Ok(chunks) => {
             let frames = chunks.into_iter().map(|bytes| Ok(Frame::data(bytes)));
             Response::new(Body::from_stream(futures::stream::iter(frames)))
@@ -35,9 +35,11 @@
     }
 }
 
-fn find_whole(shelf: &VersionShelf, digest: &str) -> SwitchResult<Vec<Bytes>> {
+fn find_whole(versions: &VersionCache, digest: &str) -> SwitchResult<Vec<Bytes>> {
     let digest = read_digest(digest)?;
-    let all_bytes = shelf.find(digest).and_then(|version| version.all_bytes());
+    let all_bytes = versions
+        .find(digest)
+        .and_then(|version| version.all_bytes());
     all_bytes.ok_or_else(|| {
         SwitchError::new(
             ErrorKind::WeightsNotReady,
--- a/src/weights/weights_thread.rs
+++ b/src/weights/weights_tasks.rs
@@ -5,13 +5,13 @@
 use tokio::sync::mpsc;
 use volo_http::server::route::Router;
 
-use super::activation_edge::ActivationEdge;
+use super::activation_driver::ActivationDriver;
+use super::chunk_announcer::ChunkAnnouncer;
 use super::fetch_worker::FetchWorker;
 use super::link_pacer::LinkPacer;
 use super::peer_service::PeerService;
-use super::staged_version::VersionShelf;
+use super::staged_version::VersionCache;
 use super::version_routes;
-use super::word_board::WordBoard;
 use crate::control::ControlHandle;
 use crate::daemon::DrainState;
 use crate::engines::EngineEdge;
@@ -21,7 +21,7 @@
 use crate::transport::PeerClient;
 
 /// Words of other hosts that wait to be taken in.
-const HEARD_MAX: usize = 1024;
+const ANNOUNCEMENT_QUEUE_MAX: usize = 1024;
 
 /// What the weights' edge works with.
 #[derive(Clone)]
@@ -58,31 +58,36 @@
 /// The rest of the process's hold on the weights' edge.
 #[derive(Clone)]
 pub(crate) struct WeightsHandle {
-    shelf: VersionShelf,
+    versions: VersionCache,
     peers: PeerService,
     pacer: LinkPacer,
 }
 
 /// Starts to bring in what the documents want and to serve it to peers. Must be called inside the
 /// traffic runtime; ends with it.
-pub(crate) fn start_weights_tasks(edges: WeightsContext, limits: WeightsLimits) -> WeightsHandle {
-    let shelf = VersionShelf::default();
+pub(crate) fn start_weights_tasks(context: WeightsContext, limits: WeightsLimits) -> WeightsHandle {
+    let versions = VersionCache::default();
     let pacer = LinkPacer::new(limits.link_bytes_per_second);
-    let board = WordBoard::new(edges.control.identity().host.clone(), pacer.clone());
-    let (heard_sender, heard) = mpsc::channel(HEARD_MAX);
-    let peers = PeerService::new(shelf.clone(), board.clone(), pacer.clone(), heard_sender);
+    let announcer = ChunkAnnouncer::new(context.control.identity().host.clone(), pacer.clone());
+    let (announcement_sender, announcements) = mpsc::channel(ANNOUNCEMENT_QUEUE_MAX);
+    let peers = PeerService::new(
+        versions.clone(),
+        announcer.clone(),
+        pacer.clone(),
+        announcement_sender,
+    );
     let fetcher = FetchWorker {
-        edges: edges.clone(),
+        context: context.clone(),
         limits,
-        shelf: shelf.clone(),
-        board,
+        versions: versions.clone(),
+        announcer,
         pacer: pacer.clone(),
-        heard,
+        announcements,
     };
     tokio::spawn(fetcher.run());
-    tokio::spawn(ActivationEdge::new(edges, shelf.clone()).run());
+    tokio::spawn(ActivationDriver::new(context, versions.clone()).run());
     WeightsHandle {
-        shelf,
+        versions,
         peers,
         pacer,
     }
@@ -101,6 +106,6 @@
 
     /// What the engine on this host reads, under `/engine/weights/`.
     pub(crate) fn engine_routes(&self) -> Router {
-        version_routes::engine_routes(self.shelf.clone())
+        version_routes::engine_routes(self.versions.clone())
     }
 }
