--- a/src/weights/activation.rs
+++ b/src/weights/activation.rs
@@ -1,8 +1,9 @@
-//! Decides when the engine is told to load a version, and when requests may run on it.
+//! State machine that decides when the engine is ordered to load a version and when requests may
+//! run on it.
 //!
-//! The machine follows what the engine reports. It opens the gate only for a version that the
-//! engine reported to serve after the last order, gives one order at a time, and takes a host that
-//! serves something out of service only under a permit.
+//! The machine follows the engine's reports. It opens the serving gate only for a version that the
+//! engine reported as serving after the last order, issues one order at a time, and takes a host
+//! that serves a version out of service only while it holds a rollout permit.
 
 use std::time::Duration;
 
@@ -21,71 +22,71 @@
 use crate::time::ClockTime;
 use crate::weights::LeaseHolder;
 
-/// How often the engine is looked at while nothing changes.
+/// How often the engine's state is read while nothing changes.
 const ENGINE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 pub(super) const STEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the edge has to do next.
+/// What the [`ActivationDriver`](super::activation_driver::ActivationDriver) has to do next.
 #[apply(plain!)]
 pub(crate) enum ActivationStep {
-    /// Nothing until then, or until something changes.
+    /// Wait until this time, or until an input changes.
     WaitUntil(ClockTime),
     /// Read the engine's state.
     ReadEngine,
-    /// Read the rollout's row.
+    /// Read the rollout row.
     ReadRow,
-    /// Write it.
+    /// Write the rollout row, provided that it has the expected revision.
     WriteRow {
-        /// The revision that is expected.
+        /// The revision that the row must still have.
         expected: RowRevision,
-        /// The row.
+        /// The new row.
         row: RolloutRow,
     },
-    /// Let no request in any more, and say whether all have ended.
+    /// Admit no further requests, and report whether all admitted ones have ended.
     CloseGate,
-    /// Order the engine to load a version; the machine goes on meanwhile.
+    /// Order the engine to load a version. The machine keeps running until the order is answered.
     Order {
         /// The order's fencing number.
         fence: u64,
-        /// The version.
+        /// The version to load.
         serving: ServingVersion,
     },
-    /// Wait for requests of earlier versions to end, then let requests in.
+    /// Wait until requests of previous versions have ended, then admit requests for this version.
     OpenGate(ServingVersion),
 }
 
-/// What the machine sees of its surroundings.
+/// Inputs of one step of the machine.
 pub(crate) struct ActivationInputs<'a> {
-    /// What the document wants.
+    /// The target version from the service document.
     pub(crate) target: Option<&'a TargetVersion>,
-    /// Whether the whole of a version is here.
+    /// Whether a version is complete and verified on this host.
     pub(crate) is_complete: &'a dyn Fn(WeightsDigest) -> bool,
-    /// What the gate is open for.
+    /// The version that the gate admits requests for; `None` while it is closed.
     pub(crate) gate: Option<&'a ServingVersion>,
-    /// Whether a host is there.
+    /// Whether a host is live according to membership.
     pub(crate) is_live: &'a dyn Fn(&str) -> bool,
-    /// How many hosts come before this one among those that still serve another version.
+    /// How many rollout batches of hosts that still serve another version go before this host.
     pub(crate) batches_ahead: u32,
-    /// Left to chance; between 0 and 1.
+    /// Random fraction of a back-off, between 0 and 1.
     pub(crate) jitter: f64,
 }
 
-/// One host's activation.
+/// Activation state of one host.
 #[derive(Debug)]
 pub(crate) struct ActivationMachine {
     pub(super) report: Option<EngineReport>,
-    /// Reports about earlier moments say nothing about now.
+    /// Engine reports that describe an earlier time are ignored.
     pub(super) valid_from: ClockTime,
     pub(super) read_after: ClockTime,
     pub(super) change: Option<VersionChange>,
     pub(super) rollout: HostRolloutState,
-    /// The last version that the engine served, for a way back.
+    /// The last version that the engine reported as serving, for a rollback.
     pub(super) last_served: Option<ServingVersion>,
     pub(super) failed: Option<(ServingVersion, ClockTime)>,
 }
 
 impl ActivationMachine {
-    /// The machine of a process that has just started and knows nothing.
+    /// The state of a process that has just started and has no report from its engine yet.
     pub(crate) fn new(holder: LeaseHolder, now: ClockTime) -> Self {
         Self {
             report: None,
@@ -98,28 +99,29 @@
         }
     }
 
-    /// Whether an order is under way or in doubt.
+    /// Whether a change of version is in progress, including orders with an unknown outcome.
     pub(crate) const fn is_changing(&self) -> bool {
         self.change.is_some()
     }
 
-    /// Whether this host is out of service because of a change of version.
+    /// Whether this host is out of service, or about to be, because it replaces the version it
+    /// served.
     pub(crate) fn is_swapping(&self) -> bool {
         self.change.as_ref().is_some_and(|change| change.is_swap)
     }
 
-    /// Whether an order's answer is outstanding.
+    /// Whether an order has been sent and not yet answered.
     pub(crate) fn is_ordering(&self) -> bool {
         let change = self.change.as_ref();
         change.is_some_and(|change| change.phase == ChangePhase::Ordering)
     }
 
-    /// Why the rollout does not go on, for people.
+    /// Why the rollout was stopped, as text for operators.
     pub(crate) fn stopped(&self) -> Option<&str> {
         self.rollout.stopped()
     }
 
-    /// What to do now.
+    /// The next step at `now`.
     pub(crate) fn next_step(
         &mut self,
         view: &ActivationInputs<'_>,
@@ -147,8 +149,7 @@
         step.unwrap_or_else(|| self.version_step(&report, view, now))
     }
 
-    /// Whether the engine serves and will go on serving what it does, so that a permit is of no more
-    /// use.
+    /// Whether the engine serves a version that it will keep, so that a permit is no longer needed.
     fn is_settled(&self, report: &EngineReport, view: &ActivationInputs<'_>) -> bool {
         let (Some(serving), Some(target)) = (&report.serving, view.target) else {
             return false;
@@ -187,7 +188,8 @@
         }
     }
 
-    /// A host that serves something goes out of service only under a permit.
+    /// Replaces the serving version. This takes the host out of service and therefore needs a
+    /// permit.
     fn swap_step(
         &mut self,
         target: &TargetVersion,
@@ -201,8 +203,8 @@
         self.rollout.permit_step(target, report.fence, view, now)
     }
 
-    /// A host that serves nothing takes nobody out of service: it needs no permit, only the word
-    /// that the version was not stopped.
+    /// Loads a version on a host that serves none. This takes no host out of service, so that no
+    /// permit is needed; the version only must not have been stopped.
     fn idle_step(
         &mut self,
         target: &TargetVersion,
@@ -227,7 +229,7 @@
         }
     }
 
-    /// An engine that lost its version over one that it did not load gets the earlier one back.
+    /// Reloads the previous version after the engine lost it while failing to load a new one.
     fn fall_back(
         &mut self,
         report: &EngineReport,
@@ -244,7 +246,7 @@
         Some(self.begin_change(new_version, false, now))
     }
 
-    /// The row, or why it could not be read.
+    /// The rollout row was read, or reading it failed.
     pub(crate) fn on_row(
         &mut self,
         answer: SwitchResult<RowSnapshot>,
@@ -254,7 +256,7 @@
         self.rollout.on_row(answer, jitter, now);
     }
 
-    /// What became of [`ActivationStep::WriteRow`].
+    /// Result of [`ActivationStep::WriteRow`].
     pub(crate) fn on_written(
         &mut self,
         answer: SwitchResult<RowWriteResult>,
@@ -265,11 +267,12 @@
     }
 }
 
-/// What the gate has to do when it does not go with what the engine reports.
+/// The step that brings the gate in line with the engine's report.
 ///
-/// An engine that restarted, or that carried out an order late, serves something else than the gate
-/// lets requests in for. One would notice answers by another version than the one they are
-/// signed with. The gate therefore follows the engine's reports for as long as the process lives.
+/// An engine that restarted, or that carried out an order late, serves another version than the
+/// gate admits requests for. Responses would then come from another version than the one stated in
+/// their signature. The gate therefore follows the engine's reports throughout the life of the
+/// process.
 fn gate_step(report: &EngineReport, view: &ActivationInputs<'_>) -> Option<ActivationStep> {
     match (view.gate, &report.serving) {
         (None, None) => None,
--- a/src/weights/activation_driver.rs
+++ b/src/weights/activation_driver.rs
@@ -1,4 +1,5 @@
-//! Carries out what the [`ActivationMachine`] decides, towards the engine, the gate and the table.
+//! Driver of the [`ActivationMachine`]: carries out its steps on the engine, the gate and the
+//! table.
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
 const WAIT_MIN: Duration = Duration::from_millis(5);
 const GATE_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The task that brings the engine to what the document wants.
+/// The task that brings the engine to the target version.
 pub(crate) struct ActivationDriver {
     context: WeightsContext,
     versions: VersionCache,
@@ -38,7 +39,7 @@
 }
 
 impl ActivationDriver {
-    /// The task of the process with `context`.
+    /// Creates the driver of the process that `context` belongs to.
     pub(crate) fn new(context: WeightsContext, versions: VersionCache) -> Self {
         let identity = context.control.identity();
         let holder = LeaseHolder {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Works until the process ends.
+    /// Runs until the process ends.
     pub(crate) async fn run(mut self) {
         loop {
             self.collect_order_result().await;
@@ -75,7 +76,7 @@
         let is_leaving = self.context.drain.is_draining() && !self.machine.is_changing();
         let versions = &self.versions;
         let view = ActivationInputs {
-            // A host that leaves begins no change.
+            // A host that is draining starts no change.
             target: target.filter(|_| !is_leaving),
             is_complete: &|digest: WeightsDigest| {
                 versions
@@ -120,7 +121,8 @@
             }
             ActivationStep::Order { fence, serving } => self.give_order(fence, serving),
             ActivationStep::OpenGate(serving) => {
-                // Requests of an earlier version must have ended, or two versions would mix.
+                // Requests of a previous version must have ended, or responses of two versions
+                // would mix.
                 if self.context.gate.close(GATE_CLOSE_TIMEOUT).await {
                     log_event!(
                         events::VERSION_SERVED,
@@ -146,13 +148,13 @@
 
     fn give_order(&mut self, fence: u64, serving: ServingVersion) {
         let Some(version) = self.versions.find(serving.digest) else {
-            let gone = SwitchError::new(ErrorKind::Internal, "the version was let go");
+            let gone = SwitchError::new(ErrorKind::Internal, "the version was evicted");
             self.machine.on_ordered(Err(gone), clock_now());
             return;
         };
         assert!(
             version.is_complete(),
-            "an order was given for weights that are not whole"
+            "an order was given for an incomplete version"
         );
         let address = self.context.control.identity().peer_address;
         let order = LoadOrder {
@@ -172,7 +174,7 @@
         ));
     }
 
-    /// Takes the answer to an order, once it is there.
+    /// Passes the result of an order to the machine once the order has been answered.
     async fn collect_order_result(&mut self) {
         let Some(task) = self.order.take_if(|task| task.is_finished()) else {
             return;
@@ -223,7 +225,7 @@
         }
     }
 
-    /// How many hosts come before this one among those that still serve another version.
+    /// How many rollout batches of hosts that still serve another version go before this host.
     fn batches_ahead(&self, snapshot: &ControlSnapshot, target: &TargetVersion) -> u32 {
         let local = &self.context.control.identity().host;
         let waits = snapshot.members.iter().filter(|member| {
@@ -238,13 +240,14 @@
         waits / target.rollout.max_out_of_service.max(1)
     }
 
-    /// Says what is served. A version that only got a new name is told under the new one.
+    /// Publishes the serving version. If the target has the same digest under a new version name,
+    /// the new name is published.
     fn publish_serving(&self, target: Option<&TargetVersion>, gate: Option<&ServingVersion>) {
         let serving = match (target, gate) {
             (Some(target), Some(gate)) if gate.digest == target.digest => Some(target.serving()),
             (_, gate) => gate.cloned(),
         };
-        // A host that is about to change says so before its gate closes.
+        // A host that is about to change version publishes so before its gate closes.
         let serving = serving.filter(|_| !self.machine.is_swapping());
         let is_done = match (target, &serving) {
             (Some(target), Some(serving)) => serving.digest == target.digest,
@@ -281,7 +284,7 @@
     let parsed = serde_json::from_slice(&row.value).map_err(|fault| {
         SwitchError::new(
             ErrorKind::TableUnavailable,
-            format!("row {}: {fault}", row.key),
+            format!("cannot parse row {}: {fault}", row.key),
         )
     })?;
     Ok(RowSnapshot {
--- a/src/weights/chunk_announcer.rs
+++ b/src/weights/chunk_announcer.rs
@@ -1,4 +1,4 @@
-//! What this host says of a version to whoever asks.
+//! Announcements of the chunks that this host holds.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::messages::ChunkAnnouncement;
 use super::staged_version::StagedVersion;
 
-/// Makes this host's [`ChunkAnnouncement`]s. Clones share what is claimed.
+/// Creates this host's [`ChunkAnnouncement`]s. Clones share the claimed chunks.
 #[derive(Clone, Debug)]
 pub(crate) struct ChunkAnnouncer {
     host: ByteString,
@@ -20,7 +20,7 @@
 }
 
 impl ChunkAnnouncer {
-    /// The words of `host`.
+    /// Creates the announcer of `host`.
     pub(crate) fn new(host: ByteString, pacer: LinkPacer) -> Self {
         Self {
             host,
@@ -29,12 +29,13 @@
         }
     }
 
-    /// Says from now on that this host is about to read `claimed` from the origin.
+    /// Announces from now on that this host is about to read the `claimed` chunks of the version
+    /// `digest` from the origin.
     pub(crate) fn claim(&self, digest: WeightsDigest, claimed: ChunkMap) {
         self.claimed.store(Arc::new(Some((digest, claimed))));
     }
 
-    /// What there is to say of `version`.
+    /// The current announcement about `version`.
     pub(crate) fn announcement(&self, version: &StagedVersion) -> ChunkAnnouncement {
         let claimed = match &**self.claimed.load() {
             Some((digest, claimed)) if *digest == version.digest() => claimed.clone(),
--- a/src/weights/chunk_fetcher.rs
+++ b/src/weights/chunk_fetcher.rs
@@ -1,4 +1,5 @@
-//! Carries out what the [`FetchPlan`](super::fetch_plan::FetchPlan) decides: asks, pulls, reads.
+//! Requests of the [`FetchPlan`](super::fetch_plan::FetchPlan): queries peers, pulls chunks from
+//! them and reads chunks from the origin.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,31 +23,31 @@
 
 const LENGTH_BYTES: usize = 4;
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
-/// The plan gives a pull up earlier; this is only against one that nobody waits for any more.
+/// The plan cancels pulls much earlier; this only bounds a pull that has no receiver any more.
 const PULL_TIMEOUT: Duration = Duration::from_mins(1);
 const ERROR_BYTES_MAX: usize = 64 * 1024;
 
-/// What the fetches of one version work with. Clones share it.
+/// Clients and state for fetching one version. Clones share them.
 #[derive(Clone)]
 pub(crate) struct ChunkFetcher {
-    /// The origin.
+    /// The origin of weights.
     pub(crate) origin: Arc<dyn WeightSource>,
-    /// The weight store, where there is one.
+    /// The weight store, if one is configured.
     pub(crate) store: Option<Arc<dyn WeightSource>>,
-    /// The name of the weights there.
+    /// The name of the weights at the origin and in the store.
     pub(crate) source: ByteString,
-    /// The way to other hosts.
+    /// Client for other hosts.
     pub(crate) client: Arc<PeerClient>,
-    /// The version.
+    /// The version that is being fetched.
     pub(crate) version: Arc<StagedVersion>,
-    /// What this host says of it.
+    /// This host's announcements about the version.
     pub(crate) announcer: ChunkAnnouncer,
     /// The host's link.
     pub(crate) pacer: LinkPacer,
 }
 
 impl ChunkFetcher {
-    /// Asks `peer` what it holds.
+    /// Queries which chunks `peer` holds. The query carries this host's own announcement.
     pub(crate) async fn query_peer(&self, peer: SocketAddr) -> SwitchResult<ChunkAnnouncement> {
         metrics::count_event("weights_asks", 1);
         let path = format!("/peer/weights/{}/have", self.version.digest());
@@ -58,13 +59,13 @@
         if let Err(error) = &answer
             && error.kind == ErrorKind::PeerSilent
         {
-            // The connection may have gone silent for good while new ones work.
+            // The kept connection may be dead while new connections to the peer work.
             self.client.drop_pool(peer);
         }
         answer
     }
 
-    /// Pulls chunk `index` from `peer`, checks it and keeps it.
+    /// Pulls chunk `index` from `peer`, verifies and stores it. Returns the peer's announcement.
     pub(crate) async fn pull_chunk(
         &self,
         peer: SocketAddr,
@@ -88,8 +89,8 @@
         Ok(head.announcement)
     }
 
-    /// Reads chunk `index` from the origin, or from the weight store when the origin does not
-    /// answer; checks it and keeps it.
+    /// Reads chunk `index` from the origin, or from the weight store if the origin fails; verifies
+    /// and stores it.
     pub(crate) async fn read_origin(&self, index: u32) -> SwitchResult<()> {
         metrics::count_event("weights_origin_reads", 1);
         let (offset, length) = self.version.manifest().chunk_range(index);
@@ -136,7 +137,12 @@
 }
 
 fn split_head(answer: &mut Bytes) -> SwitchResult<ChunkHead> {
-    let short = || SwitchError::new(ErrorKind::ChunkCorrupt, "the answer ends in its head");
+    let short = || {
+        SwitchError::new(
+            ErrorKind::ChunkCorrupt,
+            "response truncated within the chunk head",
+        )
+    };
     if answer.len() < LENGTH_BYTES {
         return Err(short());
     }
--- a/src/weights/chunk_map.rs
+++ b/src/weights/chunk_map.rs
@@ -1,4 +1,4 @@
-//! Which chunks of a version somebody holds: one bit a chunk.
+//! A bitmap of the chunks of a version.
 
 use macro_rules_attribute::apply;
 
@@ -6,7 +6,7 @@
 
 const BITS: u32 = u8::BITS;
 
-/// A set of chunk numbers below a fixed count.
+/// A set of chunk indexes below a fixed count, one bit per chunk.
 #[apply(message!)]
 #[derive(Eq, Default)]
 pub(crate) struct ChunkMap {
@@ -16,7 +16,7 @@
 }
 
 impl ChunkMap {
-    /// The empty set below `count`.
+    /// The empty set of indexes below `count`.
     pub(crate) fn empty(count: u32) -> Self {
         let bytes = usize::try_from(count.div_ceil(BITS)).unwrap_or(usize::MAX);
         Self {
@@ -25,34 +25,34 @@
         }
     }
 
-    /// The set of all below `count`.
+    /// The set of all indexes below `count`.
     pub(crate) fn full(count: u32) -> Self {
         let mut map = Self::empty(count);
         (0..count).for_each(|index| map.insert(index));
         map
     }
 
-    /// Whether its bytes go with its count and `count` is what was expected; a map from another
-    /// process need not.
+    /// Whether the bitmap has the right length and its count equals `count`. Maps received from
+    /// other processes must be checked with this.
     pub(crate) fn fits(&self, count: u32) -> bool {
         self.count == count && self.bits.len() == Self::empty(count).bits.len()
     }
 
-    /// Puts `index` in; one beyond the count is left out.
+    /// Adds `index`; does nothing if it is not below the count.
     pub(crate) fn insert(&mut self, index: u32) {
         if index < self.count {
             self.bits[byte_of(index)] |= 1 << (index % BITS);
         }
     }
 
-    /// Takes `index` out.
+    /// Removes `index`.
     pub(crate) fn remove(&mut self, index: u32) {
         if index < self.count {
             self.bits[byte_of(index)] &= !(1 << (index % BITS));
         }
     }
 
-    /// Whether `index` is in.
+    /// Whether the set contains `index`.
     pub(crate) fn contains(&self, index: u32) -> bool {
         index < self.count
             && self
@@ -61,17 +61,17 @@
                 .is_some_and(|byte| byte & (1 << (index % BITS)) != 0)
     }
 
-    /// How many are in.
+    /// Number of chunks in the set.
     pub(crate) fn len(&self) -> u32 {
         self.bits.iter().map(|byte| byte.count_ones()).sum()
     }
 
-    /// Whether all are in.
+    /// Whether the set contains every index.
     pub(crate) fn is_full(&self) -> bool {
         self.len() == self.count
     }
 
-    /// How many there could be.
+    /// Number of chunks of the version.
     pub(crate) const fn count(&self) -> u32 {
         self.count
     }
--- a/src/weights/digest.rs
+++ b/src/weights/digest.rs
@@ -1,4 +1,4 @@
-//! The digest that names a version's bytes.
+//! The digest that identifies the bytes of a version or chunk.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,24 +8,24 @@
 
 use crate::derives::key;
 
-/// The BLAKE3 digest of a whole version, or of one chunk.
+/// The BLAKE3 digest of a complete version, or of one chunk.
 #[apply(key!)]
 pub struct WeightsDigest([u8; 32]);
 
 impl WeightsDigest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// The digest that `hasher` has come to.
+    /// The digest of the bytes that `hasher` has read.
     #[must_use]
     pub fn from_hasher(hasher: &blake3::Hasher) -> Self {
         Self(*hasher.finalize().as_bytes())
     }
 
-    /// Its bytes.
+    /// The 32 bytes of the digest.
     #[must_use]
     pub const fn as_bytes(&self) -> &[u8; 32] {
         &self.0
--- a/src/weights/fetch_plan.rs
+++ b/src/weights/fetch_plan.rs
@@ -1,8 +1,10 @@
-//! Decides which chunk is asked of whom, and what follows from each answer and each silence.
+//! Plans the fetch of one version: which chunk to request from which source, and how to react to
+//! results and time-outs.
 //!
-//! A host pulls the rarest chunk that a peer holds; a chunk that nobody seems to hold is read from
-//! the origin by the host whose turn it is in the chunk's [`HostRanking`]. The plan knows no sockets
-//! and no clocks: the edge carries out its steps and tells it what came of them.
+//! A host pulls the rarest chunk that a peer holds. A chunk that no known peer holds is read from
+//! the origin by the host that the chunk's [`HostRanking`](super::host_ranking::HostRanking) puts
+//! first. The plan does no I/O and reads no clock: its caller carries out the steps and reports
+//! their results.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -23,27 +25,28 @@
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 
-/// How many times the usual span of a pull must have passed before it counts as stalled.
+/// A pull counts as stalled after this many times the typical duration.
 const STALL_FACTOR: u32 = 10;
 const STALL_TIMEOUT_MIN: Duration = Duration::from_millis(1500);
 const QUERY_INTERVAL_MIN: Duration = Duration::from_millis(80);
 const QUERY_INTERVAL_MAX: Duration = Duration::from_millis(500);
 const BUSY_WAIT_MIN: Duration = Duration::from_millis(10);
 
-/// What the plan may do at a time.
+/// Limits of a fetch plan.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FetchLimits {
-    /// Chunks under way from peers.
+    /// Maximum concurrent pulls from peers.
     pub(crate) pulls_max: usize,
-    /// Chunks under way from one peer.
+    /// Maximum concurrent pulls from one peer.
     pub(crate) pulls_per_peer: u32,
-    /// Chunks under way from the origin.
+    /// Maximum concurrent reads from the origin.
     pub(crate) origin_reads_max: usize,
-    /// Hosts that are asked of this host's own accord.
+    /// Number of neighbours, the peers that are queried regularly.
     pub(crate) neighbours: usize,
-    /// How long the first in a chunk's line has before the second looks after it.
+    /// How long each host waits for the one ranked before it before it takes over the read of a
+    /// chunk.
     pub(crate) takeover_delay: Duration,
-    /// How long a read from the origin may take.
+    /// Time-out of a read from the origin.
     pub(crate) origin_read_timeout: Duration,
 }
 
@@ -60,34 +63,34 @@
     }
 }
 
-/// One chunk under way.
+/// Identifies a chunk transfer in progress.
 #[apply(key!)]
 pub(crate) struct TransferId(u64);
 
-/// Where a chunk comes from.
+/// Source of a chunk.
 #[apply(key!)]
 pub(crate) enum ChunkSource {
     /// Another host.
     Peer(PeerKey),
-    /// The origin.
+    /// The origin of weights.
     Origin,
 }
 
-/// What the edge has to do.
+/// What the caller has to do.
 #[apply(key!)]
 pub(crate) enum FetchStep {
-    /// Ask a host what it holds.
+    /// Query which chunks a peer holds.
     Query(PeerKey),
-    /// Bring a chunk.
+    /// Fetch a chunk.
     Fetch {
-        /// Names it in what is told of it.
+        /// Identifies the transfer in later reports.
         transfer: TransferId,
-        /// The chunk.
+        /// Index of the chunk.
         index: u32,
-        /// Where it comes from.
+        /// Where to fetch it from.
         source: ChunkSource,
     },
-    /// Give a chunk under way up.
+    /// Cancel a transfer.
     Cancel(TransferId, ChunkSource),
 }
 
@@ -106,31 +109,33 @@
     pub(super) limits: FetchLimits,
     pub(super) objective: SpreadObjective,
     pub(super) held: ChunkMap,
-    /// The chunks that are pulled before rarer ones.
+    /// Chunks that are pulled before rarer ones.
     pub(super) preferred: Range<u32>,
-    /// The view that was set last.
+    /// The hosts of the last [`FetchPlan::set_hosts`].
     hosts: Vec<PeerHost>,
     pub(super) peers: PeerTable,
     pub(super) origin_schedule: OriginSchedule,
     pub(super) import_schedule: ImportSchedule,
     pub(super) transfers: Vec<ChunkTransfer>,
     next_transfer: u64,
-    /// How long a pull usually takes.
+    /// Moving average of the duration of a pull.
     pub(super) typical_duration: Duration,
     pub(super) started_at: ClockTime,
-    /// Hosts that have, or are about to have, what this host brings into its data centre; sorted.
+    /// Hosts that hold, or are about to hold, the chunks that this host imports into its data
+    /// centre; sorted.
     pub(super) import_sources: Vec<PeerKey>,
-    /// When it is looked next who reads what this host brings in.
+    /// When `import_sources` is computed next.
     pub(super) import_sources_due: ClockTime,
     pub(super) query_interval: Duration,
-    /// When the newest question was asked that was answered.
+    /// When the latest query that was answered had been sent.
     pub(super) last_answered_query_at: Option<ClockTime>,
     pub(super) rng: StdRng,
 }
 
 impl FetchPlan {
-    /// The plan of `local` for the version `digest`, of which it holds `held`. `chunk_span` is how long
-    /// a chunk takes on this host's idle link; `seed` sets what is left to chance.
+    /// Creates the plan of `local` for the version `digest`, of which it holds `held`. `chunk_span`
+    /// is the time that a chunk takes on this host's idle link; `seed` initialises the random
+    /// generator.
     pub(crate) fn new(
         local: HostLocation,
         (digest, objective): (WeightsDigest, SpreadObjective),
@@ -169,7 +174,7 @@
         }
     }
 
-    /// A new view of the live hosts that want the version.
+    /// Sets the live hosts that have the version as target.
     pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
         if self.hosts == hosts {
             return;
@@ -181,27 +186,28 @@
         self.import_sources_due = ClockTime(0);
     }
 
-    /// The chunks of `range` are pulled before rarer ones: a host can make use of them by themselves.
+    /// Pulls the chunks of `range` before rarer ones, because the host can use them independently
+    /// of the rest.
     pub(crate) fn prefer(&mut self, range: Range<u32>) {
         self.preferred = range;
     }
 
-    /// From now on at most `pulls_max` chunks are under way from other hosts.
+    /// Limits the concurrent pulls from peers to `pulls_max`.
     pub(crate) const fn set_pulls_max(&mut self, pulls_max: usize) {
         self.limits.pulls_max = pulls_max;
     }
 
-    /// The record of a host.
+    /// The other hosts.
     pub(crate) const fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
-    /// The chunks that are there.
+    /// The chunks that this host holds.
     pub(crate) const fn held(&self) -> &ChunkMap {
         &self.held
     }
 
-    /// How many chunks are here or at a host that said so.
+    /// Number of chunks that this host or a known peer holds.
     pub(crate) fn known_chunk_count(&self) -> u32 {
         let is_known =
             |index: &u32| self.held.contains(*index) || self.peers.copy_count(*index) > 0;
@@ -228,7 +234,7 @@
         claimed
     }
 
-    /// A host said what it holds, of its own accord or asked.
+    /// An announcement was received, unasked or in a response.
     pub(crate) fn on_announcement(&mut self, announcement: &ChunkAnnouncement, now: ClockTime) {
         if self.peers.record_announcement(announcement, now) {
             let jitter = self.rng.random();
@@ -236,7 +242,7 @@
         }
     }
 
-    /// The answer to [`FetchStep::Query`] came, or did not.
+    /// The result of [`FetchStep::Query`]: `failure` is `None` if the query was answered.
     pub(crate) fn on_queried(&mut self, key: PeerKey, failure: Option<ErrorKind>, now: ClockTime) {
         let jitter = self.rng.random();
         let late = self.late_threshold();
@@ -245,18 +251,19 @@
         if matches!(failure, None | Some(ErrorKind::ChunkMissing)) {
             self.last_answered_query_at = self.last_answered_query_at.max(peer.queried_at);
         }
-        // The question was lost, but it was heard in another way.
+        // The query failed, but the peer was heard from in another way meanwhile.
         let is_heard = peer.last_heard_at.is_some_and(|at| now.since(at) <= late);
         match failure {
             None => self.peers.mark_responsive(key, now),
-            // It has not begun with this version yet: it is there, and holds nothing.
+            // The peer is running and has not started to fetch this version yet.
             Some(ErrorKind::ChunkMissing) => self.peers.mark_empty(key, now),
             Some(_) if is_heard => {}
             Some(_) => self.peers.mark_unresponsive(key, now, jitter),
         }
     }
 
-    /// A chunk came and matched. Returns the other flights for it, which are of no more use.
+    /// A chunk was received and verified. Returns the other transfers of the same chunk, which are
+    /// to be cancelled.
     pub(crate) fn on_delivered(&mut self, id: TransferId, now: ClockTime) -> Vec<TransferId> {
         let Some(transfer) = self.end_transfer(id) else {
             return Vec::new();
@@ -281,7 +288,8 @@
         duplicates
     }
 
-    /// A chunk did not come, or did not match. `wait` is what the source asked for.
+    /// A transfer failed, or its chunk did not match the manifest. `wait` is the delay that the
+    /// source asked for.
     pub(crate) fn on_failed(
         &mut self,
         id: TransferId,
@@ -305,7 +313,7 @@
                 self.peers.mark_responsive(key, now);
             }
             (ChunkSource::Peer(key), _) => {
-                // Whether it is there at all is asked next.
+                // The next step queries whether the peer is still running.
                 let peer = self.peers.get_mut(key);
                 peer.record_failure(now, jitter);
                 if peer.liveness == PeerLiveness::Responsive {
@@ -315,7 +323,7 @@
         }
     }
 
-    /// What to do now.
+    /// The steps to carry out at `now`.
     pub(crate) fn next_steps(&mut self, now: ClockTime) -> Vec<FetchStep> {
         let mut steps = Vec::new();
         if self.held.is_full() {
@@ -335,7 +343,7 @@
             self.transfers
                 .iter()
                 .all(|transfer| !self.held.contains(transfer.index)),
-            "a chunk that is there was under way again"
+            "a chunk that is held was in transfer again"
         );
         steps
     }
@@ -399,13 +407,13 @@
             .filter(move |transfer| transfer.index == index)
     }
 
-    /// Whether chunk `index` is under way from a source that is there.
+    /// Whether chunk `index` is in transfer from a responsive source.
     pub(super) fn is_in_transfer(&self, index: u32) -> bool {
         self.transfers_of(index)
             .any(|transfer| self.is_source_responsive(transfer))
     }
 
-    /// How many hosts that are there have let a chunk wait for longer than `span` at `now`.
+    /// Number of responsive peers with a transfer that has taken longer than `span` at `now`.
     pub(crate) fn late_source_count(&self, span: Duration, now: ClockTime) -> usize {
         let late = self.transfers.iter().filter(|transfer| {
             let is_peer = transfer.source != ChunkSource::Origin;
--- a/src/weights/fetch_selection.rs
+++ b/src/weights/fetch_selection.rs
@@ -1,4 +1,4 @@
-//! The fetch plan's choices: which chunk next, from whom, whom to ask.
+//! The choices of the fetch plan: the next chunk, its source, and the peers to query.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::documents::SpreadObjective;
 use crate::time::ClockTime;
 
-/// How many times the usual span must have passed before a chunk is late.
+/// A pull counts as late after this many times the typical duration.
 const LATE_FACTOR: u32 = 3;
 const LATE_THRESHOLD_MIN: Duration = Duration::from_millis(300);
 const HEDGES_MAX: usize = 2;
 const TRANSFERS_PER_CHUNK: usize = 2;
 const QUERY_INTERVAL_SATURATED: Duration = Duration::from_millis(1500);
-/// How many times less often hosts of other data centres are asked: only what nobody here holds is
-/// pulled from there.
+/// Factor by which peers in other data centres are queried less often. Only chunks that no host in
+/// the local data centre holds are pulled from there.
 const REMOTE_QUERY_FACTOR: u32 = 3;
-/// How often it is looked who reads what this host brings in.
+/// How often the sources of imports are computed.
 const IMPORT_SOURCES_INTERVAL: Duration = Duration::from_millis(200);
 
 impl FetchPlan {
@@ -61,9 +61,10 @@
         self.choose_redundant_read()
     }
 
-    /// With the objective `time`, a host that nobody can give a chunk reads one that others have
-    /// already, so that nothing that the origin gives is left. Not before every chunk was seen
-    /// somewhere: the first copy of each goes before any second.
+    /// With the objective `time`, a host that finds no peer to pull from reads a chunk that other
+    /// hosts already hold, so that the capacity of the origin is used fully. It does so only once
+    /// every chunk is held by some host: the first copy of each chunk has precedence over any
+    /// second copy.
     fn choose_redundant_read(&mut self) -> Option<u32> {
         let is_starved = self.count_pulls() < self.limits.pulls_max;
         if self.objective != SpreadObjective::Time || !is_starved {
@@ -87,8 +88,8 @@
             .min_by_key(|index| self.peers.copy_count(*index))
     }
 
-    /// Whether it is too early to tell what the neighbours hold: a host that joins late would read
-    /// from the origin what they could give.
+    /// Whether the neighbours have not had time to answer yet. Without this wait, a host that joins
+    /// late would read chunks from the origin that its neighbours hold.
     fn is_in_initial_wait(&self, now: ClockTime) -> bool {
         let mut neighbours = self.peers.listed().filter(|(_, peer)| peer.is_neighbour);
         !self.origin_schedule.is_initial_wait_over(now)
@@ -97,8 +98,11 @@
             })
     }
 
-    /// Pulls from hosts that are gone held all places until each stalled; a host that was up got nothing
-    /// beside others that hold all. One sign of silence frees the places of all pulls from a host.
+    /// Cancels pulls from unresponsive hosts and marks hosts without recent traffic as suspected.
+    ///
+    /// Otherwise pulls from failed hosts occupy all pull slots until each of them stalls, and a
+    /// running host receives nothing although other peers hold all chunks. One sign that a host
+    /// does not respond therefore frees the slots of all pulls from it.
     pub(super) fn check_unresponsive_sources(
         &mut self,
         now: ClockTime,
@@ -112,7 +116,7 @@
             let is_peer_unavailable = self.is_peer_unavailable(key);
             let peer = self.peers.get_mut(key);
             let last = peer.last_heard_at.max(Some(transfer.since)).unwrap_or(now);
-            // A host that holds the chunk no more started anew, and knows nothing of the pull.
+            // A host that no longer holds the chunk has restarted and has lost the pull.
             let is_anew = last > transfer.since && !peer.holds(transfer.index);
             if is_anew || (is_peer_unavailable && peer.liveness == PeerLiveness::Unresponsive) {
                 self.end_transfer(transfer.id);
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Chunks under way from hosts that are there.
+    /// Number of pulls from responsive hosts.
     fn count_pulls(&self) -> usize {
         let pulls = self
             .transfers
@@ -132,7 +136,7 @@
         pulls.count() - self.count_transfers(ChunkSource::Origin)
     }
 
-    /// Whether nothing speaks against the source of `transfer`.
+    /// Whether the source of `transfer` counts as responsive.
     pub(super) fn is_source_responsive(&self, transfer: &ChunkTransfer) -> bool {
         match transfer.source {
             ChunkSource::Peer(key) => !self.is_peer_unavailable(key),
@@ -140,8 +144,8 @@
         }
     }
 
-    /// Whether the host at `key` does not answer while others do. Where nobody answers, this host's own link
-    /// is slow: more pulls over it would wait behind each other, and live requests behind them.
+    /// Whether the host at `key` does not answer while others do. If no host answers, this host's
+    /// own link is slow: further pulls would queue on it and delay live requests.
     fn is_peer_unavailable(&self, key: PeerKey) -> bool {
         let peer = self.peers.get(key);
         let is_unanswered = match peer.liveness {
@@ -165,8 +169,9 @@
         }
     }
 
-    /// The rarest chunk that somebody who has room holds, from whoever has most room. What this host
-    /// has to bring into its data centre goes first: others wait for it. Then come the preferred ones.
+    /// The rarest chunk that a peer with a free slot holds, and the peer with the fewest pulls.
+    /// Chunks that this host has to import into its data centre come first because other hosts wait
+    /// for them, then the preferred chunks.
     fn choose_pull(&mut self, now: ClockTime) -> Option<(u32, PeerKey)> {
         let count = self.held.count();
         let first = self.rng.random_range(0..count);
@@ -189,14 +194,14 @@
         Some((index, key))
     }
 
-    /// Whether a host of this data centre said that it holds chunk `index`.
+    /// Whether a host of this data centre announced that it holds chunk `index`.
     fn is_held_in_data_centre(&self, index: u32) -> bool {
         let mut listed = self.peers.listed();
         listed.any(|(key, peer)| peer.holds(index) && self.peers.is_local(key))
     }
 
-    /// In the endgame, a second source for the chunk that is the latest. Bounded, so that the last
-    /// chunks of many hosts do not flood the links.
+    /// A second source for the transfer that has been late for the longest time. The number of such
+    /// hedges is limited, so that the last chunks of many hosts do not flood the links.
     fn choose_hedge(&mut self, now: ClockTime) -> Option<(u32, PeerKey)> {
         let is_hedge = |transfer: &&ChunkTransfer| self.transfers_of(transfer.index).count() > 1;
         if self.transfers.iter().filter(is_hedge).count() >= HEDGES_MAX * TRANSFERS_PER_CHUNK {
@@ -218,7 +223,7 @@
         })
     }
 
-    /// How long a pull may take, or its host say nothing, before that is a sign of silence.
+    /// How long a pull may take, or a host may send nothing, before the host is suspected.
     pub(super) fn late_threshold(&self) -> Duration {
         (self.typical_duration * LATE_FACTOR).max(LATE_THRESHOLD_MIN)
     }
@@ -230,8 +235,8 @@
         })
     }
 
-    /// Whether chunk `index` may be pulled from another data centre: nobody of this one holds it,
-    /// and it is this host's turn to bring it in.
+    /// Whether chunk `index` may be pulled from another data centre: no host of this one holds it,
+    /// and this host is the one to import it.
     fn may_import(&mut self, index: u32, now: ClockTime) -> bool {
         !self.is_held_in_data_centre(index) && self.import_schedule.may_import(index, now)
     }
@@ -257,10 +262,10 @@
         Some(choices[at])
     }
 
-    /// Chooses anew whom this host asks for what it brings into its data centre.
+    /// Computes which hosts to query for the chunks that this host imports into its data centre.
     ///
-    /// A chunk lies at one host first. Of hundreds, a host that asks some of them by lot seldom meets
-    /// that one; all know who it is.
+    /// A chunk is first held by a single host. Among hundreds of hosts, queries to randomly chosen
+    /// peers seldom reach that host, but every host can compute which one it is.
     fn choose_import_sources(&mut self, now: ClockTime) {
         if now < self.import_sources_due {
             return;
@@ -293,8 +298,8 @@
         self.import_sources.binary_search(&key).is_ok()
     }
 
-    /// Asks neighbours that said nothing lately: often while this host has room for more than it
-    /// finds, seldom while it is busy anyway.
+    /// Queries peers that were not heard from recently: often while this host has free pull slots,
+    /// less often while all are in use.
     pub(super) fn plan_queries(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
         self.choose_import_sources(now);
         let is_starved = self.count_pulls() < self.limits.pulls_max;
--- a/src/weights/fetch_session.rs
+++ b/src/weights/fetch_session.rs
@@ -1,4 +1,5 @@
-//! One version's chunks on their way: carries out the plan's steps and tells it what came of them.
+//! The fetch of one version's chunks: carries out the steps of the plan and reports their results
+//! to it.
 
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -14,14 +15,14 @@
 use crate::metrics;
 use crate::time::clock_now;
 
-/// What happened to a step of the plan.
+/// Result of a step of the plan.
 pub(super) enum FetchEvent {
     Queried(PeerKey, SwitchResult<ChunkAnnouncement>),
     Pulled(TransferId, u32, SwitchResult<ChunkAnnouncement>),
     OriginRead(TransferId, u32, SwitchResult<()>),
 }
 
-/// The work on one version.
+/// State of the fetch of one version.
 pub(super) struct FetchSession {
     pub(super) fetcher: ChunkFetcher,
     pub(super) plan: FetchPlan,
@@ -81,7 +82,7 @@
             FetchStep::Cancel(transfer, source) => {
                 metrics::count_retry(ErrorKind::PeerSilent);
                 if let ChunkSource::Peer(key) = source {
-                    // The connection may have gone silent for good while new ones work.
+                    // The kept connection may be dead while new connections to the peer work.
                     self.fetcher
                         .client
                         .drop_pool(self.plan.peers().get(key).host.address);
@@ -118,7 +119,7 @@
             Ok(()) => {
                 assert!(
                     self.fetcher.version.chunk(index).is_some(),
-                    "a chunk was reported that was not kept"
+                    "a chunk was reported that is not stored"
                 );
                 for duplicate in self.plan.on_delivered(transfer, now) {
                     self.abort(duplicate);
--- a/src/weights/fetch_worker.rs
+++ b/src/weights/fetch_worker.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the fetch plan: brings in the version that the document wants, and ends
-//! the work on an older one at once when a newer is wanted.
+//! The task that owns the fetch plan. It fetches the target version, and aborts the fetch of a
+//! previous one as soon as the target changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,23 +31,24 @@
 
 const TICK: Duration = Duration::from_millis(25);
 const TARGET_CHECK_TICKS: u32 = 8;
-/// How long the first in a chunk's line has, by what the document wants to save.
+/// How long each host waits before it takes over a read from the one ranked before it, for each
+/// objective of the service document.
 const TAKEOVER_DELAY_TIME: Duration = Duration::from_millis(1500);
 const TAKEOVER_DELAY_BYTES: Duration = Duration::from_secs(4);
 
-/// What the worker works with.
+/// The worker and the state that it shares with other tasks.
 pub(crate) struct FetchWorker {
-    /// The process's edges.
+    /// Clients and state of the process.
     pub(crate) context: WeightsContext,
     /// Settings.
     pub(crate) limits: WeightsLimits,
     /// Versions that this host holds.
     pub(crate) versions: VersionCache,
-    /// What this host says to others.
+    /// This host's announcements to its peers.
     pub(crate) announcer: ChunkAnnouncer,
     /// The host's link.
     pub(crate) pacer: LinkPacer,
-    /// What others say of themselves when they ask.
+    /// Announcements from queries of other hosts.
     pub(crate) announcements: mpsc::Receiver<ChunkAnnouncement>,
 }
 
@@ -56,13 +57,13 @@
     Manifest(JoinHandle<SwitchResult<VersionManifest>>),
     Chunks(Box<FetchSession>),
     Verifying(Arc<StagedVersion>, JoinHandle<SwitchResult<()>>),
-    /// It does not fit; nothing is tried again until another version is wanted.
+    /// The version does not fit into memory; no further attempt is made until the target changes.
     Rejected,
     Done,
 }
 
 impl FetchWorker {
-    /// Works until the process ends.
+    /// Runs until the process ends.
     pub(crate) async fn run(mut self) {
         let mut target: Option<TargetVersion> = None;
         let mut stage = FetchStage::Idle;
@@ -94,10 +95,10 @@
         }
     }
 
-    /// Returns when there is something to do: at each tick, or when a step's outcome is there.
+    /// Waits for the next tick, or for the result of a step if that comes first.
     async fn wait(&mut self, stage: &mut FetchStage, ticks: &mut tokio::time::Interval) {
         let FetchStage::Chunks(run) = stage else {
-            // Words about no version under way are of no use.
+            // No fetch of chunks is running, so that these announcements are not needed.
             while self.announcements.try_recv().is_ok() {}
             ticks.tick().await;
             return;
@@ -196,8 +197,10 @@
             }
             FetchStage::Chunks(mut run) => {
                 if run.is_manifest_suspect {
-                    let error =
-                        SwitchError::new(ErrorKind::ManifestInvalid, "a chunk never matches");
+                    let error = SwitchError::new(
+                        ErrorKind::ManifestInvalid,
+                        "a chunk repeatedly does not match the manifest",
+                    );
                     metrics::count_refusal(error.kind, "weights");
                     log_event!(events::MANIFEST_REFUSED, "{error}");
                     FetchStage::end_run(&run);
@@ -210,7 +213,8 @@
                 }
                 let version = Arc::clone(&run.fetcher.version);
                 let verified = Arc::clone(&version);
-                // Hashing the whole takes long: not on a thread that serves requests.
+                // Hashing a complete version takes long and must not block a thread that serves
+                // requests.
                 let task = tokio::task::spawn_blocking(move || verified.verify());
                 FetchStage::Verifying(version, task)
             }
@@ -221,7 +225,8 @@
                         FetchStage::Done
                     }
                     Ok(Err(error)) => {
-                        // Every chunk matched a manifest that does not belong to the digest.
+                        // Every chunk matched the manifest, but the manifest does not belong to the
+                        // digest.
                         metrics::count_refusal(error.kind, "weights");
                         log_event!(events::VERSION_REFUSED, "{error}");
                         self.reject_manifest(&version, target, rejected_manifests)
@@ -233,7 +238,7 @@
         }
     }
 
-    /// Lets go of a version whose manifest lied, and asks the origin for another.
+    /// Evicts a version with an invalid manifest, and fetches a new manifest from the origin.
     fn reject_manifest(
         &self,
         version: &StagedVersion,
@@ -268,9 +273,9 @@
         }
     }
 
-    /// Lets older versions go where they and the new one would not fit together: the engine has its
-    /// own copy of what it serves. One older version stays where it fits, for peers and for a way
-    /// back.
+    /// Evicts all versions except the serving one, and that one too if it does not fit into memory
+    /// together with the new version. The engine has its own copy of what it serves; the copy here
+    /// is kept for peers and for a rollback.
     fn evict_versions(&self, manifest: &VersionManifest) {
         let serving = self.context.gate.serving().map(|serving| serving.digest);
         let mut room = self.limits.memory_bytes.saturating_sub(manifest.size);
--- a/src/weights/host_ranking.rs
+++ b/src/weights/host_ranking.rs
@@ -1,7 +1,8 @@
-//! Who reads which chunk from the origin: a line of hosts for each chunk, by rendezvous hashing.
+//! Ranking of the hosts that may read a chunk from the origin, computed for each chunk by
+//! rendezvous hashing.
 //!
-//! Each host works out the line from its own view of the live hosts; nobody keeps it. Views that
-//! differ by one host differ only in that host's chunks.
+//! Each host computes the ranking from its own view of the live hosts; no state is shared. Views
+//! that differ in one host give different results only for the chunks of that host.
 
 use std::cmp::Reverse;
 
@@ -12,35 +13,36 @@
 use crate::derives::plain;
 use crate::documents::SpreadObjective;
 
-/// Hosts of the reading data centre that come before other data centres get their turn.
+/// Number of hosts in the reading data centre that come before the hosts of other data centres.
 const READING_CENTRE_PRIORITIES: u32 = 2;
-/// Hosts that share the first places. An origin takes a limited number of connections, and the more
-/// chunks share its link, the later each of them can be passed on.
+/// Number of hosts that share the first ranks. An origin accepts a limited number of connections,
+/// and the more chunks share its link, the later each of them can be passed on.
 const PREFERRED_READERS_MAX: usize = 12;
 
-/// A host that wants the version, as the line sees it.
+/// Name and location of a host that has the version as target.
 #[apply(plain!)]
 pub(crate) struct HostLocation {
     /// The host's name.
     pub(crate) host: ByteString,
-    /// The data centre that it stands in.
+    /// The host's data centre.
     pub(crate) data_centre: ByteString,
     /// The region of that data centre.
     pub(crate) region: ByteString,
 }
 
-/// The lines of one version.
+/// The rankings of the hosts for the chunks of one version.
 ///
-/// With the objective `time` all hosts stand in one line. With `origin_bytes` each region has its
-/// own, in which one data centre reads and the first hosts of the others come next.
+/// With the objective `time` all hosts are ranked together. With `origin_bytes` each region has its
+/// own ranking, in which one data centre reads from the origin and the first host of each other
+/// data centre comes next.
 #[apply(plain!)]
 pub(crate) struct HostRanking {
     objective: SpreadObjective,
     salt: u64,
     entries: Vec<RankedHost>,
     centres: u32,
-    /// For each chunk the hash of the host that is first in its line; empty while the hashes decide
-    /// alone.
+    /// For each chunk, the hash of the host that is ranked first; empty while the hashes alone
+    /// decide.
     preferred_readers: Vec<u64>,
 }
 
@@ -48,12 +50,12 @@
 struct RankedHost {
     host: ByteString,
     hash: u64,
-    /// The rank of its data centre; 0 reads the origin.
+    /// The rank of the host's data centre; 0 is the one that reads from the origin.
     centre: u32,
 }
 
 impl HostRanking {
-    /// The lines of the version `digest` among `hosts`, as seen from `region`.
+    /// Ranks `hosts` for the version `digest`, as seen from `region`.
     pub(crate) fn new(
         objective: SpreadObjective,
         digest: WeightsDigest,
@@ -83,12 +85,12 @@
         }
     }
 
-    /// The same lines, with the first places of `chunks` chunks shared out evenly.
+    /// Distributes the first ranks of `chunks` chunks evenly.
     ///
-    /// Hashes alone give one host three times the chunks of another. When the others had read theirs,
-    /// two hosts read the rest one by one over a link that was idle for three quarters of the time,
-    /// and a version took 3.8 s to leave the origin in place of 2.9 s (time from its naming to the
-    /// last chunk read, 24 hosts, 96 chunks).
+    /// Hashes alone give some hosts three times as many chunks as others. Once the others had read
+    /// theirs, two hosts read the rest one by one while the origin's link was idle for three
+    /// quarters of the time, and the origin took 3.8 s instead of 2.9 s to send a version (from the
+    /// target update to the last chunk read, 24 hosts, 96 chunks).
     pub(crate) fn with_balanced_readers(mut self, chunks: u32) -> Self {
         let reading = self.entries.iter().filter(|entry| entry.centre == 0);
         let mut readers: Vec<u64> = reading.map(|entry| entry.hash).collect();
@@ -108,8 +110,8 @@
         self
     }
 
-    /// How many turns come before `host`'s for chunk `index`; `None` when it stands in no line.
-    /// Hosts late in the line may share a turn.
+    /// The priority of `host` for chunk `index`, counted from 0 for the host that reads it first;
+    /// `None` if the host is not ranked. Hosts far down the ranking may share a priority.
     pub(crate) fn priority_of(&self, host: &str, index: u32) -> Option<u32> {
         let entry = self.entries.iter().find(|entry| *entry.host == *host)?;
         let weight = self.weight(entry, index);
@@ -121,7 +123,7 @@
         Some(self.priority(entry.centre, rank))
     }
 
-    /// The first host in the line of chunk `index` without the `unresponsive` ones.
+    /// The host ranked first for chunk `index`, not counting the `unresponsive` ones.
     pub(crate) fn top_host(&self, index: u32, unresponsive: &[ByteString]) -> Option<&ByteString> {
         let live = self
             .entries
@@ -131,7 +133,7 @@
         top_host.map(|entry| &entry.host)
     }
 
-    /// The hosts whose turn for chunk `index` comes before turn `priority`.
+    /// The hosts whose priority for chunk `index` comes before `priority`.
     pub(crate) fn hosts_before(&self, priority: u32, index: u32) -> Vec<ByteString> {
         let mut order: Vec<&RankedHost> = self.entries.iter().collect();
         order.sort_by_cached_key(|entry| (entry.centre, Reverse(self.weight(entry, index))));
@@ -145,7 +147,8 @@
         earlier
     }
 
-    /// The turn that a host whose turn for chunk `index` is `priority` has without the `unresponsive` ones.
+    /// The priority that a host with `priority` for chunk `index` has if the `unresponsive` hosts
+    /// are not counted.
     pub(crate) fn live_priority(
         &self,
         priority: u32,
@@ -164,7 +167,7 @@
             .min(priority)
     }
 
-    /// The turn of the host that is `rank`th in the data centre ranked `centre`.
+    /// The priority of the host with `rank` within the data centre that has the rank `centre`.
     fn priority(&self, centre: u32, rank: u32) -> u32 {
         let others = self.centres.saturating_sub(1);
         match (centre, rank) {
@@ -184,7 +187,7 @@
     }
 }
 
-/// The data centres among `hosts`, the one that reads the origin first.
+/// The data centres of `hosts`; the one that reads from the origin comes first.
 fn rank_data_centres(
     objective: SpreadObjective,
     salt: u64,
@@ -213,7 +216,7 @@
     u64::from_le_bytes(first)
 }
 
-/// Spreads `value` over all bits (Steele, Lea and Flood 2014, `SplitMix64`).
+/// Distributes `value` over all bits (Steele, Lea and Flood 2014, `SplitMix64`).
 pub(crate) const fn mix(value: u64) -> u64 {
     let mut bits = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/weights/host_rollout_state.rs
+++ b/src/weights/host_rollout_state.rs
@@ -1,5 +1,5 @@
-//! One host's dealings with its service's rollout row: takes, renews and gives back its permit,
-//! writes down its engine's failure, and knows when to ask again.
+//! One host's part in the rollout of its service: acquires, renews and releases its permit, reports
+//! load failures of its engine in the rollout row, and paces its accesses to the table.
 
 use std::time::Duration;
 
@@ -17,16 +17,17 @@
 use crate::time::ClockTime;
 use crate::weights::LeaseHolder;
 
-/// How long a reading of the row counts.
+/// How long a row that was read may be used.
 const ROW_FRESHNESS: Duration = Duration::from_secs(2);
-/// How long a host waits for a place, for each host before it.
+/// How long a host waits before it requests a permit again, for each batch up to and including its
+/// own.
 const BATCH_WAIT: Duration = Duration::from_millis(300);
 const BATCH_WAIT_MAX: Duration = Duration::from_secs(10);
 const CONFLICT_BACKOFF: Duration = Duration::from_millis(200);
 const TABLE_UNAVAILABLE_BACKOFF: Duration = Duration::from_secs(2);
 const STOPPED_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What a write that is under way was for.
+/// Purpose of a write in progress.
 #[derive(Clone, Copy, Debug)]
 enum WritePurpose {
     Acquire(u64),
@@ -35,17 +36,17 @@
     ReportFailure,
 }
 
-/// What has to come before the row can be used.
+/// What is needed before the row can be used.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum RowRequirement {
-    /// It has to be read.
+    /// The row has to be read.
     Read,
-    /// The table is left alone until then.
+    /// The table must not be accessed before this time.
     Wait(ClockTime),
 }
 
 impl RowRequirement {
-    /// The step that goes with it.
+    /// The corresponding step of the activation machine.
     pub(crate) const fn into_step(self) -> ActivationStep {
         match self {
             Self::Read => ActivationStep::ReadRow,
@@ -54,7 +55,7 @@
     }
 }
 
-/// One host's dealings with the row.
+/// One host's state in the rollout of its service.
 #[derive(Debug)]
 pub(crate) struct HostRolloutState {
     holder: LeaseHolder,
@@ -65,13 +66,13 @@
     permit: Option<HeldPermit>,
     pending_write: Option<(WritePurpose, ClockTime)>,
     pending_failure: Option<(ServingVersion, ByteString)>,
-    /// An earlier process on this host may have left a permit behind.
+    /// A previous process on this host may have left a permit in the row.
     may_hold_stale_permit: bool,
     retry_at: ClockTime,
 }
 
 impl HostRolloutState {
-    /// The dealings of a process that has just started.
+    /// The state of a process that has just started.
     pub(crate) fn new(holder: LeaseHolder, now: ClockTime) -> Self {
         Self {
             holder,
@@ -87,12 +88,12 @@
         }
     }
 
-    /// Whether the table did not answer the last time.
+    /// Whether the last access to the table failed.
     pub(crate) const fn is_table_unavailable(&self) -> bool {
         self.is_table_unavailable
     }
 
-    /// Why the rollout was stopped, as last seen.
+    /// Why the rollout was stopped, according to the row read last.
     pub(crate) fn stopped(&self) -> Option<&str> {
         self.snapshot.row.stopped.as_deref()
     }
@@ -104,7 +105,8 @@
             .is_some_and(|permit| permit.is_valid(now))
     }
 
-    /// The fencing number for the next order to an engine that has seen `engine_fence`.
+    /// The fencing number of the next order to an engine whose latest fencing number is
+    /// `engine_fence`.
     pub(crate) fn next_fence(&self, engine_fence: u64) -> u64 {
         match &self.permit {
             Some(permit) if permit.fence > engine_fence => permit.fence,
@@ -112,13 +114,14 @@
         }
     }
 
-    /// This host's engine did not load `new_version`.
+    /// Records that this host's engine failed to load `new_version`; it is written to the row
+    /// later.
     pub(crate) fn record_failure(&mut self, new_version: &ServingVersion, reason: &str) {
         self.pending_failure = Some((new_version.clone(), reason.into()));
     }
 
-    /// What has to be written before anything else: a failure, and the end of a permit that is no
-    /// longer needed because the engine serves again.
+    /// The write that has precedence over everything else, if any: a load failure, or the release
+    /// of a permit that is no longer needed because the engine serves again.
     pub(crate) fn pending_write_step(
         &mut self,
         target: Option<&TargetVersion>,
@@ -151,19 +154,20 @@
                 state.may_hold_stale_permit = false;
                 return None;
             }
-            // Forgotten before it is given back: when the write's answer is lost, another host may
-            // have the place already, and a change begun now would put one too many out of service.
+            // The permit is dropped before its release is written. If the response to the write is
+            // lost, another host may already hold a permit in its place, and a change started now
+            // would put one host too many out of service.
             state.permit = None;
             state.may_hold_stale_permit = true;
             Some(state.write(WritePurpose::Release, revision, next, now))
         })
     }
 
-    /// What the row says against loading `target` on a host that needs no permit.
+    /// Why the row forbids to load `target` on a host that needs no permit; `None` if it does not.
     ///
     /// # Errors
     ///
-    /// What has to come first.
+    /// The requirement to meet first if no fresh row is available.
     pub(crate) fn refusal(
         &mut self,
         target: &TargetVersion,
@@ -191,8 +195,8 @@
             Err(requirement) => return requirement.into_step(),
         };
         let lapsed = |permit: &RolloutPermit| {
-            // A holder that is there may still be out of service, cut off from the table: its place
-            // is taken only when it is gone too.
+            // A live holder may still be out of service while it cannot reach the table. Its permit
+            // expires only if the holder is not live either.
             self.permit_tracker.is_expired(permit, now) && !(view.is_live)(&permit.holder.host)
         };
         let answer = self
@@ -213,7 +217,7 @@
         }
     }
 
-    /// Renews the permit in time while a change is under way.
+    /// The renewal of the permit when it is due while a change is in progress.
     pub(crate) fn renew_step(&mut self, now: ClockTime) -> Option<ActivationStep> {
         let is_renewal_due = self
             .permit
@@ -224,7 +228,7 @@
         }
         self.with_row(now, |state, row, revision| {
             let Some(next) = row.renewed(&state.holder) else {
-                // Taken away: this host counted as gone.
+                // The permit was revoked because this host counted as failed.
                 state.permit = None;
                 return None;
             };
@@ -232,7 +236,7 @@
         })
     }
 
-    /// The row, or why it could not be read.
+    /// The rollout row was read, or reading it failed.
     pub(crate) fn on_row(
         &mut self,
         answer: SwitchResult<RowSnapshot>,
@@ -252,7 +256,7 @@
         self.read_at = Some(now);
     }
 
-    /// What became of a write: the new revision, or what stands instead, or no answer.
+    /// A write succeeded, conflicted with another write, or its result is unknown.
     pub(crate) fn on_written(
         &mut self,
         answer: SwitchResult<RowWriteResult>,
@@ -264,7 +268,7 @@
                 if let Some((purpose, sent_at)) = self.pending_write.take() {
                     self.apply_write(purpose, sent_at);
                 }
-                // The row is read again before the next write.
+                // The row has to be read again before the next write.
                 self.read_at = None;
             }
             Ok(RowWriteResult::Conflict(current)) => {
@@ -273,7 +277,7 @@
                 self.back_off(CONFLICT_BACKOFF, jitter, now);
             }
             Err(_) => {
-                // It may have been written: reading the row back settles it.
+                // The write may have taken effect; reading the row resolves this.
                 self.may_hold_stale_permit = true;
                 self.is_table_unavailable = true;
                 self.read_at = None;
@@ -282,8 +286,8 @@
         }
     }
 
-    /// The answer to a write was lost: what stands tells whether it took effect. The permit counts
-    /// from when the write was sent, not from when it was read back.
+    /// Resolves a write whose response was lost by the row that was read afterwards. A permit is
+    /// valid from the time of the write, not from the time of this read.
     fn resolve_uncertain_write(&mut self, row: &RolloutRow) {
         let Some((purpose, sent_at)) = self.pending_write.take() else {
             return;
@@ -335,7 +339,8 @@
         }
     }
 
-    /// What `act` does with a fresh row; nothing while the table rests.
+    /// Calls `act` with a fresh row; returns the step that reads the row if it is not fresh, and
+    /// `None` during a back-off.
     fn with_row(
         &mut self,
         now: ClockTime,
@@ -362,8 +367,8 @@
         ActivationStep::WriteRow { expected, row }
     }
 
-    /// Rests for a random part of `span` (full jitter), so that hosts that were refused together do
-    /// not come back together.
+    /// Backs off for a random part of `span` (full jitter), so that hosts that were refused at the
+    /// same time do not retry at the same time.
     fn back_off(&mut self, span: Duration, jitter: f64, now: ClockTime) -> ActivationStep {
         self.retry_at = now + span.mul_f64(jitter.clamp(0.05, 1.0));
         self.read_at = None;
--- a/src/weights/import_schedule.rs
+++ b/src/weights/import_schedule.rs
@@ -1,10 +1,10 @@
-//! Which host brings a chunk into its data centre.
+//! Schedule of the imports of chunks into this host's data centre.
 //!
-//! Links between data centres are narrow and shared with live answers. If each host pulled chunks
-//! from wherever they are, a version would cross them once for each host, and answers would wait
-//! behind it. One would notice streams that pause while a version spreads. So one host of a data
-//! centre brings a chunk in, by rendezvous hashing, and the others pull it from there. If it does
-//! not come, the next in line brings it.
+//! Links between data centres are narrow and shared with live responses. If every host pulled
+//! chunks from any data centre, a version would cross these links once per host, and response
+//! streams would pause while a version spreads. Therefore one host of a data centre, chosen by
+//! rendezvous hashing, imports a chunk, and the others pull it from that host. If the chunk does
+//! not arrive, the host ranked next imports it.
 
 use std::time::Duration;
 
@@ -16,30 +16,33 @@
 use crate::documents::SpreadObjective;
 use crate::time::ClockTime;
 
-/// How long each in the line has before the next brings the chunk in: a chunk takes 27 ms on the
-/// narrowest link in use, and hosts hear of each other's chunks within some 100 ms.
+/// How long each host waits for the one ranked before it before it imports the chunk itself. A
+/// chunk takes 27 ms on the narrowest link in use, and hosts receive announcements of each other's
+/// chunks within about 100 ms.
 const IMPORT_TAKEOVER_DELAY: Duration = Duration::from_millis(500);
-/// How long before its turn a host asks those before it: time for a few questions and answers.
+/// How long before its own import a host queries the one ranked first; enough for a few queries and
+/// responses.
 const QUERY_LEAD_TIME: Duration = Duration::from_millis(400);
-/// Hosts of a line that look for a chunk in other data centres, beside the first.
+/// Number of hosts, in addition to the one ranked first, that search other data centres for a
+/// chunk.
 const SEARCH_PRIORITY_MAX: u32 = 2;
-/// How long each of them leaves it to those before it.
+/// How long each of these hosts waits for the one ranked before it.
 const SEARCH_DELAY: Duration = Duration::from_millis(2500);
 
-/// One host's view of its data centre's lines for one version.
+/// One host's view of the import rankings of its data centre for one version.
 #[derive(Debug)]
 pub(crate) struct ImportSchedule {
     local: HostLocation,
     digest: WeightsDigest,
     ranking: HostRanking,
-    /// This host's turn for each chunk, among the hosts that answer; 0 is the first.
+    /// This host's priority for each chunk among the responsive hosts; 0 is the first.
     priorities: Vec<u32>,
     /// When each chunk was first seen in another data centre.
     first_seen_at: Vec<Option<ClockTime>>,
 }
 
 impl ImportSchedule {
-    /// The view of `local` before it knows of others: it is the first in every line.
+    /// The schedule of `local` before any other host is known: it is ranked first for every chunk.
     pub(crate) fn new(local: HostLocation, digest: WeightsDigest, chunks: u32) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
         let local_peers = std::slice::from_ref(&local);
@@ -52,7 +55,7 @@
         }
     }
 
-    /// A new view of the live hosts that want the version.
+    /// Sets the live hosts that have the version as target.
     pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
         let locations = hosts.iter().map(|host| &host.location);
         let local_peers = locations.filter(|ranking| ranking.data_centre == self.local.data_centre);
@@ -73,7 +76,7 @@
         .with_balanced_readers(chunks);
     }
 
-    /// Counts this host's turns without the hosts that do not answer.
+    /// Recomputes this host's priorities without the `unresponsive` hosts.
     pub(crate) fn skip_hosts(&mut self, unresponsive: &[ByteString]) {
         for (index, priority) in (0..).zip(self.priorities.iter_mut()) {
             let own = self
@@ -84,10 +87,11 @@
         }
     }
 
-    /// Whether this host looks for chunk `index` in other data centres, `span` after it began.
+    /// Whether this host searches other data centres for chunk `index`, `span` after its plan
+    /// started.
     ///
-    /// The first in the line looks at once. The next do later: until then the chunk is on its way to
-    /// the first, or has not left the origin.
+    /// The host ranked first searches at once. The next ones wait, because until then the chunk is
+    /// in transfer to the first host or has not left the origin.
     pub(crate) fn searches_for(&self, index: u32, span: Duration) -> bool {
         let priority = usize::try_from(index)
             .ok()
@@ -97,9 +101,9 @@
         })
     }
 
-    /// The host that is to bring chunk `index` in, if this host is about to do so in its place.
+    /// The host that should import chunk `index`, if this host is about to import it in its place.
     ///
-    /// It has often done so, and this host has not heard of it.
+    /// Often that host already holds the chunk, and its announcement has not reached this host.
     pub(crate) fn importer_to_query(
         &self,
         index: u32,
@@ -118,7 +122,8 @@
         (*top_host != self.local.host).then_some(top_host)
     }
 
-    /// Whether this host may pull chunk `index` from another data centre, where it was seen.
+    /// Whether this host may now pull chunk `index` from another data centre. The first call for a
+    /// chunk records when it was seen there.
     pub(crate) fn may_import(&mut self, index: u32, now: ClockTime) -> bool {
         let Ok(at) = usize::try_from(index) else {
             return false;
--- a/src/weights/lease_holder.rs
+++ b/src/weights/lease_holder.rs
@@ -1,16 +1,16 @@
-//! Who holds the lease on a rollout.
+//! Identity of a process that holds a rollout permit.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
 use crate::derives::message;
 
-/// Who holds a lease: one process, told apart from earlier ones on the same host.
+/// The holder of a lease: one process, distinguished from previous processes on the same host.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct LeaseHolder {
     /// The host's name.
     pub(crate) host: ByteString,
-    /// The process's incarnation.
+    /// The incarnation of the process.
     pub(crate) incarnation: u64,
 }
--- a/src/weights/link_pacer.rs
+++ b/src/weights/link_pacer.rs
@@ -1,4 +1,4 @@
-//! Keeps weights within the link's rate, behind live requests.
+//! Paces transfers of weights to the rate of the host's link, with precedence for live requests.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -9,19 +9,20 @@
 use crate::time::{ClockTime, clock_now};
 
 const MICROS_PER_SECOND: u128 = 1_000_000;
-/// The rate is taken down to a sixteenth at most.
+/// The rate is reduced to one sixteenth at most.
 const HALVINGS_MAX: u32 = 4;
 
-/// One direction of a link: a token bucket whose only burst is the chunk that goes next.
+/// One direction of a link: a token bucket without credit for idle time, so that only the chunk
+/// sent next may burst.
 #[apply(plain!)]
 pub(crate) struct LinkBucket {
     bytes_per_second: u64,
-    /// When everything that was given to the link so far is through.
+    /// When the link will have carried everything recorded so far.
     free_at: ClockTime,
 }
 
 impl LinkBucket {
-    /// An idle link; 0 bytes a second means that nothing is paced.
+    /// An idle link with this rate; 0 disables pacing.
     pub(crate) const fn new(bytes_per_second: u64) -> Self {
         let free_at = ClockTime(0);
         Self {
@@ -30,33 +31,34 @@
         }
     }
 
-    /// Gives `bytes` of weights to the link behind all that was given before. Returns when they are
-    /// through.
+    /// Reserves the link for `bytes` of weights after everything recorded before. Returns when they
+    /// will have been carried.
     pub(crate) fn reserve(&mut self, bytes: u64, now: ClockTime) -> ClockTime {
         self.free_at = self.free_at.max(now) + self.transfer_time(bytes);
         self.free_at
     }
 
-    /// `bytes` of weights have just come. The link took them in while their sender sent them, so
-    /// that they count from as long ago as they need on the idle link. Returns when the link has
-    /// taken them in behind all that came before.
+    /// Records that `bytes` of weights have just been received. The link carried them while they
+    /// were sent, so that they are counted from the time that they need on an idle link before
+    /// `now`. Returns when the link will have carried them after everything recorded before.
     pub(crate) fn record_arrival(&mut self, bytes: u64, now: ClockTime) -> ClockTime {
         let span = self.transfer_time(bytes);
         self.free_at = self.free_at.max(now - span) + span;
         self.free_at
     }
 
-    /// Live requests took `bytes` of the link. They never wait; the weights behind them do.
+    /// Records `bytes` of live traffic. Live traffic never waits; later transfers of weights wait
+    /// for it.
     pub(crate) fn record_live(&mut self, bytes: u64, now: ClockTime) {
         let _ = self.reserve(bytes, now);
     }
 
-    /// How long the link needs for what it was given.
+    /// Time that the link needs for everything recorded so far.
     pub(crate) const fn backlog(&self, now: ClockTime) -> Duration {
         self.free_at.since(now)
     }
 
-    /// How long `bytes` take on the idle link.
+    /// Time that `bytes` take on the idle link.
     pub(crate) fn transfer_time(&self, bytes: u64) -> Duration {
         if self.bytes_per_second == 0 {
             return Duration::ZERO;
@@ -77,9 +79,10 @@
 
 /// Both directions of this host's link. Clones share them.
 ///
-/// Weights that fill the link make live answers wait behind whole chunks. One would notice live
-/// requests' p99 rising with each burst. Weights therefore wait for the link here, before they are
-/// sent, and live bytes, told by [`LinkPacer::record_live`], push them back.
+/// Transfers of weights that fill the link make live responses wait for complete chunks, which
+/// raises the p99 latency of live requests during each burst. Transfers of weights therefore wait
+/// here before they are sent, and live bytes, recorded by [`LinkPacer::record_live`], delay them
+/// further.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkPacer {
     shared: Arc<Mutex<LinkState>>,
@@ -89,9 +92,9 @@
 struct LinkState {
     down: LinkBucket,
     up: LinkBucket,
-    /// The rate of the link as it should be.
+    /// The configured rate of the link.
     full_rate: u64,
-    /// How many times that rate is halved now.
+    /// How many times the rate is currently halved.
     halvings: u32,
 }
 
@@ -105,7 +108,7 @@
 }
 
 impl LinkPacer {
-    /// A link that takes `bytes_per_second` in each direction; 0 means that nothing is paced.
+    /// A link with this rate in each direction; 0 disables pacing.
     pub(crate) fn new(bytes_per_second: u64) -> Self {
         let state = LinkState {
             down: LinkBucket::new(bytes_per_second),
@@ -118,47 +121,48 @@
         }
     }
 
-    /// Live requests took `bytes` of the link.
+    /// Records `bytes` of live traffic in one direction.
     pub(crate) fn record_live(&self, direction: LinkDirection, bytes: u64) {
         let now = clock_now();
         self.with(direction, |bucket| bucket.record_live(bytes, now));
     }
 
-    /// Weights came far too slowly for this link: it carries less than it should, and whatever goes
-    /// beyond that stands before live answers. Halves the rate of both directions.
+    /// Halves the rate of both directions. Called when weights arrive far too slowly: the link
+    /// carries less than configured, and the excess would queue in front of live responses.
     pub(crate) fn slow_down(&self) {
         let mut state = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         let halvings = (state.halvings + 1).min(HALVINGS_MAX);
         state.set_halvings(halvings);
     }
 
-    /// How many of `most` chunks may be under way to this host: all at the full rate, fewer at less, or
-    /// those that are under way would fill a narrow link for seconds.
+    /// How many chunks may be in transfer to this host at the same time: `most` at the full rate,
+    /// fewer at a reduced rate, because otherwise the chunks in transfer would fill a narrow link
+    /// for seconds.
     pub(crate) fn concurrent_chunks(&self, most: usize) -> usize {
         let state = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         (most >> state.halvings).max(1)
     }
 
-    /// Weights came as fast as they should. Takes one halving back.
+    /// Reverts one halving of the rate. Called when weights arrive at the expected speed.
     pub(crate) fn speed_up(&self) {
         let mut state = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         let halvings = state.halvings.saturating_sub(1);
         state.set_halvings(halvings);
     }
 
-    /// How long the link is busy with what it was given.
+    /// Time that the link needs for everything recorded so far.
     pub(crate) fn backlog(&self, direction: LinkDirection) -> Duration {
         let now = clock_now();
         self.with(direction, |bucket| bucket.backlog(now))
     }
 
-    /// How long `bytes` take on the idle link.
+    /// Time that `bytes` take on the idle link.
     pub(crate) fn transfer_time(&self, bytes: u64) -> Duration {
         self.with(LinkDirection::Up, |bucket| bucket.transfer_time(bytes))
     }
 
-    /// Waits until the link has taken in `bytes` that have just come: the next are asked for only
-    /// then.
+    /// Records `bytes` that were just received, and waits until the link has carried them. The next
+    /// chunk is requested only afterwards.
     pub(crate) async fn take_in(&self, bytes: u64) {
         let now = clock_now();
         let done_at = self.with(LinkDirection::Down, |bucket| {
@@ -170,12 +174,12 @@
         }
     }
 
-    /// Gives `bytes` to the up link if it is free within `backlog_max`, and waits until they are
-    /// through.
+    /// Reserves the up link for `bytes` if its backlog is at most `backlog_max`, and waits until
+    /// they have been carried.
     ///
     /// # Errors
     ///
-    /// The link's backlog when it is longer.
+    /// The backlog if it is longer.
     pub(crate) async fn send_out(&self, bytes: u64, backlog_max: Duration) -> Result<(), Duration> {
         let now = clock_now();
         let done_at = self.with(LinkDirection::Up, |bucket| {
--- a/src/weights/live_meter.rs
+++ b/src/weights/live_meter.rs
@@ -1,4 +1,4 @@
-//! Tells the link of live bytes, so that weights wait behind them.
+//! Records the bytes of live responses on the link, so that transfers of weights wait for them.
 
 use std::convert::Infallible;
 
@@ -15,9 +15,9 @@
 
 use super::link_pacer::{LinkDirection, LinkPacer};
 
-/// `routes` with every byte of their answers taken from the link before weights.
+/// Adds a layer to `routes` that records every response byte as live traffic on `pacer`.
 ///
-/// Questions are a few hundred bytes and are left out; answers stream for minutes.
+/// Requests have a few hundred bytes and are not counted; responses stream for minutes.
 pub(crate) fn meter_live_responses(routes: Router, pacer: LinkPacer) -> Router {
     routes.layer(LiveMeterLayer(pacer))
 }
--- a/src/weights/manifest_fetch.rs
+++ b/src/weights/manifest_fetch.rs
@@ -1,4 +1,5 @@
-//! Finds a version's manifest: a few hosts read it from the origin, the others ask those.
+//! Fetches a version's manifest: a few hosts read it from the origin, the others query peers for
+//! it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,9 +19,9 @@
 use crate::metrics;
 use crate::time::clock_now;
 
-/// Stands for the manifest in a version's lines, behind every chunk.
+/// Chunk index that stands for the manifest in the host ranking; greater than that of any chunk.
 const MANIFEST_INDEX: u32 = u32::MAX;
-/// Hosts that read the manifest from the origin at once.
+/// Number of hosts that read the manifest from the origin at once.
 const ORIGIN_READERS: u32 = 2;
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1500);
 const PEERS_PER_ROUND: usize = 2;
@@ -29,12 +30,12 @@
 const BACKOFF_INITIAL: Duration = Duration::from_millis(200);
 const BACKOFF_DOUBLINGS_MAX: u32 = 6;
 
-/// Looks for the manifest of `target` until it is there. After `rejected_manifests` earlier ones turned out to
-/// lie, only the origin is asked.
+/// Tries to fetch the manifest of `target` until it succeeds. If `rejected_manifests` is not 0,
+/// only the origin is used.
 ///
 /// # Errors
 ///
-/// `MemoryTooSmall` when the version does not fit: looking on is no use.
+/// `MemoryTooSmall` if the version does not fit into memory; a retry would not help.
 pub(crate) async fn fetch_manifest(
     context: &WeightsContext,
     limits: WeightsLimits,
@@ -86,8 +87,8 @@
     }
 }
 
-/// How long after the beginning this host reads from the origin: at once for the first in line,
-/// and later and later for those behind, whom the first have told by then.
+/// How long this host waits before it reads from the origin: not at all if it is ranked first, and
+/// longer the later it is ranked. By then the first hosts usually have passed the manifest on.
 fn origin_read_delay(
     context: &WeightsContext,
     target: &TargetVersion,
@@ -147,7 +148,7 @@
             .client
             .call::<_, VersionManifest>(peer, &path, &(), QUERY_TIMEOUT)
             .await;
-        // A peer that has none yet or does not answer is nothing to tell of.
+        // A peer that has no manifest yet or does not respond is not worth a log entry.
         if let Ok(manifest) = answer {
             manifest.check(target.digest, limits.memory_bytes)?;
             return Ok(Some(manifest));
--- a/src/weights/messages.rs
+++ b/src/weights/messages.rs
@@ -1,10 +1,10 @@
-//! What hosts say to each other about weights. Each message about a version carries what its
-//! sender holds, so that while chunks flow no message is needed only for that.
+//! Messages between hosts about weights. Each message about a version carries an announcement of
+//! the sender's chunks, so that no separate announcements are needed while chunks are transferred.
 //!
-//! `POST /peer/weights/DIGEST/have` takes a [`ChunkAnnouncement`] and answers with one.
-//! `POST /peer/weights/DIGEST/chunk/INDEX` takes one and answers with a [`ChunkHead`] as one frame,
-//! then the chunk's bytes as they are. `POST /peer/weights/DIGEST/manifest` takes a [`ChunkAnnouncement`]
-//! and answers with the manifest.
+//! `POST /peer/weights/DIGEST/have` takes a [`ChunkAnnouncement`] and responds with one. `POST
+//! /peer/weights/DIGEST/chunk/INDEX` takes one and responds with a [`ChunkHead`] as one frame,
+//! followed by the raw bytes of the chunk. `POST /peer/weights/DIGEST/manifest` responds with the
+//! manifest; its body is not read.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
@@ -13,7 +13,7 @@
 use super::digest::WeightsDigest;
 use crate::derives::message;
 
-/// What a host says of a version.
+/// Which chunks of a version a host holds.
 #[apply(message!)]
 pub(crate) struct ChunkAnnouncement {
     /// The host's name.
@@ -26,14 +26,14 @@
     pub(crate) backlog_ms: u64,
 }
 
-/// What goes before a chunk's bytes.
+/// Header of a chunk response.
 #[apply(message!)]
 pub(crate) struct ChunkHead {
     /// The version that the chunk belongs to.
     pub(crate) digest: WeightsDigest,
-    /// Which chunk it is.
+    /// The chunk's index.
     pub(crate) index: u32,
-    /// What its sender holds.
+    /// The sender's announcement.
     #[serde(rename = "word")]
     pub(crate) announcement: ChunkAnnouncement,
 }
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -1,5 +1,6 @@
-//! Weights: a manifest binds a version, chunks are checked before they are kept, passed on or
-//! loaded, and a host serves a version only when all of it is there and its engine says so.
+//! Distribution and activation of weights. A manifest identifies a version, chunks are verified
+//! before they are stored, passed on or loaded, and a host serves a version only if it is complete
+//! on the host and the engine reports that it serves it.
 
 mod activation;
 mod activation_driver;
--- a/src/weights/origin_schedule.rs
+++ b/src/weights/origin_schedule.rs
@@ -1,9 +1,9 @@
-//! Whose turn it is to read a chunk from the origin, as one host sees it.
+//! Schedule of reads from the origin, as one host sees it.
 //!
-//! The first in a chunk's line reads it. The next looks after it when nobody seems to hold the
-//! chunk after a while: it asks those before it, and reads only if none of them answers that it
-//! holds or is about to read the chunk. Two hosts read the same chunk only where their views of the
-//! live hosts differ or one is silent to the other.
+//! The host ranked first for a chunk reads it. If no known host holds the chunk after a while, the
+//! host ranked next queries those before it, and reads the chunk only if none of them responds that
+//! it holds it or is about to read it. Two hosts read the same chunk only if their views of the
+//! live hosts differ or one cannot reach the other.
 
 use std::time::Duration;
 
@@ -18,23 +18,24 @@
 
 const INITIAL_WAIT: Duration = Duration::from_millis(500);
 const TAKEOVER_DOUBLINGS_MAX: u32 = 5;
-/// Turns after which a host that comes later looks after a chunk whose first hosts fell silent.
+/// Priority up to which the takeover delay grows after the hosts ranked before this one became
+/// unresponsive.
 const SKIPPED_PRIORITY_MAX: u32 = 2;
 const BACKOFF_INITIAL: Duration = Duration::from_millis(100);
-/// Doublings of the rest after an origin that has too much to do, up to 3.2 s.
+/// Doublings of the back-off from an overloaded origin, up to 3.2 s.
 const LIMITED_BACKOFF_DOUBLINGS: u32 = 5;
-/// The same after one that does not answer, up to 0.8 s. It refuses a connection at once, which costs
-/// nobody anything, and each moment that it is back unnoticed no engine may have weights to answer with:
-/// with rests of 3.2 s it was read 1.5 s late.
+/// Doublings of the back-off from an unavailable origin, up to 0.8 s. It refuses connections at
+/// once, so that attempts are cheap, and engines may have no weights to serve until its return is
+/// noticed. With back-offs of 3.2 s it was read 1.5 s late.
 const UNAVAILABLE_BACKOFF_DOUBLINGS: u32 = 3;
-/// Failures in a row after which this host counts itself as cut off from the origin.
+/// Consecutive failures after which the origin counts as unreachable from this host.
 const UNREACHABLE_FAILURES: u32 = 2;
-/// How long a word of another host counts as fresh.
+/// How long an announcement of another host counts as recent.
 const ANNOUNCEMENT_FRESHNESS: Duration = Duration::from_secs(3);
-/// Until when a host that was just asked is waited for.
+/// How long the response to a query is waited for.
 const QUERY_RESPONSE_WAIT: Duration = Duration::from_millis(700);
 
-/// One host's view of the lines for one version.
+/// One host's view of the origin rankings for one version.
 #[derive(Debug)]
 pub(crate) struct OriginSchedule {
     local: HostLocation,
@@ -43,11 +44,11 @@
     takeover_delay: Duration,
     started_at: ClockTime,
     ranking: HostRanking,
-    /// This host's turn for each chunk.
+    /// This host's priority for each chunk.
     priorities: Vec<u32>,
-    /// The same among the hosts that answer.
+    /// The same, counting only responsive hosts.
     live_priorities: Vec<u32>,
-    /// When this host looks after each chunk that is not its own.
+    /// When this host considers to take over the read of each chunk.
     takeover_at: Vec<ClockTime>,
     pending_queries: Vec<PeerKey>,
     retry_at: ClockTime,
@@ -56,7 +57,7 @@
 }
 
 impl OriginSchedule {
-    /// The view of `local` before it knows of others: it is the first in every line.
+    /// The schedule of `local` before any other host is known: it is ranked first for every chunk.
     pub(crate) fn new(
         local: HostLocation,
         (digest, objective): (WeightsDigest, SpreadObjective),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// A new view of the live hosts that want the version.
+    /// Sets the live hosts that have the version as target.
     pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
         let mut ranking: Vec<HostLocation> =
             hosts.iter().map(|host| host.location.clone()).collect();
@@ -117,11 +118,12 @@
         }
     }
 
-    /// Counts this host's turns anew without the hosts that do not answer.
+    /// Recomputes this host's priorities without the `unresponsive` hosts.
     ///
-    /// Where most of the hosts lost power, a host that was up waited for the turns of those before it,
-    /// which double, and left the origin idle for ten seconds beside chunks that nobody held. Whoever is
-    /// the first now reads at once; the next give it the time to say so, or all of them would read.
+    /// Without this, a host that was left after most of the hosts had lost power waited for the
+    /// takeover delays of those ranked before it, which double, and the origin was idle for ten
+    /// seconds while no host held some chunks. The host that is now ranked first reads at once. The
+    /// next ones leave it time to announce this, so that they do not all read the chunk.
     pub(crate) fn skip_hosts(&mut self, unresponsive: &[ByteString], now: ClockTime) {
         let places = self
             .live_priorities
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Whether this host is the first in the line of chunk `index`, of those that answer.
+    /// Whether this host is ranked first for chunk `index` among the responsive hosts.
     pub(crate) fn is_first(&self, index: u32) -> bool {
         let at = usize::try_from(index).unwrap_or(usize::MAX);
         self.live_priorities
@@ -149,12 +151,12 @@
             .is_none_or(|priority| *priority == 0)
     }
 
-    /// The host that reads chunk `index`, of those that are not `unresponsive`.
+    /// The host that reads chunk `index`, not counting the `unresponsive` ones.
     pub(crate) fn reader(&self, index: u32, unresponsive: &[ByteString]) -> Option<&ByteString> {
         self.ranking.top_host(index, unresponsive)
     }
 
-    /// Whether this host should look after chunk `index`.
+    /// Whether this host should consider to read chunk `index`.
     pub(crate) fn is_due(&self, index: u32, now: ClockTime) -> bool {
         usize::try_from(index)
             .ok()
@@ -162,9 +164,9 @@
             .is_some_and(|takeover_at| *takeover_at <= now)
     }
 
-    /// Whether this host reads chunk `index`, which is due and which nobody seems to hold, in place
-    /// of those before it. If not yet, it looks again later, and those before it that are not known
-    /// to be there are asked.
+    /// Whether this host takes over the read of chunk `index`, which is due and which no known host
+    /// holds. If not, the decision is postponed, and the hosts ranked before it that were not heard
+    /// from recently are queried.
     pub(crate) fn should_take_over(
         &mut self,
         index: u32,
@@ -201,14 +203,14 @@
         false
     }
 
-    /// The hosts that should be asked because a turn depends on them.
+    /// The hosts to query because a takeover depends on their responses.
     pub(crate) fn take_pending_queries(&mut self) -> Vec<PeerKey> {
         self.pending_queries.sort_unstable();
         self.pending_queries.dedup();
         std::mem::take(&mut self.pending_queries)
     }
 
-    /// Whether there was time enough for the neighbours to say what they hold.
+    /// Whether the neighbours have had enough time to announce their chunks.
     pub(crate) fn is_initial_wait_over(&self, now: ClockTime) -> bool {
         now.since(self.started_at) >= INITIAL_WAIT
     }
@@ -218,18 +220,19 @@
         self.retry_at <= now
     }
 
-    /// Whether the origin does not answer this host.
+    /// Whether this host cannot reach the origin.
     pub(crate) const fn is_origin_unreachable(&self) -> bool {
         self.consecutive_failures >= UNREACHABLE_FAILURES
     }
 
-    /// The origin delivered.
+    /// The origin delivered a chunk.
     pub(crate) fn on_delivered(&mut self) {
         self.consecutive_limits = 0;
         self.consecutive_failures = 0;
     }
 
-    /// Another host holds a chunk that nobody held before: the origin answers. `jitter` is random.
+    /// Another host announced a chunk that no host held before, which shows that the origin
+    /// responds. `jitter` is a random fraction.
     pub(crate) fn on_origin_available(&mut self, jitter: f64, now: ClockTime) {
         if self.is_origin_unreachable() {
             let soon = now + BACKOFF_INITIAL.mul_f64(jitter.clamp(0.0, 1.0));
@@ -237,8 +240,9 @@
         }
     }
 
-    /// The origin did not deliver. Rests for a random part of a span that doubles (full jitter):
-    /// without it, all hosts that were refused together would come back together.
+    /// A read from the origin failed. Backs off for a random part of a delay that doubles (full
+    /// jitter), because otherwise all hosts that were refused at the same time would retry at the
+    /// same time.
     pub(crate) fn on_failed(
         &mut self,
         kind: ErrorKind,
--- a/src/weights/peer_service.rs
+++ b/src/weights/peer_service.rs
@@ -1,4 +1,5 @@
-//! What other hosts may ask of this host's weights: the manifest, what it holds, and chunks.
+//! Service for the weights requests of other hosts: the manifest, the chunks that this host holds,
+//! and chunk contents.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -22,19 +23,19 @@
 use crate::metrics;
 use crate::transport::{encode_message, error_reply, message_reply, read_message};
 
-/// The largest word that is read, in bytes: two maps of the most chunks, and a name.
+/// Maximum size of an announcement in bytes: two maps of the maximum number of chunks, and a name.
 pub(crate) const ANNOUNCEMENT_BYTES_MAX: usize = 64 * 1024;
-/// Chunks that go out at a time.
+/// Maximum concurrent uploads.
 const UPLOADS_MAX: usize = 8;
-/// How many chunks may wait for this host's link.
+/// Maximum number of chunks that may wait for this host's link.
 const UPLOAD_QUEUE_CHUNKS: u32 = 4;
-/// How long a reader may take before its upload no longer counts. Readers that went silent would
-/// otherwise hold all places for good, and every other host would be told "busy".
+/// Time after which an upload no longer counts. Otherwise readers that became unresponsive would
+/// occupy all upload slots for good, and every other host would get `UploadBusy` errors.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// What a full queue without pacing asks a reader to wait.
+/// Retry delay for a reader when all upload slots are in use.
 const UNPACED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers other hosts. Clones share its limits.
+/// Handles requests of other hosts. Clones share its limits.
 #[derive(Clone)]
 pub(crate) struct PeerService {
     versions: VersionCache,
@@ -45,8 +46,8 @@
 }
 
 impl PeerService {
-    /// Answers from `versions`, within what `pacer` lets through. What askers say of themselves goes
-    /// to `announcements`; words are dropped when it is full, since newer ones follow.
+    /// Serves from `versions` within the limits of `pacer`. Announcements in the requests are sent
+    /// to `announcements`; they are dropped if the channel is full, because newer ones follow.
     pub(crate) fn new(
         versions: VersionCache,
         announcer: ChunkAnnouncer,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Its routes, under `/peer/weights/`.
+    /// The routes under `/peer/weights/`.
     pub(crate) fn routes(&self) -> Router {
         let service = self.clone();
         let manifest = move |PathParams(digest): PathParams<String>| {
@@ -106,7 +107,7 @@
         let version = self.find(digest)?;
         self.receive_announcement(request).await?;
         let Some(bytes) = version.chunk(index) else {
-            let detail = format!("chunk {index} is not here");
+            let detail = format!("this host does not hold chunk {index}");
             return Err(SwitchError::new(ErrorKind::ChunkMissing, detail));
         };
         let slot = self.take_slot()?;
@@ -128,7 +129,7 @@
         self.versions.find(digest).ok_or_else(|| {
             SwitchError::new(
                 ErrorKind::ChunkMissing,
-                format!("nothing of {digest} is here"),
+                format!("this host holds nothing of version {digest}"),
             )
         })
     }
@@ -154,7 +155,7 @@
 }
 
 fn busy(wait: Duration) -> SwitchError {
-    let error = SwitchError::new(ErrorKind::UploadBusy, "enough chunks go out already");
+    let error = SwitchError::new(ErrorKind::UploadBusy, "too many uploads in progress");
     error.come_back_in(wait)
 }
 
@@ -166,18 +167,18 @@
 fn chunk_reply(head: &ChunkHead, bytes: Bytes, slot: UploadSlot) -> SwitchResult<Response> {
     let head = encode_message(head)?;
     let length = u32::try_from(head.len())
-        .map_err(|_| SwitchError::new(ErrorKind::Internal, "head over 4 GiB"))?;
+        .map_err(|_| SwitchError::new(ErrorKind::Internal, "chunk head larger than 4 GiB"))?;
     let parts = [Bytes::copy_from_slice(&length.to_be_bytes()), head, bytes];
     let frames = parts.map(|part| Ok(Frame::data(part)));
     let frames = futures::stream::iter(frames);
-    // The slot lives as long as the stream, so that an upload counts until it was read.
+    // The stream holds the slot, so that the upload counts until it has been read.
     let frames = futures::StreamExt::inspect(frames, move |_| {
         let _ = &slot;
     });
     Ok(Response::new(Body::from_stream(frames)))
 }
 
-/// One of the uploads that may go on at a time; free again when dropped, or after
+/// One of the concurrent uploads. The slot is free again when this is dropped, or after
 /// [`UPLOAD_TIMEOUT`].
 struct UploadSlot {
     _permit: Arc<Mutex<Option<OwnedSemaphorePermit>>>,
--- a/src/weights/peer_table.rs
+++ b/src/weights/peer_table.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the others that want or hold the same version.
+//! What a host knows about the other hosts that fetch or hold the same version.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,82 +12,83 @@
 use crate::derives::{key, plain};
 use crate::time::ClockTime;
 
-/// Failures in a row after which the rest between two tries no longer grows.
+/// Doublings of the back-off after consecutive failures.
 const BACKOFF_DOUBLINGS_MAX: u32 = 6;
 const BACKOFF_INITIAL: Duration = Duration::from_millis(200);
-/// Doublings of the rest of a host that does not answer, up to 0.8 s. A question to it costs nearly
-/// nothing, and each moment that it is back unnoticed others do without what it holds.
+/// Doublings of the back-off from an unresponsive host, up to 0.8 s. A query to it costs almost
+/// nothing, and until its return is noticed other hosts do without the chunks that it holds.
 const UNRESPONSIVE_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// A host's place in the [`PeerTable`].
+/// Index of a host in the [`PeerTable`].
 #[apply(key!)]
 pub(crate) struct PeerKey(u32);
 
-/// A host that wants the version.
+/// A host that has the version as target.
 #[apply(plain!)]
 pub(crate) struct PeerHost {
-    /// Where it stands.
+    /// Its name and location.
     pub(crate) location: HostLocation,
-    /// Where its process listens.
+    /// Peer address of its process.
     pub(crate) address: SocketAddr,
 }
 
-/// Whether a host is there, by its last sign.
+/// Whether a host responds, according to the latest sign.
 #[apply(key!)]
 pub(crate) enum PeerLiveness {
-    /// It answered, or was never asked.
+    /// It responded, or was never queried.
     Responsive,
-    /// A chunk did not come from it, or is late: it is asked whether it is there.
+    /// A chunk from it failed or is late; it is queried whether it still runs.
     Suspected,
     /// It did not answer.
     Unresponsive,
 }
 
-/// What is known of one other host.
+/// State of one other host.
 #[derive(Debug)]
 pub(crate) struct PeerRecord {
-    /// Who it is.
+    /// Its identity.
     pub(crate) host: PeerHost,
-    /// Whether the newest view of the hosts has it.
+    /// Whether the latest host list contains it.
     pub(crate) is_listed: bool,
-    /// Whether this host asks it of its own accord.
+    /// Whether this host queries it regularly.
     pub(crate) is_neighbour: bool,
-    /// The chunks that it said it holds.
+    /// The chunks that it announced as held.
     pub(crate) held: Option<ChunkMap>,
-    /// The chunks that it said it is about to read from the origin.
+    /// The chunks that it announced to read from the origin.
     pub(crate) claimed: Option<ChunkMap>,
-    /// When it was last heard.
+    /// When it was last heard from.
     pub(crate) last_heard_at: Option<ClockTime>,
-    /// When it was last asked.
+    /// When it was last queried.
     pub(crate) queried_at: Option<ClockTime>,
-    /// Whether its answer is outstanding.
+    /// Whether a query to it is unanswered.
     pub(crate) is_query_pending: bool,
-    /// Whether it is there.
+    /// Whether it responds.
     pub(crate) liveness: PeerLiveness,
-    /// Chunks under way from it.
+    /// Pulls from it in progress.
     pub(crate) pulls: u32,
-    /// Until when nothing is asked of it, after failures.
+    /// When it may be used again after failures.
     pub(crate) retry_at: ClockTime,
-    /// Until when its link is busy.
+    /// Until when its link is busy with uploads.
     pub(crate) busy_until: ClockTime,
     consecutive_failures: u32,
 }
 
-/// The other hosts, each in a fixed place.
+/// The other hosts; the index of each never changes.
 #[derive(Debug)]
 pub(crate) struct PeerTable {
     local: HostLocation,
     peers: Vec<PeerRecord>,
-    /// Sorted by name.
+    /// Indexes sorted by host name.
     by_name: Vec<PeerKey>,
-    /// For each chunk, how many of the listed hosts said that they hold it.
+    /// For each chunk, the number of listed hosts that announced it.
     copy_counts: Vec<u16>,
-    /// Whether a host came, fell silent, or was heard again since this was last taken.
+    /// Whether a host was added or changed between responsive and unresponsive since the last
+    /// [`PeerTable::take_liveness_change`].
     is_liveness_changed: bool,
 }
 
 impl PeerTable {
-    /// The table of `local`, without others yet, for a version of `chunks` chunks.
+    /// The table of `local` for a version of `chunks` chunks, without other hosts yet.
     pub(crate) fn new(local: HostLocation, chunks: u32) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
         Self {
@@ -99,8 +100,9 @@
         }
     }
 
-    /// Takes over a new view of the hosts and chooses up to `neighbours` to ask: half of them in
-    /// this data centre, half beyond, the same in each round by rendezvous hashing.
+    /// Applies a new host list, and chooses up to `neighbours` hosts to query regularly: half of
+    /// them in this data centre and half in others. Rendezvous hashing gives the same choice every
+    /// time.
     pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost], neighbours: usize) {
         for peer in &mut self.peers {
             peer.is_listed = false;
@@ -114,7 +116,7 @@
         self.is_liveness_changed = true;
     }
 
-    /// The host called `name`.
+    /// The key of the host called `name`.
     pub(crate) fn find(&self, name: &str) -> Option<PeerKey> {
         self.position(name)
             .ok()
@@ -126,30 +128,30 @@
         &self.peers[key.position()]
     }
 
-    /// The record at `key`, to be changed.
+    /// The record at `key`, mutable.
     pub(crate) fn get_mut(&mut self, key: PeerKey) -> &mut PeerRecord {
         &mut self.peers[key.position()]
     }
 
-    /// Every listed host.
+    /// All listed hosts.
     pub(crate) fn listed(&self) -> impl Iterator<Item = (PeerKey, &PeerRecord)> {
         let all = (0..).map(PeerKey).zip(&self.peers);
         all.filter(|(_, peer)| peer.is_listed)
     }
 
-    /// Whether the host at `key` stands in this host's data centre.
+    /// Whether the host at `key` is in this host's data centre.
     pub(crate) fn is_local(&self, key: PeerKey) -> bool {
         self.get(key).host.location.data_centre == self.local.data_centre
     }
 
-    /// How many hosts are known to hold chunk `index`.
+    /// Number of hosts known to hold chunk `index`.
     pub(crate) fn copy_count(&self, index: u32) -> u16 {
         let position = usize::try_from(index).unwrap_or(usize::MAX);
         self.copy_counts.get(position).copied().unwrap_or(0)
     }
 
-    /// Takes in what a host said of itself. Words whose maps do not fit the version are left out. Returns
-    /// whether it holds a chunk that nobody was known to hold.
+    /// Records a host's announcement. Announcements whose maps do not fit the version are ignored.
+    /// Returns whether the host holds a chunk that no host was known to hold.
     pub(crate) fn record_announcement(
         &mut self,
         announcement: &ChunkAnnouncement,
@@ -180,8 +182,8 @@
         is_first_copy
     }
 
-    /// The host at `key` gave a sign of itself. What it holds can be had at once: it rested only
-    /// because it was silent.
+    /// Records a sign of life of the host at `key`. If it was unresponsive, its back-off ends, so
+    /// that its chunks can be pulled at once.
     pub(crate) fn mark_responsive(&mut self, key: PeerKey, now: ClockTime) {
         let peer = &mut self.peers[key.position()];
         peer.last_heard_at = Some(now);
@@ -192,7 +194,7 @@
         peer.liveness = PeerLiveness::Responsive;
     }
 
-    /// The host at `key` is there and holds nothing.
+    /// Records that the host at `key` runs and holds no chunks.
     pub(crate) fn mark_empty(&mut self, key: PeerKey, now: ClockTime) {
         let peer = &mut self.peers[key.position()];
         peer.held = None;
@@ -201,7 +203,7 @@
         self.mark_responsive(key, now);
     }
 
-    /// The names of the listed hosts that did not answer when they were last asked.
+    /// The names of the listed hosts that did not answer the last query.
     pub(crate) fn unresponsive(&self) -> Vec<ByteString> {
         let unresponsive = self.listed();
         let unresponsive =
@@ -211,12 +213,12 @@
             .collect()
     }
 
-    /// Whether a host came, fell silent, or was heard again since this was last asked.
+    /// Whether a host was added or changed between responsive and unresponsive since the last call.
     pub(crate) const fn take_liveness_change(&mut self) -> bool {
         std::mem::replace(&mut self.is_liveness_changed, false)
     }
 
-    /// A host turned out not to hold a chunk that it said it holds.
+    /// Records that a host does not hold a chunk that it announced.
     pub(crate) fn forget_chunk(&mut self, key: PeerKey, index: u32) {
         let peer = &mut self.peers[key.position()];
         if let Some(held) = peer.held.as_mut() {
@@ -225,12 +227,13 @@
         self.count_copies();
     }
 
-    /// A host did not answer: what it said of itself counts no more until it is heard again.
+    /// Records that a host did not answer. Its announcement is discarded until it is heard from
+    /// again.
     ///
-    /// A host that was replaced, has lost power or is cut off stays listed for a while. As long as it
-    /// counted as holding chunks, the others of its data centre neither brought them in from another one
-    /// nor read them from the origin, and waited for it. One would notice data centres without weights
-    /// beside others that have them whole.
+    /// A host that was replaced, has lost power or is cut off stays listed for a while. If it still
+    /// counted as holding chunks, the other hosts of its data centre would neither import these
+    /// chunks nor read them from the origin, and the data centre would stay without weights while
+    /// others have them completely.
     pub(crate) fn mark_unresponsive(&mut self, key: PeerKey, now: ClockTime, jitter: f64) {
         let peer = &mut self.peers[key.position()];
         self.is_liveness_changed |= peer.liveness != PeerLiveness::Unresponsive;
@@ -249,7 +252,8 @@
             Ok(position) => {
                 let peer = &mut self.peers[self.by_name[position].position()];
                 if peer.host.address != host.address {
-                    // Another process under the same name holds nothing of what the earlier said.
+                    // A new process under the same name holds none of the chunks that the previous
+                    // one announced.
                     *peer = PeerRecord::new(host.clone());
                 }
                 peer.is_listed = true;
@@ -336,22 +340,22 @@
         }
     }
 
-    /// Whether it said that it holds chunk `index`.
+    /// Whether it announced that it holds chunk `index`.
     pub(crate) fn holds(&self, index: u32) -> bool {
         self.held.as_ref().is_some_and(|map| map.contains(index))
     }
 
-    /// Whether it said that it is about to read chunk `index` from the origin.
+    /// Whether it announced that it is about to read chunk `index` from the origin.
     pub(crate) fn claims(&self, index: u32) -> bool {
         self.claimed.as_ref().is_some_and(|map| map.contains(index))
     }
 
-    /// It delivered.
+    /// Ends the sequence of failures after a successful transfer.
     pub(crate) fn clear_failures(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// It failed: it loses its turn for a time that doubles with each failure in a row, less a
+    /// Records a failure and starts a back-off that doubles with each consecutive failure, less a
     /// random part (`jitter` is between 0 and 1).
     pub(crate) fn record_failure(&mut self, now: ClockTime, jitter: f64) {
         let span = BACKOFF_INITIAL * (1 << self.consecutive_failures.min(BACKOFF_DOUBLINGS_MAX));
--- a/src/weights/rollout_row.rs
+++ b/src/weights/rollout_row.rs
@@ -1,5 +1,5 @@
-//! A service's rollout as its one row in the table keeps it: who may be out of service, which hosts
-//! failed, whether the version was stopped.
+//! The rollout state of a service, kept in one row of the table: which hosts may be out of service,
+//! which failed to load the version, and whether the rollout was stopped.
 
 use std::time::Duration;
 
@@ -12,69 +12,70 @@
 use crate::time::ClockTime;
 use crate::weights::LeaseHolder;
 
-/// How long a permit holds from each renewal.
+/// How long a permit is valid after each renewal.
 pub(crate) const PERMIT_DURATION: Duration = Duration::from_secs(10);
-/// The part of it that a holder does not use and a taker adds, against clocks that differ in speed.
+/// One fifth of the validity is a safety margin against clocks of different speed: the holder does
+/// not use it, and other hosts wait that much longer before they revoke the permit.
 const MARGIN_DIVISOR: u32 = 5;
-/// Failures that are kept, so that the row stays small.
+/// Maximum number of failures in the row, which limits its size.
 const FAILURES_MAX: usize = 16;
 
 /// The row `rollouts/SERVICE`, in JSON.
 #[apply(message!)]
 #[derive(Default)]
 pub(crate) struct RolloutRow {
-    /// The newest document that the row knows of.
+    /// Version of the newest service document that the row reflects.
     pub(crate) document: u64,
     /// The version that is rolled out.
     pub(crate) version: ByteString,
-    /// The greatest fencing number given out; never goes back.
+    /// The greatest fencing number issued so far; never decreases.
     pub(crate) fence: u64,
-    /// The hosts that may be out of service now.
+    /// Permits of the hosts that may be out of service now.
     pub(crate) permits: Vec<RolloutPermit>,
-    /// The hosts whose engines did not load the version.
+    /// The hosts whose engines failed to load the version.
     pub(crate) failures: Vec<RolloutFailure>,
-    /// Why no further host takes the version, if so.
+    /// Why the rollout was stopped; `None` while it continues.
     pub(crate) stopped: Option<ByteString>,
 }
 
-/// A host's leave to be out of service.
+/// Permission of a host to be out of service.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct RolloutPermit {
-    /// Who holds it.
+    /// The process that holds the permit.
     pub(crate) holder: LeaseHolder,
     /// Its fencing number.
     pub(crate) fence: u64,
-    /// Grows with each renewal.
+    /// Incremented at each renewal.
     pub(crate) renewals: u64,
 }
 
-/// A host whose engine did not load the version.
+/// A host whose engine failed to load the version.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct RolloutFailure {
-    /// The host.
+    /// The host's name.
     pub(crate) host: ByteString,
-    /// What its engine said.
+    /// The engine's error.
     pub(crate) reason: ByteString,
 }
 
-/// What a row says to a host that wants a permit.
+/// Result of a request for a permit.
 #[apply(plain!)]
 pub(crate) enum PermitDecision {
-    /// Write this row; once written, the permit has this fencing number.
+    /// Write this row. Once it is written, the permit is held with this fencing number.
     Write(RolloutRow, u64),
-    /// As many hosts as allowed are out of service.
+    /// The maximum number of hosts is out of service.
     Full,
-    /// The version was stopped.
+    /// The rollout was stopped, for this reason.
     Stopped(ByteString),
-    /// The row knows a newer document; this host's is old.
+    /// The row reflects a newer document than this host has.
     Outdated,
 }
 
 impl RolloutRow {
-    /// The row as it stands for `target`: a newer document with another version begins a new
-    /// rollout, in which earlier failures no longer count but permits still do.
+    /// The row updated for `target`. A newer document with another version starts a new rollout,
+    /// for which previous failures no longer count but permits still do.
     pub(crate) fn for_target(&self, target: &TargetVersion) -> Self {
         let mut row = self.clone();
         if target.document <= row.document {
@@ -89,7 +90,7 @@
         row
     }
 
-    /// Why `target` must not be loaded, if so.
+    /// Why `target` must not be loaded; `None` if it may.
     pub(crate) fn refusal(&self, target: &TargetVersion) -> Option<PermitDecision> {
         if self.document > target.document && self.version != target.spec.version {
             return Some(PermitDecision::Outdated);
@@ -98,8 +99,8 @@
         row.stopped.map(PermitDecision::Stopped)
     }
 
-    /// What the row says to `holder`, whose engine has seen `engine_fence`. `is_lapsed` tells of a
-    /// permit whether it may be taken away.
+    /// Requests a permit for `holder`, whose engine has seen `engine_fence`. `is_lapsed` tells
+    /// whether a permit of another holder may be revoked.
     pub(crate) fn request_permit(
         &self,
         target: &TargetVersion,
@@ -111,7 +112,7 @@
             return refusal;
         }
         let mut row = self.for_target(target);
-        // An earlier process on this host may have held one; there is only one host to count.
+        // A previous process on this host may have held a permit; the host counts only once.
         row.permits
             .retain(|permit| permit.holder.host != holder.host && !is_lapsed(permit));
         let limit = usize::try_from(target.rollout.max_out_of_service).unwrap_or(usize::MAX);
@@ -132,7 +133,7 @@
         PermitDecision::Write(row, fence)
     }
 
-    /// The row after a renewal by `holder`; `None` when its permit is no longer there.
+    /// The row after a renewal by `holder`; `None` if its permit is no longer in the row.
     pub(crate) fn renewed(&self, holder: &LeaseHolder) -> Option<Self> {
         let mut row = self.clone();
         let permit = row
@@ -143,15 +144,15 @@
         Some(row)
     }
 
-    /// The row without a permit of `host`, of whatever process on it.
+    /// The row without the permits of all processes on `host`.
     pub(crate) fn released(&self, host: &ByteString) -> Self {
         let mut row = self.clone();
         row.permits.retain(|permit| permit.holder.host != *host);
         row
     }
 
-    /// The row after the engine of `host` did not load `target`. When as many hosts failed as the
-    /// document allows, the version is stopped.
+    /// The row after the engine of `host` failed to load `target`. The rollout is stopped once as
+    /// many hosts have failed as the document allows.
     pub(crate) fn with_failure(
         &self,
         target: &TargetVersion,
@@ -172,24 +173,26 @@
         let limit = usize::try_from(target.rollout.stop_after_failures).unwrap_or(usize::MAX);
         if row.stopped.is_none() && row.failures.len() >= limit.clamp(1, FAILURES_MAX) {
             let count = row.failures.len();
-            let text = format!("{count} engines did not load it, the last on {host}: {reason}");
+            let text = format!(
+                "{count} engines failed to load the version, most recently on {host}: {reason}"
+            );
             row.stopped = Some(text.into());
         }
         row
     }
 }
 
-/// What one host has seen of the others' permits, to tell a lapsed one.
+/// Tracks the permits of all hosts, in order to detect expired ones.
 ///
-/// Wall clocks of hosts differ and jump, so a permit's age is counted from when this host first saw
-/// it in its present state, by this host's monotonic clock.
+/// Wall clocks of hosts differ and jump. The age of a permit is therefore counted by this host's
+/// monotonic clock, from when this host first saw the permit in its present state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PermitTracker {
     observed: Vec<(RolloutPermit, ClockTime)>,
 }
 
 impl PermitTracker {
-    /// Takes in the permits of a row read at `now`.
+    /// Records the permits of a row that was read at `now`.
     pub(crate) fn observe(&mut self, row: &RolloutRow, now: ClockTime) {
         let known = std::mem::take(&mut self.observed);
         self.observed = row
@@ -203,7 +206,7 @@
             .collect();
     }
 
-    /// Whether `permit` was seen unchanged for its whole length and a margin.
+    /// Whether `permit` has been unchanged for its validity and the safety margin.
     pub(crate) fn is_expired(&self, permit: &RolloutPermit, now: ClockTime) -> bool {
         let observed = self
             .observed
@@ -215,38 +218,38 @@
     }
 }
 
-/// This host's own permit.
+/// The permit that this host holds.
 #[apply(plain!)]
 pub(crate) struct HeldPermit {
     /// Its fencing number.
     pub(crate) fence: u64,
-    /// When the write that gave or renewed it was sent.
+    /// When the write that acquired or renewed it was sent.
     pub(crate) renewed_at: ClockTime,
 }
 
 impl HeldPermit {
-    /// Whether it still holds: a fifth of its length is not used.
+    /// Whether the permit may be used; the last fifth of its validity is not used.
     pub(crate) fn is_valid(&self, now: ClockTime) -> bool {
         now < self.renewed_at + PERMIT_DURATION - PERMIT_DURATION / MARGIN_DIVISOR
     }
 
-    /// Whether it is time to renew it.
+    /// Whether the permit should be renewed.
     pub(crate) fn is_renewal_due(&self, now: ClockTime) -> bool {
         now >= self.renewed_at + PERMIT_DURATION / 3
     }
 }
 
-/// A row as it was read.
+/// The row with its revision, as it was read.
 #[apply(plain!)]
 pub(crate) struct RowSnapshot {
-    /// The revision to expect when writing.
+    /// The revision to expect in the next write.
     pub(crate) revision: RowRevision,
-    /// The row; empty when it is absent.
+    /// The row; empty if it does not exist.
     pub(crate) row: RolloutRow,
 }
 
 impl RowSnapshot {
-    /// A row that is absent.
+    /// The snapshot of a row that does not exist.
     pub(crate) fn absent() -> Self {
         Self {
             revision: RowRevision::ABSENT,
@@ -255,11 +258,11 @@
     }
 }
 
-/// What became of a write that the table answered.
+/// Result of a write that the table answered.
 #[apply(plain!)]
 pub(crate) enum RowWriteResult {
-    /// It took effect.
+    /// The write took effect.
     Written,
-    /// Another write came first; this stands.
+    /// Another write came first and left this row.
     Conflict(RowSnapshot),
 }
--- a/src/weights/staged_version.rs
+++ b/src/weights/staged_version.rs
@@ -1,4 +1,4 @@
-//! A version on a host: chunks that were checked, and the word that the whole is right.
+//! A version held by a host: verified chunks, and whether the complete version was verified.
 
 use std::sync::{Arc, OnceLock, PoisonError, RwLock};
 
@@ -9,13 +9,13 @@
 use super::manifest::VersionManifest;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// A version on its way to this host, or whole.
+/// A version that is being fetched, or is complete.
 ///
-/// A chunk is kept, and so passed on, only after its bytes matched the manifest; the whole is given
-/// to the engine only after all chunks together matched the digest that the document pins. Without
-/// the first check one host's bad memory or a lying peer would spread to all; one would notice the
-/// same wrong digest on many hosts at the end. Without the second, a manifest that lies about its
-/// chunks would bring in weights that nobody published.
+/// A chunk is stored, and thereby passed on, only after its bytes matched the manifest. The version
+/// is given to the engine only after all chunks together matched the digest in the service
+/// document. Without the first check, a memory fault of one host or a malicious peer would spread
+/// corrupt chunks to all hosts, and all would fail with the same wrong digest at the end. Without
+/// the second, a manifest that lists wrong chunks would bring in weights that were never published.
 #[derive(Debug)]
 pub(crate) struct StagedVersion {
     manifest: VersionManifest,
@@ -24,7 +24,7 @@
 }
 
 impl StagedVersion {
-    /// A version of which nothing is there yet. `manifest` was checked.
+    /// A version without any chunks yet. `manifest` must have been checked.
     pub(crate) fn new(manifest: VersionManifest) -> Self {
         let chunks = manifest.chunks.iter().map(|_| OnceLock::new()).collect();
         Self {
@@ -44,35 +44,35 @@
         self.manifest.digest
     }
 
-    /// Keeps chunk `index` if `bytes` are what the manifest says. A chunk that is there already
-    /// stays.
+    /// Stores chunk `index` if `bytes` match the manifest. Has no effect if the chunk is already
+    /// stored.
     ///
     /// # Errors
     ///
-    /// `ChunkCorrupt` when length or digest differ.
+    /// `ChunkCorrupt` if the index, the length or the digest does not match.
     pub(crate) fn store_chunk(&self, index: u32, bytes: Bytes) -> SwitchResult<()> {
         let Some((slot, digest)) = self.slot(index) else {
-            return Err(corrupt(index, "the version has no such chunk"));
+            return Err(corrupt(index, "no such chunk in the version"));
         };
         let (_, length) = self.manifest.chunk_range(index);
         if u64::try_from(bytes.len()) != Ok(length) {
-            let detail = format!("{} bytes in place of {length}", bytes.len());
+            let detail = format!("got {} of {length} bytes", bytes.len());
             return Err(corrupt(index, &detail));
         }
         if WeightsDigest::of(&bytes) != digest {
-            return Err(corrupt(index, "the digest differs"));
+            return Err(corrupt(index, "digest does not match the manifest"));
         }
-        // A chunk that came twice at the same time is the same chunk: both matched.
+        // If the chunk was received twice at the same time, both copies matched and are equal.
         let _ = slot.set(bytes);
         Ok(())
     }
 
-    /// The bytes of chunk `index`, when they are there.
+    /// The bytes of chunk `index`, if it is stored.
     pub(crate) fn chunk(&self, index: u32) -> Option<Bytes> {
         self.slot(index)?.0.get().cloned()
     }
 
-    /// Which chunks are there.
+    /// The chunks that are stored.
     pub(crate) fn held(&self) -> ChunkMap {
         let mut map = ChunkMap::empty(self.manifest.chunk_count());
         for index in 0..self.manifest.chunk_count() {
@@ -86,36 +86,40 @@
         map
     }
 
-    /// Checks the whole against the digest that the document pins. Takes as long as hashing it.
+    /// Verifies all bytes against the digest in the service document. This takes as long as hashing
+    /// them.
     ///
     /// # Errors
     ///
-    /// `ChunkMissing` while one is missing, `ManifestInvalid` when all chunks match the manifest
-    /// but the whole does not match its digest.
+    /// `ChunkMissing` while a chunk is missing, `ManifestInvalid` if all chunks match the manifest
+    /// but the version does not match its digest.
     pub(crate) fn verify(&self) -> SwitchResult<()> {
         let mut hasher = blake3::Hasher::new();
         for slot in &self.chunks {
             let Some(bytes) = slot.get() else {
-                let detail = "a version with a gap cannot be whole";
+                let detail = "cannot verify a version with missing chunks";
                 return Err(SwitchError::new(ErrorKind::ChunkMissing, detail));
             };
             hasher.update(bytes);
         }
         let digest = WeightsDigest::from_hasher(&hasher);
         if digest != self.manifest.digest {
-            let detail = format!("the chunks make {digest}, not {}", self.manifest.digest);
+            let detail = format!(
+                "digest of all chunks is {digest}, expected {}",
+                self.manifest.digest
+            );
             return Err(SwitchError::new(ErrorKind::ManifestInvalid, detail));
         }
         let _ = self.verified.set(());
         Ok(())
     }
 
-    /// Whether the whole was checked.
+    /// Whether the version is complete and [`StagedVersion::verify`] succeeded.
     pub(crate) fn is_complete(&self) -> bool {
         self.verified.get().is_some()
     }
 
-    /// The whole, in order; `None` before it was checked.
+    /// The bytes of all chunks in order; `None` before the version was verified.
     pub(crate) fn all_bytes(&self) -> Option<Vec<Bytes>> {
         self.verified.get()?;
         self.chunks.iter().map(|slot| slot.get().cloned()).collect()
@@ -131,7 +135,7 @@
     SwitchError::new(ErrorKind::ChunkCorrupt, format!("chunk {index}: {detail}"))
 }
 
-/// The versions that a host holds, whole or in part. Clones share them.
+/// The versions that a host holds, completely or in part. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct VersionCache {
     versions: Arc<RwLock<Vec<Arc<StagedVersion>>>>,
@@ -145,7 +149,7 @@
         found.ok().map(|at| Arc::clone(&versions[at]))
     }
 
-    /// Puts `version` in, in place of one with the same digest.
+    /// Inserts `version`, replacing one with the same digest.
     pub(crate) fn insert(&self, version: Arc<StagedVersion>) {
         let digest = version.digest();
         let mut versions = self
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Lets go of every version that `keep` does not name, and returns their digests.
+    /// Evicts every version for which `keep` is false, and returns their digests.
     pub(crate) fn retain(&self, keep: impl Fn(&StagedVersion) -> bool) -> Vec<WeightsDigest> {
         let mut versions = self
             .versions
--- a/src/weights/target_version.rs
+++ b/src/weights/target_version.rs
@@ -1,4 +1,5 @@
-//! What the document in force wants of this host, and which other hosts want the same.
+//! The target version of this host according to the service document, and the other hosts with the
+//! same target.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
@@ -15,27 +16,28 @@
 /// The version that this host should serve.
 #[apply(plain!)]
 pub(crate) struct TargetVersion {
-    /// The service.
+    /// The service that the host belongs to.
     pub(crate) service: ByteString,
-    /// The version of the document that says so.
+    /// Version of the service document.
     pub(crate) document: u64,
-    /// The weights as the document names them.
+    /// The weights as specified in the document.
     pub(crate) spec: WeightsSpec,
-    /// How a change goes through the hosts.
+    /// Limits for the rollout of a new version.
     pub(crate) rollout: RolloutSpec,
     /// The digest of the weights.
     pub(crate) digest: WeightsDigest,
 }
 
 impl TargetVersion {
-    /// What the document in force wants of the host of `control`; `None` while there is no document
-    /// or it names no weights.
+    /// The target version of the host of `control`; `None` if there is no document or it specifies
+    /// no weights.
     pub(crate) fn read(control: &ControlHandle) -> Option<Self> {
         let service = control.identity().service.clone()?;
         let snapshot = control.snapshot().load();
         let record = snapshot.service(&service)?;
         let spec = record.document.weights.clone()?;
-        // The document was checked before it was accepted; one that does not read wants nothing.
+        // Documents are checked before they are accepted; a digest that cannot be parsed means no
+        // target.
         let digest = spec.digest.parse().ok()?;
         Some(Self {
             service,
@@ -46,7 +48,7 @@
         })
     }
 
-    /// What an engine that serves it reports.
+    /// What an engine that serves this version reports.
     pub(crate) fn serving(&self) -> ServingVersion {
         ServingVersion {
             version: self.spec.version.clone(),
@@ -55,7 +57,7 @@
     }
 }
 
-/// The place of `identity` in lines.
+/// Name and location of the host `identity`.
 pub(crate) fn host_location(identity: &HostIdentity) -> HostLocation {
     HostLocation {
         host: identity.host.clone(),
@@ -64,7 +66,7 @@
     }
 }
 
-/// The live hosts whose service wants the weights `digest`, of any service, sorted by name.
+/// The live hosts of all services that have the weights `digest` as target, sorted by name.
 pub(crate) fn target_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PeerHost> {
     let digest = ByteString::from(digest.to_string());
     let wants = |member: &MemberRecord| {
--- a/src/weights/tests/link_pacing.rs
+++ b/src/weights/tests/link_pacing.rs
@@ -1,4 +1,4 @@
-//! The link's pacing.
+//! Tests of the link pacer.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 const CHUNK: u64 = 1_000;
 const CHUNK_SPAN: Duration = Duration::from_millis(1);
 
-/// Symptom: weights take more of the link than they were given. Events: chunks sent or come in
-/// bursts after pauses. Cause: pauses that count as credit.
+/// Guards against weights exceeding their rate when chunks are sent or received in bursts after
+/// pauses, because idle time counted as credit.
 #[test]
 fn no_span_of_time_carries_more_than_the_rate_and_one_chunk() {
     run_cases(100, 256, |u| {
@@ -27,7 +27,10 @@
             });
         }
         for pair in done_at.windows(2) {
-            assert!(pair[1].since(pair[0]) >= CHUNK_SPAN, "two chunks at a time");
+            assert!(
+                pair[1].since(pair[0]) >= CHUNK_SPAN,
+                "two chunks overlap on the link"
+            );
         }
         Ok(())
     });
@@ -42,8 +45,8 @@
     assert_eq!(bucket.reserve(CHUNK, now), now + 6 * CHUNK_SPAN);
 }
 
-/// Symptom: requests reached an engine a second late while weights were spreading. Its host's link had
-/// become eight times narrower, and weights went on to be sent at the rate that it should have.
+/// Guards against requests that reach an engine a second late while weights spread: the link of its
+/// host had become eight times narrower, and weights were still sent at the configured rate.
 #[test]
 fn a_link_that_became_narrow_is_given_less() {
     let pacer = LinkPacer::new(1_000_000);
--- a/src/weights/tests/mod.rs
+++ b/src/weights/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the weights' state machines and checks.
+//! Tests of the state machines and checks for weights.
 
 mod link_pacing;
 mod origin_outage;
--- a/src/weights/tests/origin_outage.rs
+++ b/src/weights/tests/origin_outage.rs
@@ -1,4 +1,4 @@
-//! An origin that does not answer for some seconds.
+//! Tests with an origin that is unavailable for some seconds.
 
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
     reads.collect()
 }
 
-/// The origin refuses every connection for [`OUTAGE`].
+/// Lets the origin refuse every connection for [`OUTAGE`]. Returns the end of the outage.
 fn run_outage(plan: &mut FetchPlan) -> ClockTime {
     let mut now = START;
     while now < START + OUTAGE {
@@ -64,16 +64,16 @@
         now = now + POLL_INTERVAL;
         assert!(
             now < START + Duration::from_mins(1),
-            "it is never asked again"
+            "the origin is never read again"
         );
     }
     now
 }
 
-/// Symptom: for a second and a half after the origin of weights was back nobody read from it, while no
-/// engine could answer: the bound of the older weights had passed. Events: the origin had refused all
-/// connections for six seconds; each host rested longer after each, up to three seconds. Cause: a rest
-/// fit for an origin that has too much to do, kept towards one that is not there.
+/// Guards against an origin that is not read for 1.5 s after its return, while no engine may serve
+/// because the deadline of the previous weights has passed. The origin refused all connections for
+/// six seconds, and each host backed off for up to three seconds, which suits an overloaded origin
+/// but not an unavailable one.
 #[test]
 fn an_origin_that_is_back_is_read_within_a_second() {
     for seed in 0..40 {
@@ -84,8 +84,9 @@
     }
 }
 
-/// Symptom and events as above; one host had read a chunk already and said so. Cause: that a chunk which
-/// nobody had held has come says that the origin is back, and the others rested on.
+/// Guards against the same failure when another host has already read a chunk and announced it. A
+/// chunk that no host held before shows that the origin has returned, but the other hosts stayed in
+/// their back-off.
 #[test]
 fn a_chunk_that_nobody_held_before_ends_the_rest_of_all() {
     for seed in 0..40 {
--- a/src/weights/tests/replaced_hosts.rs
+++ b/src/weights/tests/replaced_hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that said what they hold and are no more.
+//! Tests with hosts that announced chunks and were replaced.
 
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
     plan
 }
 
-/// Whom the plan pulls from at `now`; what it asks others does not matter here.
+/// The peers that the plan pulls from at `now`; its other steps are ignored.
 fn pulls(plan: &mut FetchPlan, now: ClockTime) -> Vec<PeerKey> {
     let steps = plan.next_steps(now);
     let sources = steps.iter().filter_map(|step| match step {
@@ -65,18 +65,18 @@
     sources.collect()
 }
 
-/// Symptom: the hosts of two data centres got no weights for thirteen seconds, while those of the third
-/// held all of them. Events: one host of a data centre had brought some chunks in, said so, and was
-/// replaced; its address stayed listed for a while and answered nothing. Cause: what it had said kept
-/// the others from bringing the chunks in once more.
+/// Guards against data centres that wait for the chunks of a host that no longer exists. The host
+/// had imported some chunks, announced them and was replaced; its address stayed listed and did not
+/// respond. Its announcement kept the other hosts from importing the chunks again, so that two data
+/// centres got no weights for thirteen seconds while the third held them completely.
 #[test]
 fn chunks_of_a_host_that_is_no_more_are_brought_in_again() {
     let mut plan = new_plan(FetchLimits::default());
-    let local_peers = plan.peers().find("near").expect("it is listed");
-    let remote_peers = plan.peers().find("far").expect("it is listed");
+    let local_peers = plan.peers().find("near").expect("the host is listed");
+    let remote_peers = plan.peers().find("far").expect("the host is listed");
     let first = pulls(&mut plan, START);
     assert!(!first.is_empty() && first.iter().all(|key| *key == local_peers));
-    // The pulls hang, and so does the question that follows.
+    // The pulls hang, and so does the query that follows.
     let mut now = START + Duration::from_secs(2);
     let _ = pulls(&mut plan, now);
     plan.on_queried(local_peers, Some(ErrorKind::PeerSilent), now);
@@ -84,14 +84,14 @@
     let second = pulls(&mut plan, now);
     assert!(
         second.contains(&remote_peers),
-        "{second:?}: nothing is brought in from the other data centre"
+        "{second:?}: nothing is imported from the other data centre"
     );
-    // Heard again, it gives what it holds.
+    // Once the host is heard from again, its chunks count again.
     plan.on_announcement(&holds_all("near"), now);
     assert_eq!(plan.peers().copy_count(0), 2);
 }
 
-/// A host that nobody asks of its own accord is asked once a pull from it has failed.
+/// A host that is not queried regularly is queried once a pull from it has failed.
 #[test]
 fn a_host_from_which_a_pull_failed_is_asked() {
     let limits = FetchLimits {
@@ -99,9 +99,9 @@
         ..FetchLimits::default()
     };
     let mut plan = new_plan(limits);
-    let local_peers = plan.peers().find("near").expect("it is listed");
+    let local_peers = plan.peers().find("near").expect("the host is listed");
     let _ = plan.next_steps(START);
-    // In the same look that gives the pull up, not after a rest.
+    // The query comes with the step that cancels the pull, not after a back-off.
     let asks = plan.next_steps(START + Duration::from_secs(2));
     assert!(asks.contains(&FetchStep::Query(local_peers)), "{asks:?}");
 }
--- a/src/weights/tests/slow_links.rs
+++ b/src/weights/tests/slow_links.rs
@@ -1,4 +1,4 @@
-//! Hosts whose own link carries little.
+//! Tests with hosts whose own link is slow.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A plan beside `hosts` that hold all chunks.
+/// A plan with `hosts` as peers that hold all chunks.
 fn plan_with_full_peers(hosts: &[&str]) -> FetchPlan {
     let mut plan = FetchPlan::new(
         location("me"),
@@ -64,7 +64,8 @@
     pulls.collect()
 }
 
-/// Guards against a host that has chunks of each layer, and none whole, while its link carries little.
+/// Guards against a host on a slow link that holds some chunks of every layer but no complete
+/// layer.
 #[test]
 fn preferred_chunks_are_pulled_first() {
     let mut plan = plan_with_full_peers(&["a", "b"]);
@@ -75,7 +76,7 @@
     assert_eq!(first, [30, 31, 32]);
 }
 
-/// Guards against chunks that fill a narrow link for seconds before the first of them has come.
+/// Guards against transfers that fill a narrow link for seconds before the first chunk arrives.
 #[test]
 fn chunks_under_way_from_two_hosts_tell_of_a_slow_link() {
     let mut plan = plan_with_full_peers(&["a", "b"]);
@@ -83,7 +84,7 @@
     assert_eq!(plan.late_source_count(LATE, START + LATE), 0);
     let later = START + LATE + Duration::from_millis(1);
     assert_eq!(plan.late_source_count(LATE, later), 2);
-    // One host alone may be slow itself.
+    // A single late peer may itself be slow.
     let mut plan = plan_with_full_peers(&["a"]);
     assert!(!pulled(&mut plan).is_empty());
     assert_eq!(plan.late_source_count(LATE, later), 1);
--- a/src/weights/tests/unresponsive_hosts.rs
+++ b/src/weights/tests/unresponsive_hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that go dark in a spread: they stay listed, and whoever asks them hears nothing.
+//! Tests with hosts that become unresponsive during a fetch: they stay listed and answer nothing.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 const START: ClockTime = ClockTime::from_millis(100_000);
 const CHUNKS: u32 = 40;
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a question to a dark host is open.
+/// Time after which a query to an unresponsive host fails.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a question to a live host is open.
+/// Time after which a query to a live host is answered.
 const RESPONSE_DELAY: Duration = Duration::from_millis(20);
 
 fn plan_host(host: &str, port: u16) -> PeerHost {
@@ -63,8 +63,8 @@
     }
 }
 
-/// One host's plan, and what became of its questions: hosts in `live` answer that they hold all, the
-/// others nothing.
+/// One host's plan and its open queries. Hosts in `live` answer that they hold all chunks; the
+/// others do not answer.
 struct PlanFixture<'a> {
     plan: FetchPlan,
     live: &'a [&'a str],
@@ -73,7 +73,7 @@
 }
 
 impl PlanFixture<'_> {
-    /// A look at the plan: the chunks that it asks for.
+    /// Carries out the plan's next steps and returns the chunks that it requested.
     fn poll(&mut self) -> Vec<(u32, ChunkSource)> {
         let now = self.now;
         let queries = std::mem::take(&mut self.queries);
@@ -121,17 +121,17 @@
     }
 }
 
-/// Symptom: hosts that were up had their new weights eight seconds late, and callers were refused, while
-/// a host beside them had the version whole. Events: half of the hosts lost power in a spread; those that
-/// were left had just begun all pulls that they may have under way at hosts that were gone. Cause: each of
-/// these pulls held its place until it stalled by itself, and nobody was asked meanwhile who is there.
+/// Guards against pulls that occupy their slots until each of them stalls. Half of the hosts lost
+/// power while the remaining ones had all their pull slots in use for the failed hosts, and no host
+/// was queried meanwhile. Running hosts got their new weights eight seconds late and callers were
+/// refused, although a host in the same data centre had the complete version.
 #[test]
 fn pulls_from_dark_hosts_leave_their_places_to_others() {
     let mut plan = plan_among(&["dark-1", "dark-2", "dark-3", "live"], 12);
     for host in ["dark-1", "dark-2", "dark-3"] {
         plan.on_announcement(&holds_all(host), START);
     }
-    let live = plan.peers().find("live").expect("it is listed");
+    let live = plan.peers().find("live").expect("the host is listed");
     plan.on_queried(live, Some(ErrorKind::ChunkMissing), START);
     let mut fixture = PlanFixture {
         plan,
@@ -140,7 +140,11 @@
         queries: Vec::new(),
     };
     let first = fixture.poll();
-    assert_eq!(first.len(), 6, "all places are taken at dark hosts");
+    assert_eq!(
+        first.len(),
+        6,
+        "all pull slots are used for unresponsive hosts"
+    );
     while fixture.now < START + Duration::from_secs(1) {
         if fixture
             .poll()
@@ -150,11 +154,11 @@
             return;
         }
     }
-    panic!("nothing was asked of the host that is there for a second");
+    panic!("nothing was requested from the live host for a second");
 }
 
-/// Symptom and events as above; one pull stalled. Cause: what it said of its host counted for that pull
-/// alone, and the place that it left went to the same host again.
+/// Guards against the same failure after one pull has stalled: the stall was counted for that pull
+/// only, and its slot was used for the same unresponsive host again.
 #[test]
 fn a_host_that_gave_a_sign_of_silence_gets_no_more_pulls() {
     let mut plan = plan_among(&["dark"], 0);
@@ -168,13 +172,16 @@
     assert!(!fixture.poll().is_empty());
     while fixture.now < START + Duration::from_secs(8) {
         let dark = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
-        assert!(!fixture.poll().iter().any(dark), "it is pulled from again");
+        assert!(
+            !fixture.poll().iter().any(dark),
+            "the unresponsive host is pulled from again"
+        );
     }
 }
 
-/// Symptom: a host that was up read some chunks only ten seconds after it began, while the origin of
-/// weights was idle. Events: most of the hosts lost power, all of them before it in the lines of these
-/// chunks. Cause: it gave each of them its turn, though it knew that they do not answer.
+/// Guards against takeover delays for hosts that are known to be unresponsive. Most of the hosts
+/// lost power, and all of them were ranked before the remaining host, which waited for each of them
+/// and read some chunks only ten seconds after its start while the origin was idle.
 #[test]
 fn the_turns_of_dark_hosts_are_passed_over() {
     let dark: Vec<String> = (0..9).map(|index| format!("dark-{index}")).collect();
@@ -189,12 +196,13 @@
     while fixture.now < START + Duration::from_secs(3) {
         read += fixture.poll().len();
     }
-    assert_eq!(read, 40, "chunks were left to hosts that do not answer");
+    assert_eq!(read, 40, "chunks were left to unresponsive hosts");
 }
 
-/// Symptom: requests waited seconds for a thin link and began on weights that were replaced meanwhile.
-/// Events: a host's link fell to a tenth; chunks and answers came late over it. Cause: the host took all
-/// others for gone and put more pulls on the link that was full.
+/// Guards against additional pulls on a link that is already full. The link of a host fell to a
+/// tenth, and chunks and responses came late. The host took all others for failed and started more
+/// pulls, so that requests waited for seconds and started on weights that had been replaced
+/// meanwhile.
 #[test]
 fn where_nobody_answers_nothing_more_is_put_on_the_link() {
     let late: Vec<String> = (0..9).map(|index| format!("late-{index}")).collect();
@@ -213,6 +221,9 @@
     while fixture.now < START + Duration::from_millis(1400) {
         let more = fixture.poll();
         let pulled = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
-        assert!(!more.iter().any(pulled), "{more:?} on top of six");
+        assert!(
+            !more.iter().any(pulled),
+            "{more:?} in addition to six pulls"
+        );
     }
 }
--- a/src/weights/tests/unresponsive_hosts_driver.rs
+++ b/src/weights/tests/unresponsive_hosts_driver.rs
@@ -1,4 +1,4 @@
-//! One host's plan among hosts that go dark and come back at random moments.
+//! Random test of one host's plan among hosts that become unresponsive and return at random times.
 
 use std::time::Duration;
 
@@ -18,16 +18,17 @@
 const TICK: Duration = Duration::from_millis(20);
 const RUN_SPAN: Duration = Duration::from_secs(20);
 const RESPONSE_DELAY: Duration = Duration::from_millis(20);
-/// How long a question to a dark host is open.
+/// Time after which a query to an unresponsive host fails.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a chunk may go unasked for while the same live host, or the origin, could serve it.
+/// Maximum time without a request for a chunk that the same live host, or the origin, can serve
+/// throughout.
 const REQUESTED_WITHIN: Duration = Duration::from_secs(4);
 
-/// Another host. A dark one answers nothing, and what was under way from it never comes.
+/// Another host. While it is not live it answers nothing, and transfers from it never finish.
 struct SimulatedHost {
     host: PeerHost,
     is_live: bool,
-    /// Counts its times of being up.
+    /// Changes whenever the host fails or returns.
     incarnation: u32,
     held: ChunkMap,
     /// Since when it has held each chunk.
@@ -39,7 +40,7 @@
     Chunk(TransferId),
 }
 
-/// What comes from `source` (the origin if none), if it lives on until then.
+/// An event from `source` (the origin if `None`), which is lost if the source fails before `at`.
 struct Arrival {
     at: ClockTime,
     source: Option<(usize, u32)>,
@@ -55,7 +56,7 @@
     has_origin: bool,
     others: Vec<SimulatedHost>,
     arrivals: Vec<Arrival>,
-    /// When each chunk was last asked of a source that is there.
+    /// When each chunk was last requested from a live source.
     requested_at: Vec<ClockTime>,
 }
 
@@ -119,7 +120,7 @@
         Ok(simulation)
     }
 
-    /// Dark hosts stay listed.
+    /// Lists all hosts, including unresponsive ones.
     fn list_hosts(&mut self) {
         let hosts: Vec<PeerHost> = self.others.iter().map(|other| other.host.clone()).collect();
         self.plan.set_hosts(&hosts);
@@ -135,7 +136,7 @@
             }
         }
         if u.ratio(1, 100)? {
-            // Several at once, as when a rack loses power.
+            // Several hosts at once, as when a rack loses power.
             for other in &mut self.others {
                 if u.ratio(1, 3)? {
                     other.is_live = !other.is_live;
@@ -153,7 +154,7 @@
             .others
             .iter()
             .position(|other| other.host.location.host == *name);
-        found.expect("it is listed")
+        found.expect("the host is listed")
     }
 
     fn deliver(&mut self) {
@@ -235,7 +236,8 @@
         self.arrivals.push(Arrival { at, source, event });
     }
 
-    /// Each chunk that the same live host, or the origin, could have served all the while was asked for.
+    /// Checks that each chunk that the same live host, or the origin, could serve throughout was
+    /// requested.
     fn check(&self) {
         for index in (0..CHUNKS).filter(|index| !self.plan.held().contains(*index)) {
             let live = self.others.iter().filter(|other| other.is_live);
@@ -252,7 +254,7 @@
                 .since(since.max(self.started_at).max(self.requested_at[at(index)]));
             assert!(
                 waited <= REQUESTED_WITHIN,
-                "chunk {index} was not asked of a source that is there for {waited:?}"
+                "chunk {index} was not requested from a live source for {waited:?}"
             );
         }
     }
@@ -274,7 +276,7 @@
         }
         simulation.check();
         if simulation.plan.held().is_full() {
-            // A new process on this host begins with nothing.
+            // A new process on this host starts without chunks.
             simulation.plan = new_plan(
                 simulation.limits,
                 simulation.chunk_span,
@@ -290,9 +292,10 @@
     Ok(())
 }
 
-/// Symptom: a host that is up waits for weights beside others, or an origin, that could give them.
-/// Events: hosts go dark with pulls under way from them, stay listed, and come back with nothing.
-/// Cause: anything that a dark host keeps: places, turns, copies that it held, rests that outlast it.
+/// Guards against a running host that waits for weights which a peer or the origin could serve.
+/// Hosts become unresponsive during pulls, stay listed and return without chunks. Nothing that
+/// belongs to an unresponsive host may hold up the plan: pull slots, takeover delays, chunks that
+/// it announced, or back-offs that outlast its failure.
 #[test]
 fn whatever_somebody_could_serve_is_asked_for_soon() {
     run_cases(120, 64 * 1024, run_case);
--- a/src/weights/tests/verification.rs
+++ b/src/weights/tests/verification.rs
@@ -1,4 +1,4 @@
-//! What comes from outside and must not be believed.
+//! Tests of the checks on untrusted manifests and chunks.
 
 use bytes::Bytes;
 
@@ -18,13 +18,12 @@
 }
 
 fn read(manifest: &VersionManifest, target: WeightsDigest) -> Result<VersionManifest, ErrorKind> {
-    let text = serde_json::to_vec(manifest).expect("a manifest is JSON");
+    let text = serde_json::to_vec(manifest).expect("a manifest serialises to JSON");
     VersionManifest::read(&text, target, MEMORY).map_err(|error| error.kind)
 }
 
-/// Symptom: a host that fetches chunks that do not exist, or asks for memory that it does not
-/// have. Events: the manifest says sizes that contradict each other. Cause: a manifest is taken at
-/// its word.
+/// Guards against hosts that fetch chunks which do not exist, or request memory that they do not
+/// have, because they accept a manifest with inconsistent sizes.
 #[test]
 fn manifests_that_contradict_themselves_are_refused() {
     let good = manifest(b"some weights", 4);
@@ -93,36 +92,37 @@
     for (index, chunk) in (0..).zip(data.chunks(5)) {
         assert!(
             version.all_bytes().is_none(),
-            "a part was given away as the whole"
+            "an incomplete version was handed out"
         );
         let early = version.verify().map_err(|error| error.kind);
         assert_eq!(early, Err(ErrorKind::ChunkMissing));
         version
             .store_chunk(index, Bytes::copy_from_slice(chunk))
-            .expect("it matches");
+            .expect("the chunk matches the manifest");
     }
-    version.verify().expect("all is there");
+    version.verify().expect("all chunks are stored");
     assert_eq!(
         version.all_bytes().map(|all_bytes| all_bytes.concat()),
         Some(data.to_vec())
     );
 }
 
-/// Symptom: hosts serve weights that nobody published. Events: a manifest names the document's
-/// digest but the chunks of other weights; every chunk matches it. Cause: only chunks are checked.
+/// Guards against hosts that serve weights which were never published. The manifest states the
+/// digest of the service document but lists the chunks of other weights; every chunk matches, so
+/// that checking chunks alone is not enough.
 #[test]
 fn chunks_of_other_weights_do_not_make_the_whole() {
     let mut lie = manifest(b"wrong weights", 5);
     lie.digest = WeightsDigest::of(b"right weights");
     assert!(
         lie.check(lie.digest, MEMORY).is_ok(),
-        "it does not contradict itself"
+        "the manifest is consistent"
     );
     let version = StagedVersion::new(lie);
     for (index, chunk) in (0..).zip(b"wrong weights".chunks(5)) {
         version
             .store_chunk(index, Bytes::copy_from_slice(chunk))
-            .expect("it matches");
+            .expect("the chunk matches the manifest");
     }
     let verified = version.verify().map_err(|error| error.kind);
     assert_eq!(verified, Err(ErrorKind::ManifestInvalid));
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -1,4 +1,5 @@
-//! A version that spreads over the hosts of several data centres, each with its own plan.
+//! Simulation of a version that spreads over the hosts of several data centres, each with its own
+//! plan.
 
 use std::time::Duration;
 
@@ -11,23 +12,23 @@
 };
 
 const START: ClockTime = ClockTime::from_millis(100_000);
-/// How often each plan is looked at and hears of what came.
+/// How often each plan is run and receives events.
 const TICK: Duration = Duration::from_millis(40);
-/// The same for hosts that act on what comes at once.
+/// The same for hosts that react to events at once.
 const SHORT_TICK: Duration = Duration::from_millis(20);
 const CHUNKS: u32 = 96;
 const SEED: u64 = 7;
-/// A chunk on the origin's link of 4.38 Mbit/s, and on a host's of 7.3 Mbit/s.
+/// Time of a chunk on the origin's link of 4.38 Mbit/s, and on a host's link of 7.3 Mbit/s.
 const ORIGIN_SPAN: Duration = Duration::from_millis(45);
 const HOST_SPAN: Duration = Duration::from_millis(27);
-/// Connections that the origin takes; it resets those beyond.
+/// Maximum number of connections to the origin; it resets any others.
 const ORIGIN_CONNECTIONS: usize = 48;
 const RESPONSE_DELAY: Duration = Duration::from_millis(10);
-/// How long a chunk waits for its sender's link before it is turned away.
+/// A pull is refused if the sender's link is busy for longer than this.
 const BACKLOG_MAX: Duration = Duration::from_millis(120);
-/// When the last hosts hear of the version.
+/// The hosts learn of the version at different times within this span.
 const START_SPREAD: Duration = Duration::from_millis(500);
-/// How much longer the last host may take than the origin's link needs for one copy.
+/// The last host may take this many times as long as the origin's link needs for one copy.
 const ORIGIN_TIME_FACTOR: f64 = 1.25;
 
 enum Event {
@@ -52,10 +53,10 @@
     tick: Duration,
     now: ClockTime,
     hosts: Vec<FleetHost>,
-    /// Reads under way at the origin, which share its link: host, flight, and what is left to send.
+    /// Reads in progress at the origin, which share its link: host, transfer, and link time left.
     origin_reads: Vec<(usize, TransferId, Duration)>,
     origin_copies: u32,
-    /// Chunks that crossed between two data centres.
+    /// Transfers of chunks between data centres.
     crossings: u32,
     queries: u32,
 }
@@ -173,7 +174,7 @@
         }
     }
 
-    /// What the origin sends in a tick, in even parts to all that read.
+    /// Sends data of the origin for one tick, in equal parts to all reads.
     fn send_from_origin(&mut self) {
         let mut left = self.tick;
         while !left.is_zero() && !self.origin_reads.is_empty() {
@@ -200,7 +201,7 @@
             .hosts
             .iter()
             .position(|host| host.host.address == address);
-        found.expect("it is listed")
+        found.expect("the host is listed")
     }
 
     fn announcement(&self, at: usize) -> ChunkAnnouncement {
@@ -294,7 +295,7 @@
     fleet.run(within * 2);
     let all_bytes = fleet.hosts.iter().filter(|host| host.complete_at.is_some());
     let figures = format!(
-        "{} of {} whole, the last after {:?}; {} origin reads, {} crossings, {} questions",
+        "{} of {} hosts complete, the last after {:?}; {} origin reads, {} crossings, {} queries",
         all_bytes.count(),
         fleet.hosts.len(),
         fleet.slowest(),
@@ -307,26 +308,26 @@
         fleet.slowest().is_some_and(|slowest| slowest <= within),
         "{figures}"
     );
-    // A chunk crosses once into each other data centre, and the origin sends it once.
+    // Each chunk is transferred once into each other data centre, and the origin sends it once.
     assert!(fleet.origin_copies <= CHUNKS + CHUNKS / 8, "{figures}");
     let centres = u32::try_from(centres).expect("small");
     assert!(fleet.crossings <= CHUNKS * centres, "{figures}");
 }
 
-/// Guards against a version that reaches no host in time where hosts know few of the others: chunks that
-/// one host had read were not found by those that had to bring them into their data centres.
+/// Guards against a version that does not reach the hosts in time if each host queries only few of
+/// the others: the hosts that had to import a chunk did not find the one that had read it.
 #[test]
 fn a_version_reaches_hundreds_of_hosts_in_five_data_centres_in_time() {
     check_spread(5, 28, TICK);
 }
 
-/// Guards against a spread that serves a wide fleet and harms a small one.
+/// Guards against a change that speeds up a large fleet and slows down a small one.
 #[test]
 fn a_version_reaches_a_small_fleet_in_time() {
     check_spread(3, 6, TICK);
 }
 
-/// Guards against the same where hosts act on what comes at once.
+/// Guards against the same failure with hosts that react to events at once.
 #[test]
 fn a_version_reaches_hundreds_of_quick_hosts_in_time() {
     check_spread(5, 28, SHORT_TICK);
--- a/src/weights/version_change.rs
+++ b/src/weights/version_change.rs
@@ -1,4 +1,5 @@
-//! A change of version under way: the gate closes, the order goes out, the engine is read back.
+//! A change of version in progress: close the gate, order the engine to load the version, and read
+//! the engine's state back.
 
 use std::time::Duration;
 
@@ -11,37 +12,38 @@
 use crate::membership::ServingVersion;
 use crate::time::ClockTime;
 
-/// How often it is looked at while an order is under way.
+/// How often the engine's state is read while an order is in progress.
 const READ_BACK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long an order in doubt is waited for before it is given again.
+/// How long the result of an order may be unknown before the order is repeated.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a host that is about to go out of service still takes requests, so that those who were
-/// told meanwhile send none into a closed gate: each would be refused and have to go elsewhere.
+/// How long a host still admits requests after it announced that it goes out of service. This gives
+/// the announcement time to arrive; each request sent to a closed gate would be refused and have to
+/// be sent elsewhere.
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(400);
 const ORDER_ATTEMPTS_MAX: u32 = 3;
-/// How long a host waits before it tries a version again that its engine did not load.
+/// How long a host waits before it retries a version that its engine failed to load.
 const FAILED_VERSION_RETRY_DELAY: Duration = Duration::from_secs(30);
 
 #[apply(key!)]
 pub(super) enum ChangePhase {
-    /// Others are told that this host is about to go out of service; requests are still let in.
+    /// Other hosts are informed that this host goes out of service; requests are still admitted.
     Announced,
-    /// Requests of the old version end.
+    /// The gate is closed, and requests of the previous version are ending.
     Closing,
-    /// The order is about to be given.
+    /// The order is about to be sent.
     Ready,
-    /// The order is under way.
+    /// The order has been sent and not answered.
     Ordering,
-    /// The order was answered, or its answer was lost; the engine is read back.
+    /// The order was answered, or its answer was lost; the engine's state is read back.
     ReadingBack,
 }
 
-/// A change of version under way.
+/// A change of version in progress.
 #[apply(plain!)]
 pub(super) struct VersionChange {
     pub(super) new_version: ServingVersion,
     pub(super) phase: ChangePhase,
-    /// Whether the host served something before.
+    /// Whether the host served a version before.
     pub(super) is_swap: bool,
     pub(super) attempts: u32,
     pub(super) ordered_at: ClockTime,
@@ -53,9 +55,9 @@
 pub(super) struct EngineReport {
     pub(super) serving: Option<ServingVersion>,
     pub(super) fence: u64,
-    /// When it was read.
+    /// When the report was received.
     pub(super) read_at: ClockTime,
-    /// The moment that it speaks of.
+    /// The time that the reported state belongs to.
     pub(super) as_of: ClockTime,
 }
 
@@ -113,7 +115,8 @@
 
     fn close_step(&mut self, change: &VersionChange, now: ClockTime) -> ActivationStep {
         if change.is_swap && !self.rollout.has_permit(now) {
-            // Others may be out of service in its place by now; the old version goes on.
+            // The permit has expired and another host may be out of service now; the previous
+            // version stays in service.
             self.change = None;
             return self.read_engine(now);
         }
@@ -136,7 +139,7 @@
         }
         assert!(
             (view.is_complete)(change.new_version.digest),
-            "an order was due for weights that are not whole"
+            "an order was due for an incomplete version"
         );
         let seen = self.report.as_ref().map_or(0, |report| report.fence);
         let fence = self.rollout.next_fence(seen);
@@ -159,7 +162,7 @@
         ActivationStep::ReadEngine
     }
 
-    /// Whether all requests ended after [`ActivationStep::CloseGate`].
+    /// Result of [`ActivationStep::CloseGate`]: whether all requests have ended.
     pub(crate) fn on_gate_closed(&mut self, all_ended: bool) {
         if let Some(change) = self.change.as_mut()
             && all_ended
@@ -169,10 +172,10 @@
         }
     }
 
-    /// The order was answered, or its answer did not come.
+    /// The order was answered, or its answer was lost.
     pub(crate) fn on_ordered(&mut self, answer: SwitchResult<()>, now: ClockTime) {
         if let Some(change) = self.change.as_mut() {
-            assert_eq!(change.phase, ChangePhase::Ordering, "two orders at a time");
+            assert_eq!(change.phase, ChangePhase::Ordering, "two concurrent orders");
             change.phase = ChangePhase::ReadingBack;
             change.answered_at = now;
             change.refusal = answer.err();
@@ -180,7 +183,7 @@
         self.read_after = now;
     }
 
-    /// The engine's state, or why it could not be read, asked at `queried_at`.
+    /// The engine's state, requested at `queried_at`, or the error of the request.
     pub(crate) fn on_engine(
         &mut self,
         answer: SwitchResult<EngineState>,
@@ -205,7 +208,7 @@
         }
     }
 
-    /// What an order came to, by what the engine reports after it.
+    /// Determines the outcome of an order from the state that the engine reported afterwards.
     fn resolve_order(&mut self, change: &VersionChange, report: &EngineReport, now: ClockTime) {
         if report.as_of < change.ordered_at {
             return;
--- a/src/weights/version_routes.rs
+++ b/src/weights/version_routes.rs
@@ -1,4 +1,4 @@
-//! What is asked of this host's weights: the whole by its own engine, chunks and maps by peers.
+//! HTTP routes for the engine on this host, which reads complete versions.
 
 use bytes::Bytes;
 use http_body::Frame;
@@ -43,17 +43,17 @@
     all_bytes.ok_or_else(|| {
         SwitchError::new(
             ErrorKind::WeightsNotReady,
-            format!("{digest} is not whole here"),
+            format!("version {digest} is not complete on this host"),
         )
     })
 }
 
-/// The digest in a path.
+/// Parses the digest in a path.
 pub(super) fn read_digest(text: &str) -> SwitchResult<WeightsDigest> {
     text.parse().map_err(|fault| {
         SwitchError::new(
             ErrorKind::BadRequest,
-            format!("\"{text}\" is no digest: {fault}"),
+            format!("\"{text}\" is not a digest: {fault}"),
         )
     })
 }
--- a/src/weights/weights_tasks.rs
+++ b/src/weights/weights_tasks.rs
@@ -1,4 +1,4 @@
-//! The edge that carries out what the weights' state machines decide.
+//! Start of the tasks that fetch, serve and activate weights.
 
 use std::sync::Arc;
 
@@ -20,42 +20,42 @@
 use crate::stores::{TableStore, WeightSource};
 use crate::transport::PeerClient;
 
-/// Words of other hosts that wait to be taken in.
+/// Maximum number of queued announcements of other hosts.
 const ANNOUNCEMENT_QUEUE_MAX: usize = 1024;
 
-/// What the weights' edge works with.
+/// Clients and shared state that the weights tasks use.
 #[derive(Clone)]
 pub(crate) struct WeightsContext {
     /// The origin of weights.
     pub(crate) origin: Arc<dyn WeightSource>,
-    /// The platform's rate-limited weight store, where there is one.
+    /// The platform's rate-limited weight store, if one is configured.
     pub(crate) store: Option<Arc<dyn WeightSource>>,
-    /// The platform's table, for rollout permits.
+    /// The platform's table, which holds the rollout permits.
     pub(crate) table: Arc<dyn TableStore>,
-    /// The engine beside this process.
+    /// The engine colocated with this process.
     pub(crate) engine: Arc<dyn EngineEdge>,
-    /// The way to other processes.
+    /// Client for other processes.
     pub(crate) client: Arc<PeerClient>,
-    /// What the control thread knows.
+    /// The state of the control thread.
     pub(crate) control: ControlHandle,
-    /// The gate that requests go through.
+    /// The gate that admits requests.
     pub(crate) gate: ServingGate,
-    /// Where this process says what it serves.
+    /// Publishes the version that this process serves.
     pub(crate) board: StatusBoard,
-    /// The graceful stop.
+    /// State of the graceful stop.
     pub(crate) drain: DrainState,
 }
 
-/// Settings of the weights' edge.
+/// Settings of the weights tasks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WeightsLimits {
-    /// Bytes a second that this host's link takes in each direction; 0 means no pacing.
+    /// Rate of this host's link in each direction, in bytes per second; 0 disables pacing.
     pub(crate) link_bytes_per_second: u64,
-    /// Bytes of weights that this host may hold.
+    /// Memory for weights on this host, in bytes.
     pub(crate) memory_bytes: u64,
 }
 
-/// The rest of the process's hold on the weights' edge.
+/// Handle of the weights tasks for the rest of the process.
 #[derive(Clone)]
 pub(crate) struct WeightsHandle {
     versions: VersionCache,
@@ -63,8 +63,8 @@
     pacer: LinkPacer,
 }
 
-/// Starts to bring in what the documents want and to serve it to peers. Must be called inside the
-/// traffic runtime; ends with it.
+/// Starts the tasks that fetch the target versions of the service documents and serve them to
+/// peers. Must be called in the traffic runtime; the tasks end with it.
 pub(crate) fn start_weights_tasks(context: WeightsContext, limits: WeightsLimits) -> WeightsHandle {
     let versions = VersionCache::default();
     let pacer = LinkPacer::new(limits.link_bytes_per_second);
@@ -94,17 +94,17 @@
 }
 
 impl WeightsHandle {
-    /// What peers may ask, under `/peer/weights/`.
+    /// Routes for peers, under `/peer/weights/`.
     pub(crate) fn peer_routes(&self) -> Router {
         self.peers.routes()
     }
 
-    /// The host's link, to be told of live bytes.
+    /// The pacer of the host's link, on which live traffic has to be recorded.
     pub(crate) const fn link_pacer(&self) -> &LinkPacer {
         &self.pacer
     }
 
-    /// What the engine on this host reads, under `/engine/weights/`.
+    /// Routes for the engine on this host, under `/engine/weights/`.
     pub(crate) fn engine_routes(&self) -> Router {
         version_routes::engine_routes(self.versions.clone())
     }
