--- a/src/weights/activation.rs
+++ b/src/weights/activation.rs
@@ -124,11 +124,11 @@
     /// The next step at `now`.
     pub(crate) fn next_step(
         &mut self,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         if self.change.is_some() {
-            return self.change_step(view, now);
+            return self.change_step(inputs, now);
         }
         let fresh = self.report.clone().filter(|report| {
             report.as_of >= self.valid_from && now.since(report.read_at) < ENGINE_CHECK_INTERVAL
@@ -136,37 +136,37 @@
         let Some(report) = fresh else {
             return self.read_engine(now);
         };
-        if let Some(step) = gate_step(&report, view) {
+        if let Some(step) = gate_step(&report, inputs) {
             return step;
         }
         if let Some(serving) = &report.serving {
             self.last_served = Some(serving.clone());
         }
-        let is_settled = self.is_settled(&report, view);
+        let is_settled = self.is_settled(&report, inputs);
         let step = self
             .rollout
-            .pending_write_step(view.target, is_settled, now);
-        step.unwrap_or_else(|| self.version_step(&report, view, now))
+            .pending_write_step(inputs.target, is_settled, now);
+        step.unwrap_or_else(|| self.version_step(&report, inputs, now))
     }
 
     /// Whether the engine serves a version that it will keep, so that a permit is no longer needed.
-    fn is_settled(&self, report: &EngineReport, view: &ActivationInputs<'_>) -> bool {
-        let (Some(serving), Some(target)) = (&report.serving, view.target) else {
+    fn is_settled(&self, report: &EngineReport, inputs: &ActivationInputs<'_>) -> bool {
+        let (Some(serving), Some(target)) = (&report.serving, inputs.target) else {
             return false;
         };
         let failed = self.failed.as_ref();
         let has_failed = failed.is_some_and(|(failed, _)| *failed == target.serving());
-        serving.digest == target.digest || has_failed || !(view.is_complete)(target.digest)
+        serving.digest == target.digest || has_failed || !(inputs.is_complete)(target.digest)
     }
 
     fn version_step(
         &mut self,
         report: &EngineReport,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         let wait = ActivationStep::WaitUntil(now + STEP_INTERVAL);
-        let Some(target) = view.target else {
+        let Some(target) = inputs.target else {
             return wait;
         };
         let serving = report.serving.as_ref();
@@ -176,15 +176,15 @@
         let new_version = target.serving();
         let failed = self.failed.as_ref();
         if failed.is_some_and(|(failed, until)| *failed == new_version && now < *until) {
-            return self.fall_back(report, view, now).unwrap_or(wait);
+            return self.fall_back(report, inputs, now).unwrap_or(wait);
         }
-        if !(view.is_complete)(target.digest) {
+        if !(inputs.is_complete)(target.digest) {
             return wait;
         }
         if report.serving.is_some() {
-            self.swap_step(target, report, view, now)
+            self.swap_step(target, report, inputs, now)
         } else {
-            self.idle_step(target, view, now)
+            self.idle_step(target, inputs, now)
         }
     }
 
@@ -194,13 +194,13 @@
         &mut self,
         target: &TargetVersion,
         report: &EngineReport,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         if self.rollout.has_permit(now) {
             return self.begin_change(target.serving(), true, now);
         }
-        self.rollout.permit_step(target, report.fence, view, now)
+        self.rollout.permit_step(target, report.fence, inputs, now)
     }
 
     /// Loads a version on a host that serves none. This takes no host out of service, so that no
@@ -208,24 +208,24 @@
     fn idle_step(
         &mut self,
         target: &TargetVersion,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
-        let goes_on = target.rollout.table_away == TableAwayRule::IdleHostsOnly;
-        if self.rollout.is_table_unavailable() && goes_on {
+        let loads_without_table = target.rollout.table_away == TableAwayRule::IdleHostsOnly;
+        if self.rollout.is_table_unavailable() && loads_without_table {
             return self.begin_change(target.serving(), false, now);
         }
-        match self.rollout.refusal(target, view.jitter, now) {
+        match self.rollout.refusal(target, inputs.jitter, now) {
             Ok(None) => self.begin_change(target.serving(), false, now),
             Ok(Some(PermitDecision::Stopped(_))) => {
                 let wait = ActivationStep::WaitUntil(now + STEP_INTERVAL);
                 let Some(report) = self.report.clone() else {
                     return wait;
                 };
-                self.fall_back(&report, view, now).unwrap_or(wait)
+                self.fall_back(&report, inputs, now).unwrap_or(wait)
             }
             Ok(Some(_)) => ActivationStep::WaitUntil(now + STEP_INTERVAL),
-            Err(want) => want.into_step(),
+            Err(requirement) => requirement.into_step(),
         }
     }
 
@@ -233,14 +233,14 @@
     fn fall_back(
         &mut self,
         report: &EngineReport,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> Option<ActivationStep> {
         let new_version = self.last_served.clone()?;
-        let is_wanted = view
+        let is_target = inputs
             .target
             .is_some_and(|target| target.digest == new_version.digest);
-        if report.serving.is_some() || is_wanted || !(view.is_complete)(new_version.digest) {
+        if report.serving.is_some() || is_target || !(inputs.is_complete)(new_version.digest) {
             return None;
         }
         Some(self.begin_change(new_version, false, now))
@@ -273,8 +273,8 @@
 /// gate admits requests for. Responses would then come from another version than the one stated in
 /// their signature. The gate therefore follows the engine's reports throughout the life of the
 /// process.
-fn gate_step(report: &EngineReport, view: &ActivationInputs<'_>) -> Option<ActivationStep> {
-    match (view.gate, &report.serving) {
+fn gate_step(report: &EngineReport, inputs: &ActivationInputs<'_>) -> Option<ActivationStep> {
+    match (inputs.gate, &report.serving) {
         (None, None) => None,
         (None, Some(serving)) => Some(ActivationStep::OpenGate(serving.clone())),
         (Some(open), Some(serving)) if open.digest == serving.digest => None,
--- a/src/weights/activation_driver.rs
+++ b/src/weights/activation_driver.rs
@@ -75,7 +75,7 @@
         let snapshot = self.context.control.snapshot().load();
         let is_leaving = self.context.drain.is_draining() && !self.machine.is_changing();
         let versions = &self.versions;
-        let view = ActivationInputs {
+        let inputs = ActivationInputs {
             // A host that is draining starts no change.
             target: target.filter(|_| !is_leaving),
             is_complete: &|digest: WeightsDigest| {
@@ -91,7 +91,7 @@
             batches_ahead: target.map_or(0, |target| self.batches_ahead(&snapshot, target)),
             jitter: rand::rng().random(),
         };
-        self.machine.next_step(&view, clock_now())
+        self.machine.next_step(&inputs, clock_now())
     }
 
     async fn execute(&mut self, step: ActivationStep, target: Option<&TargetVersion>) {
@@ -148,8 +148,8 @@
 
     fn give_order(&mut self, fence: u64, serving: ServingVersion) {
         let Some(version) = self.versions.find(serving.digest) else {
-            let gone = SwitchError::new(ErrorKind::Internal, "the version was evicted");
-            self.machine.on_ordered(Err(gone), clock_now());
+            let evicted = SwitchError::new(ErrorKind::Internal, "the version was evicted");
+            self.machine.on_ordered(Err(evicted), clock_now());
             return;
         };
         assert!(
@@ -179,10 +179,10 @@
         let Some(task) = self.order.take_if(|task| task.is_finished()) else {
             return;
         };
-        let fault = |fault: tokio::task::JoinError| {
-            Err(SwitchError::new(ErrorKind::Internal, fault.to_string()))
+        let into_error = |error: tokio::task::JoinError| {
+            Err(SwitchError::new(ErrorKind::Internal, error.to_string()))
         };
-        let answer = task.await.unwrap_or_else(fault);
+        let answer = task.await.unwrap_or_else(into_error);
         if let Err(error) = &answer {
             metrics::count_refusal(error.kind, "weights");
             let event = match error.kind {
@@ -212,7 +212,7 @@
             return Ok(RowWriteResult::Conflict(RowSnapshot::absent()));
         };
         let text = serde_json::to_vec(row)
-            .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
+            .map_err(|error| SwitchError::new(ErrorKind::Internal, error.to_string()))?;
         let key = row_key(&target.service);
         match self
             .context
@@ -221,14 +221,14 @@
             .await?
         {
             WriteResult::Written(_) => Ok(RowWriteResult::Written),
-            WriteResult::Conflict(standing) => parse_row(standing).map(RowWriteResult::Conflict),
+            WriteResult::Conflict(current) => parse_row(current).map(RowWriteResult::Conflict),
         }
     }
 
     /// How many rollout batches of hosts that still serve another version go before this host.
     fn batches_ahead(&self, snapshot: &ControlSnapshot, target: &TargetVersion) -> u32 {
         let local = &self.context.control.identity().host;
-        let waits = snapshot.members.iter().filter(|member| {
+        let hosts_ahead = snapshot.members.iter().filter(|member| {
             let status = member.status.as_ref();
             let serving = status.and_then(|status| status.serving.as_ref());
             member.host < *local
@@ -236,8 +236,8 @@
                 && member.service.as_ref() == Some(&target.service)
                 && serving.is_some_and(|serving| serving.digest != target.digest)
         });
-        let waits = u32::try_from(waits.count()).unwrap_or(u32::MAX);
-        waits / target.rollout.max_out_of_service.max(1)
+        let hosts_ahead = u32::try_from(hosts_ahead.count()).unwrap_or(u32::MAX);
+        hosts_ahead / target.rollout.max_out_of_service.max(1)
     }
 
     /// Publishes the serving version. If the target has the same digest under a new version name,
@@ -281,10 +281,10 @@
     let Some(row) = row else {
         return Ok(RowSnapshot::absent());
     };
-    let parsed = serde_json::from_slice(&row.value).map_err(|fault| {
+    let parsed = serde_json::from_slice(&row.value).map_err(|error| {
         SwitchError::new(
             ErrorKind::TableUnavailable,
-            format!("cannot parse row {}: {fault}", row.key),
+            format!("cannot parse row {}: {error}", row.key),
         )
     })?;
     Ok(RowSnapshot {
--- a/src/weights/chunk_fetcher.rs
+++ b/src/weights/chunk_fetcher.rs
@@ -52,17 +52,17 @@
         metrics::count_event("weights_asks", 1);
         let path = format!("/peer/weights/{}/have", self.version.digest());
         let announcement = self.announcer.announcement(&self.version);
-        let answer = self
+        let response = self
             .client
             .call(peer, &path, &announcement, QUERY_TIMEOUT)
             .await;
-        if let Err(error) = &answer
+        if let Err(error) = &response
             && error.kind == ErrorKind::PeerSilent
         {
             // The kept connection may be dead while new connections to the peer work.
             self.client.drop_pool(peer);
         }
-        answer
+        response
     }
 
     /// Pulls chunk `index` from `peer`, verifies and stores it. Returns the peer's announcement.
@@ -78,14 +78,14 @@
             .method(Method::POST)
             .uri(format!("/peer/weights/{digest}/chunk/{index}"))
             .body(Body::from(body))
-            .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
-        let mut answer = self.exchange(peer, request, index).await?;
-        let head = split_head(&mut answer)?;
+            .map_err(|error| SwitchError::new(ErrorKind::Internal, error.to_string()))?;
+        let mut response = self.exchange(peer, request, index).await?;
+        let head = split_head(&mut response)?;
         if head.digest != digest || head.index != index {
             let detail = format!("{peer} sent chunk {} of {}", head.index, head.digest);
             return Err(SwitchError::new(ErrorKind::ChunkCorrupt, detail));
         }
-        self.store("weights_peer_bytes", index, answer).await?;
+        self.store("weights_peer_bytes", index, response).await?;
         Ok(head.announcement)
     }
 
@@ -112,16 +112,16 @@
         request: Request,
         index: u32,
     ) -> SwitchResult<Bytes> {
-        let answer = self.client.send(peer, request, PULL_TIMEOUT).await?;
-        let status = answer.status();
+        let response = self.client.send(peer, request, PULL_TIMEOUT).await?;
+        let status = response.status();
         if status != StatusCode::OK {
-            let text = read_body(answer.into_body(), ERROR_BYTES_MAX).await?;
+            let text = read_body(response.into_body(), ERROR_BYTES_MAX).await?;
             return Err(read_error(status, &text));
         }
         let (_, length) = self.version.manifest().chunk_range(index);
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         let limit = length.saturating_add(LENGTH_BYTES + ANNOUNCEMENT_BYTES_MAX);
-        read_body(answer.into_body(), limit).await
+        read_body(response.into_body(), limit).await
     }
 
     async fn store(&self, metric: &'static str, index: u32, bytes: Bytes) -> SwitchResult<()> {
@@ -136,19 +136,19 @@
     }
 }
 
-fn split_head(answer: &mut Bytes) -> SwitchResult<ChunkHead> {
-    let short = || {
+fn split_head(response: &mut Bytes) -> SwitchResult<ChunkHead> {
+    let truncated = || {
         SwitchError::new(
             ErrorKind::ChunkCorrupt,
             "response truncated within the chunk head",
         )
     };
-    if answer.len() < LENGTH_BYTES {
-        return Err(short());
+    if response.len() < LENGTH_BYTES {
+        return Err(truncated());
     }
-    let length = usize::try_from(answer.get_u32()).unwrap_or(usize::MAX);
-    if answer.len() < length {
-        return Err(short());
+    let length = usize::try_from(response.get_u32()).unwrap_or(usize::MAX);
+    if response.len() < length {
+        return Err(truncated());
     }
-    decode_message(&answer.split_to(length))
+    decode_message(&response.split_to(length))
 }
--- a/src/weights/fetch_plan.rs
+++ b/src/weights/fetch_plan.rs
@@ -99,7 +99,7 @@
     pub(super) id: TransferId,
     pub(super) index: u32,
     pub(super) source: ChunkSource,
-    pub(super) since: ClockTime,
+    pub(super) started_at: ClockTime,
     stalls_at: ClockTime,
 }
 
@@ -133,7 +133,7 @@
 }
 
 impl FetchPlan {
-    /// Creates the plan of `local` for the version `digest`, of which it holds `held`. `chunk_span`
+    /// Creates the plan of `local` for the version `digest`, of which it holds `held`. `chunk_time`
     /// is the time that a chunk takes on this host's idle link; `seed` initialises the random
     /// generator.
     pub(crate) fn new(
@@ -141,12 +141,12 @@
         (digest, objective): (WeightsDigest, SpreadObjective),
         held: ChunkMap,
         limits: FetchLimits,
-        (chunk_span, seed): (Duration, u64),
+        (chunk_time, seed): (Duration, u64),
         now: ClockTime,
     ) -> Self {
         let chunks = held.count();
-        let typical_duration = (chunk_span * 4).max(Duration::from_millis(40));
-        let starved = (chunk_span * 2).clamp(QUERY_INTERVAL_MIN, QUERY_INTERVAL_MAX);
+        let typical_duration = (chunk_time * 4).max(Duration::from_millis(40));
+        let initial_interval = (chunk_time * 2).clamp(QUERY_INTERVAL_MIN, QUERY_INTERVAL_MAX);
         Self {
             limits,
             objective,
@@ -168,7 +168,7 @@
             started_at: now,
             import_sources: Vec::new(),
             import_sources_due: now,
-            query_interval: starved,
+            query_interval: initial_interval,
             last_answered_query_at: None,
             rng: StdRng::seed_from_u64(seed),
         }
@@ -245,19 +245,21 @@
     /// The result of [`FetchStep::Query`]: `failure` is `None` if the query was answered.
     pub(crate) fn on_queried(&mut self, key: PeerKey, failure: Option<ErrorKind>, now: ClockTime) {
         let jitter = self.rng.random();
-        let late = self.late_threshold();
+        let late_threshold = self.late_threshold();
         let peer = self.peers.get_mut(key);
         peer.is_query_pending = false;
         if matches!(failure, None | Some(ErrorKind::ChunkMissing)) {
             self.last_answered_query_at = self.last_answered_query_at.max(peer.queried_at);
         }
         // The query failed, but the peer was heard from in another way meanwhile.
-        let is_heard = peer.last_heard_at.is_some_and(|at| now.since(at) <= late);
+        let was_heard = peer
+            .last_heard_at
+            .is_some_and(|at| now.since(at) <= late_threshold);
         match failure {
             None => self.peers.mark_responsive(key, now),
             // The peer is running and has not started to fetch this version yet.
             Some(ErrorKind::ChunkMissing) => self.peers.mark_empty(key, now),
-            Some(_) if is_heard => {}
+            Some(_) if was_heard => {}
             Some(_) => self.peers.mark_unresponsive(key, now, jitter),
         }
     }
@@ -272,7 +274,7 @@
         match transfer.source {
             ChunkSource::Peer(key) => {
                 self.peers.get_mut(key).clear_failures();
-                let span = now.since(transfer.since);
+                let span = now.since(transfer.started_at);
                 self.typical_duration = (self.typical_duration * 7 + span) / 8;
             }
             ChunkSource::Origin => self.origin_schedule.on_delivered(),
@@ -368,7 +370,7 @@
     ) -> FetchStep {
         let id = TransferId(self.next_transfer);
         self.next_transfer += 1;
-        let within = match source {
+        let timeout = match source {
             ChunkSource::Peer(key) => {
                 self.peers.get_mut(key).pulls += 1;
                 (self.typical_duration * STALL_FACTOR).max(STALL_TIMEOUT_MIN)
@@ -379,8 +381,8 @@
             id,
             index,
             source,
-            since: now,
-            stalls_at: now + within,
+            started_at: now,
+            stalls_at: now + timeout,
         });
         FetchStep::Fetch {
             transfer: id,
@@ -390,11 +392,11 @@
     }
 
     pub(super) fn end_transfer(&mut self, id: TransferId) -> Option<ChunkTransfer> {
-        let at = self
+        let position = self
             .transfers
             .iter()
             .position(|transfer| transfer.id == id)?;
-        let transfer = self.transfers.swap_remove(at);
+        let transfer = self.transfers.swap_remove(position);
         if let ChunkSource::Peer(key) = transfer.source {
             self.peers.get_mut(key).pulls -= 1;
         }
@@ -415,11 +417,12 @@
 
     /// Number of responsive peers with a transfer that has taken longer than `span` at `now`.
     pub(crate) fn late_source_count(&self, span: Duration, now: ClockTime) -> usize {
-        let late = self.transfers.iter().filter(|transfer| {
+        let late_transfers = self.transfers.iter().filter(|transfer| {
             let is_peer = transfer.source != ChunkSource::Origin;
-            is_peer && now.since(transfer.since) > span && self.is_source_responsive(transfer)
+            is_peer && now.since(transfer.started_at) > span && self.is_source_responsive(transfer)
         });
-        let mut sources: Vec<ChunkSource> = late.map(|transfer| transfer.source).collect();
+        let mut sources: Vec<ChunkSource> =
+            late_transfers.map(|transfer| transfer.source).collect();
         sources.sort_unstable();
         sources.dedup();
         sources.len()
--- a/src/weights/fetch_selection.rs
+++ b/src/weights/fetch_selection.rs
@@ -23,14 +23,14 @@
 
 impl FetchPlan {
     pub(super) fn plan_origin_reads(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
-        let under_way = self.count_transfers(ChunkSource::Origin);
-        let mut room = self.limits.origin_reads_max.saturating_sub(under_way);
-        while room > 0 && self.origin_schedule.may_read(now) {
+        let active_reads = self.count_transfers(ChunkSource::Origin);
+        let mut free_slots = self.limits.origin_reads_max.saturating_sub(active_reads);
+        while free_slots > 0 && self.origin_schedule.may_read(now) {
             let Some(index) = self.choose_origin_read(now) else {
                 return;
             };
             steps.push(self.start_transfer(index, ChunkSource::Origin, now));
-            room -= 1;
+            free_slots -= 1;
         }
     }
 
@@ -38,16 +38,16 @@
         if self.objective == SpreadObjective::OriginBytes && self.is_in_initial_wait(now) {
             return None;
         }
-        let is_open = |index: &u32| !self.held.contains(*index) && !self.is_in_transfer(*index);
-        let unseen = |index: &u32| is_open(index) && self.peers.copy_count(*index) == 0;
-        let mine = (0..self.held.count())
+        let is_missing = |index: &u32| !self.held.contains(*index) && !self.is_in_transfer(*index);
+        let is_unheld = |index: &u32| is_missing(index) && self.peers.copy_count(*index) == 0;
+        let own = (0..self.held.count())
             .filter(|index| self.origin_schedule.is_first(*index))
-            .find(unseen);
-        if mine.is_some() {
-            return mine;
+            .find(is_unheld);
+        if own.is_some() {
+            return own;
         }
         let due: Vec<u32> = (0..self.held.count())
-            .filter(unseen)
+            .filter(is_unheld)
             .filter(|index| self.origin_schedule.is_due(*index, now))
             .collect();
         for index in due {
@@ -66,8 +66,8 @@
     /// every chunk is held by some host: the first copy of each chunk has precedence over any
     /// second copy.
     fn choose_redundant_read(&mut self) -> Option<u32> {
-        let is_starved = self.count_pulls() < self.limits.pulls_max;
-        if self.objective != SpreadObjective::Time || !is_starved {
+        let has_free_slots = self.count_pulls() < self.limits.pulls_max;
+        if self.objective != SpreadObjective::Time || !has_free_slots {
             return None;
         }
         let missing: Vec<u32> = (0..self.held.count())
@@ -79,10 +79,10 @@
         {
             return None;
         }
-        let first = self.rng.random_range(0..missing.len().max(1));
-        let order = missing[first.min(missing.len())..]
+        let start = self.rng.random_range(0..missing.len().max(1));
+        let order = missing[start.min(missing.len())..]
             .iter()
-            .chain(&missing[..first]);
+            .chain(&missing[..start]);
         order
             .copied()
             .min_by_key(|index| self.peers.copy_count(*index))
@@ -108,20 +108,26 @@
         now: ClockTime,
         steps: &mut Vec<FetchStep>,
     ) {
-        let late = self.late_threshold();
+        let late_threshold = self.late_threshold();
         for transfer in self.transfers.clone() {
             let ChunkSource::Peer(key) = transfer.source else {
                 continue;
             };
             let is_peer_unavailable = self.is_peer_unavailable(key);
             let peer = self.peers.get_mut(key);
-            let last = peer.last_heard_at.max(Some(transfer.since)).unwrap_or(now);
+            let last_sign_at = peer
+                .last_heard_at
+                .max(Some(transfer.started_at))
+                .unwrap_or(now);
             // A host that no longer holds the chunk has restarted and has lost the pull.
-            let is_anew = last > transfer.since && !peer.holds(transfer.index);
-            if is_anew || (is_peer_unavailable && peer.liveness == PeerLiveness::Unresponsive) {
+            let has_restarted = last_sign_at > transfer.started_at && !peer.holds(transfer.index);
+            if has_restarted || (is_peer_unavailable && peer.liveness == PeerLiveness::Unresponsive)
+            {
                 self.end_transfer(transfer.id);
                 steps.push(FetchStep::Cancel(transfer.id, transfer.source));
-            } else if now.since(last) > late && peer.liveness == PeerLiveness::Responsive {
+            } else if now.since(last_sign_at) > late_threshold
+                && peer.liveness == PeerLiveness::Responsive
+            {
                 peer.liveness = PeerLiveness::Suspected;
             }
         }
@@ -174,16 +180,20 @@
     /// for them, then the preferred chunks.
     fn choose_pull(&mut self, now: ClockTime) -> Option<(u32, PeerKey)> {
         let count = self.held.count();
-        let first = self.rng.random_range(0..count);
+        let start = self.rng.random_range(0..count);
         let mut best: Option<((bool, bool, u16), u32)> = None;
-        for index in (first..count).chain(0..first) {
+        for index in (start..count).chain(0..start) {
             let copy_count = self.peers.copy_count(index);
-            let is_wanted = copy_count > 0 && !self.held.contains(index);
-            if !is_wanted || self.is_in_transfer(index) {
+            let is_candidate = copy_count > 0 && !self.held.contains(index);
+            if !is_candidate || self.is_in_transfer(index) {
                 continue;
             }
-            let is_other = !self.preferred.contains(&index);
-            let rank = (self.is_held_in_data_centre(index), is_other, copy_count);
+            let is_not_preferred = !self.preferred.contains(&index);
+            let rank = (
+                self.is_held_in_data_centre(index),
+                is_not_preferred,
+                copy_count,
+            );
             let is_better = best.is_none_or(|best| rank < best.0);
             if is_better && self.has_serving_peer(index, now) {
                 best = Some((rank, index));
@@ -207,15 +217,18 @@
         if self.transfers.iter().filter(is_hedge).count() >= HEDGES_MAX * TRANSFERS_PER_CHUNK {
             return None;
         }
-        let late = self.late_threshold();
-        let mut lates: Vec<&ChunkTransfer> = self
+        let late_threshold = self.late_threshold();
+        let mut late_transfers: Vec<&ChunkTransfer> = self
             .transfers
             .iter()
-            .filter(|transfer| now.since(transfer.since) > late)
+            .filter(|transfer| now.since(transfer.started_at) > late_threshold)
             .filter(|transfer| self.transfers_of(transfer.index).count() < TRANSFERS_PER_CHUNK)
             .collect();
-        lates.sort_by_key(|transfer| transfer.since);
-        let indexes: Vec<u32> = lates.iter().map(|transfer| transfer.index).collect();
+        late_transfers.sort_by_key(|transfer| transfer.started_at);
+        let indexes: Vec<u32> = late_transfers
+            .iter()
+            .map(|transfer| transfer.index)
+            .collect();
         indexes.into_iter().find_map(|index| {
             let key = self.choose_serving_peer(index, now)?;
             let is_same = |transfer: &ChunkTransfer| transfer.source == ChunkSource::Peer(key);
@@ -258,8 +271,8 @@
         let mut choices: Vec<PeerKey> = holders.collect();
         let least = choices.iter().map(|key| self.peers.get(*key).pulls).min()?;
         choices.retain(|key| self.peers.get(*key).pulls == least);
-        let at = self.rng.random_range(0..choices.len());
-        Some(choices[at])
+        let position = self.rng.random_range(0..choices.len());
+        Some(choices[position])
     }
 
     /// Computes which hosts to query for the chunks that this host imports into its data centre.
@@ -302,12 +315,12 @@
     /// less often while all are in use.
     pub(super) fn plan_queries(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
         self.choose_import_sources(now);
-        let is_starved = self.count_pulls() < self.limits.pulls_max;
-        let doubted = |(_, peer): (_, &PeerRecord)| peer.liveness == PeerLiveness::Suspected;
-        let is_in_doubt = self.peers.listed().any(doubted);
-        let every = if is_starved {
+        let has_free_slots = self.count_pulls() < self.limits.pulls_max;
+        let suspected = |(_, peer): (_, &PeerRecord)| peer.liveness == PeerLiveness::Suspected;
+        let has_suspected_peer = self.peers.listed().any(suspected);
+        let interval = if has_free_slots {
             self.query_interval
-        } else if is_in_doubt {
+        } else if has_suspected_peer {
             self.late_threshold().min(QUERY_INTERVAL_SATURATED)
         } else {
             QUERY_INTERVAL_SATURATED
@@ -316,8 +329,8 @@
             .peers
             .listed()
             .filter(|(key, peer)| {
-                let is_asked = peer.is_neighbour || self.is_import_source(*key);
-                is_asked || peer.liveness == PeerLiveness::Suspected
+                let is_relevant = peer.is_neighbour || self.is_import_source(*key);
+                is_relevant || peer.liveness == PeerLiveness::Suspected
             })
             .map(|(key, _)| key)
             .collect();
@@ -326,14 +339,15 @@
             .chain(self.origin_schedule.take_pending_queries())
         {
             let is_source = self.peers.is_local(key) || self.is_import_source(key);
-            let pace = if is_source { 1 } else { REMOTE_QUERY_FACTOR };
-            let jitter = (every * pace).mul_f64(self.rng.random_range(0.75..1.25));
+            let factor = if is_source { 1 } else { REMOTE_QUERY_FACTOR };
+            let jitter = (interval * factor).mul_f64(self.rng.random_range(0.75..1.25));
             let peer = self.peers.get_mut(key);
-            let last = peer.last_heard_at.max(peer.queried_at);
-            let is_time = last.is_none_or(|last| now.since(last) >= jitter);
-            let is_due = is_time && peer.retry_at <= now;
-            let is_doubted = peer.liveness == PeerLiveness::Suspected;
-            if (is_doubted || is_due) && !peer.is_query_pending {
+            let last_sign_at = peer.last_heard_at.max(peer.queried_at);
+            let is_interval_over =
+                last_sign_at.is_none_or(|last_sign_at| now.since(last_sign_at) >= jitter);
+            let is_due = is_interval_over && peer.retry_at <= now;
+            let is_suspected = peer.liveness == PeerLiveness::Suspected;
+            if (is_suspected || is_due) && !peer.is_query_pending {
                 peer.is_query_pending = true;
                 peer.queried_at = Some(now);
                 steps.push(FetchStep::Query(key));
--- a/src/weights/fetch_session.rs
+++ b/src/weights/fetch_session.rs
@@ -47,13 +47,13 @@
 
     fn execute_step(&mut self, step: FetchStep) {
         let fetcher = self.fetcher.clone();
-        let events = self.event_sender.clone();
+        let event_sender = self.event_sender.clone();
         match step {
             FetchStep::Query(key) => {
                 let address = self.plan.peers().get(key).host.address;
                 tokio::spawn(async move {
-                    let _ =
-                        events.send(FetchEvent::Queried(key, fetcher.query_peer(address).await));
+                    let _ = event_sender
+                        .send(FetchEvent::Queried(key, fetcher.query_peer(address).await));
                 });
             }
             FetchStep::Fetch {
@@ -64,7 +64,7 @@
                 let address = self.plan.peers().get(key).host.address;
                 let task = tokio::spawn(async move {
                     let pulled = fetcher.pull_chunk(address, index).await;
-                    let _ = events.send(FetchEvent::Pulled(transfer, index, pulled));
+                    let _ = event_sender.send(FetchEvent::Pulled(transfer, index, pulled));
                 });
                 self.transfers.push((transfer, task.abort_handle()));
             }
@@ -75,7 +75,7 @@
             } => {
                 let task = tokio::spawn(async move {
                     let read = fetcher.read_origin(index).await;
-                    let _ = events.send(FetchEvent::OriginRead(transfer, index, read));
+                    let _ = event_sender.send(FetchEvent::OriginRead(transfer, index, read));
                 });
                 self.transfers.push((transfer, task.abort_handle()));
             }
@@ -92,9 +92,9 @@
         }
     }
 
-    pub(super) fn apply_event(&mut self, events: FetchEvent) {
+    pub(super) fn apply_event(&mut self, event: FetchEvent) {
         let now = clock_now();
-        match events {
+        match event {
             FetchEvent::Queried(key, answer) => {
                 if let Ok(announcement) = &answer {
                     self.plan.on_announcement(announcement, now);
@@ -114,7 +114,7 @@
 
     fn on_chunk(&mut self, transfer: TransferId, index: u32, result: SwitchResult<()>) {
         let now = clock_now();
-        self.transfers.retain(|(known, _)| *known != transfer);
+        self.transfers.retain(|(id, _)| *id != transfer);
         match result {
             Ok(()) => {
                 assert!(
@@ -138,14 +138,10 @@
     }
 
     fn abort(&mut self, transfer: TransferId) {
-        for (_, task) in self
-            .transfers
-            .iter()
-            .filter(|(known, _)| *known == transfer)
-        {
+        for (_, task) in self.transfers.iter().filter(|(id, _)| *id == transfer) {
             task.abort();
         }
-        self.transfers.retain(|(known, _)| *known != transfer);
+        self.transfers.retain(|(id, _)| *id != transfer);
     }
 }
 
--- a/src/weights/fetch_worker.rs
+++ b/src/weights/fetch_worker.rs
@@ -80,12 +80,12 @@
                     != target.as_ref().map(|target| target.digest)
                 {
                     rejected_manifests = 0;
-                    stage.end();
+                    stage.abort();
                     stage = self.begin(newest.as_ref(), rejected_manifests);
                 }
                 target = newest;
-                if let (FetchStage::Chunks(run), Some(target)) = (&mut stage, &target) {
-                    self.refresh_hosts(run, target);
+                if let (FetchStage::Chunks(session), Some(target)) = (&mut stage, &target) {
+                    self.refresh_hosts(session, target);
                 }
             }
             let Some(target) = &target else {
@@ -97,7 +97,7 @@
 
     /// Waits for the next tick, or for the result of a step if that comes first.
     async fn wait(&mut self, stage: &mut FetchStage, ticks: &mut tokio::time::Interval) {
-        let FetchStage::Chunks(run) = stage else {
+        let FetchStage::Chunks(session) = stage else {
             // No fetch of chunks is running, so that these announcements are not needed.
             while self.announcements.try_recv().is_ok() {}
             ticks.tick().await;
@@ -106,11 +106,13 @@
         let now = clock_now;
         tokio::select! {
             _ = ticks.tick() => {}
-            Some(events) = run.events.recv() => run.apply_event(events),
-            Some(announcement) = self.announcements.recv() => run.plan.on_announcement(&announcement, now()),
+            Some(event) = session.events.recv() => session.apply_event(event),
+            Some(announcement) = self.announcements.recv() => session
+                .plan
+                .on_announcement(&announcement, now()),
         }
-        while let Ok(events) = run.events.try_recv() {
-            run.apply_event(events);
+        while let Ok(event) = session.events.try_recv() {
+            session.apply_event(event);
         }
     }
 
@@ -142,7 +144,7 @@
 
     fn begin_chunks(&self, version: Arc<StagedVersion>, target: &TargetVersion) -> FetchSession {
         let (event_sender, events) = mpsc::unbounded_channel();
-        let chunk_span = self.pacer.transfer_time(version.manifest().chunk_size);
+        let chunk_time = self.pacer.transfer_time(version.manifest().chunk_size);
         let limits = FetchLimits {
             takeover_delay: match target.spec.objective {
                 SpreadObjective::Time => TAKEOVER_DELAY_TIME,
@@ -155,7 +157,7 @@
             (target.digest, target.spec.objective),
             version.held(),
             limits,
-            (chunk_span, rand::rng().random()),
+            (chunk_time, rand::rng().random()),
             clock_now(),
         );
         let fetcher = ChunkFetcher {
@@ -167,7 +169,7 @@
             announcer: self.announcer.clone(),
             pacer: self.pacer.clone(),
         };
-        let mut run = FetchSession {
+        let mut session = FetchSession {
             mismatches: MismatchCounter::new(fetcher.version.manifest().chunk_count()),
             is_manifest_suspect: false,
             fetcher,
@@ -176,13 +178,15 @@
             event_sender,
             events,
         };
-        self.refresh_hosts(&mut run, target);
-        run
+        self.refresh_hosts(&mut session, target);
+        session
     }
 
-    fn refresh_hosts(&self, run: &mut FetchSession, target: &TargetVersion) {
+    fn refresh_hosts(&self, session: &mut FetchSession, target: &TargetVersion) {
         let snapshot = self.context.control.snapshot().load();
-        run.plan.set_hosts(&target_hosts(&snapshot, target.digest));
+        session
+            .plan
+            .set_hosts(&target_hosts(&snapshot, target.digest));
     }
 
     async fn advance(
@@ -195,27 +199,31 @@
             FetchStage::Manifest(task) if task.is_finished() => {
                 self.on_manifest(task.await.ok(), target, *rejected_manifests)
             }
-            FetchStage::Chunks(mut run) => {
-                if run.is_manifest_suspect {
+            FetchStage::Chunks(mut session) => {
+                if session.is_manifest_suspect {
                     let error = SwitchError::new(
                         ErrorKind::ManifestInvalid,
                         "a chunk repeatedly does not match the manifest",
                     );
                     metrics::count_refusal(error.kind, "weights");
                     log_event!(events::MANIFEST_REFUSED, "{error}");
-                    FetchStage::end_run(&run);
-                    return self.reject_manifest(&run.fetcher.version, target, rejected_manifests);
+                    FetchStage::abort_transfers(&session);
+                    return self.reject_manifest(
+                        &session.fetcher.version,
+                        target,
+                        rejected_manifests,
+                    );
                 }
-                run.step();
-                self.publish_progress(&run, target);
-                if !run.plan.held().is_full() {
-                    return FetchStage::Chunks(run);
+                session.step();
+                self.publish_progress(&session, target);
+                if !session.plan.held().is_full() {
+                    return FetchStage::Chunks(session);
                 }
-                let version = Arc::clone(&run.fetcher.version);
-                let verified = Arc::clone(&version);
+                let version = Arc::clone(&session.fetcher.version);
+                let unverified = Arc::clone(&version);
                 // Hashing a complete version takes long and must not block a thread that serves
                 // requests.
-                let task = tokio::task::spawn_blocking(move || verified.verify());
+                let task = tokio::task::spawn_blocking(move || unverified.verify());
                 FetchStage::Verifying(version, task)
             }
             FetchStage::Verifying(version, task) if task.is_finished() => {
@@ -278,25 +286,25 @@
     /// is kept for peers and for a rollback.
     fn evict_versions(&self, manifest: &VersionManifest) {
         let serving = self.context.gate.serving().map(|serving| serving.digest);
-        let mut room = self.limits.memory_bytes.saturating_sub(manifest.size);
+        let mut free_bytes = self.limits.memory_bytes.saturating_sub(manifest.size);
         let kept = serving
             .and_then(|digest| self.versions.find(digest))
-            .filter(|version| version.manifest().size <= room)
-            .inspect(|version| room -= version.manifest().size)
+            .filter(|version| version.manifest().size <= free_bytes)
+            .inspect(|version| free_bytes -= version.manifest().size)
             .map(|version| version.digest());
-        let gone = self
+        let evicted = self
             .versions
             .retain(|version| Some(version.digest()) == kept);
-        for digest in gone {
+        for digest in evicted {
             log_event!(events::VERSION_EVICTED, "{digest}");
         }
     }
 
-    fn publish_progress(&self, run: &FetchSession, target: &TargetVersion) {
+    fn publish_progress(&self, session: &FetchSession, target: &TargetVersion) {
         let progress = StagingProgress {
             version: target.spec.version.clone(),
-            chunks_done: run.plan.held().len(),
-            chunks_all: run.plan.held().count(),
+            chunks_done: session.plan.held().len(),
+            chunks_all: session.plan.held().count(),
         };
         self.context
             .board
@@ -305,14 +313,14 @@
 }
 
 impl FetchStage {
-    fn end_run(run: &FetchSession) {
-        run.transfers.iter().for_each(|(_, task)| task.abort());
+    fn abort_transfers(session: &FetchSession) {
+        session.transfers.iter().for_each(|(_, task)| task.abort());
     }
 
-    fn end(&self) {
+    fn abort(&self) {
         match self {
             Self::Manifest(task) => task.abort(),
-            Self::Chunks(run) => Self::end_run(run),
+            Self::Chunks(session) => Self::abort_transfers(session),
             Self::Idle | Self::Verifying(..) | Self::Rejected | Self::Done => {}
         }
     }
--- a/src/weights/host_ranking.rs
+++ b/src/weights/host_ranking.rs
@@ -40,7 +40,7 @@
     objective: SpreadObjective,
     salt: u64,
     entries: Vec<RankedHost>,
-    centres: u32,
+    data_centres: u32,
     /// For each chunk, the hash of the host that is ranked first; empty while the hashes alone
     /// decide.
     preferred_readers: Vec<u64>,
@@ -51,7 +51,7 @@
     host: ByteString,
     hash: u64,
     /// The rank of the host's data centre; 0 is the one that reads from the origin.
-    centre: u32,
+    centre_rank: u32,
 }
 
 impl HostRanking {
@@ -63,24 +63,24 @@
         hosts: &[HostLocation],
     ) -> Self {
         let salt = hash_of(digest.as_bytes());
-        let is_in = |host: &&HostLocation| match objective {
+        let is_member = |host: &&HostLocation| match objective {
             SpreadObjective::Time => true,
             SpreadObjective::OriginBytes => *host.region == *region,
         };
-        let members: Vec<&HostLocation> = hosts.iter().filter(is_in).collect();
-        let centres = rank_data_centres(objective, salt, &members);
+        let members: Vec<&HostLocation> = hosts.iter().filter(is_member).collect();
+        let data_centres = rank_data_centres(objective, salt, &members);
         let entries = members.iter().map(|host| RankedHost {
             host: host.host.clone(),
             hash: hash_of(host.host.as_bytes()),
-            centre: data_centre_rank(&centres, &host.data_centre),
+            centre_rank: data_centre_rank(&data_centres, &host.data_centre),
         });
         let entries = entries.collect();
-        let centres = u32::try_from(centres.len()).unwrap_or(u32::MAX);
+        let data_centres = u32::try_from(data_centres.len()).unwrap_or(u32::MAX);
         Self {
             objective,
             salt,
             entries,
-            centres,
+            data_centres,
             preferred_readers: Vec::new(),
         }
     }
@@ -92,18 +92,18 @@
     /// quarters of the time, and the origin took 3.8 s instead of 2.9 s to send a version (from the
     /// target update to the last chunk read, 24 hosts, 96 chunks).
     pub(crate) fn with_balanced_readers(mut self, chunks: u32) -> Self {
-        let reading = self.entries.iter().filter(|entry| entry.centre == 0);
-        let mut readers: Vec<u64> = reading.map(|entry| entry.hash).collect();
+        let candidates = self.entries.iter().filter(|entry| entry.centre_rank == 0);
+        let mut readers: Vec<u64> = candidates.map(|entry| entry.hash).collect();
         readers.sort_unstable_by_key(|hash| Reverse(mix(*hash ^ self.salt)));
         readers.truncate(PREFERRED_READERS_MAX);
         let quota = chunks.div_ceil(u32::try_from(readers.len()).unwrap_or(u32::MAX).max(1));
-        let mut room: Vec<(u64, u32)> = readers.into_iter().map(|hash| (hash, quota)).collect();
+        let mut quotas: Vec<(u64, u32)> = readers.into_iter().map(|hash| (hash, quota)).collect();
         for index in 0..chunks {
             let salt = self.salt;
-            let open = room.iter_mut().filter(|(_, left)| *left > 0);
-            let first = open.max_by_key(|(hash, _)| mix(*hash ^ mix(salt ^ u64::from(index))));
-            if let Some((hash, left)) = first {
-                *left -= 1;
+            let available = quotas.iter_mut().filter(|(_, remaining)| *remaining > 0);
+            let first = available.max_by_key(|(hash, _)| mix(*hash ^ mix(salt ^ u64::from(index))));
+            if let Some((hash, remaining)) = first {
+                *remaining -= 1;
                 self.preferred_readers.push(*hash);
             }
         }
@@ -115,12 +115,11 @@
     pub(crate) fn priority_of(&self, host: &str, index: u32) -> Option<u32> {
         let entry = self.entries.iter().find(|entry| *entry.host == *host)?;
         let weight = self.weight(entry, index);
-        let ahead = self
-            .entries
-            .iter()
-            .filter(|other| other.centre == entry.centre && self.weight(other, index) > weight);
+        let ahead = self.entries.iter().filter(|other| {
+            other.centre_rank == entry.centre_rank && self.weight(other, index) > weight
+        });
         let rank = u32::try_from(ahead.count()).unwrap_or(u32::MAX);
-        Some(self.priority(entry.centre, rank))
+        Some(self.priority(entry.centre_rank, rank))
     }
 
     /// The host ranked first for chunk `index`, not counting the `unresponsive` ones.
@@ -129,19 +128,20 @@
             .entries
             .iter()
             .filter(|entry| !unresponsive.contains(&entry.host));
-        let top_host = live.min_by_key(|entry| (entry.centre, Reverse(self.weight(entry, index))));
+        let top_host =
+            live.min_by_key(|entry| (entry.centre_rank, Reverse(self.weight(entry, index))));
         top_host.map(|entry| &entry.host)
     }
 
     /// The hosts whose priority for chunk `index` comes before `priority`.
     pub(crate) fn hosts_before(&self, priority: u32, index: u32) -> Vec<ByteString> {
         let mut order: Vec<&RankedHost> = self.entries.iter().collect();
-        order.sort_by_cached_key(|entry| (entry.centre, Reverse(self.weight(entry, index))));
+        order.sort_by_cached_key(|entry| (entry.centre_rank, Reverse(self.weight(entry, index))));
         let mut earlier = Vec::new();
-        for line in order.chunk_by(|left, right| left.centre == right.centre) {
-            let ranked = (0..).zip(line);
+        for group in order.chunk_by(|left, right| left.centre_rank == right.centre_rank) {
+            let ranked = (0..).zip(group);
             let ahead =
-                ranked.filter(|(rank, entry)| self.priority(entry.centre, *rank) < priority);
+                ranked.filter(|(rank, entry)| self.priority(entry.centre_rank, *rank) < priority);
             earlier.extend(ahead.map(|(_, entry)| entry.host.clone()));
         }
         earlier
@@ -167,20 +167,20 @@
             .min(priority)
     }
 
-    /// The priority of the host with `rank` within the data centre that has the rank `centre`.
-    fn priority(&self, centre: u32, rank: u32) -> u32 {
-        let others = self.centres.saturating_sub(1);
-        match (centre, rank) {
+    /// The priority of the host with `rank` within the data centre that has the rank `centre_rank`.
+    fn priority(&self, centre_rank: u32, rank: u32) -> u32 {
+        let others = self.data_centres.saturating_sub(1);
+        match (centre_rank, rank) {
             (0, rank) if rank < READING_CENTRE_PRIORITIES => rank,
             (0, rank) => others.saturating_add(rank),
-            (centre, 0) => READING_CENTRE_PRIORITIES + centre - 1,
+            (centre_rank, 0) => READING_CENTRE_PRIORITIES + centre_rank - 1,
             (_, rank) => (others + READING_CENTRE_PRIORITIES).saturating_add(rank),
         }
     }
 
     fn weight(&self, entry: &RankedHost, index: u32) -> u64 {
-        let at = usize::try_from(index).unwrap_or(usize::MAX);
-        if self.preferred_readers.get(at) == Some(&entry.hash) {
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
+        if self.preferred_readers.get(position) == Some(&entry.hash) {
             return u64::MAX;
         }
         mix(entry.hash ^ mix(self.salt ^ u64::from(index)))
@@ -196,16 +196,19 @@
     if objective == SpreadObjective::Time {
         return Vec::new();
     }
-    let mut centres: Vec<ByteString> = hosts.iter().map(|host| host.data_centre.clone()).collect();
-    centres.sort();
-    centres.dedup();
-    centres.sort_by_key(|centre| mix(salt ^ hash_of(centre.as_bytes())));
-    centres
+    let mut data_centres: Vec<ByteString> =
+        hosts.iter().map(|host| host.data_centre.clone()).collect();
+    data_centres.sort();
+    data_centres.dedup();
+    data_centres.sort_by_key(|name| mix(salt ^ hash_of(name.as_bytes())));
+    data_centres
 }
 
-fn data_centre_rank(centres: &[ByteString], centre: &str) -> u32 {
-    let at = centres.iter().position(|known| **known == *centre);
-    at.and_then(|at| u32::try_from(at).ok()).unwrap_or(0)
+fn data_centre_rank(data_centres: &[ByteString], name: &str) -> u32 {
+    let position = data_centres.iter().position(|known| **known == *name);
+    position
+        .and_then(|position| u32::try_from(position).ok())
+        .unwrap_or(0)
 }
 
 /// A hash that is the same in every process.
--- a/src/weights/host_rollout_state.rs
+++ b/src/weights/host_rollout_state.rs
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Why the row forbids to load `target` on a host that needs no permit; `None` if it does not.
+    /// Why the row forbids loading `target` on a host that needs no permit; `None` if it does not.
     ///
     /// # Errors
     ///
@@ -187,32 +187,32 @@
         &mut self,
         target: &TargetVersion,
         engine_fence: u64,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         let revision = match self.fresh_row(now) {
             Ok(revision) => revision,
             Err(requirement) => return requirement.into_step(),
         };
-        let lapsed = |permit: &RolloutPermit| {
+        let is_lapsed = |permit: &RolloutPermit| {
             // A live holder may still be out of service while it cannot reach the table. Its permit
-            // expires only if the holder is not live either.
-            self.permit_tracker.is_expired(permit, now) && !(view.is_live)(&permit.holder.host)
+            // may be revoked only if the holder is not live either.
+            self.permit_tracker.is_expired(permit, now) && !(inputs.is_live)(&permit.holder.host)
         };
-        let answer = self
-            .snapshot
-            .row
-            .request_permit(target, &self.holder, engine_fence, lapsed);
+        let answer =
+            self.snapshot
+                .row
+                .request_permit(target, &self.holder, engine_fence, is_lapsed);
         match answer {
             PermitDecision::Write(row, fence) => {
                 self.write(WritePurpose::Acquire(fence), revision, row, now)
             }
             PermitDecision::Full => {
-                let span = (BATCH_WAIT * (view.batches_ahead + 1)).min(BATCH_WAIT_MAX);
-                self.back_off(span, view.jitter, now)
+                let span = (BATCH_WAIT * (inputs.batches_ahead + 1)).min(BATCH_WAIT_MAX);
+                self.back_off(span, inputs.jitter, now)
             }
             PermitDecision::Stopped(_) | PermitDecision::Outdated => {
-                self.back_off(STOPPED_BACKOFF, view.jitter, now)
+                self.back_off(STOPPED_BACKOFF, inputs.jitter, now)
             }
         }
     }
@@ -339,17 +339,17 @@
         }
     }
 
-    /// Calls `act` with a fresh row; returns the step that reads the row if it is not fresh, and
+    /// Calls `action` with a fresh row; returns the step that reads the row if it is not fresh, and
     /// `None` during a back-off.
     fn with_row(
         &mut self,
         now: ClockTime,
-        act: impl FnOnce(&mut Self, &RolloutRow, RowRevision) -> Option<ActivationStep>,
+        action: impl FnOnce(&mut Self, &RolloutRow, RowRevision) -> Option<ActivationStep>,
     ) -> Option<ActivationStep> {
         match self.fresh_row(now) {
             Ok(revision) => {
                 let row = self.snapshot.row.clone();
-                act(self, &row, revision)
+                action(self, &row, revision)
             }
             Err(RowRequirement::Read) => Some(ActivationStep::ReadRow),
             Err(RowRequirement::Wait(_)) => None,
--- a/src/weights/import_schedule.rs
+++ b/src/weights/import_schedule.rs
@@ -45,9 +45,9 @@
     /// The schedule of `local` before any other host is known: it is ranked first for every chunk.
     pub(crate) fn new(local: HostLocation, digest: WeightsDigest, chunks: u32) -> Self {
         let chunks = usize::try_from(chunks).unwrap_or(usize::MAX);
-        let local_peers = std::slice::from_ref(&local);
+        let local_hosts = std::slice::from_ref(&local);
         Self {
-            ranking: HostRanking::new(SpreadObjective::Time, digest, &local.region, local_peers),
+            ranking: HostRanking::new(SpreadObjective::Time, digest, &local.region, local_hosts),
             local,
             digest,
             priorities: vec![0; chunks],
@@ -58,20 +58,21 @@
     /// Sets the live hosts that have the version as target.
     pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
         let locations = hosts.iter().map(|host| &host.location);
-        let local_peers = locations.filter(|ranking| ranking.data_centre == self.local.data_centre);
-        let mut local_peers: Vec<HostLocation> = local_peers.cloned().collect();
-        if !local_peers
+        let local_hosts =
+            locations.filter(|location| location.data_centre == self.local.data_centre);
+        let mut local_hosts: Vec<HostLocation> = local_hosts.cloned().collect();
+        if !local_hosts
             .iter()
-            .any(|ranking| ranking.host == self.local.host)
+            .any(|location| location.host == self.local.host)
         {
-            local_peers.push(self.local.clone());
+            local_hosts.push(self.local.clone());
         }
         let chunks = u32::try_from(self.priorities.len()).unwrap_or(u32::MAX);
         self.ranking = HostRanking::new(
             SpreadObjective::Time,
             self.digest,
             &self.local.region,
-            &local_peers,
+            &local_hosts,
         )
         .with_balanced_readers(chunks);
     }
@@ -95,7 +96,7 @@
     pub(crate) fn searches_for(&self, index: u32, span: Duration) -> bool {
         let priority = usize::try_from(index)
             .ok()
-            .and_then(|at| self.priorities.get(at));
+            .and_then(|position| self.priorities.get(position));
         priority.is_some_and(|priority| {
             *priority <= SEARCH_PRIORITY_MAX && span >= SEARCH_DELAY * *priority
         })
@@ -110,9 +111,11 @@
         unresponsive: &[ByteString],
         now: ClockTime,
     ) -> Option<&ByteString> {
-        let at = usize::try_from(index).ok()?;
-        let (priority, first_seen_at) =
-            (*self.priorities.get(at)?, (*self.first_seen_at.get(at)?)?);
+        let position = usize::try_from(index).ok()?;
+        let (priority, first_seen_at) = (
+            *self.priorities.get(position)?,
+            (*self.first_seen_at.get(position)?)?,
+        );
         let is_soon = priority > 0
             && now + QUERY_LEAD_TIME >= first_seen_at + IMPORT_TAKEOVER_DELAY * priority;
         let top_host = self
@@ -125,12 +128,13 @@
     /// Whether this host may now pull chunk `index` from another data centre. The first call for a
     /// chunk records when it was seen there.
     pub(crate) fn may_import(&mut self, index: u32, now: ClockTime) -> bool {
-        let Ok(at) = usize::try_from(index) else {
+        let Ok(position) = usize::try_from(index) else {
             return false;
         };
-        let (Some(priority), Some(first_seen_at)) =
-            (self.priorities.get(at), self.first_seen_at.get_mut(at))
-        else {
+        let (Some(priority), Some(first_seen_at)) = (
+            self.priorities.get(position),
+            self.first_seen_at.get_mut(position),
+        ) else {
             return false;
         };
         let first_seen_at = *first_seen_at.get_or_insert(now);
--- a/src/weights/link_pacer.rs
+++ b/src/weights/link_pacer.rs
@@ -135,12 +135,12 @@
         state.set_halvings(halvings);
     }
 
-    /// How many chunks may be in transfer to this host at the same time: `most` at the full rate,
+    /// How many chunks may be in transfer to this host at the same time: `max_chunks` at the full rate,
     /// fewer at a reduced rate, because otherwise the chunks in transfer would fill a narrow link
     /// for seconds.
-    pub(crate) fn concurrent_chunks(&self, most: usize) -> usize {
+    pub(crate) fn concurrent_chunks(&self, max_chunks: usize) -> usize {
         let state = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
-        (most >> state.halvings).max(1)
+        (max_chunks >> state.halvings).max(1)
     }
 
     /// Reverts one halving of the rate. Called when weights arrive at the expected speed.
@@ -196,9 +196,9 @@
         Ok(())
     }
 
-    fn with<T>(&self, direction: LinkDirection, act: impl FnOnce(&mut LinkBucket) -> T) -> T {
+    fn with<T>(&self, direction: LinkDirection, action: impl FnOnce(&mut LinkBucket) -> T) -> T {
         let mut state = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
-        act(match direction {
+        action(match direction {
             LinkDirection::Down => &mut state.down,
             LinkDirection::Up => &mut state.up,
         })
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -45,7 +45,7 @@
         memory_bytes: u64,
     ) -> SwitchResult<Self> {
         let manifest: Self =
-            serde_json::from_slice(text).map_err(|fault| invalid(fault.to_string()))?;
+            serde_json::from_slice(text).map_err(|error| invalid(error.to_string()))?;
         manifest.check(expected, memory_bytes)?;
         Ok(manifest)
     }
--- a/src/weights/manifest_fetch.rs
+++ b/src/weights/manifest_fetch.rs
@@ -63,9 +63,9 @@
             found
         } else if trusts_peers {
             let own = context.control.identity().peer_address;
-            let others = hosts.iter().map(|host| host.address);
-            let others: Vec<SocketAddr> = others.filter(|address| *address != own).collect();
-            query_some_peers(context, limits, target, &others).await
+            let peers = hosts.iter().map(|host| host.address);
+            let peers: Vec<SocketAddr> = peers.filter(|address| *address != own).collect();
+            query_some_peers(context, limits, target, &peers).await
         } else {
             Ok(None)
         };
@@ -82,8 +82,8 @@
             }
             Ok(None) => {}
         }
-        let pause = Duration::from_millis(rand::rng().random_range(RETRY_DELAY_MS));
-        sleep(pause).await;
+        let delay = Duration::from_millis(rand::rng().random_range(RETRY_DELAY_MS));
+        sleep(delay).await;
     }
 }
 
@@ -95,12 +95,12 @@
     hosts: &[super::peer_table::PeerHost],
 ) -> Duration {
     let local = host_location(context.control.identity());
-    let ranking: Vec<_> = hosts.iter().map(|host| host.location.clone()).collect();
+    let locations: Vec<_> = hosts.iter().map(|host| host.location.clone()).collect();
     let ranking = HostRanking::new(
         target.spec.objective,
         target.digest,
         &local.region,
-        &ranking,
+        &locations,
     );
     let priority = ranking
         .priority_of(&local.host, MANIFEST_INDEX)
@@ -135,10 +135,10 @@
     context: &WeightsContext,
     limits: WeightsLimits,
     target: &TargetVersion,
-    others: &[SocketAddr],
+    peers: &[SocketAddr],
 ) -> SwitchResult<Option<VersionManifest>> {
     let path = format!("/peer/weights/{}/manifest", target.digest);
-    let chosen: Vec<SocketAddr> = others
+    let chosen: Vec<SocketAddr> = peers
         .sample(&mut rand::rng(), PEERS_PER_ROUND)
         .copied()
         .collect();
--- a/src/weights/mismatch_counter.rs
+++ b/src/weights/mismatch_counter.rs
@@ -29,8 +29,8 @@
 
     /// Records a mismatch of chunk `index`. Returns whether the manifest is to be rejected.
     pub(crate) fn on_mismatch(&mut self, index: u32) -> bool {
-        let at = usize::try_from(index).unwrap_or(usize::MAX);
-        let Some(count) = self.mismatches.get_mut(at) else {
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
+        let Some(count) = self.mismatches.get_mut(position) else {
             return false;
         };
         *count += 1;
--- a/src/weights/origin_schedule.rs
+++ b/src/weights/origin_schedule.rs
@@ -48,7 +48,7 @@
     priorities: Vec<u32>,
     /// The same, counting only responsive hosts.
     live_priorities: Vec<u32>,
-    /// When this host considers to take over the read of each chunk.
+    /// When this host considers taking over the read of each chunk.
     takeover_at: Vec<ClockTime>,
     pending_queries: Vec<PeerKey>,
     retry_at: ClockTime,
@@ -91,20 +91,21 @@
 
     /// Sets the live hosts that have the version as target.
     pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
-        let mut ranking: Vec<HostLocation> =
+        let mut locations: Vec<HostLocation> =
             hosts.iter().map(|host| host.location.clone()).collect();
-        if !ranking.iter().any(|host| host.host == self.local.host) {
-            ranking.push(self.local.clone());
+        if !locations.iter().any(|host| host.host == self.local.host) {
+            locations.push(self.local.clone());
         }
         let chunks = u32::try_from(self.priorities.len()).unwrap_or(u32::MAX);
-        self.ranking = HostRanking::new(self.objective, self.digest, &self.local.region, &ranking)
-            .with_balanced_readers(chunks);
-        let places = self
+        self.ranking =
+            HostRanking::new(self.objective, self.digest, &self.local.region, &locations)
+                .with_balanced_readers(chunks);
+        let entries = self
             .priorities
             .iter_mut()
             .zip(self.live_priorities.iter_mut());
         for (index, ((priority, live_priority), takeover_at)) in
-            (0..).zip(places.zip(self.takeover_at.iter_mut()))
+            (0..).zip(entries.zip(self.takeover_at.iter_mut()))
         {
             let own = self
                 .ranking
@@ -125,19 +126,19 @@
     /// seconds while no host held some chunks. The host that is now ranked first reads at once. The
     /// next ones leave it time to announce this, so that they do not all read the chunk.
     pub(crate) fn skip_hosts(&mut self, unresponsive: &[ByteString], now: ClockTime) {
-        let places = self
+        let entries = self
             .live_priorities
             .iter_mut()
             .zip(self.takeover_at.iter_mut());
         for (index, (priority, (live_priority, takeover_at))) in
-            (0..).zip(self.priorities.iter().zip(places))
+            (0..).zip(self.priorities.iter().zip(entries))
         {
             let own = self.ranking.live_priority(*priority, index, unresponsive);
             if own < *live_priority {
-                let passed_on =
+                let delayed_until =
                     now + takeover_wait(self.takeover_delay, own.min(SKIPPED_PRIORITY_MAX));
                 *takeover_at =
-                    passed_on.max(self.started_at + takeover_wait(self.takeover_delay, own));
+                    delayed_until.max(self.started_at + takeover_wait(self.takeover_delay, own));
             }
             *live_priority = own;
         }
@@ -145,9 +146,9 @@
 
     /// Whether this host is ranked first for chunk `index` among the responsive hosts.
     pub(crate) fn is_first(&self, index: u32) -> bool {
-        let at = usize::try_from(index).unwrap_or(usize::MAX);
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
         self.live_priorities
-            .get(at)
+            .get(position)
             .is_none_or(|priority| *priority == 0)
     }
 
@@ -156,11 +157,11 @@
         self.ranking.top_host(index, unresponsive)
     }
 
-    /// Whether this host should consider to read chunk `index`.
+    /// Whether this host should consider reading chunk `index`.
     pub(crate) fn is_due(&self, index: u32, now: ClockTime) -> bool {
         usize::try_from(index)
             .ok()
-            .and_then(|at| self.takeover_at.get(at))
+            .and_then(|position| self.takeover_at.get(position))
             .is_some_and(|takeover_at| *takeover_at <= now)
     }
 
@@ -173,7 +174,7 @@
         peers: &mut PeerTable,
         now: ClockTime,
     ) -> bool {
-        let mut look_again = None;
+        let mut postponed_until = None;
         for host in self.ranking.hosts_before(self.priority(index), index) {
             let Some(key) = peers.find(&host) else {
                 continue;
@@ -183,22 +184,22 @@
                 .last_heard_at
                 .is_some_and(|last_heard_at| now.since(last_heard_at) < ANNOUNCEMENT_FRESHNESS);
             if is_fresh && (peer.claims(index) || peer.holds(index)) {
-                look_again = Some(now + self.takeover_delay);
+                postponed_until = Some(now + self.takeover_delay);
                 break;
             }
             if !is_fresh && peer.liveness != PeerLiveness::Unresponsive {
                 self.pending_queries.push(key);
-                look_again = Some(now + QUERY_RESPONSE_WAIT);
+                postponed_until = Some(now + QUERY_RESPONSE_WAIT);
             }
         }
-        let Some(look_again) = look_again else {
+        let Some(postponed_until) = postponed_until else {
             return true;
         };
         if let Some(takeover_at) = usize::try_from(index)
             .ok()
-            .and_then(|at| self.takeover_at.get_mut(at))
+            .and_then(|position| self.takeover_at.get_mut(position))
         {
-            *takeover_at = look_again;
+            *takeover_at = postponed_until;
         }
         false
     }
@@ -260,13 +261,13 @@
         };
         let span = BACKOFF_INITIAL * (1 << (*count).min(doublings));
         *count += 1;
-        let asked = wait.unwrap_or(Duration::ZERO);
-        self.retry_at = now + asked + span.mul_f64(jitter.clamp(0.0, 1.0));
+        let requested_wait = wait.unwrap_or(Duration::ZERO);
+        self.retry_at = now + requested_wait + span.mul_f64(jitter.clamp(0.0, 1.0));
     }
 
     fn priority(&self, index: u32) -> u32 {
-        let at = usize::try_from(index).unwrap_or(usize::MAX);
-        self.priorities.get(at).copied().unwrap_or(0)
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
+        self.priorities.get(position).copied().unwrap_or(0)
     }
 }
 
--- a/src/weights/peer_table.rs
+++ b/src/weights/peer_table.rs
@@ -268,12 +268,12 @@
 
     fn choose_neighbours(&mut self, neighbours: usize) {
         let local = hash_of(self.local.host.as_bytes());
-        let pair =
+        let pair_hash =
             |peer: &PeerRecord| mix(local ^ mix(hash_of(peer.host.location.host.as_bytes())));
         let mut order: Vec<(u64, usize)> = (0..)
             .zip(&self.peers)
             .filter(|(_, peer)| peer.is_listed)
-            .map(|(position, peer)| (pair(peer), position))
+            .map(|(position, peer)| (pair_hash(peer), position))
             .collect();
         order.sort_unstable();
         for peer in &mut self.peers {
--- a/src/weights/rollout_row.rs
+++ b/src/weights/rollout_row.rs
@@ -163,8 +163,8 @@
         if row.version != target.spec.version {
             return row;
         }
-        let known = row.failures.iter().any(|failure| failure.host == *host);
-        if !known && row.failures.len() < FAILURES_MAX {
+        let is_known = row.failures.iter().any(|failure| failure.host == *host);
+        if !is_known && row.failures.len() < FAILURES_MAX {
             row.failures.push(RolloutFailure {
                 host: host.clone(),
                 reason: reason.into(),
@@ -194,13 +194,13 @@
 impl PermitTracker {
     /// Records the permits of a row that was read at `now`.
     pub(crate) fn observe(&mut self, row: &RolloutRow, now: ClockTime) {
-        let known = std::mem::take(&mut self.observed);
+        let previous = std::mem::take(&mut self.observed);
         self.observed = row
             .permits
             .iter()
             .map(|permit| {
-                let earlier = known.iter().find(|(observed, _)| observed == permit);
-                let since = earlier.map_or(now, |(_, since)| *since);
+                let unchanged = previous.iter().find(|(observed, _)| observed == permit);
+                let since = unchanged.map_or(now, |(_, since)| *since);
                 (permit.clone(), since)
             })
             .collect();
--- a/src/weights/staged_version.rs
+++ b/src/weights/staged_version.rs
@@ -126,8 +126,11 @@
     }
 
     fn slot(&self, index: u32) -> Option<(&OnceLock<Bytes>, WeightsDigest)> {
-        let at = usize::try_from(index).ok()?;
-        Some((self.chunks.get(at)?, *self.manifest.chunks.get(at)?))
+        let position = usize::try_from(index).ok()?;
+        Some((
+            self.chunks.get(position)?,
+            *self.manifest.chunks.get(position)?,
+        ))
     }
 }
 
@@ -146,7 +149,7 @@
     pub(crate) fn find(&self, digest: WeightsDigest) -> Option<Arc<StagedVersion>> {
         let versions = self.versions.read().unwrap_or_else(PoisonError::into_inner);
         let found = versions.binary_search_by_key(&digest, |version| version.digest());
-        found.ok().map(|at| Arc::clone(&versions[at]))
+        found.ok().map(|position| Arc::clone(&versions[position]))
     }
 
     /// Inserts `version`, replacing one with the same digest.
@@ -157,8 +160,8 @@
             .write()
             .unwrap_or_else(PoisonError::into_inner);
         match versions.binary_search_by_key(&digest, |version| version.digest()) {
-            Ok(at) => versions[at] = version,
-            Err(at) => versions.insert(at, version),
+            Ok(position) => versions[position] = version,
+            Err(position) => versions.insert(position, version),
         }
     }
 
--- a/src/weights/tests/link_pacing.rs
+++ b/src/weights/tests/link_pacing.rs
@@ -13,7 +13,7 @@
 /// Guards against weights exceeding their rate when chunks are sent or received in bursts after
 /// pauses, because idle time counted as credit.
 #[test]
-fn no_span_of_time_carries_more_than_the_rate_and_one_chunk() {
+fn link_carries_at_most_its_rate_plus_one_chunk() {
     run_cases(100, 256, |u| {
         let mut bucket = LinkBucket::new(RATE);
         let mut now = ClockTime(0);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn weights_wait_behind_live_bytes() {
+fn weights_wait_for_live_traffic() {
     let now = ClockTime::from_millis(10);
     let mut bucket = LinkBucket::new(RATE);
     bucket.record_live(5 * CHUNK, now);
@@ -48,7 +48,7 @@
 /// Guards against requests that reach an engine a second late while weights spread: the link of its
 /// host had become eight times narrower, and weights were still sent at the configured rate.
 #[test]
-fn a_link_that_became_narrow_is_given_less() {
+fn slow_link_reduces_the_rate() {
     let pacer = LinkPacer::new(1_000_000);
     let full = pacer.transfer_time(24_000);
     for _ in 0..3 {
--- a/src/weights/tests/origin_outage.rs
+++ b/src/weights/tests/origin_outage.rs
@@ -75,7 +75,7 @@
 /// six seconds, and each host backed off for up to three seconds, which suits an overloaded origin
 /// but not an unavailable one.
 #[test]
-fn an_origin_that_is_back_is_read_within_a_second() {
+fn returned_origin_is_read_within_a_second() {
     for seed in 0..40 {
         let mut plan = single_host_plan(seed);
         let outage_end = run_outage(&mut plan);
@@ -88,7 +88,7 @@
 /// chunk that no host held before shows that the origin has returned, but the other hosts stayed in
 /// their back-off.
 #[test]
-fn a_chunk_that_nobody_held_before_ends_the_rest_of_all() {
+fn new_chunk_ends_the_back_off_from_the_origin() {
     for seed in 0..40 {
         let mut plan = single_host_plan(seed);
         plan.set_hosts(&[PeerHost {
--- a/src/weights/tests/replaced_hosts.rs
+++ b/src/weights/tests/replaced_hosts.rs
@@ -70,20 +70,20 @@
 /// respond. Its announcement kept the other hosts from importing the chunks again, so that two data
 /// centres got no weights for thirteen seconds while the third held them completely.
 #[test]
-fn chunks_of_a_host_that_is_no_more_are_brought_in_again() {
+fn chunks_of_a_replaced_host_are_imported_again() {
     let mut plan = new_plan(FetchLimits::default());
-    let local_peers = plan.peers().find("near").expect("the host is listed");
-    let remote_peers = plan.peers().find("far").expect("the host is listed");
+    let local_peer = plan.peers().find("near").expect("the host is listed");
+    let remote_peer = plan.peers().find("far").expect("the host is listed");
     let first = pulls(&mut plan, START);
-    assert!(!first.is_empty() && first.iter().all(|key| *key == local_peers));
+    assert!(!first.is_empty() && first.iter().all(|key| *key == local_peer));
     // The pulls hang, and so does the query that follows.
     let mut now = START + Duration::from_secs(2);
     let _ = pulls(&mut plan, now);
-    plan.on_queried(local_peers, Some(ErrorKind::PeerSilent), now);
+    plan.on_queried(local_peer, Some(ErrorKind::PeerSilent), now);
     now = now + Duration::from_secs(2);
     let second = pulls(&mut plan, now);
     assert!(
-        second.contains(&remote_peers),
+        second.contains(&remote_peer),
         "{second:?}: nothing is imported from the other data centre"
     );
     // Once the host is heard from again, its chunks count again.
@@ -93,15 +93,15 @@
 
 /// A host that is not queried regularly is queried once a pull from it has failed.
 #[test]
-fn a_host_from_which_a_pull_failed_is_asked() {
+fn failed_pull_triggers_a_query() {
     let limits = FetchLimits {
         neighbours: 0,
         ..FetchLimits::default()
     };
     let mut plan = new_plan(limits);
-    let local_peers = plan.peers().find("near").expect("the host is listed");
+    let local_peer = plan.peers().find("near").expect("the host is listed");
     let _ = plan.next_steps(START);
     // The query comes with the step that cancels the pull, not after a back-off.
-    let asks = plan.next_steps(START + Duration::from_secs(2));
-    assert!(asks.contains(&FetchStep::Query(local_peers)), "{asks:?}");
+    let steps = plan.next_steps(START + Duration::from_secs(2));
+    assert!(steps.contains(&FetchStep::Query(local_peer)), "{steps:?}");
 }
--- a/src/weights/tests/rollout.rs
+++ b/src/weights/tests/rollout.rs
@@ -9,6 +9,6 @@
 /// and some versions fail to load. Such faults come from acting on assumptions instead of on what
 /// was written or read back.
 #[test]
-fn rollouts_keep_their_bound_and_end() {
+fn rollouts_respect_their_limit_and_finish() {
     run_cases(300, 8 * 1024, rollout::run_case);
 }
--- a/src/weights/tests/slow_links.rs
+++ b/src/weights/tests/slow_links.rs
@@ -78,7 +78,7 @@
 
 /// Guards against transfers that fill a narrow link for seconds before the first chunk arrives.
 #[test]
-fn chunks_under_way_from_two_hosts_tell_of_a_slow_link() {
+fn late_pulls_from_two_hosts_indicate_a_slow_link() {
     let mut plan = plan_with_full_peers(&["a", "b"]);
     assert!(pulled(&mut plan).len() > 2);
     assert_eq!(plan.late_source_count(LATE, START + LATE), 0);
--- a/src/weights/tests/spread.rs
+++ b/src/weights/tests/spread.rs
@@ -9,12 +9,12 @@
 /// data and see different host lists; data centres and the origin are cut off. Such faults come
 /// from waiting for a source without a limit, or from trusting it.
 #[test]
-fn every_live_host_ends_with_the_whole() {
+fn every_live_host_completes_the_version() {
     run_cases(120, 16 * 1024, weights::run_case);
 }
 
 const QUICK: u64 = 20;
-/// Longer than the first takeover delays: the host ranked second considers to read chunks that the
+/// Longer than the first takeover delays: the host ranked second considers reading chunks that the
 /// first is still reading.
 const SLOW: u64 = 9_000;
 
@@ -22,7 +22,7 @@
 /// next must not mistake the slow reader for a failed one and take over merely because time has
 /// passed.
 #[test]
-fn each_region_reads_one_copy_when_the_origin_is_dear() {
+fn each_region_reads_one_copy_from_the_origin() {
     for (hosts, regions) in [(1, 1), (2, 1), (3, 2), (6, 2), (12, 2)] {
         for origin_millis in [QUICK, SLOW] {
             let objective = SpreadObjective::OriginBytes;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_burst_that_saves_time_ends_too() {
+fn fetches_with_the_time_objective_finish() {
     let (chunks, reads) = weights::run_clean(12, SpreadObjective::Time, QUICK);
     assert!(
         reads >= chunks,
--- a/src/weights/tests/unresponsive_hosts.rs
+++ b/src/weights/tests/unresponsive_hosts.rs
@@ -77,9 +77,9 @@
     fn poll(&mut self) -> Vec<(u32, ChunkSource)> {
         let now = self.now;
         let queries = std::mem::take(&mut self.queries);
-        for (at, key) in queries {
-            if at > now {
-                self.queries.push((at, key));
+        for (due, key) in queries {
+            if due > now {
+                self.queries.push((due, key));
                 continue;
             }
             let host = self.plan.peers().get(key).host.location.host.clone();
@@ -126,7 +126,7 @@
 /// was queried meanwhile. Running hosts got their new weights eight seconds late and callers were
 /// refused, although a host in the same data centre had the complete version.
 #[test]
-fn pulls_from_dark_hosts_leave_their_places_to_others() {
+fn pulls_from_unresponsive_hosts_free_their_slots() {
     let mut plan = plan_among(&["dark-1", "dark-2", "dark-3", "live"], 12);
     for host in ["dark-1", "dark-2", "dark-3"] {
         plan.on_announcement(&holds_all(host), START);
@@ -160,7 +160,7 @@
 /// Guards against the same failure after one pull has stalled: the stall was counted for that pull
 /// only, and its slot was used for the same unresponsive host again.
 #[test]
-fn a_host_that_gave_a_sign_of_silence_gets_no_more_pulls() {
+fn suspected_host_gets_no_more_pulls() {
     let mut plan = plan_among(&["dark"], 0);
     plan.on_announcement(&holds_all("dark"), START);
     let mut fixture = PlanFixture {
@@ -171,9 +171,9 @@
     };
     assert!(!fixture.poll().is_empty());
     while fixture.now < START + Duration::from_secs(8) {
-        let dark = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
+        let from_peer = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
         assert!(
-            !fixture.poll().iter().any(dark),
+            !fixture.poll().iter().any(from_peer),
             "the unresponsive host is pulled from again"
         );
     }
@@ -183,11 +183,11 @@
 /// lost power, and all of them were ranked before the remaining host, which waited for each of them
 /// and read some chunks only ten seconds after its start while the origin was idle.
 #[test]
-fn the_turns_of_dark_hosts_are_passed_over() {
-    let dark: Vec<String> = (0..9).map(|index| format!("dark-{index}")).collect();
-    let dark: Vec<&str> = dark.iter().map(|host| &**host).collect();
+fn unresponsive_hosts_are_skipped_in_origin_reads() {
+    let unresponsive: Vec<String> = (0..9).map(|index| format!("dark-{index}")).collect();
+    let unresponsive: Vec<&str> = unresponsive.iter().map(|host| &**host).collect();
     let mut fixture = PlanFixture {
-        plan: plan_among(&dark, 12),
+        plan: plan_among(&unresponsive, 12),
         live: &[],
         now: START,
         queries: Vec::new(),
@@ -204,11 +204,11 @@
 /// pulls, so that requests waited for seconds and started on weights that had been replaced
 /// meanwhile.
 #[test]
-fn where_nobody_answers_nothing_more_is_put_on_the_link() {
-    let late: Vec<String> = (0..9).map(|index| format!("late-{index}")).collect();
-    let late: Vec<&str> = late.iter().map(|host| &**host).collect();
-    let mut plan = plan_among(&late, 12);
-    for host in &late {
+fn no_further_pulls_while_no_host_answers() {
+    let late_hosts: Vec<String> = (0..9).map(|index| format!("late-{index}")).collect();
+    let late_hosts: Vec<&str> = late_hosts.iter().map(|host| &**host).collect();
+    let mut plan = plan_among(&late_hosts, 12);
+    for host in &late_hosts {
         plan.on_announcement(&holds_all(host), START);
     }
     let mut fixture = PlanFixture {
@@ -219,11 +219,11 @@
     };
     assert_eq!(fixture.poll().len(), 6);
     while fixture.now < START + Duration::from_millis(1400) {
-        let more = fixture.poll();
-        let pulled = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
+        let requests = fixture.poll();
+        let from_peer = |(_, source): &(u32, ChunkSource)| *source != ChunkSource::Origin;
         assert!(
-            !more.iter().any(pulled),
-            "{more:?} in addition to six pulls"
+            !requests.iter().any(from_peer),
+            "{requests:?} in addition to six pulls"
         );
     }
 }
--- a/src/weights/tests/unresponsive_hosts_driver.rs
+++ b/src/weights/tests/unresponsive_hosts_driver.rs
@@ -132,7 +132,7 @@
             let index = u.int_in_range(0..=CHUNKS - 1)?;
             if u.ratio(1, 2)? && !other.held.contains(index) {
                 other.held.insert(index);
-                other.held_since[at(index)] = now;
+                other.held_since[to_usize(index)] = now;
             }
         }
         if u.ratio(1, 100)? {
@@ -159,10 +159,10 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.arrivals)
+        let (due, pending) = std::mem::take(&mut self.arrivals)
             .into_iter()
             .partition(|arrival| arrival.at <= now);
-        self.arrivals = rest;
+        self.arrivals = pending;
         let due: Vec<Arrival> = due;
         for arrival in due {
             let is_alive = arrival.source.is_none_or(|(index, incarnation)| {
@@ -220,12 +220,12 @@
                 };
                 let is_alive = source.map_or(self.has_origin, |at| self.others[at].is_live);
                 if is_alive {
-                    self.requested_at[at(index)] = self.now;
+                    self.requested_at[to_usize(index)] = self.now;
                 }
                 self.schedule(self.chunk_span, source, NetworkEvent::Chunk(transfer));
             }
             FetchStep::Cancel(transfer, _) => self.arrivals.retain(
-                |arrival| !matches!(arrival.event, NetworkEvent::Chunk(known) if known == transfer),
+                |arrival| !matches!(arrival.event, NetworkEvent::Chunk(id) if id == transfer),
             ),
         }
     }
@@ -242,16 +242,18 @@
         for index in (0..CHUNKS).filter(|index| !self.plan.held().contains(*index)) {
             let live = self.others.iter().filter(|other| other.is_live);
             let holders = live.filter(|other| other.held.contains(index));
-            let since = holders.map(|other| other.held_since[at(index)]);
+            let since = holders.map(|other| other.held_since[to_usize(index)]);
             let Some(since) = since
                 .chain(self.has_origin.then_some(self.started_at))
                 .min()
             else {
                 continue;
             };
-            let waited = self
-                .now
-                .since(since.max(self.started_at).max(self.requested_at[at(index)]));
+            let waited = self.now.since(
+                since
+                    .max(self.started_at)
+                    .max(self.requested_at[to_usize(index)]),
+            );
             assert!(
                 waited <= REQUESTED_WITHIN,
                 "chunk {index} was not requested from a live source for {waited:?}"
@@ -260,7 +262,7 @@
     }
 }
 
-fn at(index: u32) -> usize {
+fn to_usize(index: u32) -> usize {
     usize::try_from(index).unwrap_or(usize::MAX)
 }
 
@@ -297,6 +299,6 @@
 /// belongs to an unresponsive host may hold up the plan: pull slots, takeover delays, chunks that
 /// it announced, or back-offs that outlast its failure.
 #[test]
-fn whatever_somebody_could_serve_is_asked_for_soon() {
+fn servable_chunks_are_requested_soon() {
     run_cases(120, 64 * 1024, run_case);
 }
--- a/src/weights/tests/verification.rs
+++ b/src/weights/tests/verification.rs
@@ -17,69 +17,69 @@
     }
 }
 
-fn read(manifest: &VersionManifest, target: WeightsDigest) -> Result<VersionManifest, ErrorKind> {
+fn read(manifest: &VersionManifest, expected: WeightsDigest) -> Result<VersionManifest, ErrorKind> {
     let text = serde_json::to_vec(manifest).expect("a manifest serialises to JSON");
-    VersionManifest::read(&text, target, MEMORY).map_err(|error| error.kind)
+    VersionManifest::read(&text, expected, MEMORY).map_err(|error| error.kind)
 }
 
 /// Guards against hosts that fetch chunks which do not exist, or request memory that they do not
 /// have, because they accept a manifest with inconsistent sizes.
 #[test]
-fn manifests_that_contradict_themselves_are_refused() {
-    let good = manifest(b"some weights", 4);
-    assert_eq!(read(&good, good.digest).as_ref(), Ok(&good));
-    let lies = [
+fn inconsistent_manifests_are_rejected() {
+    let valid = manifest(b"some weights", 4);
+    assert_eq!(read(&valid, valid.digest).as_ref(), Ok(&valid));
+    let wrong_manifests = [
         VersionManifest {
             size: 13,
-            ..good.clone()
+            ..valid.clone()
         },
         VersionManifest {
             size: 0,
-            ..good.clone()
+            ..valid.clone()
         },
         VersionManifest {
             size: u64::MAX,
-            ..good.clone()
+            ..valid.clone()
         },
         VersionManifest {
             chunk_size: 0,
-            ..good.clone()
+            ..valid.clone()
         },
         VersionManifest {
             chunk_size: 6,
-            ..good.clone()
+            ..valid.clone()
         },
         VersionManifest {
             chunk_size: u64::MAX,
-            ..good.clone()
+            ..valid.clone()
         },
         VersionManifest {
             chunks: Vec::new(),
-            ..good.clone()
+            ..valid.clone()
         },
     ];
-    for lie in lies {
+    for wrong_manifest in wrong_manifests {
         assert_eq!(
-            read(&lie, good.digest),
+            read(&wrong_manifest, valid.digest),
             Err(ErrorKind::ManifestInvalid),
-            "{lie:?}"
+            "{wrong_manifest:?}"
         );
     }
     let other = WeightsDigest::of(b"other weights");
-    assert_eq!(read(&good, other), Err(ErrorKind::ManifestInvalid));
+    assert_eq!(read(&valid, other), Err(ErrorKind::ManifestInvalid));
     let large = manifest(&[7; 2048], 512);
     assert_eq!(read(&large, large.digest), Err(ErrorKind::MemoryTooSmall));
 }
 
 #[test]
-fn chunks_are_kept_only_when_they_match() {
+fn chunks_are_stored_only_if_they_match_the_manifest() {
     let data = b"some weights";
     let version = StagedVersion::new(manifest(data, 5));
     let wrong: [&'static [u8]; 4] = [b"some", b"some w", b"Some ", b""];
     for bytes in wrong {
-        let kept = version.store_chunk(0, Bytes::from_static(bytes));
+        let stored = version.store_chunk(0, Bytes::from_static(bytes));
         assert_eq!(
-            kept.map_err(|error| error.kind),
+            stored.map_err(|error| error.kind),
             Err(ErrorKind::ChunkCorrupt)
         );
         assert_eq!(version.chunk(0), None);
@@ -111,14 +111,14 @@
 /// digest of the service document but lists the chunks of other weights; every chunk matches, so
 /// that checking chunks alone is not enough.
 #[test]
-fn chunks_of_other_weights_do_not_make_the_whole() {
-    let mut lie = manifest(b"wrong weights", 5);
-    lie.digest = WeightsDigest::of(b"right weights");
+fn chunks_of_other_weights_fail_verification() {
+    let mut wrong_manifest = manifest(b"wrong weights", 5);
+    wrong_manifest.digest = WeightsDigest::of(b"right weights");
     assert!(
-        lie.check(lie.digest, MEMORY).is_ok(),
+        wrong_manifest.check(wrong_manifest.digest, MEMORY).is_ok(),
         "the manifest is consistent"
     );
-    let version = StagedVersion::new(lie);
+    let version = StagedVersion::new(wrong_manifest);
     for (index, chunk) in (0..).zip(b"wrong weights".chunks(5)) {
         version
             .store_chunk(index, Bytes::copy_from_slice(chunk))
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -61,22 +61,23 @@
     queries: u32,
 }
 
-fn plan_host(centre: usize, number: usize) -> PeerHost {
-    let [centre, number] = [centre, number].map(|jitter| u8::try_from(jitter).expect("small"));
+fn plan_host(data_centre: usize, number: usize) -> PeerHost {
+    let [data_centre, number] =
+        [data_centre, number].map(|value| u8::try_from(value).expect("small"));
     PeerHost {
         location: HostLocation {
-            host: format!("10.{centre}.0.{number}").into(),
-            data_centre: format!("hall-{centre}").into(),
+            host: format!("10.{data_centre}.0.{number}").into(),
+            data_centre: format!("hall-{data_centre}").into(),
             region: "all".into(),
         },
-        address: ([10, centre, 0, number], 7300).into(),
+        address: ([10, data_centre, 0, number], 7300).into(),
     }
 }
 
 impl Fleet {
-    fn new(centres: usize, hosts: usize, tick: Duration) -> Self {
-        let all: Vec<PeerHost> = (0..centres)
-            .flat_map(|centre| (0..hosts).map(move |number| plan_host(centre, number)))
+    fn new(data_centres: usize, hosts: usize, tick: Duration) -> Self {
+        let all: Vec<PeerHost> = (0..data_centres)
+            .flat_map(|data_centre| (0..hosts).map(move |number| plan_host(data_centre, number)))
             .collect();
         let limits = FetchLimits {
             pulls_max: 6,
@@ -85,14 +86,14 @@
             origin_read_timeout: Duration::from_millis(2500),
             ..FetchLimits::default()
         };
-        let started = (0_u32..).zip(&all).map(|(at, host)| {
-            let started_at = START + START_SPREAD.mul_f64(f64::from(at % 7) / 7.0);
+        let started = (0_u32..).zip(&all).map(|(index, host)| {
+            let started_at = START + START_SPREAD.mul_f64(f64::from(index % 7) / 7.0);
             let mut plan = FetchPlan::new(
                 host.location.clone(),
                 (WeightsDigest::of(b"m/2"), SpreadObjective::OriginBytes),
                 ChunkMap::empty(CHUNKS),
                 limits,
-                (HOST_SPAN, SEED + u64::from(at)),
+                (HOST_SPAN, SEED + u64::from(index)),
                 started_at,
             );
             plan.set_hosts(&all);
@@ -123,16 +124,16 @@
         {
             self.now = self.now + self.tick;
             self.send_from_origin();
-            for at in 0..self.hosts.len() {
-                self.deliver(at);
-                if self.hosts[at].started_at > self.now {
+            for index in 0..self.hosts.len() {
+                self.deliver(index);
+                if self.hosts[index].started_at > self.now {
                     continue;
                 }
                 let now = self.now;
-                for step in self.hosts[at].plan.next_steps(now) {
-                    self.carry_out(at, step);
+                for step in self.hosts[index].plan.next_steps(now) {
+                    self.carry_out(index, step);
                 }
-                let host = &mut self.hosts[at];
+                let host = &mut self.hosts[index];
                 if host.plan.held().is_full() {
                     host.complete_at.get_or_insert(now);
                 }
@@ -140,13 +141,13 @@
         }
     }
 
-    fn deliver(&mut self, at: usize) {
+    fn deliver(&mut self, index: usize) {
         let now = self.now;
-        let host = &mut self.hosts[at];
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut host.arrivals)
+        let host = &mut self.hosts[index];
+        let (due, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut host.arrivals)
             .into_iter()
             .partition(|(due, _)| *due <= now);
-        host.arrivals = rest;
+        host.arrivals = pending;
         for (_, event) in due {
             match event {
                 Event::Announcement(key, announcement) => {
@@ -176,27 +177,32 @@
 
     /// Sends data of the origin for one tick, in equal parts to all reads.
     fn send_from_origin(&mut self) {
-        let mut left = self.tick;
-        while !left.is_zero() && !self.origin_reads.is_empty() {
+        let mut budget = self.tick;
+        while !budget.is_zero() && !self.origin_reads.is_empty() {
             let reads = u32::try_from(self.origin_reads.len()).expect("small");
-            let least = self.origin_reads.iter().map(|(.., rest)| *rest).min();
-            let sent = least.unwrap_or_default().min(left / reads);
-            left = left.saturating_sub((sent * reads).max(Duration::from_micros(1)));
+            let least = self
+                .origin_reads
+                .iter()
+                .map(|(.., remaining)| *remaining)
+                .min();
+            let sent = least.unwrap_or_default().min(budget / reads);
+            budget = budget.saturating_sub((sent * reads).max(Duration::from_micros(1)));
             let due = self.now + RESPONSE_DELAY;
-            for (host, transfer, rest) in &mut self.origin_reads {
-                *rest = rest.saturating_sub(sent);
-                if rest.is_zero() {
+            for (host, transfer, remaining) in &mut self.origin_reads {
+                *remaining = remaining.saturating_sub(sent);
+                if remaining.is_zero() {
                     let event = Event::Chunk(*transfer, None);
                     self.hosts[*host].arrivals.push((due, event));
                     self.origin_copies += 1;
                 }
             }
-            self.origin_reads.retain(|(.., rest)| !rest.is_zero());
+            self.origin_reads
+                .retain(|(.., remaining)| !remaining.is_zero());
         }
     }
 
-    fn find(&self, at: usize, key: PeerKey) -> usize {
-        let address = self.hosts[at].plan.peers().get(key).host.address;
+    fn find(&self, index: usize, key: PeerKey) -> usize {
+        let address = self.hosts[index].plan.peers().get(key).host.address;
         let found = self
             .hosts
             .iter()
@@ -204,8 +210,8 @@
         found.expect("the host is listed")
     }
 
-    fn announcement(&self, at: usize) -> ChunkAnnouncement {
-        let host = &self.hosts[at];
+    fn announcement(&self, index: usize) -> ChunkAnnouncement {
+        let host = &self.hosts[index];
         let backlog = host.uplink_until.since(self.now);
         ChunkAnnouncement {
             host: host.host.location.host.clone(),
@@ -215,18 +221,18 @@
         }
     }
 
-    fn carry_out(&mut self, at: usize, step: FetchStep) {
+    fn carry_out(&mut self, index: usize, step: FetchStep) {
         let answered = self.now + RESPONSE_DELAY;
         match step {
             FetchStep::Query(key) => {
                 self.queries += 1;
-                let other = self.find(at, key);
+                let other = self.find(index, key);
                 let event = if self.hosts[other].started_at <= self.now {
                     Event::Announcement(key, self.announcement(other))
                 } else {
                     Event::Empty(key)
                 };
-                self.hosts[at].arrivals.push((answered, event));
+                self.hosts[index].arrivals.push((answered, event));
             }
             FetchStep::Fetch {
                 transfer,
@@ -234,34 +240,34 @@
                 ..
             } => {
                 if self.origin_reads.len() >= ORIGIN_CONNECTIONS {
-                    self.hosts[at]
+                    self.hosts[index]
                         .arrivals
                         .push((answered, Event::Reset(transfer)));
                 } else {
-                    self.origin_reads.push((at, transfer, ORIGIN_SPAN));
+                    self.origin_reads.push((index, transfer, ORIGIN_SPAN));
                 }
             }
             FetchStep::Fetch {
                 transfer,
                 source: ChunkSource::Peer(key),
                 ..
-            } => self.pull(at, transfer, key),
+            } => self.pull(index, transfer, key),
             FetchStep::Cancel(transfer, _) => {
                 self.origin_reads
-                    .retain(|(host, known, _)| (*host, *known) != (at, transfer));
-                self.hosts[at].arrivals.retain(|(_, event)| {
-                    !matches!(event, Event::Chunk(known, _) | Event::Busy(known, _) if *known == transfer)
+                    .retain(|(host, id, _)| (*host, *id) != (index, transfer));
+                self.hosts[index].arrivals.retain(|(_, event)| {
+                    !matches!(event, Event::Chunk(id, _) | Event::Busy(id, _) if *id == transfer)
                 });
             }
         }
     }
 
-    fn pull(&mut self, at: usize, transfer: TransferId, key: PeerKey) {
-        let other = self.find(at, key);
+    fn pull(&mut self, index: usize, transfer: TransferId, key: PeerKey) {
+        let other = self.find(index, key);
         let backlog = self.hosts[other].uplink_until.since(self.now);
         if backlog > BACKLOG_MAX {
             let due = self.now + RESPONSE_DELAY;
-            self.hosts[at]
+            self.hosts[index]
                 .arrivals
                 .push((due, Event::Busy(transfer, backlog)));
             return;
@@ -269,10 +275,12 @@
         let sent = self.hosts[other].uplink_until.max(self.now) + HOST_SPAN;
         self.hosts[other].uplink_until = sent;
         let announcement = self.announcement(other);
-        if self.hosts[other].host.location.data_centre != self.hosts[at].host.location.data_centre {
+        if self.hosts[other].host.location.data_centre
+            != self.hosts[index].host.location.data_centre
+        {
             self.crossings += 1;
         }
-        let host = &mut self.hosts[at];
+        let host = &mut self.hosts[index];
         let taken = sent.max(host.downlink_until + HOST_SPAN);
         host.downlink_until = taken;
         let due = taken + RESPONSE_DELAY;
@@ -284,19 +292,19 @@
         let spans = self
             .hosts
             .iter()
-            .map(|host| host.complete_at.map(|at| at.since(START)));
+            .map(|host| host.complete_at.map(|complete_at| complete_at.since(START)));
         spans.collect::<Option<Vec<Duration>>>()?.into_iter().max()
     }
 }
 
-fn check_spread(centres: usize, hosts: usize, tick: Duration) {
-    let mut fleet = Fleet::new(centres, hosts, tick);
+fn check_spread(data_centres: usize, hosts: usize, tick: Duration) {
+    let mut fleet = Fleet::new(data_centres, hosts, tick);
     let within = START_SPREAD + (ORIGIN_SPAN * CHUNKS).mul_f64(ORIGIN_TIME_FACTOR);
     fleet.run(within * 2);
-    let all_bytes = fleet.hosts.iter().filter(|host| host.complete_at.is_some());
+    let complete_hosts = fleet.hosts.iter().filter(|host| host.complete_at.is_some());
     let figures = format!(
         "{} of {} hosts complete, the last after {:?}; {} origin reads, {} crossings, {} queries",
-        all_bytes.count(),
+        complete_hosts.count(),
         fleet.hosts.len(),
         fleet.slowest(),
         fleet.origin_copies,
@@ -310,8 +318,8 @@
     );
     // Each chunk is transferred once into each other data centre, and the origin sends it once.
     assert!(fleet.origin_copies <= CHUNKS + CHUNKS / 8, "{figures}");
-    let centres = u32::try_from(centres).expect("small");
-    assert!(fleet.crossings <= CHUNKS * centres, "{figures}");
+    let data_centres = u32::try_from(data_centres).expect("small");
+    assert!(fleet.crossings <= CHUNKS * data_centres, "{figures}");
 }
 
 /// Guards against a version that does not reach the hosts in time if each host queries only few of
--- a/src/weights/version_change.rs
+++ b/src/weights/version_change.rs
@@ -93,7 +93,7 @@
 
     pub(super) fn change_step(
         &mut self,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         if let Some(step) = self.rollout.renew_step(now) {
@@ -107,7 +107,7 @@
                 ActivationStep::WaitUntil(change.ordered_at + ANNOUNCEMENT_DELAY)
             }
             ChangePhase::Announced | ChangePhase::Closing => self.close_step(&change, now),
-            ChangePhase::Ready => self.order_step(&change, view, now),
+            ChangePhase::Ready => self.order_step(&change, inputs, now),
             ChangePhase::Ordering => ActivationStep::WaitUntil(now + STEP_INTERVAL),
             ChangePhase::ReadingBack => self.read_engine(now),
         }
@@ -129,7 +129,7 @@
     fn order_step(
         &mut self,
         change: &VersionChange,
-        view: &ActivationInputs<'_>,
+        inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
         let is_first = change.attempts == 0;
@@ -138,7 +138,7 @@
             return self.read_engine(now);
         }
         assert!(
-            (view.is_complete)(change.new_version.digest),
+            (inputs.is_complete)(change.new_version.digest),
             "an order was due for an incomplete version"
         );
         let seen = self.report.as_ref().map_or(0, |report| report.fence);
--- a/src/weights/version_routes.rs
+++ b/src/weights/version_routes.rs
@@ -16,14 +16,14 @@
 /// The engine's routes, under `/engine/weights/`.
 pub(crate) fn engine_routes(versions: VersionCache) -> Router {
     let all_bytes = move |PathParams(digest): PathParams<String>| {
-        let reply = whole_reply(&versions, &digest);
+        let reply = version_reply(&versions, &digest);
         async move { reply }
     };
     Router::new().route("/engine/weights/{digest}", get(all_bytes))
 }
 
-fn whole_reply(versions: &VersionCache, digest: &str) -> Response {
-    match find_whole(versions, digest) {
+fn version_reply(versions: &VersionCache, digest: &str) -> Response {
+    match find_version(versions, digest) {
         Ok(chunks) => {
             let frames = chunks.into_iter().map(|bytes| Ok(Frame::data(bytes)));
             Response::new(Body::from_stream(futures::stream::iter(frames)))
@@ -35,7 +35,7 @@
     }
 }
 
-fn find_whole(versions: &VersionCache, digest: &str) -> SwitchResult<Vec<Bytes>> {
+fn find_version(versions: &VersionCache, digest: &str) -> SwitchResult<Vec<Bytes>> {
     let digest = read_digest(digest)?;
     let all_bytes = versions
         .find(digest)
@@ -50,10 +50,10 @@
 
 /// Parses the digest in a path.
 pub(super) fn read_digest(text: &str) -> SwitchResult<WeightsDigest> {
-    text.parse().map_err(|fault| {
+    text.parse().map_err(|error| {
         SwitchError::new(
             ErrorKind::BadRequest,
-            format!("\"{text}\" is not a digest: {fault}"),
+            format!("\"{text}\" is not a digest: {error}"),
         )
     })
 }
