--- a/src/weights/link_pacer.rs
+++ b/src/weights/link_pacer.rs
@@ -135,9 +135,9 @@
         state.set_halvings(halvings);
     }
 
-    /// How many chunks may be in transfer to this host at the same time: `max_chunks` at the full rate,
-    /// fewer at a reduced rate, because otherwise the chunks in transfer would fill a narrow link
-    /// for seconds.
+    /// How many chunks may be in transfer to this host at the same time: `max_chunks` at the full
+    /// rate, fewer at a reduced rate, because otherwise the chunks in transfer would fill a narrow
+    /// link for seconds.
     pub(crate) fn concurrent_chunks(&self, max_chunks: usize) -> usize {
         let state = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         (max_chunks >> state.halvings).max(1)
--- a/src/weights/live_meter.rs
+++ b/src/weights/live_meter.rs
@@ -52,13 +52,13 @@
     ) -> Result<Response, Infallible> {
         let (head, body) = self.inner.call(context, request).await?.into_parts();
         let pacer = self.pacer.clone();
-        let parts = body.into_data_stream().map(move |frame| {
-            frame.map(|bytes| {
+        let frames = body.into_data_stream().map(move |chunk| {
+            chunk.map(|bytes| {
                 let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
                 pacer.record_live(LinkDirection::Up, length);
                 Frame::data(bytes)
             })
         });
-        Ok(Response::from_parts(head, Body::from_stream(parts)))
+        Ok(Response::from_parts(head, Body::from_stream(frames)))
     }
 }
--- a/src/weights/messages.rs
+++ b/src/weights/messages.rs
@@ -1,10 +1,10 @@
 //! Messages between hosts about weights. Each message about a version carries an announcement of
 //! the sender's chunks, so that no separate announcements are needed while chunks are transferred.
 //!
-//! `POST /peer/weights/DIGEST/have` takes a [`ChunkAnnouncement`] and responds with one. `POST
-//! /peer/weights/DIGEST/chunk/INDEX` takes one and responds with a [`ChunkHead`] as one frame,
-//! followed by the raw bytes of the chunk. `POST /peer/weights/DIGEST/manifest` responds with the
-//! manifest; its body is not read.
+//! - `POST /peer/weights/DIGEST/have` takes a [`ChunkAnnouncement`] and responds with one.
+//! - `POST /peer/weights/DIGEST/chunk/INDEX` takes a [`ChunkAnnouncement`] and responds with a
+//!   [`ChunkHead`] as one frame, followed by the raw bytes of the chunk.
+//! - `POST /peer/weights/DIGEST/manifest` responds with the manifest; its body is not read.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
--- a/src/weights/target_version.rs
+++ b/src/weights/target_version.rs
@@ -69,7 +69,7 @@
 /// The live hosts of all services that have the weights `digest` as target, sorted by name.
 pub(crate) fn target_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PeerHost> {
     let digest = ByteString::from(digest.to_string());
-    let wants = |member: &MemberRecord| {
+    let has_target = |member: &MemberRecord| {
         let service = member
             .service
             .as_deref()
@@ -78,7 +78,7 @@
         weights.is_some_and(|weights| weights.digest == digest)
     };
     let members = snapshot.members.iter().filter(|member| {
-        member.role == HostRole::Backend && member.state == MemberState::Live && wants(member)
+        member.role == HostRole::Backend && member.state == MemberState::Live && has_target(member)
     });
     let hosts = members.map(|member| PeerHost {
         location: HostLocation {
