--- a/src/weights/mismatch_counter.rs
+++ b/src/weights/mismatch_counter.rs
@@ -1,9 +1,10 @@
 //! Detection of wrong manifests by repeated chunk mismatches.
 //!
 //! A manifest can be consistent and still state a wrong chunk size or a wrong digest for a chunk.
-//! That chunk then never matches, whichever source sends it, and the host would fetch it for ever.
-//! Links and hosts seldom corrupt the same chunk several times in a row, so that repeated
-//! mismatches lead to the rejection of the manifest. A new one is then read from the origin.
+//! That chunk then never matches, whichever source sends it, and the host would fetch it for ever;
+//! the log would show the same chunk rejected again and again from different sources. Links and
+//! hosts seldom corrupt the same chunk several times in a row, so that repeated mismatches lead to
+//! the rejection of the manifest. A new one is then read from the origin.
 
 use std::time::Duration;
 
