--- a/src/weights/rollout_row.rs
+++ b/src/weights/rollout_row.rs
@@ -173,9 +173,7 @@
         let limit = usize::try_from(target.rollout.stop_after_failures).unwrap_or(usize::MAX);
         if row.stopped.is_none() && row.failures.len() >= limit.clamp(1, FAILURES_MAX) {
             let count = row.failures.len();
-            let text = format!(
-                "{count} engines failed to load the version, most recently on {host}: {reason}"
-            );
+            let text = format!("{count} engines did not load it, the last on {host}: {reason}");
             row.stopped = Some(text.into());
         }
         row
