--- a/src/weights/word_board.rs
+++ b/src/weights/chunk_announcer.rs
@@ -1,4 +1,4 @@
-//! What this host says of a version to whoever asks.
+//! Announcements of the chunks that this host holds.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 use super::chunk_map::ChunkMap;
 use super::digest::WeightsDigest;
 use super::link_pacer::{LinkDirection, LinkPacer};
-use super::messages::HaveWord;
+use super::messages::ChunkAnnouncement;
 use super::staged_version::StagedVersion;
 
-/// Makes this host's [`HaveWord`]s. Clones share what is claimed.
+/// Creates this host's [`ChunkAnnouncement`]s. Clones share the claimed chunks.
 #[derive(Clone, Debug)]
-pub(crate) struct WordBoard {
+pub(crate) struct ChunkAnnouncer {
     host: ByteString,
     pacer: LinkPacer,
     claimed: Arc<ArcSwap<Option<(WeightsDigest, ChunkMap)>>>,
 }
 
-impl WordBoard {
-    /// The words of `host`.
+impl ChunkAnnouncer {
+    /// Creates the announcer of `host`.
     pub(crate) fn new(host: ByteString, pacer: LinkPacer) -> Self {
         Self {
             host,
@@ -29,19 +29,20 @@
         }
     }
 
-    /// Says from now on that this host is about to read `claimed` from the origin.
+    /// Announces from now on that this host is about to read the `claimed` chunks of the version
+    /// `digest` from the origin.
     pub(crate) fn claim(&self, digest: WeightsDigest, claimed: ChunkMap) {
         self.claimed.store(Arc::new(Some((digest, claimed))));
     }
 
-    /// What there is to say of `version`.
-    pub(crate) fn word(&self, version: &StagedVersion) -> HaveWord {
+    /// The current announcement about `version`.
+    pub(crate) fn announcement(&self, version: &StagedVersion) -> ChunkAnnouncement {
         let claimed = match &**self.claimed.load() {
             Some((digest, claimed)) if *digest == version.digest() => claimed.clone(),
             _ => ChunkMap::empty(version.manifest().chunk_count()),
         };
         let backlog = self.pacer.backlog(LinkDirection::Up);
-        HaveWord {
+        ChunkAnnouncement {
             host: self.host.clone(),
             held: version.held(),
             claimed,
--- a/src/weights/fetch_plan.rs
+++ b/src/weights/fetch_plan.rs
@@ -1,8 +1,10 @@
-//! Decides which chunk is asked of whom, and what follows from each answer and each silence.
+//! Plans the fetch of one version: which chunk to request from which source, and how to react to
+//! results and time-outs.
 //!
-//! A host pulls the rarest chunk that a peer holds; a chunk that nobody seems to hold is read from
-//! the origin by the host whose turn it is in the chunk's [`SourceLine`]. The plan knows no sockets
-//! and no clocks: the edge carries out its steps and tells it what came of them.
+//! A host pulls the rarest chunk that a peer holds. A chunk that no known peer holds is read from
+//! the origin by the host that the chunk's [`HostRanking`](super::host_ranking::HostRanking) puts
+//! first. The plan does no I/O and reads no clock: its caller carries out the steps and reports
+//! their results.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -13,38 +15,39 @@
 
 use super::chunk_map::ChunkMap;
 use super::digest::WeightsDigest;
-use super::import_turns::ImportTurns;
-use super::messages::HaveWord;
-use super::origin_turns::OriginTurns;
-use super::peer_table::{PeerKey, PeerPresence, PeerTable, PlanHost};
-use super::source_line::LineHost;
+use super::host_ranking::HostLocation;
+use super::import_schedule::ImportSchedule;
+use super::messages::ChunkAnnouncement;
+use super::origin_schedule::OriginSchedule;
+use super::peer_table::{PeerHost, PeerKey, PeerLiveness, PeerTable};
 use crate::derives::key;
 use crate::documents::SpreadObjective;
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 
-/// How many times the usual span of a pull must have passed before it counts as stalled.
-const STALL_SPANS: u32 = 10;
-const STALL_LEAST: Duration = Duration::from_millis(1500);
-const ASK_STARVED_LEAST: Duration = Duration::from_millis(80);
-const ASK_STARVED_MOST: Duration = Duration::from_millis(500);
-const BUSY_LEAST: Duration = Duration::from_millis(10);
+/// A pull counts as stalled after this many times the typical duration.
+const STALL_FACTOR: u32 = 10;
+const STALL_TIMEOUT_MIN: Duration = Duration::from_millis(1500);
+const QUERY_INTERVAL_MIN: Duration = Duration::from_millis(80);
+const QUERY_INTERVAL_MAX: Duration = Duration::from_millis(500);
+const BUSY_WAIT_MIN: Duration = Duration::from_millis(10);
 
-/// What the plan may do at a time.
+/// Limits of a fetch plan.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FetchLimits {
-    /// Chunks under way from peers.
+    /// Maximum concurrent pulls from peers.
     pub(crate) pulls_max: usize,
-    /// Chunks under way from one peer.
+    /// Maximum concurrent pulls from one peer.
     pub(crate) pulls_per_peer: u32,
-    /// Chunks under way from the origin.
+    /// Maximum concurrent reads from the origin.
     pub(crate) origin_reads_max: usize,
-    /// Hosts that are asked of this host's own accord.
+    /// Number of neighbours, the peers that are queried regularly.
     pub(crate) neighbours: usize,
-    /// How long the first in a chunk's line has before the second looks after it.
-    pub(crate) turn_span: Duration,
-    /// How long a read from the origin may take.
-    pub(crate) origin_within: Duration,
+    /// How long each host waits for the one ranked before it before it takes over the read of a
+    /// chunk.
+    pub(crate) takeover_delay: Duration,
+    /// Time-out of a read from the origin.
+    pub(crate) origin_read_timeout: Duration,
 }
 
 impl Default for FetchLimits {
@@ -54,49 +57,49 @@
             pulls_per_peer: 2,
             origin_reads_max: 2,
             neighbours: 12,
-            turn_span: Duration::from_secs(2),
-            origin_within: Duration::from_secs(15),
+            takeover_delay: Duration::from_secs(2),
+            origin_read_timeout: Duration::from_secs(15),
         }
     }
 }
 
-/// One chunk under way.
+/// Identifies a chunk transfer in progress.
 #[apply(key!)]
-pub(crate) struct FlightId(u64);
+pub(crate) struct TransferId(u64);
 
-/// Where a chunk comes from.
+/// Source of a chunk.
 #[apply(key!)]
-pub(crate) enum FlightSource {
+pub(crate) enum ChunkSource {
     /// Another host.
     Peer(PeerKey),
-    /// The origin.
+    /// The origin of weights.
     Origin,
 }
 
-/// What the edge has to do.
+/// What the caller has to do.
 #[apply(key!)]
 pub(crate) enum FetchStep {
-    /// Ask a host what it holds.
-    Ask(PeerKey),
-    /// Bring a chunk.
+    /// Query which chunks a peer holds.
+    Query(PeerKey),
+    /// Fetch a chunk.
     Fetch {
-        /// Names it in what is told of it.
-        flight: FlightId,
-        /// The chunk.
+        /// Identifies the transfer in later reports.
+        transfer: TransferId,
+        /// Index of the chunk.
         index: u32,
-        /// Where it comes from.
-        source: FlightSource,
+        /// Where to fetch it from.
+        source: ChunkSource,
     },
-    /// Give a chunk under way up.
-    Cancel(FlightId, FlightSource),
+    /// Cancel a transfer.
+    Cancel(TransferId, ChunkSource),
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Flight {
-    pub(super) id: FlightId,
+pub(super) struct ChunkTransfer {
+    pub(super) id: TransferId,
     pub(super) index: u32,
-    pub(super) source: FlightSource,
-    pub(super) since: ClockTime,
+    pub(super) source: ChunkSource,
+    pub(super) started_at: ClockTime,
     stalls_at: ClockTime,
 }
 
@@ -106,98 +109,108 @@
     pub(super) limits: FetchLimits,
     pub(super) objective: SpreadObjective,
     pub(super) held: ChunkMap,
-    /// The chunks that are pulled before rarer ones.
+    /// Chunks that are pulled before rarer ones.
     pub(super) preferred: Range<u32>,
-    /// The view that was set last.
-    hosts: Vec<PlanHost>,
+    /// The hosts of the last [`FetchPlan::set_hosts`].
+    hosts: Vec<PeerHost>,
     pub(super) peers: PeerTable,
-    pub(super) turns: OriginTurns,
-    pub(super) imports: ImportTurns,
-    pub(super) flights: Vec<Flight>,
-    next_flight: u64,
-    /// How long a pull usually takes.
-    pub(super) usual_span: Duration,
-    pub(super) begun: ClockTime,
-    /// Hosts that have, or are about to have, what this host brings into its data centre; sorted.
+    pub(super) origin_schedule: OriginSchedule,
+    pub(super) import_schedule: ImportSchedule,
+    pub(super) transfers: Vec<ChunkTransfer>,
+    next_transfer: u64,
+    /// Moving average of the duration of a pull.
+    pub(super) typical_duration: Duration,
+    pub(super) started_at: ClockTime,
+    /// Hosts that hold, or are about to hold, the chunks that this host imports into its data
+    /// centre; sorted.
     pub(super) import_sources: Vec<PeerKey>,
-    /// When it is looked next who reads what this host brings in.
-    pub(super) sources_due: ClockTime,
-    pub(super) asks_every: Duration,
-    /// When the newest question was asked that was answered.
-    pub(super) answered_from: Option<ClockTime>,
+    /// When `import_sources` is computed next.
+    pub(super) import_sources_due: ClockTime,
+    pub(super) query_interval: Duration,
+    /// When the latest query that was answered had been sent.
+    pub(super) last_answered_query_at: Option<ClockTime>,
     pub(super) rng: StdRng,
 }
 
 impl FetchPlan {
-    /// The plan of `me` for the version `digest`, of which it holds `held`. `chunk_span` is how long
-    /// a chunk takes on this host's idle link; `seed` sets what is left to chance.
+    /// Creates the plan of `local` for the version `digest`, of which it holds `held`. `chunk_time`
+    /// is the time that a chunk takes on this host's idle link; `seed` initialises the random
+    /// generator.
     pub(crate) fn new(
-        me: LineHost,
+        local: HostLocation,
         (digest, objective): (WeightsDigest, SpreadObjective),
         held: ChunkMap,
         limits: FetchLimits,
-        (chunk_span, seed): (Duration, u64),
+        (chunk_time, seed): (Duration, u64),
         now: ClockTime,
     ) -> Self {
         let chunks = held.count();
-        let usual_span = (chunk_span * 4).max(Duration::from_millis(40));
-        let starved = (chunk_span * 2).clamp(ASK_STARVED_LEAST, ASK_STARVED_MOST);
+        let typical_duration = (chunk_time * 4).max(Duration::from_millis(40));
+        let initial_interval = (chunk_time * 2).clamp(QUERY_INTERVAL_MIN, QUERY_INTERVAL_MAX);
         Self {
             limits,
             objective,
             hosts: Vec::new(),
-            peers: PeerTable::new(me.clone(), chunks),
-            imports: ImportTurns::new(me.clone(), digest, chunks),
-            turns: OriginTurns::new(me, (digest, objective), chunks, limits.turn_span, now),
+            peers: PeerTable::new(local.clone(), chunks),
+            import_schedule: ImportSchedule::new(local.clone(), digest, chunks),
+            origin_schedule: OriginSchedule::new(
+                local,
+                (digest, objective),
+                chunks,
+                limits.takeover_delay,
+                now,
+            ),
             held,
             preferred: 0..0,
-            flights: Vec::new(),
-            next_flight: 0,
-            usual_span,
-            begun: now,
+            transfers: Vec::new(),
+            next_transfer: 0,
+            typical_duration,
+            started_at: now,
             import_sources: Vec::new(),
-            sources_due: now,
-            asks_every: starved,
-            answered_from: None,
+            import_sources_due: now,
+            query_interval: initial_interval,
+            last_answered_query_at: None,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// A new view of the live hosts that want the version.
-    pub(crate) fn set_hosts(&mut self, hosts: &[PlanHost]) {
+    /// Sets the live hosts that have the version as target.
+    pub(crate) fn set_hosts(&mut self, hosts: &[PeerHost]) {
         if self.hosts == hosts {
             return;
         }
         self.hosts = hosts.to_vec();
         self.peers.set_hosts(hosts, self.limits.neighbours);
-        self.turns.set_hosts(hosts);
-        self.imports.set_hosts(hosts);
-        self.sources_due = ClockTime(0);
+        self.origin_schedule.set_hosts(hosts);
+        self.import_schedule.set_hosts(hosts);
+        self.import_sources_due = ClockTime(0);
     }
 
-    /// The chunks of `range` are pulled before rarer ones: a host can make use of them by themselves.
+    /// Pulls the chunks of `range` before rarer ones, because the host can use them independently
+    /// of the rest.
     pub(crate) fn prefer(&mut self, range: Range<u32>) {
         self.preferred = range;
     }
 
-    /// From now on at most `pulls_max` chunks are under way from other hosts.
+    /// Limits the concurrent pulls from peers to `pulls_max`.
     pub(crate) const fn set_pulls_max(&mut self, pulls_max: usize) {
         self.limits.pulls_max = pulls_max;
     }
 
-    /// The record of a host.
+    /// The other hosts.
     pub(crate) const fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
-    /// The chunks that are there.
+    /// The chunks that this host holds.
     pub(crate) const fn held(&self) -> &ChunkMap {
         &self.held
     }
 
-    /// How many chunks are here or at a host that said so.
-    pub(crate) fn known_count(&self) -> u32 {
-        let is_known = |index: &u32| self.held.contains(*index) || self.peers.copies(*index) > 0;
+    /// Number of chunks that this host or a known peer holds.
+    pub(crate) fn known_chunk_count(&self) -> u32 {
+        let is_known =
+            |index: &u32| self.held.contains(*index) || self.peers.copy_count(*index) > 0;
         let known = (0..self.held.count()).filter(is_known);
         u32::try_from(known.count()).unwrap_or(u32::MAX)
     }
@@ -205,203 +218,220 @@
     /// The chunks that this host is about to read from the origin.
     pub(crate) fn claimed(&self) -> ChunkMap {
         let mut claimed = ChunkMap::empty(self.held.count());
-        if self.turns.is_cut_off() {
+        if self.origin_schedule.is_origin_unreachable() {
             return claimed;
         }
         for index in 0..self.held.count() {
-            if !self.held.contains(index) && self.turns.is_first(index) {
+            if !self.held.contains(index) && self.origin_schedule.is_first(index) {
                 claimed.insert(index);
             }
         }
-        for flight in &self.flights {
-            if flight.source == FlightSource::Origin {
-                claimed.insert(flight.index);
+        for transfer in &self.transfers {
+            if transfer.source == ChunkSource::Origin {
+                claimed.insert(transfer.index);
             }
         }
         claimed
     }
 
-    /// A host said what it holds, of its own accord or asked.
-    pub(crate) fn on_word(&mut self, word: &HaveWord, now: ClockTime) {
-        if self.peers.hear(word, now) {
-            let part = self.rng.random();
-            self.turns.on_origin_seen(part, now);
+    /// An announcement was received, unasked or in a response.
+    pub(crate) fn on_announcement(&mut self, announcement: &ChunkAnnouncement, now: ClockTime) {
+        if self.peers.record_announcement(announcement, now) {
+            let jitter = self.rng.random();
+            self.origin_schedule.on_origin_available(jitter, now);
         }
     }
 
-    /// The answer to [`FetchStep::Ask`] came, or did not.
-    pub(crate) fn on_asked(&mut self, key: PeerKey, failure: Option<ErrorKind>, now: ClockTime) {
-        let part = self.rng.random();
-        let late = self.late_span();
+    /// The result of [`FetchStep::Query`]: `failure` is `None` if the query was answered.
+    pub(crate) fn on_queried(&mut self, key: PeerKey, failure: Option<ErrorKind>, now: ClockTime) {
+        let jitter = self.rng.random();
+        let late_threshold = self.late_threshold();
         let peer = self.peers.get_mut(key);
-        peer.is_asked = false;
+        peer.is_query_pending = false;
         if matches!(failure, None | Some(ErrorKind::ChunkMissing)) {
-            self.answered_from = self.answered_from.max(peer.asked_at);
+            self.last_answered_query_at = self.last_answered_query_at.max(peer.queried_at);
         }
-        // The question was lost, but it was heard in another way.
-        let is_heard = peer.heard_at.is_some_and(|at| now.since(at) <= late);
+        // The query failed, but the peer was heard from in another way meanwhile.
+        let was_heard = peer
+            .last_heard_at
+            .is_some_and(|at| now.since(at) <= late_threshold);
         match failure {
-            None => self.peers.find_there(key, now),
-            // It has not begun with this version yet: it is there, and holds nothing.
-            Some(ErrorKind::ChunkMissing) => self.peers.find_empty(key, now),
-            Some(_) if is_heard => {}
-            Some(_) => self.peers.lose(key, now, part),
+            None => self.peers.mark_responsive(key, now),
+            // The peer is running and has not started to fetch this version yet.
+            Some(ErrorKind::ChunkMissing) => self.peers.mark_empty(key, now),
+            Some(_) if was_heard => {}
+            Some(_) => self.peers.mark_unresponsive(key, now, jitter),
         }
     }
 
-    /// A chunk came and matched. Returns the other flights for it, which are of no more use.
-    pub(crate) fn on_delivered(&mut self, id: FlightId, now: ClockTime) -> Vec<FlightId> {
-        let Some(flight) = self.land(id) else {
+    /// A chunk was received and verified. Returns the other transfers of the same chunk, which are
+    /// to be cancelled.
+    pub(crate) fn on_delivered(&mut self, id: TransferId, now: ClockTime) -> Vec<TransferId> {
+        let Some(transfer) = self.end_transfer(id) else {
             return Vec::new();
         };
-        self.held.insert(flight.index);
-        match flight.source {
-            FlightSource::Peer(key) => {
-                self.peers.get_mut(key).clear_strikes();
-                let span = now.since(flight.since);
-                self.usual_span = (self.usual_span * 7 + span) / 8;
+        self.held.insert(transfer.index);
+        match transfer.source {
+            ChunkSource::Peer(key) => {
+                self.peers.get_mut(key).clear_failures();
+                let span = now.since(transfer.started_at);
+                self.typical_duration = (self.typical_duration * 7 + span) / 8;
             }
-            FlightSource::Origin => self.turns.on_delivered(),
+            ChunkSource::Origin => self.origin_schedule.on_delivered(),
         }
-        let twins = self
-            .flights
+        let duplicates = self
+            .transfers
             .iter()
-            .filter(|twin| twin.index == flight.index);
-        let twins: Vec<FlightId> = twins.map(|twin| twin.id).collect();
-        for twin in &twins {
-            self.land(*twin);
+            .filter(|duplicate| duplicate.index == transfer.index);
+        let duplicates: Vec<TransferId> = duplicates.map(|duplicate| duplicate.id).collect();
+        for duplicate in &duplicates {
+            self.end_transfer(*duplicate);
         }
-        twins
+        duplicates
     }
 
-    /// A chunk did not come, or did not match. `wait` is what the source asked for.
+    /// A transfer failed, or its chunk did not match the manifest. `wait` is the delay that the
+    /// source asked for.
     pub(crate) fn on_failed(
         &mut self,
-        id: FlightId,
+        id: TransferId,
         kind: ErrorKind,
         wait: Option<Duration>,
         now: ClockTime,
     ) {
-        let Some(flight) = self.land(id) else {
+        let Some(transfer) = self.end_transfer(id) else {
             return;
         };
-        let part = self.rng.random();
-        match (flight.source, kind) {
-            (FlightSource::Origin, _) => self.turns.on_failed(kind, wait, part, now),
-            (FlightSource::Peer(key), ErrorKind::UploadBusy) => {
-                let wait = wait.unwrap_or(BUSY_LEAST).max(BUSY_LEAST);
-                self.peers.get_mut(key).busy_until = now + wait.mul_f64(0.5 + part);
-                self.peers.find_there(key, now);
+        let jitter = self.rng.random();
+        match (transfer.source, kind) {
+            (ChunkSource::Origin, _) => self.origin_schedule.on_failed(kind, wait, jitter, now),
+            (ChunkSource::Peer(key), ErrorKind::UploadBusy) => {
+                let wait = wait.unwrap_or(BUSY_WAIT_MIN).max(BUSY_WAIT_MIN);
+                self.peers.get_mut(key).busy_until = now + wait.mul_f64(0.5 + jitter);
+                self.peers.mark_responsive(key, now);
             }
-            (FlightSource::Peer(key), ErrorKind::ChunkMissing) => {
-                self.peers.forget_chunk(key, flight.index);
-                self.peers.find_there(key, now);
+            (ChunkSource::Peer(key), ErrorKind::ChunkMissing) => {
+                self.peers.forget_chunk(key, transfer.index);
+                self.peers.mark_responsive(key, now);
             }
-            (FlightSource::Peer(key), _) => {
-                // Whether it is there at all is asked next.
+            (ChunkSource::Peer(key), _) => {
+                // The next step queries whether the peer is still running.
                 let peer = self.peers.get_mut(key);
-                peer.strike(now, part);
-                if peer.presence == PeerPresence::There {
-                    peer.presence = PeerPresence::Doubted;
+                peer.record_failure(now, jitter);
+                if peer.liveness == PeerLiveness::Responsive {
+                    peer.liveness = PeerLiveness::Suspected;
                 }
             }
         }
     }
 
-    /// What to do now.
+    /// The steps to carry out at `now`.
     pub(crate) fn next_steps(&mut self, now: ClockTime) -> Vec<FetchStep> {
         let mut steps = Vec::new();
         if self.held.is_full() {
             return steps;
         }
         self.cancel_stalled(now, &mut steps);
-        self.doubt_silent(now, &mut steps);
-        if self.peers.take_silence_change() {
-            let silent = self.peers.silent();
-            self.turns.pass_over(&silent, now);
-            self.imports.pass_over(&silent);
+        self.check_unresponsive_sources(now, &mut steps);
+        if self.peers.take_liveness_change() {
+            let unresponsive = self.peers.unresponsive();
+            self.origin_schedule.skip_hosts(&unresponsive, now);
+            self.import_schedule.skip_hosts(&unresponsive);
         }
         self.plan_origin_reads(now, &mut steps);
         self.plan_pulls(now, &mut steps);
-        self.plan_asks(now, &mut steps);
+        self.plan_queries(now, &mut steps);
         assert!(
-            self.flights
+            self.transfers
                 .iter()
-                .all(|flight| !self.held.contains(flight.index)),
-            "a chunk that is there was under way again"
+                .all(|transfer| !self.held.contains(transfer.index)),
+            "a chunk that is held was in transfer again"
         );
         steps
     }
 
     fn cancel_stalled(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
-        let stalled = self.flights.iter().filter(|flight| flight.stalls_at <= now);
-        let stalled: Vec<Flight> = stalled.copied().collect();
-        for flight in stalled {
-            self.on_failed(flight.id, ErrorKind::PeerSilent, None, now);
-            steps.push(FetchStep::Cancel(flight.id, flight.source));
+        let stalled = self
+            .transfers
+            .iter()
+            .filter(|transfer| transfer.stalls_at <= now);
+        let stalled: Vec<ChunkTransfer> = stalled.copied().collect();
+        for transfer in stalled {
+            self.on_failed(transfer.id, ErrorKind::PeerSilent, None, now);
+            steps.push(FetchStep::Cancel(transfer.id, transfer.source));
         }
     }
 
-    pub(super) fn launch(&mut self, index: u32, source: FlightSource, now: ClockTime) -> FetchStep {
-        let id = FlightId(self.next_flight);
-        self.next_flight += 1;
-        let within = match source {
-            FlightSource::Peer(key) => {
+    pub(super) fn start_transfer(
+        &mut self,
+        index: u32,
+        source: ChunkSource,
+        now: ClockTime,
+    ) -> FetchStep {
+        let id = TransferId(self.next_transfer);
+        self.next_transfer += 1;
+        let timeout = match source {
+            ChunkSource::Peer(key) => {
                 self.peers.get_mut(key).pulls += 1;
-                (self.usual_span * STALL_SPANS).max(STALL_LEAST)
+                (self.typical_duration * STALL_FACTOR).max(STALL_TIMEOUT_MIN)
             }
-            FlightSource::Origin => self.limits.origin_within,
+            ChunkSource::Origin => self.limits.origin_read_timeout,
         };
-        self.flights.push(Flight {
+        self.transfers.push(ChunkTransfer {
             id,
             index,
             source,
-            since: now,
-            stalls_at: now + within,
+            started_at: now,
+            stalls_at: now + timeout,
         });
         FetchStep::Fetch {
-            flight: id,
+            transfer: id,
             index,
             source,
         }
     }
 
-    pub(super) fn land(&mut self, id: FlightId) -> Option<Flight> {
-        let at = self.flights.iter().position(|flight| flight.id == id)?;
-        let flight = self.flights.swap_remove(at);
-        if let FlightSource::Peer(key) = flight.source {
+    pub(super) fn end_transfer(&mut self, id: TransferId) -> Option<ChunkTransfer> {
+        let position = self
+            .transfers
+            .iter()
+            .position(|transfer| transfer.id == id)?;
+        let transfer = self.transfers.swap_remove(position);
+        if let ChunkSource::Peer(key) = transfer.source {
             self.peers.get_mut(key).pulls -= 1;
         }
-        Some(flight)
+        Some(transfer)
     }
 
-    pub(super) fn flights_of(&self, index: u32) -> impl Iterator<Item = &Flight> {
-        self.flights
+    pub(super) fn transfers_of(&self, index: u32) -> impl Iterator<Item = &ChunkTransfer> {
+        self.transfers
             .iter()
-            .filter(move |flight| flight.index == index)
+            .filter(move |transfer| transfer.index == index)
     }
 
-    /// Whether chunk `index` is under way from a source that is there.
-    pub(super) fn is_flying(&self, index: u32) -> bool {
-        self.flights_of(index).any(|flight| self.is_sound(flight))
+    /// Whether chunk `index` is in transfer from a responsive source.
+    pub(super) fn is_in_transfer(&self, index: u32) -> bool {
+        self.transfers_of(index)
+            .any(|transfer| self.is_source_responsive(transfer))
     }
 
-    /// How many hosts that are there have let a chunk wait for longer than `span` at `now`.
-    pub(crate) fn late_sources(&self, span: Duration, now: ClockTime) -> usize {
-        let late = self.flights.iter().filter(|flight| {
-            let is_peer = flight.source != FlightSource::Origin;
-            is_peer && now.since(flight.since) > span && self.is_sound(flight)
+    /// Number of responsive peers with a transfer that has taken longer than `span` at `now`.
+    pub(crate) fn late_source_count(&self, span: Duration, now: ClockTime) -> usize {
+        let late_transfers = self.transfers.iter().filter(|transfer| {
+            let is_peer = transfer.source != ChunkSource::Origin;
+            is_peer && now.since(transfer.started_at) > span && self.is_source_responsive(transfer)
         });
-        let mut sources: Vec<FlightSource> = late.map(|flight| flight.source).collect();
+        let mut sources: Vec<ChunkSource> =
+            late_transfers.map(|transfer| transfer.source).collect();
         sources.sort_unstable();
         sources.dedup();
         sources.len()
     }
 
-    pub(super) fn count_flights(&self, source: FlightSource) -> usize {
-        self.flights
+    pub(super) fn count_transfers(&self, source: ChunkSource) -> usize {
+        self.transfers
             .iter()
-            .filter(|flight| flight.source == source)
+            .filter(|transfer| transfer.source == source)
             .count()
     }
 }
--- a/src/weights/live_bytes.rs
+++ b/src/weights/live_meter.rs
@@ -1,4 +1,4 @@
-//! Tells the link of live bytes, so that weights wait behind them.
+//! Records the bytes of live responses on the link, so that transfers of weights wait for them.
 
 use std::convert::Infallible;
 
@@ -15,33 +15,33 @@
 
 use super::link_pacer::{LinkDirection, LinkPacer};
 
-/// `routes` with every byte of their answers taken from the link before weights.
+/// Adds a layer to `routes` that records every response byte as live traffic on `pacer`.
 ///
-/// Questions are a few hundred bytes and are left out; answers stream for minutes.
-pub(crate) fn ahead_of_weights(routes: Router, pacer: LinkPacer) -> Router {
-    routes.layer(LiveLayer(pacer))
+/// Requests have a few hundred bytes and are not counted; responses stream for minutes.
+pub(crate) fn meter_live_responses(routes: Router, pacer: LinkPacer) -> Router {
+    routes.layer(LiveMeterLayer(pacer))
 }
 
 #[derive(Clone)]
-struct LiveLayer(LinkPacer);
+struct LiveMeterLayer(LinkPacer);
 
-impl Layer<Route> for LiveLayer {
-    type Service = LiveService;
+impl Layer<Route> for LiveMeterLayer {
+    type Service = LiveMeterService;
 
-    fn layer(self, inner: Route) -> LiveService {
-        LiveService {
+    fn layer(self, inner: Route) -> LiveMeterService {
+        LiveMeterService {
             inner,
             pacer: self.0,
         }
     }
 }
 
-struct LiveService {
+struct LiveMeterService {
     inner: Route,
     pacer: LinkPacer,
 }
 
-impl Service<ServerContext, Request> for LiveService {
+impl Service<ServerContext, Request> for LiveMeterService {
     type Response = Response;
     type Error = Infallible;
 
@@ -52,13 +52,13 @@
     ) -> Result<Response, Infallible> {
         let (head, body) = self.inner.call(context, request).await?.into_parts();
         let pacer = self.pacer.clone();
-        let parts = body.into_data_stream().map(move |part| {
-            part.map(|bytes| {
+        let frames = body.into_data_stream().map(move |chunk| {
+            chunk.map(|bytes| {
                 let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
-                pacer.take_live(LinkDirection::Up, length);
+                pacer.record_live(LinkDirection::Up, length);
                 Frame::data(bytes)
             })
         });
-        Ok(Response::from_parts(head, Body::from_stream(parts)))
+        Ok(Response::from_parts(head, Body::from_stream(frames)))
     }
 }
--- a/src/weights/peer_service.rs
+++ b/src/weights/peer_service.rs
@@ -1,4 +1,5 @@
-//! What other hosts may ask of this host's weights: the manifest, what it holds, and chunks.
+//! Service for the weights requests of other hosts: the manifest, the chunks that this host holds,
+//! and chunk contents.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -13,56 +14,56 @@
 use volo_http::server::param::PathParams;
 use volo_http::server::route::{Router, post};
 
+use super::chunk_announcer::ChunkAnnouncer;
 use super::link_pacer::LinkPacer;
-use super::messages::{ChunkHead, HaveWord};
-use super::staged_version::{StagedVersion, VersionShelf};
+use super::messages::{ChunkAnnouncement, ChunkHead};
+use super::staged_version::{StagedVersion, VersionCache};
 use super::version_routes::read_digest;
-use super::word_board::WordBoard;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
 use crate::transport::{encode_message, error_reply, message_reply, read_message};
 
-/// The largest word that is read, in bytes: two maps of the most chunks, and a name.
-pub(crate) const WORD_BYTES_MAX: usize = 64 * 1024;
-/// Chunks that go out at a time.
+/// Maximum size of an announcement in bytes: two maps of the maximum number of chunks, and a name.
+pub(crate) const ANNOUNCEMENT_BYTES_MAX: usize = 64 * 1024;
+/// Maximum concurrent uploads.
 const UPLOADS_MAX: usize = 8;
-/// How many chunks may wait for this host's link.
-const UPLOAD_QUEUE: u32 = 4;
-/// How long a reader may take before its upload no longer counts. Readers that went silent would
-/// otherwise hold all places for good, and every other host would be told "busy".
-const UPLOAD_LONGEST: Duration = Duration::from_secs(10);
-/// What a full queue without pacing asks a reader to wait.
-const UNPACED_WAIT: Duration = Duration::from_millis(50);
-
-/// Answers other hosts. Clones share its limits.
+/// Maximum number of chunks that may wait for this host's link.
+const UPLOAD_QUEUE_CHUNKS: u32 = 4;
+/// Time after which an upload no longer counts. Otherwise readers that became unresponsive would
+/// occupy all upload slots for good, and every other host would get `UploadBusy` errors.
+const UPLOAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Retry delay for a reader when all upload slots are in use.
+const UNPACED_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Handles requests of other hosts. Clones share its limits.
 #[derive(Clone)]
 pub(crate) struct PeerService {
-    shelf: VersionShelf,
-    board: WordBoard,
+    versions: VersionCache,
+    announcer: ChunkAnnouncer,
     pacer: LinkPacer,
     uploads: Arc<Semaphore>,
-    heard: mpsc::Sender<HaveWord>,
+    announcements: mpsc::Sender<ChunkAnnouncement>,
 }
 
 impl PeerService {
-    /// Answers from `shelf`, within what `pacer` lets through. What askers say of themselves goes
-    /// to `heard`; words are dropped when it is full, since newer ones follow.
+    /// Serves from `versions` within the limits of `pacer`. Announcements in the requests are sent
+    /// to `announcements`; they are dropped if the channel is full, because newer ones follow.
     pub(crate) fn new(
-        shelf: VersionShelf,
-        board: WordBoard,
+        versions: VersionCache,
+        announcer: ChunkAnnouncer,
         pacer: LinkPacer,
-        heard: mpsc::Sender<HaveWord>,
+        announcements: mpsc::Sender<ChunkAnnouncement>,
     ) -> Self {
         Self {
-            shelf,
-            board,
+            versions,
+            announcer,
             pacer,
             uploads: Arc::new(Semaphore::new(UPLOADS_MAX)),
-            heard,
+            announcements,
         }
     }
 
-    /// Its routes, under `/peer/weights/`.
+    /// The routes under `/peer/weights/`.
     pub(crate) fn routes(&self) -> Router {
         let service = self.clone();
         let manifest = move |PathParams(digest): PathParams<String>| {
@@ -70,10 +71,10 @@
             async move { reply.unwrap_or_else(|error| refuse(&error)) }
         };
         let service = self.clone();
-        let have = move |PathParams(digest): PathParams<String>, request: Request| {
+        let holdings = move |PathParams(digest): PathParams<String>, request: Request| {
             let service = service.clone();
             async move {
-                let reply = service.have(&digest, request).await;
+                let reply = service.holdings(&digest, request).await;
                 reply.unwrap_or_else(|error| refuse(&error))
             }
         };
@@ -88,7 +89,7 @@
         };
         Router::new()
             .route("/peer/weights/{digest}/manifest", post(manifest))
-            .route("/peer/weights/{digest}/have", post(have))
+            .route("/peer/weights/{digest}/have", post(holdings))
             .route("/peer/weights/{digest}/chunk/{index}", post(chunk))
     }
 
@@ -96,17 +97,17 @@
         Ok(message_reply(self.find(digest)?.manifest()))
     }
 
-    async fn have(&self, digest: &str, request: Request) -> SwitchResult<Response> {
+    async fn holdings(&self, digest: &str, request: Request) -> SwitchResult<Response> {
         let version = self.find(digest)?;
-        self.hear(request).await?;
-        Ok(message_reply(&self.board.word(&version)))
+        self.receive_announcement(request).await?;
+        Ok(message_reply(&self.announcer.announcement(&version)))
     }
 
     async fn chunk(&self, digest: &str, index: u32, request: Request) -> SwitchResult<Response> {
         let version = self.find(digest)?;
-        self.hear(request).await?;
+        self.receive_announcement(request).await?;
         let Some(bytes) = version.chunk(index) else {
-            let detail = format!("chunk {index} is not here");
+            let detail = format!("this host does not hold chunk {index}");
             return Err(SwitchError::new(ErrorKind::ChunkMissing, detail));
         };
         let slot = self.take_slot()?;
@@ -118,43 +119,43 @@
         let head = ChunkHead {
             digest: version.digest(),
             index,
-            word: self.board.word(&version),
+            announcement: self.announcer.announcement(&version),
         };
         chunk_reply(&head, bytes, slot)
     }
 
     fn find(&self, digest: &str) -> SwitchResult<Arc<StagedVersion>> {
         let digest = read_digest(digest)?;
-        self.shelf.find(digest).ok_or_else(|| {
+        self.versions.find(digest).ok_or_else(|| {
             SwitchError::new(
                 ErrorKind::ChunkMissing,
-                format!("nothing of {digest} is here"),
+                format!("this host holds nothing of version {digest}"),
             )
         })
     }
 
-    async fn hear(&self, request: Request) -> SwitchResult<()> {
-        let word = read_message(request.into_body(), WORD_BYTES_MAX).await?;
-        let _ = self.heard.try_send(word);
+    async fn receive_announcement(&self, request: Request) -> SwitchResult<()> {
+        let announcement = read_message(request.into_body(), ANNOUNCEMENT_BYTES_MAX).await?;
+        let _ = self.announcements.try_send(announcement);
         Ok(())
     }
 
     fn take_slot(&self) -> SwitchResult<UploadSlot> {
         let permit = Arc::clone(&self.uploads).try_acquire_owned();
-        let permit = permit.map_err(|_| busy(UNPACED_WAIT))?;
+        let permit = permit.map_err(|_| busy(UNPACED_RETRY_DELAY))?;
         Ok(UploadSlot::new(permit))
     }
 
     async fn wait_for_link(&self, bytes: &Bytes) -> SwitchResult<()> {
         let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
-        let queue = self.pacer.span_of(length) * UPLOAD_QUEUE;
+        let queue = self.pacer.transfer_time(length) * UPLOAD_QUEUE_CHUNKS;
         let passed = self.pacer.send_out(length, queue).await;
         passed.map_err(|backlog| busy(backlog.saturating_sub(queue)))
     }
 }
 
 fn busy(wait: Duration) -> SwitchError {
-    let error = SwitchError::new(ErrorKind::UploadBusy, "enough chunks go out already");
+    let error = SwitchError::new(ErrorKind::UploadBusy, "too many uploads in progress");
     error.come_back_in(wait)
 }
 
@@ -166,19 +167,19 @@
 fn chunk_reply(head: &ChunkHead, bytes: Bytes, slot: UploadSlot) -> SwitchResult<Response> {
     let head = encode_message(head)?;
     let length = u32::try_from(head.len())
-        .map_err(|_| SwitchError::new(ErrorKind::Internal, "head over 4 GiB"))?;
+        .map_err(|_| SwitchError::new(ErrorKind::Internal, "chunk head larger than 4 GiB"))?;
     let parts = [Bytes::copy_from_slice(&length.to_be_bytes()), head, bytes];
     let frames = parts.map(|part| Ok(Frame::data(part)));
     let frames = futures::stream::iter(frames);
-    // The slot lives as long as the stream, so that an upload counts until it was read.
+    // The stream holds the slot, so that the upload counts until it has been read.
     let frames = futures::StreamExt::inspect(frames, move |_| {
         let _ = &slot;
     });
     Ok(Response::new(Body::from_stream(frames)))
 }
 
-/// One of the uploads that may go on at a time; free again when dropped, or after
-/// [`UPLOAD_LONGEST`].
+/// One of the concurrent uploads. The slot is free again when this is dropped, or after
+/// [`UPLOAD_TIMEOUT`].
 struct UploadSlot {
     _permit: Arc<Mutex<Option<OwnedSemaphorePermit>>>,
 }
@@ -186,10 +187,10 @@
 impl UploadSlot {
     fn new(permit: OwnedSemaphorePermit) -> Self {
         let shared = Arc::new(Mutex::new(Some(permit)));
-        let late = Arc::downgrade(&shared);
+        let weak_permit = Arc::downgrade(&shared);
         tokio::spawn(async move {
-            tokio::time::sleep(UPLOAD_LONGEST).await;
-            if let Some(permit) = late.upgrade() {
+            tokio::time::sleep(UPLOAD_TIMEOUT).await;
+            if let Some(permit) = weak_permit.upgrade() {
                 drop(permit.lock().unwrap_or_else(PoisonError::into_inner).take());
             }
         });
--- a/src/weights/rollout_row.rs
+++ b/src/weights/rollout_row.rs
@@ -1,122 +1,123 @@
-//! A service's rollout as its one row in the table keeps it: who may be out of service, which hosts
-//! failed, whether the version was stopped.
+//! The rollout state of a service, kept in one row of the table: which hosts may be out of service,
+//! which failed to load the version, and whether the rollout was stopped.
 
 use std::time::Duration;
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::wanted_version::WantedVersion;
+use super::target_version::TargetVersion;
 use crate::derives::{message, plain};
 use crate::stores::RowRevision;
 use crate::time::ClockTime;
 use crate::weights::LeaseHolder;
 
-/// How long a permit holds from each renewal.
-pub(crate) const PERMIT_LENGTH: Duration = Duration::from_secs(10);
-/// The part of it that a holder does not use and a taker adds, against clocks that differ in speed.
+/// How long a permit is valid after each renewal.
+pub(crate) const PERMIT_DURATION: Duration = Duration::from_secs(10);
+/// One fifth of the validity is a safety margin against clocks of different speed: the holder does
+/// not use it, and other hosts wait that much longer before they revoke the permit.
 const MARGIN_DIVISOR: u32 = 5;
-/// Failures that are kept, so that the row stays small.
-const FAILURES_KEPT: usize = 16;
+/// Maximum number of failures in the row, which limits its size.
+const FAILURES_MAX: usize = 16;
 
 /// The row `rollouts/SERVICE`, in JSON.
 #[apply(message!)]
 #[derive(Default)]
 pub(crate) struct RolloutRow {
-    /// The newest document that the row knows of.
+    /// Version of the newest service document that the row reflects.
     pub(crate) document: u64,
     /// The version that is rolled out.
     pub(crate) version: ByteString,
-    /// The greatest fencing number given out; never goes back.
+    /// The greatest fencing number issued so far; never decreases.
     pub(crate) fence: u64,
-    /// The hosts that may be out of service now.
+    /// Permits of the hosts that may be out of service now.
     pub(crate) permits: Vec<RolloutPermit>,
-    /// The hosts whose engines did not load the version.
+    /// The hosts whose engines failed to load the version.
     pub(crate) failures: Vec<RolloutFailure>,
-    /// Why no further host takes the version, if so.
+    /// Why the rollout was stopped; `None` while it continues.
     pub(crate) stopped: Option<ByteString>,
 }
 
-/// A host's leave to be out of service.
+/// Permission of a host to be out of service.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct RolloutPermit {
-    /// Who holds it.
+    /// The process that holds the permit.
     pub(crate) holder: LeaseHolder,
     /// Its fencing number.
     pub(crate) fence: u64,
-    /// Grows with each renewal.
+    /// Incremented at each renewal.
     pub(crate) renewals: u64,
 }
 
-/// A host whose engine did not load the version.
+/// A host whose engine failed to load the version.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct RolloutFailure {
-    /// The host.
+    /// The host's name.
     pub(crate) host: ByteString,
-    /// What its engine said.
+    /// The engine's error.
     pub(crate) reason: ByteString,
 }
 
-/// What a row says to a host that wants a permit.
+/// Result of a request for a permit.
 #[apply(plain!)]
-pub(crate) enum PermitAnswer {
-    /// Write this row; once written, the permit has this fencing number.
+pub(crate) enum PermitDecision {
+    /// Write this row. Once it is written, the permit is held with this fencing number.
     Write(RolloutRow, u64),
-    /// As many hosts as allowed are out of service.
+    /// The maximum number of hosts is out of service.
     Full,
-    /// The version was stopped.
+    /// The rollout was stopped, for this reason.
     Stopped(ByteString),
-    /// The row knows a newer document; this host's is old.
+    /// The row reflects a newer document than this host has.
     Outdated,
 }
 
 impl RolloutRow {
-    /// The row as it stands for `wanted`: a newer document with another version begins a new
-    /// rollout, in which earlier failures no longer count but permits still do.
-    pub(crate) fn adapted(&self, wanted: &WantedVersion) -> Self {
+    /// The row updated for `target`. A newer document with another version starts a new rollout,
+    /// for which previous failures no longer count but permits still do.
+    pub(crate) fn for_target(&self, target: &TargetVersion) -> Self {
         let mut row = self.clone();
-        if wanted.document <= row.document {
+        if target.document <= row.document {
             return row;
         }
-        row.document = wanted.document;
-        if row.version != wanted.spec.version {
-            row.version = wanted.spec.version.clone();
+        row.document = target.document;
+        if row.version != target.spec.version {
+            row.version = target.spec.version.clone();
             row.failures.clear();
             row.stopped = None;
         }
         row
     }
 
-    /// Why `wanted` must not be loaded, if so.
-    pub(crate) fn refusal(&self, wanted: &WantedVersion) -> Option<PermitAnswer> {
-        if self.document > wanted.document && self.version != wanted.spec.version {
-            return Some(PermitAnswer::Outdated);
+    /// Why `target` must not be loaded; `None` if it may.
+    pub(crate) fn refusal(&self, target: &TargetVersion) -> Option<PermitDecision> {
+        if self.document > target.document && self.version != target.spec.version {
+            return Some(PermitDecision::Outdated);
         }
-        let row = self.adapted(wanted);
-        row.stopped.map(PermitAnswer::Stopped)
+        let row = self.for_target(target);
+        row.stopped.map(PermitDecision::Stopped)
     }
 
-    /// What the row says to `holder`, whose engine has seen `engine_fence`. `lapsed` tells of a
-    /// permit whether it may be taken away.
-    pub(crate) fn ask(
+    /// Requests a permit for `holder`, whose engine has seen `engine_fence`. `is_lapsed` tells
+    /// whether a permit of another holder may be revoked.
+    pub(crate) fn request_permit(
         &self,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         holder: &LeaseHolder,
         engine_fence: u64,
-        lapsed: impl Fn(&RolloutPermit) -> bool,
-    ) -> PermitAnswer {
-        if let Some(refusal) = self.refusal(wanted) {
+        is_lapsed: impl Fn(&RolloutPermit) -> bool,
+    ) -> PermitDecision {
+        if let Some(refusal) = self.refusal(target) {
             return refusal;
         }
-        let mut row = self.adapted(wanted);
-        // An earlier process on this host may have held one; there is only one host to count.
+        let mut row = self.for_target(target);
+        // A previous process on this host may have held a permit; the host counts only once.
         row.permits
-            .retain(|permit| permit.holder.host != holder.host && !lapsed(permit));
-        let bound = usize::try_from(wanted.rollout.max_out_of_service).unwrap_or(usize::MAX);
-        if row.permits.len() >= bound {
-            return PermitAnswer::Full;
+            .retain(|permit| permit.holder.host != holder.host && !is_lapsed(permit));
+        let limit = usize::try_from(target.rollout.max_out_of_service).unwrap_or(usize::MAX);
+        if row.permits.len() >= limit {
+            return PermitDecision::Full;
         }
         row.fence = row.fence.max(engine_fence) + 1;
         row.permits.push(RolloutPermit {
@@ -125,14 +126,14 @@
             renewals: 0,
         });
         assert!(
-            row.permits.len() <= bound,
+            row.permits.len() <= limit,
             "more hosts than allowed would be out of service"
         );
         let fence = row.fence;
-        PermitAnswer::Write(row, fence)
+        PermitDecision::Write(row, fence)
     }
 
-    /// The row after a renewal by `holder`; `None` when its permit is no longer there.
+    /// The row after a renewal by `holder`; `None` if its permit is no longer in the row.
     pub(crate) fn renewed(&self, holder: &LeaseHolder) -> Option<Self> {
         let mut row = self.clone();
         let permit = row
@@ -143,34 +144,34 @@
         Some(row)
     }
 
-    /// The row without a permit of `host`, of whatever process on it.
+    /// The row without the permits of all processes on `host`.
     pub(crate) fn released(&self, host: &ByteString) -> Self {
         let mut row = self.clone();
         row.permits.retain(|permit| permit.holder.host != *host);
         row
     }
 
-    /// The row after the engine of `host` did not load `wanted`. When as many hosts failed as the
-    /// document allows, the version is stopped.
+    /// The row after the engine of `host` failed to load `target`. The rollout is stopped once as
+    /// many hosts have failed as the document allows.
     pub(crate) fn with_failure(
         &self,
-        wanted: &WantedVersion,
+        target: &TargetVersion,
         host: &ByteString,
         reason: &str,
     ) -> Self {
-        let mut row = self.adapted(wanted);
-        if row.version != wanted.spec.version {
+        let mut row = self.for_target(target);
+        if row.version != target.spec.version {
             return row;
         }
-        let known = row.failures.iter().any(|failure| failure.host == *host);
-        if !known && row.failures.len() < FAILURES_KEPT {
+        let is_known = row.failures.iter().any(|failure| failure.host == *host);
+        if !is_known && row.failures.len() < FAILURES_MAX {
             row.failures.push(RolloutFailure {
                 host: host.clone(),
                 reason: reason.into(),
             });
         }
-        let limit = usize::try_from(wanted.rollout.stop_after_failures).unwrap_or(usize::MAX);
-        if row.stopped.is_none() && row.failures.len() >= limit.clamp(1, FAILURES_KEPT) {
+        let limit = usize::try_from(target.rollout.stop_after_failures).unwrap_or(usize::MAX);
+        if row.stopped.is_none() && row.failures.len() >= limit.clamp(1, FAILURES_MAX) {
             let count = row.failures.len();
             let text = format!("{count} engines did not load it, the last on {host}: {reason}");
             row.stopped = Some(text.into());
@@ -179,71 +180,74 @@
     }
 }
 
-/// What one host has seen of the others' permits, to tell a lapsed one.
+/// Tracks the permits of all hosts, in order to detect expired ones.
 ///
-/// Wall clocks of hosts differ and jump, so a permit's age is counted from when this host first saw
-/// it in its present state, by this host's monotonic clock.
+/// Wall clocks of hosts differ and jump. The age of a permit is therefore counted by this host's
+/// monotonic clock, from when this host first saw the permit in its present state.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PermitWatch {
-    seen: Vec<(RolloutPermit, ClockTime)>,
+pub(crate) struct PermitTracker {
+    observed: Vec<(RolloutPermit, ClockTime)>,
 }
 
-impl PermitWatch {
-    /// Takes in the permits of a row read at `now`.
-    pub(crate) fn see(&mut self, row: &RolloutRow, now: ClockTime) {
-        let known = std::mem::take(&mut self.seen);
-        self.seen = row
+impl PermitTracker {
+    /// Records the permits of a row that was read at `now`.
+    pub(crate) fn observe(&mut self, row: &RolloutRow, now: ClockTime) {
+        let previous = std::mem::take(&mut self.observed);
+        self.observed = row
             .permits
             .iter()
             .map(|permit| {
-                let earlier = known.iter().find(|(seen, _)| seen == permit);
-                let since = earlier.map_or(now, |(_, since)| *since);
+                let unchanged = previous.iter().find(|(observed, _)| observed == permit);
+                let since = unchanged.map_or(now, |(_, since)| *since);
                 (permit.clone(), since)
             })
             .collect();
     }
 
-    /// Whether `permit` was seen unchanged for its whole length and a margin.
-    pub(crate) fn is_overdue(&self, permit: &RolloutPermit, now: ClockTime) -> bool {
-        let seen = self.seen.iter().find(|(seen, _)| seen == permit);
-        seen.is_some_and(|(_, since)| {
-            now.since(*since) >= PERMIT_LENGTH + PERMIT_LENGTH / MARGIN_DIVISOR
+    /// Whether `permit` has been unchanged for its validity and the safety margin.
+    pub(crate) fn is_expired(&self, permit: &RolloutPermit, now: ClockTime) -> bool {
+        let observed = self
+            .observed
+            .iter()
+            .find(|(observed, _)| observed == permit);
+        observed.is_some_and(|(_, since)| {
+            now.since(*since) >= PERMIT_DURATION + PERMIT_DURATION / MARGIN_DIVISOR
         })
     }
 }
 
-/// This host's own permit.
+/// The permit that this host holds.
 #[apply(plain!)]
 pub(crate) struct HeldPermit {
     /// Its fencing number.
     pub(crate) fence: u64,
-    /// When the write that gave or renewed it was sent.
-    pub(crate) begun: ClockTime,
+    /// When the write that acquired or renewed it was sent.
+    pub(crate) renewed_at: ClockTime,
 }
 
 impl HeldPermit {
-    /// Whether it still holds: a fifth of its length is not used.
-    pub(crate) fn is_good(&self, now: ClockTime) -> bool {
-        now < self.begun + PERMIT_LENGTH - PERMIT_LENGTH / MARGIN_DIVISOR
+    /// Whether the permit may be used; the last fifth of its validity is not used.
+    pub(crate) fn is_valid(&self, now: ClockTime) -> bool {
+        now < self.renewed_at + PERMIT_DURATION - PERMIT_DURATION / MARGIN_DIVISOR
     }
 
-    /// Whether it is time to renew it.
-    pub(crate) fn is_due(&self, now: ClockTime) -> bool {
-        now >= self.begun + PERMIT_LENGTH / 3
+    /// Whether the permit should be renewed.
+    pub(crate) fn is_renewal_due(&self, now: ClockTime) -> bool {
+        now >= self.renewed_at + PERMIT_DURATION / 3
     }
 }
 
-/// A row as it was read.
+/// The row with its revision, as it was read.
 #[apply(plain!)]
-pub(crate) struct SeenRow {
-    /// The revision to expect when writing.
+pub(crate) struct RowSnapshot {
+    /// The revision to expect in the next write.
     pub(crate) revision: RowRevision,
-    /// The row; empty when it is absent.
+    /// The row; empty if it does not exist.
     pub(crate) row: RolloutRow,
 }
 
-impl SeenRow {
-    /// A row that is absent.
+impl RowSnapshot {
+    /// The snapshot of a row that does not exist.
     pub(crate) fn absent() -> Self {
         Self {
             revision: RowRevision::ABSENT,
@@ -252,11 +256,11 @@
     }
 }
 
-/// What became of a write that the table answered.
+/// Result of a write that the table answered.
 #[apply(plain!)]
-pub(crate) enum RowOutcome {
-    /// It took effect.
+pub(crate) enum RowWriteResult {
+    /// The write took effect.
     Written,
-    /// Another write came first; this stands.
-    Conflict(SeenRow),
+    /// Another write came first and left this row.
+    Conflict(RowSnapshot),
 }
--- a/src/weights/wanted_version.rs
+++ b/src/weights/target_version.rs
@@ -1,11 +1,12 @@
-//! What the document in force wants of this host, and which other hosts want the same.
+//! The target version of this host according to the service document, and the other hosts with the
+//! same target.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
 use super::digest::WeightsDigest;
-use super::peer_table::PlanHost;
-use super::source_line::LineHost;
+use super::host_ranking::HostLocation;
+use super::peer_table::PeerHost;
 use crate::control::{ControlHandle, ControlSnapshot, MemberRecord, MemberState};
 use crate::derives::plain;
 use crate::documents::{RolloutSpec, WeightsSpec};
@@ -14,28 +15,29 @@
 
 /// The version that this host should serve.
 #[apply(plain!)]
-pub(crate) struct WantedVersion {
-    /// The service.
+pub(crate) struct TargetVersion {
+    /// The service that the host belongs to.
     pub(crate) service: ByteString,
-    /// The version of the document that says so.
+    /// Version of the service document.
     pub(crate) document: u64,
-    /// The weights as the document names them.
+    /// The weights as specified in the document.
     pub(crate) spec: WeightsSpec,
-    /// How a change goes through the hosts.
+    /// Limits for the rollout of a new version.
     pub(crate) rollout: RolloutSpec,
     /// The digest of the weights.
     pub(crate) digest: WeightsDigest,
 }
 
-impl WantedVersion {
-    /// What the document in force wants of the host of `control`; `None` while there is no document
-    /// or it names no weights.
+impl TargetVersion {
+    /// The target version of the host of `control`; `None` if there is no document or it specifies
+    /// no weights.
     pub(crate) fn read(control: &ControlHandle) -> Option<Self> {
         let service = control.identity().service.clone()?;
         let snapshot = control.snapshot().load();
         let record = snapshot.service(&service)?;
         let spec = record.document.weights.clone()?;
-        // The document was checked before it was accepted; one that does not read wants nothing.
+        // Documents are checked before they are accepted; a digest that cannot be parsed means no
+        // target.
         let digest = spec.digest.parse().ok()?;
         Some(Self {
             service,
@@ -46,7 +48,7 @@
         })
     }
 
-    /// What an engine that serves it reports.
+    /// What an engine that serves this version reports.
     pub(crate) fn serving(&self) -> ServingVersion {
         ServingVersion {
             version: self.spec.version.clone(),
@@ -55,19 +57,19 @@
     }
 }
 
-/// The place of `identity` in lines.
-pub(crate) fn line_host(identity: &HostIdentity) -> LineHost {
-    LineHost {
+/// Name and location of the host `identity`.
+pub(crate) fn host_location(identity: &HostIdentity) -> HostLocation {
+    HostLocation {
         host: identity.host.clone(),
         data_centre: identity.data_centre.clone(),
         region: identity.region.clone(),
     }
 }
 
-/// The live hosts whose service wants the weights `digest`, of any service, sorted by name.
-pub(crate) fn wanting_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PlanHost> {
+/// The live hosts of all services that have the weights `digest` as target, sorted by name.
+pub(crate) fn target_hosts(snapshot: &ControlSnapshot, digest: WeightsDigest) -> Vec<PeerHost> {
     let digest = ByteString::from(digest.to_string());
-    let wants = |member: &MemberRecord| {
+    let has_target = |member: &MemberRecord| {
         let service = member
             .service
             .as_deref()
@@ -76,10 +78,10 @@
         weights.is_some_and(|weights| weights.digest == digest)
     };
     let members = snapshot.members.iter().filter(|member| {
-        member.role == HostRole::Backend && member.state == MemberState::Live && wants(member)
+        member.role == HostRole::Backend && member.state == MemberState::Live && has_target(member)
     });
-    let hosts = members.map(|member| PlanHost {
-        line: LineHost {
+    let hosts = members.map(|member| PeerHost {
+        location: HostLocation {
             host: member.host.clone(),
             data_centre: member.data_centre.clone(),
             region: member.region.clone(),
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -1,4 +1,5 @@
-//! A version that spreads over the hosts of several data centres, each with its own plan.
+//! Simulation of a version that spreads over the hosts of several data centres, each with its own
+//! plan.
 
 use std::time::Duration;
 
@@ -6,103 +7,104 @@
 use crate::errors::ErrorKind;
 use crate::time::ClockTime;
 use crate::weights::{
-    ChunkMap, FetchLimits, FetchPlan, FetchStep, FlightId, FlightSource, HaveWord, LineHost,
-    PeerKey, PlanHost, WeightsDigest,
+    ChunkAnnouncement, ChunkMap, ChunkSource, FetchLimits, FetchPlan, FetchStep, HostLocation,
+    PeerHost, PeerKey, TransferId, WeightsDigest,
 };
 
 const START: ClockTime = ClockTime::from_millis(100_000);
-/// How often each plan is looked at and hears of what came.
+/// How often each plan is run and receives events.
 const TICK: Duration = Duration::from_millis(40);
-/// The same for hosts that act on what comes at once.
+/// The same for hosts that react to events at once.
 const SHORT_TICK: Duration = Duration::from_millis(20);
 const CHUNKS: u32 = 96;
 const SEED: u64 = 7;
-/// A chunk on the origin's link of 4.38 Mbit/s, and on a host's of 7.3 Mbit/s.
+/// Time of a chunk on the origin's link of 4.38 Mbit/s, and on a host's link of 7.3 Mbit/s.
 const ORIGIN_SPAN: Duration = Duration::from_millis(45);
 const HOST_SPAN: Duration = Duration::from_millis(27);
-/// Connections that the origin takes; it resets those beyond.
+/// Maximum number of connections to the origin; it resets any others.
 const ORIGIN_CONNECTIONS: usize = 48;
-const ANSWER_SPAN: Duration = Duration::from_millis(10);
-/// How long a chunk waits for its sender's link before it is turned away.
+const RESPONSE_DELAY: Duration = Duration::from_millis(10);
+/// A pull is refused if the sender's link is busy for longer than this.
 const BACKLOG_MAX: Duration = Duration::from_millis(120);
-/// When the last hosts hear of the version.
-const HEARD_WITHIN: Duration = Duration::from_millis(500);
-/// How much longer the last host may take than the origin's link needs for one copy.
-const OVER_ORIGIN: f64 = 1.25;
+/// The hosts learn of the version at different times within this span.
+const START_SPREAD: Duration = Duration::from_millis(500);
+/// The last host may take this many times as long as the origin's link needs for one copy.
+const ORIGIN_TIME_FACTOR: f64 = 1.25;
 
-enum News {
-    Word(PeerKey, HaveWord),
+enum Event {
+    Announcement(PeerKey, ChunkAnnouncement),
     Empty(PeerKey),
-    Chunk(FlightId, Option<HaveWord>),
-    Busy(FlightId, Duration),
-    Reset(FlightId),
+    Chunk(TransferId, Option<ChunkAnnouncement>),
+    Busy(TransferId, Duration),
+    Reset(TransferId),
 }
 
 struct FleetHost {
-    host: PlanHost,
+    host: PeerHost,
     plan: FetchPlan,
-    begun: ClockTime,
+    started_at: ClockTime,
     uplink_until: ClockTime,
     downlink_until: ClockTime,
-    arrivals: Vec<(ClockTime, News)>,
-    whole_at: Option<ClockTime>,
+    arrivals: Vec<(ClockTime, Event)>,
+    complete_at: Option<ClockTime>,
 }
 
 struct Fleet {
     tick: Duration,
     now: ClockTime,
     hosts: Vec<FleetHost>,
-    /// Reads under way at the origin, which share its link: host, flight, and what is left to send.
-    origin_reads: Vec<(usize, FlightId, Duration)>,
+    /// Reads in progress at the origin, which share its link: host, transfer, and link time left.
+    origin_reads: Vec<(usize, TransferId, Duration)>,
     origin_copies: u32,
-    /// Chunks that crossed between two data centres.
+    /// Transfers of chunks between data centres.
     crossings: u32,
-    questions: u32,
+    queries: u32,
 }
 
-fn plan_host(centre: usize, number: usize) -> PlanHost {
-    let [centre, number] = [centre, number].map(|part| u8::try_from(part).expect("small"));
-    PlanHost {
-        line: LineHost {
-            host: format!("10.{centre}.0.{number}").into(),
-            data_centre: format!("hall-{centre}").into(),
+fn plan_host(data_centre: usize, number: usize) -> PeerHost {
+    let [data_centre, number] =
+        [data_centre, number].map(|value| u8::try_from(value).expect("small"));
+    PeerHost {
+        location: HostLocation {
+            host: format!("10.{data_centre}.0.{number}").into(),
+            data_centre: format!("hall-{data_centre}").into(),
             region: "all".into(),
         },
-        address: ([10, centre, 0, number], 7300).into(),
+        address: ([10, data_centre, 0, number], 7300).into(),
     }
 }
 
 impl Fleet {
-    fn new(centres: usize, hosts: usize, tick: Duration) -> Self {
-        let all: Vec<PlanHost> = (0..centres)
-            .flat_map(|centre| (0..hosts).map(move |number| plan_host(centre, number)))
+    fn new(data_centres: usize, hosts: usize, tick: Duration) -> Self {
+        let all: Vec<PeerHost> = (0..data_centres)
+            .flat_map(|data_centre| (0..hosts).map(move |number| plan_host(data_centre, number)))
             .collect();
         let limits = FetchLimits {
             pulls_max: 6,
-            turn_span: Duration::from_millis(300),
+            takeover_delay: Duration::from_millis(300),
             origin_reads_max: 1,
-            origin_within: Duration::from_millis(2500),
+            origin_read_timeout: Duration::from_millis(2500),
             ..FetchLimits::default()
         };
-        let started = (0_u32..).zip(&all).map(|(at, host)| {
-            let begun = START + HEARD_WITHIN.mul_f64(f64::from(at % 7) / 7.0);
+        let started = (0_u32..).zip(&all).map(|(index, host)| {
+            let started_at = START + START_SPREAD.mul_f64(f64::from(index % 7) / 7.0);
             let mut plan = FetchPlan::new(
-                host.line.clone(),
+                host.location.clone(),
                 (WeightsDigest::of(b"m/2"), SpreadObjective::OriginBytes),
                 ChunkMap::empty(CHUNKS),
                 limits,
-                (HOST_SPAN, SEED + u64::from(at)),
-                begun,
+                (HOST_SPAN, SEED + u64::from(index)),
+                started_at,
             );
             plan.set_hosts(&all);
             FleetHost {
                 host: host.clone(),
                 plan,
-                begun,
+                started_at,
                 uplink_until: START,
                 downlink_until: START,
                 arrivals: Vec::new(),
-                whole_at: None,
+                complete_at: None,
             }
         });
         Self {
@@ -112,217 +114,228 @@
             origin_reads: Vec::new(),
             origin_copies: 0,
             crossings: 0,
-            questions: 0,
+            queries: 0,
         }
     }
 
     fn run(&mut self, span: Duration) {
-        while self.now.since(START) < span && self.hosts.iter().any(|host| host.whole_at.is_none())
+        while self.now.since(START) < span
+            && self.hosts.iter().any(|host| host.complete_at.is_none())
         {
             self.now = self.now + self.tick;
             self.send_from_origin();
-            for at in 0..self.hosts.len() {
-                self.deliver(at);
-                if self.hosts[at].begun > self.now {
+            for index in 0..self.hosts.len() {
+                self.deliver(index);
+                if self.hosts[index].started_at > self.now {
                     continue;
                 }
                 let now = self.now;
-                for step in self.hosts[at].plan.next_steps(now) {
-                    self.carry_out(at, step);
+                for step in self.hosts[index].plan.next_steps(now) {
+                    self.carry_out(index, step);
                 }
-                let host = &mut self.hosts[at];
+                let host = &mut self.hosts[index];
                 if host.plan.held().is_full() {
-                    host.whole_at.get_or_insert(now);
+                    host.complete_at.get_or_insert(now);
                 }
             }
         }
     }
 
-    fn deliver(&mut self, at: usize) {
+    fn deliver(&mut self, index: usize) {
         let now = self.now;
-        let host = &mut self.hosts[at];
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut host.arrivals)
+        let host = &mut self.hosts[index];
+        let (due, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut host.arrivals)
             .into_iter()
             .partition(|(due, _)| *due <= now);
-        host.arrivals = rest;
-        for (_, news) in due {
-            match news {
-                News::Word(key, word) => {
-                    host.plan.on_word(&word, now);
-                    host.plan.on_asked(key, None, now);
+        host.arrivals = pending;
+        for (_, event) in due {
+            match event {
+                Event::Announcement(key, announcement) => {
+                    host.plan.on_announcement(&announcement, now);
+                    host.plan.on_queried(key, None, now);
                 }
-                News::Empty(key) => host.plan.on_asked(key, Some(ErrorKind::ChunkMissing), now),
-                News::Chunk(flight, word) => {
-                    if let Some(word) = &word {
-                        host.plan.on_word(word, now);
+                Event::Empty(key) => host
+                    .plan
+                    .on_queried(key, Some(ErrorKind::ChunkMissing), now),
+                Event::Chunk(transfer, announcement) => {
+                    if let Some(announcement) = &announcement {
+                        host.plan.on_announcement(announcement, now);
                     }
-                    host.plan.on_delivered(flight, now);
+                    host.plan.on_delivered(transfer, now);
                 }
-                News::Reset(flight) => {
+                Event::Reset(transfer) => {
                     host.plan
-                        .on_failed(flight, ErrorKind::OriginUnavailable, None, now);
+                        .on_failed(transfer, ErrorKind::OriginUnavailable, None, now);
                 }
-                News::Busy(flight, wait) => {
+                Event::Busy(transfer, wait) => {
                     host.plan
-                        .on_failed(flight, ErrorKind::UploadBusy, Some(wait), now);
+                        .on_failed(transfer, ErrorKind::UploadBusy, Some(wait), now);
                 }
             }
         }
     }
 
-    /// What the origin sends in a tick, in even parts to all that read.
+    /// Sends data of the origin for one tick, in equal parts to all reads.
     fn send_from_origin(&mut self) {
-        let mut left = self.tick;
-        while !left.is_zero() && !self.origin_reads.is_empty() {
+        let mut budget = self.tick;
+        while !budget.is_zero() && !self.origin_reads.is_empty() {
             let reads = u32::try_from(self.origin_reads.len()).expect("small");
-            let least = self.origin_reads.iter().map(|(.., rest)| *rest).min();
-            let sent = least.unwrap_or_default().min(left / reads);
-            left = left.saturating_sub((sent * reads).max(Duration::from_micros(1)));
-            let due = self.now + ANSWER_SPAN;
-            for (host, flight, rest) in &mut self.origin_reads {
-                *rest = rest.saturating_sub(sent);
-                if rest.is_zero() {
-                    let news = News::Chunk(*flight, None);
-                    self.hosts[*host].arrivals.push((due, news));
+            let least = self
+                .origin_reads
+                .iter()
+                .map(|(.., remaining)| *remaining)
+                .min();
+            let sent = least.unwrap_or_default().min(budget / reads);
+            budget = budget.saturating_sub((sent * reads).max(Duration::from_micros(1)));
+            let due = self.now + RESPONSE_DELAY;
+            for (host, transfer, remaining) in &mut self.origin_reads {
+                *remaining = remaining.saturating_sub(sent);
+                if remaining.is_zero() {
+                    let event = Event::Chunk(*transfer, None);
+                    self.hosts[*host].arrivals.push((due, event));
                     self.origin_copies += 1;
                 }
             }
-            self.origin_reads.retain(|(.., rest)| !rest.is_zero());
+            self.origin_reads
+                .retain(|(.., remaining)| !remaining.is_zero());
         }
     }
 
-    fn find(&self, at: usize, key: PeerKey) -> usize {
-        let address = self.hosts[at].plan.peers().get(key).host.address;
+    fn find(&self, index: usize, key: PeerKey) -> usize {
+        let address = self.hosts[index].plan.peers().get(key).host.address;
         let found = self
             .hosts
             .iter()
             .position(|host| host.host.address == address);
-        found.expect("it is listed")
+        found.expect("the host is listed")
     }
 
-    fn word(&self, at: usize) -> HaveWord {
-        let host = &self.hosts[at];
+    fn announcement(&self, index: usize) -> ChunkAnnouncement {
+        let host = &self.hosts[index];
         let backlog = host.uplink_until.since(self.now);
-        HaveWord {
-            host: host.host.line.host.clone(),
+        ChunkAnnouncement {
+            host: host.host.location.host.clone(),
             held: host.plan.held().clone(),
             claimed: host.plan.claimed(),
             backlog_ms: u64::try_from(backlog.as_millis()).expect("small"),
         }
     }
 
-    fn carry_out(&mut self, at: usize, step: FetchStep) {
-        let answered = self.now + ANSWER_SPAN;
+    fn carry_out(&mut self, index: usize, step: FetchStep) {
+        let answered = self.now + RESPONSE_DELAY;
         match step {
-            FetchStep::Ask(key) => {
-                self.questions += 1;
-                let other = self.find(at, key);
-                let news = if self.hosts[other].begun <= self.now {
-                    News::Word(key, self.word(other))
+            FetchStep::Query(key) => {
+                self.queries += 1;
+                let other = self.find(index, key);
+                let event = if self.hosts[other].started_at <= self.now {
+                    Event::Announcement(key, self.announcement(other))
                 } else {
-                    News::Empty(key)
+                    Event::Empty(key)
                 };
-                self.hosts[at].arrivals.push((answered, news));
+                self.hosts[index].arrivals.push((answered, event));
             }
             FetchStep::Fetch {
-                flight,
-                source: FlightSource::Origin,
+                transfer,
+                source: ChunkSource::Origin,
                 ..
             } => {
                 if self.origin_reads.len() >= ORIGIN_CONNECTIONS {
-                    self.hosts[at]
+                    self.hosts[index]
                         .arrivals
-                        .push((answered, News::Reset(flight)));
+                        .push((answered, Event::Reset(transfer)));
                 } else {
-                    self.origin_reads.push((at, flight, ORIGIN_SPAN));
+                    self.origin_reads.push((index, transfer, ORIGIN_SPAN));
                 }
             }
             FetchStep::Fetch {
-                flight,
-                source: FlightSource::Peer(key),
+                transfer,
+                source: ChunkSource::Peer(key),
                 ..
-            } => self.pull(at, flight, key),
-            FetchStep::Cancel(flight, _) => {
+            } => self.pull(index, transfer, key),
+            FetchStep::Cancel(transfer, _) => {
                 self.origin_reads
-                    .retain(|(host, known, _)| (*host, *known) != (at, flight));
-                self.hosts[at].arrivals.retain(|(_, news)| {
-                    !matches!(news, News::Chunk(known, _) | News::Busy(known, _) if *known == flight)
+                    .retain(|(host, id, _)| (*host, *id) != (index, transfer));
+                self.hosts[index].arrivals.retain(|(_, event)| {
+                    !matches!(event, Event::Chunk(id, _) | Event::Busy(id, _) if *id == transfer)
                 });
             }
         }
     }
 
-    fn pull(&mut self, at: usize, flight: FlightId, key: PeerKey) {
-        let other = self.find(at, key);
+    fn pull(&mut self, index: usize, transfer: TransferId, key: PeerKey) {
+        let other = self.find(index, key);
         let backlog = self.hosts[other].uplink_until.since(self.now);
         if backlog > BACKLOG_MAX {
-            let due = self.now + ANSWER_SPAN;
-            self.hosts[at]
+            let due = self.now + RESPONSE_DELAY;
+            self.hosts[index]
                 .arrivals
-                .push((due, News::Busy(flight, backlog)));
+                .push((due, Event::Busy(transfer, backlog)));
             return;
         }
         let sent = self.hosts[other].uplink_until.max(self.now) + HOST_SPAN;
         self.hosts[other].uplink_until = sent;
-        let word = self.word(other);
-        if self.hosts[other].host.line.data_centre != self.hosts[at].host.line.data_centre {
+        let announcement = self.announcement(other);
+        if self.hosts[other].host.location.data_centre
+            != self.hosts[index].host.location.data_centre
+        {
             self.crossings += 1;
         }
-        let host = &mut self.hosts[at];
+        let host = &mut self.hosts[index];
         let taken = sent.max(host.downlink_until + HOST_SPAN);
         host.downlink_until = taken;
-        let due = taken + ANSWER_SPAN;
-        host.arrivals.push((due, News::Chunk(flight, Some(word))));
+        let due = taken + RESPONSE_DELAY;
+        host.arrivals
+            .push((due, Event::Chunk(transfer, Some(announcement))));
     }
 
     fn slowest(&self) -> Option<Duration> {
         let spans = self
             .hosts
             .iter()
-            .map(|host| host.whole_at.map(|at| at.since(START)));
+            .map(|host| host.complete_at.map(|complete_at| complete_at.since(START)));
         spans.collect::<Option<Vec<Duration>>>()?.into_iter().max()
     }
 }
 
-fn check_spread(centres: usize, hosts: usize, tick: Duration) {
-    let mut fleet = Fleet::new(centres, hosts, tick);
-    let within = HEARD_WITHIN + (ORIGIN_SPAN * CHUNKS).mul_f64(OVER_ORIGIN);
+fn check_spread(data_centres: usize, hosts: usize, tick: Duration) {
+    let mut fleet = Fleet::new(data_centres, hosts, tick);
+    let within = START_SPREAD + (ORIGIN_SPAN * CHUNKS).mul_f64(ORIGIN_TIME_FACTOR);
     fleet.run(within * 2);
-    let whole = fleet.hosts.iter().filter(|host| host.whole_at.is_some());
+    let complete_hosts = fleet.hosts.iter().filter(|host| host.complete_at.is_some());
     let figures = format!(
-        "{} of {} whole, the last after {:?}; {} origin reads, {} crossings, {} questions",
-        whole.count(),
+        "{} of {} hosts complete, the last after {:?}; {} origin reads, {} crossings, {} queries",
+        complete_hosts.count(),
         fleet.hosts.len(),
         fleet.slowest(),
         fleet.origin_copies,
         fleet.crossings,
-        fleet.questions
+        fleet.queries
     );
     println!("{figures}");
     assert!(
         fleet.slowest().is_some_and(|slowest| slowest <= within),
         "{figures}"
     );
-    // A chunk crosses once into each other data centre, and the origin sends it once.
+    // Each chunk is transferred once into each other data centre, and the origin sends it once.
     assert!(fleet.origin_copies <= CHUNKS + CHUNKS / 8, "{figures}");
-    let centres = u32::try_from(centres).expect("small");
-    assert!(fleet.crossings <= CHUNKS * centres, "{figures}");
+    let data_centres = u32::try_from(data_centres).expect("small");
+    assert!(fleet.crossings <= CHUNKS * data_centres, "{figures}");
 }
 
-/// Guards against a version that reaches no host in time where hosts know few of the others: chunks that
-/// one host had read were not found by those that had to bring them into their data centres.
+/// Guards against a version that does not reach the hosts in time if each host queries only few of
+/// the others: the hosts that had to import a chunk did not find the one that had read it.
 #[test]
 fn a_version_reaches_hundreds_of_hosts_in_five_data_centres_in_time() {
     check_spread(5, 28, TICK);
 }
 
-/// Guards against a spread that serves a wide fleet and harms a small one.
+/// Guards against a change that speeds up a large fleet and slows down a small one.
 #[test]
 fn a_version_reaches_a_small_fleet_in_time() {
     check_spread(3, 6, TICK);
 }
 
-/// Guards against the same where hosts act on what comes at once.
+/// Guards against the same failure with hosts that react to events at once.
 #[test]
 fn a_version_reaches_hundreds_of_quick_hosts_in_time() {
     check_spread(5, 28, SHORT_TICK);
--- a/src/weights/version_routes.rs
+++ b/src/weights/version_routes.rs
@@ -1,4 +1,4 @@
-//! What is asked of this host's weights: the whole by its own engine, chunks and maps by peers.
+//! HTTP routes for the engine on this host, which reads complete versions.
 
 use bytes::Bytes;
 use http_body::Frame;
@@ -8,22 +8,22 @@
 use volo_http::server::route::{Router, get};
 
 use super::digest::WeightsDigest;
-use super::staged_version::VersionShelf;
+use super::staged_version::VersionCache;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
 use crate::transport::error_reply;
 
 /// The engine's routes, under `/engine/weights/`.
-pub(crate) fn engine_routes(shelf: VersionShelf) -> Router {
-    let whole = move |PathParams(digest): PathParams<String>| {
-        let reply = whole_reply(&shelf, &digest);
+pub(crate) fn engine_routes(versions: VersionCache) -> Router {
+    let all_bytes = move |PathParams(digest): PathParams<String>| {
+        let reply = version_reply(&versions, &digest);
         async move { reply }
     };
-    Router::new().route("/engine/weights/{digest}", get(whole))
+    Router::new().route("/engine/weights/{digest}", get(all_bytes))
 }
 
-fn whole_reply(shelf: &VersionShelf, digest: &str) -> Response {
-    match find_whole(shelf, digest) {
+fn version_reply(versions: &VersionCache, digest: &str) -> Response {
+    match find_version(versions, digest) {
         Ok(chunks) => {
             let frames = chunks.into_iter().map(|bytes| Ok(Frame::data(bytes)));
             Response::new(Body::from_stream(futures::stream::iter(frames)))
@@ -35,23 +35,25 @@
     }
 }
 
-fn find_whole(shelf: &VersionShelf, digest: &str) -> SwitchResult<Vec<Bytes>> {
+fn find_version(versions: &VersionCache, digest: &str) -> SwitchResult<Vec<Bytes>> {
     let digest = read_digest(digest)?;
-    let whole = shelf.find(digest).and_then(|version| version.whole());
-    whole.ok_or_else(|| {
+    let all_bytes = versions
+        .find(digest)
+        .and_then(|version| version.all_bytes());
+    all_bytes.ok_or_else(|| {
         SwitchError::new(
             ErrorKind::WeightsNotReady,
-            format!("{digest} is not whole here"),
+            format!("version {digest} is not complete on this host"),
         )
     })
 }
 
-/// The digest in a path.
+/// Parses the digest in a path.
 pub(super) fn read_digest(text: &str) -> SwitchResult<WeightsDigest> {
-    text.parse().map_err(|fault| {
+    text.parse().map_err(|error| {
         SwitchError::new(
             ErrorKind::BadRequest,
-            format!("\"{text}\" is no digest: {fault}"),
+            format!("\"{text}\" is not a digest: {error}"),
         )
     })
 }
