--- a/src/catalog/service_catalog.rs
+++ b/src/catalog/service_catalog.rs
@@ -182,7 +182,7 @@
     }
 
     /// Whether every request for `service` may go on elsewhere when it is cut off in the middle.
-    pub(crate) fn may_cut(&self, service: &str) -> bool {
+    pub(crate) fn can_resume_elsewhere(&self, service: &str) -> bool {
         let rules = self.routes.rules().iter();
         let mut rules = rules.filter(|rule| {
             let mut shares = rule.shares.iter();
--- a/src/fleet/backend_desk.rs
+++ b/src/fleet/backend_desk.rs
@@ -7,11 +7,11 @@
 use macro_rules_attribute::apply;
 
 use super::backend_facts::{
-    BackendFacts, BackendPhase, FleetView, LoadReport, WeightsVersion, WordOrder,
+    BackendFacts, BackendPhase, FleetView, IncarnationOrder, LoadReport, WeightsVersion,
 };
-use super::backend_record::{BackendRecord, CallEnd};
+use super::backend_record::{BackendRecord, CallOutcome};
 use super::events;
-use super::pick::{PickNeed, PickPlace, PickRefusal, pick};
+use super::pick::{PickPlace, PickRefusal, PickRequirements, pick};
 use super::request_limit::LimitTurn;
 use super::turn_sharers::TurnSharers;
 use crate::derives::key;
@@ -52,7 +52,7 @@
 
 /// The desk: one record for each backend server that was ever known to this process.
 #[derive(Debug)]
-pub(crate) struct BackendDesk {
+pub(crate) struct BackendRegistry {
     pub(super) me: EntryPlace,
     /// How many other entry hosts the data centre has.
     pub(super) peers: u32,
@@ -73,7 +73,7 @@
     births: Vec<(ByteString, WallTime)>,
 }
 
-impl BackendDesk {
+impl BackendRegistry {
     /// An empty desk of the entry host `me`.
     pub(crate) fn new(me: EntryPlace) -> Self {
         Self {
@@ -115,7 +115,7 @@
     }
 
     fn list(&mut self, facts: &Arc<BackendFacts>) {
-        if WordOrder::of(facts.born, self.born(&facts.id)) == WordOrder::Former {
+        if IncarnationOrder::of(facts.born, self.born(&facts.id)) == IncarnationOrder::Former {
             return;
         }
         let found = self
@@ -136,7 +136,7 @@
         let Some(record) = self.get_mut(key) else {
             return;
         };
-        if WordOrder::of(facts.born, record.facts.born) == WordOrder::Newer {
+        if IncarnationOrder::of(facts.born, record.facts.born) == IncarnationOrder::Newer {
             self.replace(at, facts);
             return;
         }
@@ -224,7 +224,7 @@
     /// Why there is none.
     pub(super) fn pick(
         &mut self,
-        need: &PickNeed<'_>,
+        need: &PickRequirements<'_>,
         now: ClockTime,
         jitter: u32,
     ) -> Result<PickedBackend, PickRefusal> {
@@ -242,7 +242,7 @@
         let key = pick(listed, need, &place, (now, jitter))?;
         let turn = self.get(key).map(|record| record.turn(&place));
         let unread = need.work.map_or(0, |work| work.prompt_tokens);
-        let record = self.get_mut(key).ok_or(PickRefusal::Nobody)?;
+        let record = self.get_mut(key).ok_or(PickRefusal::NoBackend)?;
         record.breaker.note_passed(now);
         record.note_sent(unread);
         if let Some(LimitTurn::Open(begun)) = turn {
@@ -258,7 +258,7 @@
     }
 
     /// A call that was picked ended. `jitter` is random.
-    pub(crate) fn end(&mut self, key: BackendKey, end: CallEnd, now: ClockTime, jitter: u32) {
+    pub(crate) fn end(&mut self, key: BackendKey, end: CallOutcome, now: ClockTime, jitter: u32) {
         self.note_outcome(key, end, now, jitter);
         let is_listed = self.by_id.iter().any(|(_, listed)| *listed == key);
         let Some(slot) = self.records.get_mut(key.at()) else {
@@ -277,7 +277,7 @@
     pub(super) fn note_outcome(
         &mut self,
         key: BackendKey,
-        end: CallEnd,
+        end: CallOutcome,
         now: ClockTime,
         jitter: u32,
     ) {
@@ -296,10 +296,10 @@
         let Some(record) = self.get_mut(key) else {
             return;
         };
-        match WordOrder::of(report.born, record.facts.born) {
-            WordOrder::Former => {}
-            WordOrder::Same => record.note_report(report, now),
-            WordOrder::Newer => {
+        match IncarnationOrder::of(report.born, record.facts.born) {
+            IncarnationOrder::Former => {}
+            IncarnationOrder::Same => record.note_report(report, now),
+            IncarnationOrder::Newer => {
                 let facts = Arc::new(record.restarted(&report));
                 if let Some(at) = self.by_id.iter().position(|(_, listed)| *listed == key) {
                     self.replace(at, &facts);
--- a/src/fleet/backend_facts.rs
+++ b/src/fleet/backend_facts.rs
@@ -50,7 +50,7 @@
 
 impl EngineHoldings {
     /// The version of `model` of which all `layers` layers are loaded.
-    pub(crate) fn whole_version(&self, model: &str, layers: u32) -> Option<WeightsVersion> {
+    pub(crate) fn complete_version(&self, model: &str, layers: u32) -> Option<WeightsVersion> {
         let mut held = self.models.iter().filter(|held| *held.model == *model);
         held.find(|held| self.is_whole(held.version, layers))
             .map(|held| held.version)
@@ -94,7 +94,8 @@
     /// None where it does not say so.
     pub(crate) born: Option<WallTime>,
     /// How many times this incarnation has told the store of itself, if it says so.
-    pub(crate) told: Option<u64>,
+    #[serde(rename = "told")]
+    pub(crate) sequence: Option<u64>,
     /// Its service.
     pub(crate) service: ByteString,
     /// Where it answers; used again by others some time after it has ended.
@@ -111,7 +112,7 @@
 
 /// How a word about a backend server stands to the incarnation that is known.
 #[apply(key!)]
-pub(crate) enum WordOrder {
+pub(crate) enum IncarnationOrder {
     /// It tells of a former one and changes nothing.
     Former,
     /// It tells of this one, or cannot be told apart.
@@ -120,7 +121,7 @@
     Newer,
 }
 
-impl WordOrder {
+impl IncarnationOrder {
     /// The order of a word about the incarnation that started at `born`.
     ///
     /// A backend server that starts again under its name holds nothing and has no requests, while
@@ -137,7 +138,7 @@
 
 /// A backend server's load, as it tells it in an answer.
 #[apply(key!)]
-pub(crate) struct LoadWord {
+pub(crate) struct ResponseLoad {
     /// Requests that it works on.
     pub(crate) running: u32,
     /// Requests that wait at it.
@@ -182,19 +183,19 @@
 
 /// A version of weights that is to be served.
 #[apply(plain!)]
-pub(crate) struct WantedWeights {
+pub(crate) struct TargetWeights {
     /// What is wanted.
     pub(crate) target: ModelVersion,
     /// When it was named, as far as is known.
-    pub(crate) named_at: ClockTime,
+    pub(crate) target_set_at: ClockTime,
     /// How well that is known.
-    pub(crate) certainty: NamingCertainty,
+    pub(crate) certainty: TargetTimeCertainty,
 }
 
 /// How well it is known when a version was named, the least first.
 #[apply(key!)]
 #[derive(serde::Serialize, serde::Deserialize)]
-pub(crate) enum NamingCertainty {
+pub(crate) enum TargetTimeCertainty {
     /// A process found it at its start and took it for old.
     Assumed,
     /// A process that was cut off from the store found it when it was back and took it for new.
@@ -203,11 +204,11 @@
     Witnessed,
 }
 
-impl WantedWeights {
+impl TargetWeights {
     /// Whether requests may begin on an older version at `now`, if they may for `grace` after it
     /// was named.
-    pub(crate) fn allows_older(&self, grace: Duration, now: ClockTime) -> bool {
+    pub(crate) fn allows_previous(&self, grace: Duration, now: ClockTime) -> bool {
         // The first version replaces none.
-        now.since(self.named_at) < grace || self.target.version <= WeightsVersion(1)
+        now.since(self.target_set_at) < grace || self.target.version <= WeightsVersion(1)
     }
 }
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -5,7 +5,7 @@
 
 use macro_rules_attribute::apply;
 
-use super::backend_facts::{BackendFacts, EngineHoldings, LoadReport, LoadWord};
+use super::backend_facts::{BackendFacts, EngineHoldings, LoadReport, ResponseLoad};
 use super::pick::PickPlace;
 use super::request_limit::{LimitTurn, RequestLimit};
 use crate::derives::{key, plain};
@@ -36,7 +36,7 @@
 
 /// How a call at a backend server ended, as far as it tells about the backend server.
 #[apply(key!)]
-pub(crate) enum CallEnd {
+pub(crate) enum CallOutcome {
     /// It answered.
     Answered,
     /// It said that it is full or does not serve this.
@@ -46,7 +46,7 @@
     /// It could not be reached, or broke off, or sent what does not read.
     Failed,
     /// The client left, or the end says nothing about the backend server.
-    Nothing,
+    Inconclusive,
 }
 
 /// What was last heard of the load of all entry hosts together.
@@ -110,7 +110,7 @@
     pub(super) fn restarted(&self, report: &LoadReport) -> BackendFacts {
         BackendFacts {
             born: report.born,
-            told: None,
+            sequence: None,
             holdings: report.holdings.clone(),
             ..(*self.facts).clone()
         }
@@ -205,7 +205,7 @@
     }
 
     /// Whether a connection that was used before is to be avoided.
-    pub(crate) fn wants_fresh(&self, now: ClockTime) -> bool {
+    pub(crate) fn prefers_fresh_connection(&self, now: ClockTime) -> bool {
         now < self.fresh_until
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// It told its load in an answer.
-    pub(crate) fn note_load(&mut self, word: LoadWord, now: ClockTime) {
+    pub(crate) fn note_load(&mut self, word: ResponseLoad, now: ClockTime) {
         self.hear(word.running.saturating_add(word.waiting), now);
     }
 
@@ -242,32 +242,32 @@
     }
 
     /// A call ended. `jitter` is random. Returns whether nothing is sent there for a while now.
-    pub(super) fn note_end(&mut self, end: CallEnd, now: ClockTime, jitter: u32) -> bool {
+    pub(super) fn note_end(&mut self, end: CallOutcome, now: ClockTime, jitter: u32) -> bool {
         match end {
-            CallEnd::Answered => {
+            CallOutcome::Answered => {
                 self.breaker.note_success();
                 false
             }
-            CallEnd::Replaced => {
+            CallOutcome::Replaced => {
                 self.rest_until = now + REPLACED_REST;
                 self.breaker.note_nothing(now);
                 false
             }
-            CallEnd::Refused => {
+            CallOutcome::Refused => {
                 self.rest_until = now + FULL_REST;
                 self.breaker.note_nothing(now);
                 false
             }
             // An engine that changes its weights cuts off what it still works on.
-            CallEnd::Failed if self.is_loading(now) => {
+            CallOutcome::Failed if self.is_loading(now) => {
                 self.breaker.note_nothing(now);
                 false
             }
-            CallEnd::Failed => {
+            CallOutcome::Failed => {
                 self.rest_until = now + FAILED_REST;
                 self.breaker.note_failure(now, jitter)
             }
-            CallEnd::Nothing => {
+            CallOutcome::Inconclusive => {
                 self.breaker.note_nothing(now);
                 false
             }
--- a/src/fleet/backend_ticket.rs
+++ b/src/fleet/backend_ticket.rs
@@ -2,28 +2,28 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use super::backend_desk::{BackendDesk, BackendKey};
+use super::backend_desk::{BackendKey, BackendRegistry};
 use super::backend_facts::{BackendFacts, WeightsVersion};
-use super::backend_record::{BackendRecord, CallEnd};
-use super::pick::{PickNeed, PickRefusal};
+use super::backend_record::{BackendRecord, CallOutcome};
+use super::pick::{PickRefusal, PickRequirements};
 use crate::time::{ClockTime, StoreTime, clock_now};
 
 /// The desk as requests share it.
 #[derive(Clone, Debug)]
-pub(crate) struct SharedDesk {
-    desk: Arc<Mutex<BackendDesk>>,
+pub(crate) struct SharedRegistry {
+    desk: Arc<Mutex<BackendRegistry>>,
 }
 
-impl SharedDesk {
+impl SharedRegistry {
     /// Shares `desk`.
-    pub(crate) fn new(desk: BackendDesk) -> Self {
+    pub(crate) fn new(desk: BackendRegistry) -> Self {
         Self {
             desk: Arc::new(Mutex::new(desk)),
         }
     }
 
     /// The desk, for a moment; never held while waiting.
-    pub(crate) fn lock(&self) -> MutexGuard<'_, BackendDesk> {
+    pub(crate) fn lock(&self) -> MutexGuard<'_, BackendRegistry> {
         self.desk.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -34,7 +34,7 @@
     /// Why there is none.
     pub(crate) fn pick(
         &self,
-        need: &PickNeed<'_>,
+        need: &PickRequirements<'_>,
         now: ClockTime,
     ) -> Result<BackendTicket, PickRefusal> {
         let picked = self.lock().pick(need, now, rand::random())?;
@@ -53,7 +53,7 @@
 /// A request under way at a backend server.
 #[derive(Debug)]
 pub(crate) struct BackendTicket {
-    desk: SharedDesk,
+    desk: SharedRegistry,
     /// Where.
     pub(crate) key: BackendKey,
     /// What the store says of it.
@@ -69,7 +69,7 @@
 
 impl BackendTicket {
     /// The backend server began to answer: the prompt is read.
-    pub(crate) fn note_begun(&mut self) {
+    pub(crate) fn note_response_started(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         if unread > 0 {
             self.with_record(|record| record.note_read(unread));
@@ -83,14 +83,14 @@
     }
 
     /// The backend server has sent nothing for too long, and the call goes on.
-    pub(crate) fn note_silent(&self, now: ClockTime) {
+    pub(crate) fn note_unresponsive(&self, now: ClockTime) {
         let mut desk = self.desk.lock();
-        desk.note_outcome(self.key, CallEnd::Failed, now, rand::random());
+        desk.note_outcome(self.key, CallOutcome::Failed, now, rand::random());
     }
 
     /// The call ended.
-    pub(crate) fn end(mut self, end: CallEnd, now: ClockTime) {
-        self.note_begun();
+    pub(crate) fn end(mut self, end: CallOutcome, now: ClockTime) {
+        self.note_response_started();
         self.is_ended = true;
         self.desk.lock().end(self.key, end, now, rand::random());
     }
@@ -107,10 +107,10 @@
     /// The client left: the request's future was dropped wherever it stood.
     fn drop(&mut self) {
         if !self.is_ended {
-            self.note_begun();
+            self.note_response_started();
             let now = clock_now();
             let desk = self.desk.clone();
-            desk.lock().end(self.key, CallEnd::Nothing, now, 0);
+            desk.lock().end(self.key, CallOutcome::Inconclusive, now, 0);
         }
     }
 }
--- a/src/fleet/desk_share.rs
+++ b/src/fleet/desk_share.rs
@@ -2,13 +2,13 @@
 
 use bytestring::ByteString;
 
-use super::backend_desk::BackendDesk;
+use super::backend_desk::BackendRegistry;
 use super::turn_sharers::TurnSharers;
 use crate::overload::{EntryPlace, EntryShare};
 
-impl BackendDesk {
+impl BackendRegistry {
     /// Shares the backend servers out among `entries`, to which this entry host belongs.
-    pub(crate) fn share_among(&mut self, entries: &[EntryPlace]) {
+    pub(crate) fn assign_shares(&mut self, entries: &[EntryPlace]) {
         let me = self.me.clone();
         let share = EntryShare::new(&me, entries);
         self.peers = share.peers();
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -15,13 +15,13 @@
 mod tests;
 mod turn_sharers;
 
-pub(crate) use backend_desk::{BackendDesk, BackendKey};
+pub(crate) use backend_desk::{BackendKey, BackendRegistry};
 pub(crate) use backend_facts::{
-    BackendFacts, BackendPhase, EngineHoldings, FleetView, HeldLayers, LoadReport, LoadWord,
-    ModelVersion, NamingCertainty, WantedWeights, WeightsVersion,
+    BackendFacts, BackendPhase, EngineHoldings, FleetView, HeldLayers, LoadReport, ModelVersion,
+    ResponseLoad, TargetTimeCertainty, TargetWeights, WeightsVersion,
 };
-pub(crate) use backend_record::CallEnd;
-pub(crate) use backend_ticket::{BackendTicket, SharedDesk};
-pub(crate) use pick::{EngineWork, PickNeed, PickRefusal, VersionNeed};
-pub(crate) use request_limit::{LimitWord, is_rate};
-pub(crate) use retry_purse::{PurseLimits, RetryPurse};
+pub(crate) use backend_record::CallOutcome;
+pub(crate) use backend_ticket::{BackendTicket, SharedRegistry};
+pub(crate) use pick::{EngineWork, PickRefusal, PickRequirements, VersionRequirement};
+pub(crate) use request_limit::{LimitAnnouncement, is_valid_rate};
+pub(crate) use retry_purse::{RetryBudgetShare, RetryShareLimits};
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -54,7 +54,7 @@
 
 /// Which weights may answer a request.
 #[apply(plain!)]
-pub(crate) enum VersionNeed {
+pub(crate) enum VersionRequirement {
     /// It is not for a model.
     None,
     /// A version of a model, all of whose layers are loaded.
@@ -64,28 +64,28 @@
         /// How many layers it has.
         layers: u32,
         /// The oldest version that may answer; none while any may.
-        least: Option<WeightsVersion>,
+        minimum: Option<WeightsVersion>,
         /// The oldest version at which a request may wait for a place. One that waits at an older
         /// version could begin when that version may no longer answer.
-        least_to_wait: Option<WeightsVersion>,
+        minimum_to_queue: Option<WeightsVersion>,
     },
 }
 
-impl VersionNeed {
+impl VersionRequirement {
     /// The version with which `record` would answer.
     pub(super) fn held_by(&self, record: &BackendRecord) -> Option<WeightsVersion> {
         match self {
             Self::None => None,
-            Self::Model { model, layers, .. } => record.holdings.whole_version(model, *layers),
+            Self::Model { model, layers, .. } => record.holdings.complete_version(model, *layers),
         }
     }
 
     fn is_met_by(&self, record: &BackendRecord) -> bool {
         match self {
             Self::None => true,
-            Self::Model { least, .. } => {
+            Self::Model { minimum, .. } => {
                 let held = self.held_by(record);
-                held.is_some() && held >= *least
+                held.is_some() && held >= *minimum
             }
         }
     }
@@ -93,11 +93,11 @@
 
 /// What a request needs of a backend server.
 #[apply(plain!)]
-pub(crate) struct PickNeed<'a> {
+pub(crate) struct PickRequirements<'a> {
     /// The service.
     pub(crate) service: &'a str,
     /// The weights.
-    pub(crate) version: VersionNeed,
+    pub(crate) version: VersionRequirement,
     /// Where it was tried already.
     pub(crate) tried: &'a [BackendKey],
     /// How many requests may wait at a backend server beyond those that it works on.
@@ -118,7 +118,7 @@
     pub(crate) prompt_tokens: u32,
 }
 
-impl PickNeed<'_> {
+impl PickRequirements<'_> {
     /// How many requests `record` may have at `now`.
     fn places_at(&self, record: &BackendRecord, now: ClockTime) -> u32 {
         let slots = record.facts.slots;
@@ -126,9 +126,9 @@
             // What other entry hosts have just sent is not known yet, and prompts that are read one after
             // the other delay a beginning. A request that has not begun in time is taken back, but not by
             // an entry host that stands still: its requests would begin behind the bound.
-            VersionNeed::Model { least_to_wait, .. }
-                if self.version.held_by(record) < *least_to_wait =>
-            {
+            VersionRequirement::Model {
+                minimum_to_queue, ..
+            } if self.version.held_by(record) < *minimum_to_queue => {
                 if record.head_wait(now) > OLDER_WAIT_MAX {
                     0
                 } else {
@@ -136,7 +136,7 @@
                 }
             }
             // A place that it takes from a new request turns that one into a late one as well.
-            VersionNeed::Model { .. } if self.is_returned => slots - slots / SPARE_PART,
+            VersionRequirement::Model { .. } if self.is_returned => slots - slots / SPARE_PART,
             _ => slots.saturating_add(self.queue_room),
         }
     }
@@ -146,7 +146,7 @@
 #[apply(key!)]
 pub(crate) enum PickRefusal {
     /// The service has none that lives and holds the weights.
-    Nobody,
+    NoBackend,
     /// All have as many requests as they should have.
     AllFull,
 }
@@ -155,7 +155,7 @@
     /// The error that the client is told.
     pub(crate) const fn kind(self) -> ErrorKind {
         match self {
-            Self::Nobody => ErrorKind::NoBackend,
+            Self::NoBackend => ErrorKind::NoBackend,
             Self::AllFull => ErrorKind::QueueFull,
         }
     }
@@ -192,7 +192,7 @@
 /// Where those that are considered first have none, all are.
 pub(super) fn pick<'a>(
     records: impl Iterator<Item = (BackendKey, &'a BackendRecord)>,
-    need: &PickNeed<'_>,
+    need: &PickRequirements<'_>,
     place: &PickPlace<'_>,
     (now, jitter): (ClockTime, u32),
 ) -> Result<BackendKey, PickRefusal> {
@@ -224,12 +224,12 @@
     match first.or(any) {
         Some((.., key)) => Ok(key),
         None if has_any => Err(PickRefusal::AllFull),
-        None => Err(PickRefusal::Nobody),
+        None => Err(PickRefusal::NoBackend),
     }
 }
 
 /// A place at an engine is as good as the delay that it means; one at a plain service goes by its grade.
-fn rate(place: &EnginePlace, need: &PickNeed<'_>) -> (PlaceGrade, Duration) {
+fn rate(place: &EnginePlace, need: &PickRequirements<'_>) -> (PlaceGrade, Duration) {
     if let Some(work) = &need.work {
         return (PlaceGrade::NearFree, place.delay(&work.speed));
     }
@@ -237,7 +237,7 @@
     (PlaceGrade::of(place.is_near, is_free), Duration::ZERO)
 }
 
-fn serves(record: &BackendRecord, need: &PickNeed<'_>) -> bool {
+fn serves(record: &BackendRecord, need: &PickRequirements<'_>) -> bool {
     let is_meant =
         *record.facts.service == *need.service && record.facts.phase == BackendPhase::Serving;
     is_meant && need.version.is_met_by(record)
--- a/src/fleet/request_limit.rs
+++ b/src/fleet/request_limit.rs
@@ -16,7 +16,7 @@
 
 /// What one entry host tells others of a limit.
 #[apply(message!)]
-pub(crate) struct LimitWord {
+pub(crate) struct LimitAnnouncement {
     /// Where the backend server answers.
     pub(crate) address: SocketAddr,
     /// When it started, by its own clock, if it says so.
@@ -60,12 +60,12 @@
     }
 
     /// Another entry host told `word`. Returns whether the rate changed.
-    pub(super) fn take_word(&mut self, word: &LimitWord) -> bool {
+    pub(super) fn take_word(&mut self, word: &LimitAnnouncement) -> bool {
         if word.at <= self.at {
             return false;
         }
         self.is_own = false;
-        self.set(word.rate.filter(|rate| is_rate(*rate)), word.at)
+        self.set(word.rate.filter(|rate| is_valid_rate(*rate)), word.at)
     }
 
     fn set(&mut self, rate: Option<f64>, at: StoreTime) -> bool {
@@ -105,7 +105,7 @@
     }
 
     /// What other entry hosts are to be told at `now`: the rate, and when that was said.
-    pub(super) fn take_untold(&mut self, now: StoreTime) -> Option<(Option<f64>, StoreTime)> {
+    pub(super) fn take_pending(&mut self, now: StoreTime) -> Option<(Option<f64>, StoreTime)> {
         let is_news = self.told.is_none_or(|told| told < self.at);
         let is_end = self.rate.is_none() && now.since(self.at) < END_TOLD_SPAN;
         if !self.is_own || self.at == StoreTime(0) || !(is_news || is_end) {
@@ -129,6 +129,6 @@
 }
 
 /// Whether `rate` can be one.
-pub(crate) fn is_rate(rate: f64) -> bool {
+pub(crate) fn is_valid_rate(rate: f64) -> bool {
     rate.is_finite() && rate >= 0.0
 }
--- a/src/fleet/retry_purse.rs
+++ b/src/fleet/retry_purse.rs
@@ -23,7 +23,7 @@
 /// What the entry hosts together may spend.
 #[apply(plain!)]
 #[derive(Copy)]
-pub(crate) struct PurseLimits {
+pub(crate) struct RetryShareLimits {
     /// Second sends for each request.
     pub(crate) ratio: f64,
     /// Second sends beyond that in one window.
@@ -34,7 +34,7 @@
     pub(crate) entries: usize,
 }
 
-impl PurseLimits {
+impl RetryShareLimits {
     #[expect(
         clippy::cast_precision_loss,
         reason = "there are never 2^52 entry hosts"
@@ -62,17 +62,17 @@
 
 /// One service's purse.
 #[apply(plain!)]
-pub(crate) struct RetryPurse {
+pub(crate) struct RetryBudgetShare {
     /// The slice in which it was made.
     first: u64,
     /// Of the last two windows, sorted by number.
     slices: Vec<PurseSlice>,
 }
 
-impl RetryPurse {
+impl RetryBudgetShare {
     /// A new purse has spent half of its fixed part: a process that restarts often must not get it anew
     /// each time.
-    pub(crate) fn new(limits: PurseLimits, now: ClockTime) -> Self {
+    pub(crate) fn new(limits: RetryShareLimits, now: ClockTime) -> Self {
         Self {
             first: limits.slice_at(now),
             slices: Vec::new(),
@@ -80,12 +80,12 @@
     }
 
     /// A request came in.
-    pub(crate) fn earn(&mut self, limits: PurseLimits, now: ClockTime) {
+    pub(crate) fn credit(&mut self, limits: RetryShareLimits, now: ClockTime) {
         self.newest_slice(limits, now).requests += 1.0;
     }
 
     /// Takes one second send, if there is one.
-    pub(crate) fn spend(&mut self, limits: PurseLimits, now: ClockTime) -> bool {
+    pub(crate) fn try_spend(&mut self, limits: RetryShareLimits, now: ClockTime) -> bool {
         let newest = self.newest_slice(limits, now).number;
         let oldest = newest.saturating_sub(WINDOW_SLICES);
         let can = (oldest..=newest).all(|begin| self.allows_one_since(begin, limits));
@@ -106,7 +106,7 @@
     /// Whether a window that begins in slice `begin` leaves one more second send. Its requests are its own,
     /// those of the window half a window before it or those before it, whichever are most. The latter count
     /// for less the older they are: clients that have moved on since would count at two entry hosts.
-    fn allows_one_since(&self, begin: u64, limits: PurseLimits) -> bool {
+    fn allows_one_since(&self, begin: u64, limits: RetryShareLimits) -> bool {
         let half = WINDOW_SLICES / 2;
         // Slices that the earlier one may hold in part do not count.
         let earlier = (begin.saturating_sub(half - 1), begin + half);
@@ -145,7 +145,7 @@
     }
 
     /// The slice that holds `now`; those of before the last two windows are forgotten.
-    fn newest_slice(&mut self, limits: PurseLimits, now: ClockTime) -> &mut PurseSlice {
+    fn newest_slice(&mut self, limits: RetryShareLimits, now: ClockTime) -> &mut PurseSlice {
         let number = limits.slice_at(now);
         if self.slices.last().is_none_or(|last| last.number < number) {
             let kept_from = number.saturating_sub(2 * WINDOW_SLICES);
--- a/src/fleet/tests/herds.rs
+++ b/src/fleet/tests/herds.rs
@@ -26,16 +26,16 @@
 }
 
 /// The desk of the entry host `host` among [`entries`].
-fn desk_of_entry(host: &str, engines: &[&str]) -> SharedDesk {
-    let mut desk = BackendDesk::new(entry_place(host, "here"));
+fn desk_of_entry(host: &str, engines: &[&str]) -> SharedRegistry {
+    let mut desk = BackendRegistry::new(entry_place(host, "here"));
     desk.set_fleet(&FleetView {
         backends: engines.iter().map(|id| Arc::new(engine(id))).collect(),
     });
-    desk.share_among(&entries());
-    SharedDesk::new(desk)
+    desk.assign_shares(&entries());
+    SharedRegistry::new(desk)
 }
 
-fn work_need(prompt_tokens: u32) -> PickNeed<'static> {
+fn work_need(prompt_tokens: u32) -> PickRequirements<'static> {
     let mut need = need(None);
     need.work = Some(EngineWork {
         speed: SPEED,
@@ -103,14 +103,14 @@
 #[test]
 fn a_prompt_goes_where_none_is_being_read() {
     let desk = desk_of_entry("e1", &["m1", "m4"]);
-    desk.lock().share_among(&[]);
+    desk.lock().assign_shares(&[]);
     desk.lock().note_report(report("m1", 7, 1.0), NOW);
     desk.lock().note_report(report("m4", 8, 1.0), NOW);
     let first = desk.pick(&work_need(3800), NOW).expect("a place");
     assert_eq!(&*first.facts.id, "m1");
     let mut second = desk.pick(&work_need(100), NOW).expect("a place");
     assert_eq!(&*second.facts.id, "m4");
-    second.note_begun();
+    second.note_response_started();
     drop(first);
     let third = desk.pick(&work_need(100), NOW).expect("a place");
     assert_eq!(&*third.facts.id, "m1", "what has ended is not waited for");
@@ -121,7 +121,7 @@
 #[test]
 fn an_engine_that_says_that_it_is_slow_comes_last() {
     let desk = desk_of_entry("e1", &["m1", "m4"]);
-    desk.lock().share_among(&[]);
+    desk.lock().assign_shares(&[]);
     desk.lock().note_report(report("m1", 2, 5.0), NOW);
     desk.lock().note_report(report("m4", 10, 1.0), NOW);
     let ticket = desk.pick(&work_need(950), NOW).expect("a place");
@@ -168,7 +168,7 @@
         .collect();
     let mut tickets = Vec::new();
     for place in &places {
-        let mut desk = BackendDesk::new(place.clone());
+        let mut desk = BackendRegistry::new(place.clone());
         let near_facts = near.iter().map(|id| engine(id));
         let far_facts = far.iter().map(|id| BackendFacts {
             data_centre: "there".into(),
@@ -179,7 +179,7 @@
         desk.set_fleet(&FleetView {
             backends: backends.into_iter().map(Arc::new).collect(),
         });
-        desk.share_among(&places);
+        desk.assign_shares(&places);
         for id in near {
             desk.note_report(report(id, SLOTS, 1.0), NOW);
         }
@@ -187,7 +187,7 @@
             let active = if id == "fA" { EMPTIED } else { SLOTS / 2 };
             desk.note_report(report(id, active, 1.0), NOW);
         }
-        let desk = SharedDesk::new(desk);
+        let desk = SharedRegistry::new(desk);
         for _ in 0..2 {
             tickets.push(desk.pick(&work_need(950), NOW).expect("places are free"));
         }
--- a/src/fleet/tests/incarnations.rs
+++ b/src/fleet/tests/incarnations.rs
@@ -35,14 +35,14 @@
     }
 }
 
-fn set(desk: &SharedDesk, facts: BackendFacts) {
+fn set(desk: &SharedRegistry, facts: BackendFacts) {
     let fleet = FleetView {
         backends: vec![Arc::new(facts)],
     };
     desk.lock().set_fleet(&fleet);
 }
 
-fn refusal(desk: &SharedDesk) -> Option<PickRefusal> {
+fn refusal(desk: &SharedRegistry) -> Option<PickRefusal> {
     desk.pick(&need(None), NOW + LATER).err()
 }
 
@@ -56,7 +56,7 @@
         .map(|_| desk.pick(&need(None), NOW).expect("there are five places"))
         .collect();
     for ticket in tickets.drain(..3) {
-        ticket.end(CallEnd::Failed, NOW);
+        ticket.end(CallOutcome::Failed, NOW);
     }
     set(&desk, started_at(2, 1));
     let fresh: Vec<BackendTicket> = (0..5)
@@ -65,7 +65,7 @@
     assert!(fresh.iter().all(|ticket| ticket.key != tickets[0].key));
     // The ends of the former ones change nothing any more.
     for ticket in tickets {
-        ticket.end(CallEnd::Failed, NOW + LATER);
+        ticket.end(CallOutcome::Failed, NOW + LATER);
     }
     drop(fresh);
     assert_eq!(refusal(&desk), None);
@@ -78,12 +78,12 @@
     let desk = desk_of(vec![started_at(1, 1)]);
     let former = report_of(&started_at(1, 1), 0);
     set(&desk, empty_since(2));
-    assert_eq!(refusal(&desk), Some(PickRefusal::Nobody));
+    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
     desk.lock().note_report(former, NOW + LATER);
-    assert_eq!(refusal(&desk), Some(PickRefusal::Nobody));
+    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
     // The store's entry may lie behind the report as well.
     set(&desk, started_at(1, 1));
-    assert_eq!(refusal(&desk), Some(PickRefusal::Nobody));
+    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
     desk.lock()
         .note_report(report_of(&started_at(2, 1), 0), NOW + LATER);
     assert_eq!(refusal(&desk), None);
@@ -95,12 +95,12 @@
 fn a_report_tells_of_a_restart_before_the_entry_does() {
     let desk = desk_of(vec![started_at(1, 1)]);
     let ticket = desk.pick(&need(None), NOW).expect("a place is free");
-    let load = LoadWord {
+    let load = ResponseLoad {
         running: 9,
         waiting: 9,
     };
     desk.lock().note_report(report_of(&empty_since(2), 0), NOW);
-    assert_eq!(refusal(&desk), Some(PickRefusal::Nobody));
+    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
     desk.lock()
         .note_report(report_of(&started_at(2, 1), 0), NOW);
     // An answer of the former one tells its load late.
--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -20,7 +20,7 @@
     let version = WeightsVersion(version);
     BackendFacts {
         born: None,
-        told: None,
+        sequence: None,
         id: ByteString::from(id),
         service: "writer".into(),
         address: ([10, 0, 0, 1], 80).into(),
@@ -48,22 +48,22 @@
     }
 }
 
-fn desk_of(backends: Vec<BackendFacts>) -> SharedDesk {
-    let mut desk = BackendDesk::new(entry_place("e1", "here"));
+fn desk_of(backends: Vec<BackendFacts>) -> SharedRegistry {
+    let mut desk = BackendRegistry::new(entry_place("e1", "here"));
     desk.set_fleet(&FleetView {
         backends: backends.into_iter().map(Arc::new).collect(),
     });
-    SharedDesk::new(desk)
+    SharedRegistry::new(desk)
 }
 
-fn need(least: Option<u64>) -> PickNeed<'static> {
-    PickNeed {
+fn need(minimum: Option<u64>) -> PickRequirements<'static> {
+    PickRequirements {
         service: "writer",
-        version: VersionNeed::Model {
+        version: VersionRequirement::Model {
             model: "m".into(),
             layers: 16,
-            least: least.map(WeightsVersion),
-            least_to_wait: None,
+            minimum: minimum.map(WeightsVersion),
+            minimum_to_queue: None,
         },
         tried: &[],
         queue_room: 1,
@@ -138,7 +138,7 @@
     assert_eq!(ticket.version, Some(WeightsVersion(2)));
     assert_eq!(
         desk.pick(&need(Some(3)), NOW).err(),
-        Some(PickRefusal::Nobody)
+        Some(PickRefusal::NoBackend)
     );
 }
 
@@ -151,8 +151,11 @@
     let desk = desk_of(vec![facts("a", "here", 1)]);
     let waits = need(None);
     let mut begins = need(None);
-    if let VersionNeed::Model { least_to_wait, .. } = &mut begins.version {
-        *least_to_wait = Some(WeightsVersion(2));
+    if let VersionRequirement::Model {
+        minimum_to_queue, ..
+    } = &mut begins.version
+    {
+        *minimum_to_queue = Some(WeightsVersion(2));
     }
     let tickets: Vec<BackendTicket> = (0..2)
         .map(|_| desk.pick(&begins, NOW).expect("there are two places"))
@@ -167,8 +170,11 @@
 fn nothing_goes_to_older_weights_where_answers_begin_late() {
     let desk = desk_of(vec![facts("a", "here", 1)]);
     let mut begins = need(None);
-    if let VersionNeed::Model { least_to_wait, .. } = &mut begins.version {
-        *least_to_wait = Some(WeightsVersion(2));
+    if let VersionRequirement::Model {
+        minimum_to_queue, ..
+    } = &mut begins.version
+    {
+        *minimum_to_queue = Some(WeightsVersion(2));
     }
     let ticket = desk.pick(&begins, NOW).expect("a place is free");
     let waited = |wait| ticket.with_record(|record| record.note_head_wait(wait, NOW));
@@ -189,17 +195,20 @@
     let desk = desk_of(vec![facts("a", "here", 1)]);
     let ticket = desk.pick(&need(None), NOW).expect("a is there");
     desk.lock().set_fleet(&FleetView::default());
-    assert_eq!(desk.pick(&need(None), NOW).err(), Some(PickRefusal::Nobody));
+    assert_eq!(
+        desk.pick(&need(None), NOW).err(),
+        Some(PickRefusal::NoBackend)
+    );
     let key = ticket.key;
-    ticket.end(CallEnd::Answered, NOW);
+    ticket.end(CallOutcome::Answered, NOW);
     assert!(desk.lock().get(key).is_none());
 }
 
 #[test]
 fn layers_count_as_whole_only_without_a_gap_and_of_one_version() {
     let mut holdings = facts("a", "here", 2).holdings;
-    assert_eq!(holdings.whole_version("m", 16), Some(WeightsVersion(2)));
-    assert_eq!(holdings.whole_version("m", 17), None);
+    assert_eq!(holdings.complete_version("m", 16), Some(WeightsVersion(2)));
+    assert_eq!(holdings.complete_version("m", 17), None);
     holdings.layers = vec![
         HeldLayers {
             from: 8,
@@ -212,17 +221,17 @@
             version: WeightsVersion(1),
         },
     ];
-    assert_eq!(holdings.whole_version("m", 16), None);
+    assert_eq!(holdings.complete_version("m", 16), None);
     holdings.layers[1].version = WeightsVersion(2);
-    assert_eq!(holdings.whole_version("m", 16), Some(WeightsVersion(2)));
-    assert_eq!(holdings.whole_version("other", 16), None);
+    assert_eq!(holdings.complete_version("m", 16), Some(WeightsVersion(2)));
+    assert_eq!(holdings.complete_version("other", 16), None);
 }
 
 /// Symptom: a service got more second sends than its budget allows. Each of several entry hosts took
 /// the fixed part for itself.
 #[test]
 fn the_purses_of_all_entry_hosts_together_stay_within_the_budget() {
-    let limits = PurseLimits {
+    let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 100.0,
         window: WINDOW,
@@ -231,10 +240,10 @@
     let mut spent = 0;
     let requests = 1000;
     for _ in 0..limits.entries {
-        let mut purse = RetryPurse::new(limits, NOW);
+        let mut purse = RetryBudgetShare::new(limits, NOW);
         for _ in 0..requests / limits.entries {
-            purse.earn(limits, NOW);
-            let mut send_again = || u32::from(purse.spend(limits, NOW));
+            purse.credit(limits, NOW);
+            let mut send_again = || u32::from(purse.try_spend(limits, NOW));
             spent += send_again() + send_again();
         }
     }
@@ -244,18 +253,18 @@
 
 /// How many of `sends` a purse pays for in one moment, behind a window of 200 requests.
 fn paid_together(sends: usize) -> usize {
-    let limits = PurseLimits {
+    let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 198.0,
         window: WINDOW,
         entries: 32,
     };
-    let mut purse = RetryPurse::new(limits, NOW);
+    let mut purse = RetryBudgetShare::new(limits, NOW);
     for request in 0..200 {
-        purse.earn(limits, NOW + request * Duration::from_millis(50));
+        purse.credit(limits, NOW + request * Duration::from_millis(50));
     }
     let now = NOW + WINDOW;
-    (0..sends).filter(|_| purse.spend(limits, now)).count()
+    (0..sends).filter(|_| purse.try_spend(limits, now)).count()
 }
 
 /// Guards against streams that are lost because many are cut in one moment, while the budget has retries left.
@@ -273,25 +282,25 @@
 /// Guards against more second sends than the budget allows in some window, whatever traffic came before it.
 #[test]
 fn a_purse_keeps_to_the_budget_in_any_window() {
-    let limits = PurseLimits {
+    let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 10.0,
         window: WINDOW,
         entries: 1,
     };
     run_cases(200, 4096, |u| {
-        let mut purse = RetryPurse::new(limits, NOW);
+        let mut purse = RetryBudgetShare::new(limits, NOW);
         let (mut now, mut requests, mut spends) = (NOW, Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(1..=400)? {
             // Bursts and calm spells.
             let pause = *u.choose(&[0_u64, 1, 20, 300, 2500, 9000])?;
             now = now + Duration::from_millis(pause);
             for _ in 0..u.int_in_range(0..=30)? {
-                purse.earn(limits, now);
+                purse.credit(limits, now);
                 requests.push(now);
             }
             for _ in 0..u.int_in_range(0..=15)? {
-                if purse.spend(limits, now) {
+                if purse.try_spend(limits, now) {
                     spends.push(now);
                 }
             }
@@ -314,34 +323,34 @@
 /// Guards against an entry host that pays for nothing after its start because it first knew of no other one.
 #[test]
 fn a_purse_pays_though_the_other_entry_hosts_became_known_late() {
-    let alone = PurseLimits {
+    let alone = RetryShareLimits {
         ratio: 0.2,
         extra: 198.0,
         window: WINDOW,
         entries: 1,
     };
-    let all = PurseLimits {
+    let all = RetryShareLimits {
         entries: 32,
         ..alone
     };
-    let mut purse = RetryPurse::new(alone, NOW);
+    let mut purse = RetryBudgetShare::new(alone, NOW);
     for _ in 0..50 {
-        purse.earn(all, NOW);
+        purse.credit(all, NOW);
     }
-    let paid = (0..10).filter(|_| purse.spend(all, NOW)).count();
+    let paid = (0..10).filter(|_| purse.try_spend(all, NOW)).count();
     assert_eq!(paid, 10);
 }
 
 /// Guards against more second sends than the budget allows where clients move from one entry host to another.
 #[test]
 fn purses_keep_to_the_budget_when_requests_move_to_another_entry_host() {
-    let limits = PurseLimits {
+    let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 0.0,
         window: WINDOW,
         entries: 2,
     };
-    let mut purses = [NOW, NOW].map(|now| RetryPurse::new(limits, now));
+    let mut purses = [NOW, NOW].map(|now| RetryBudgetShare::new(limits, now));
     let mut spent = 0;
     // Both moments of second sends are in one window, and the requests are not.
     let times = [
@@ -350,9 +359,9 @@
     ];
     for (purse, (begun, now)) in purses.iter_mut().zip(times) {
         for _ in 0..500 {
-            purse.earn(limits, begun);
+            purse.credit(limits, begun);
         }
-        spent += (0..500).filter(|_| purse.spend(limits, now)).count();
+        spent += (0..500).filter(|_| purse.try_spend(limits, now)).count();
     }
     assert!(spent <= 100, "{spent} second sends of 100");
 }
--- a/src/fleet/tests/request_limits.rs
+++ b/src/fleet/tests/request_limits.rs
@@ -9,34 +9,34 @@
 const RATE: f64 = 1.0;
 
 /// A desk of one of two entry hosts, with the backend servers `a`, which is chosen first, and `b`.
-fn shared_desk() -> SharedDesk {
+fn shared_desk() -> SharedRegistry {
     let mut other = facts("b", "there", 1);
     other.address = ([10, 0, 0, 2], 80).into();
     let desk = desk_of(vec![facts("a", "here", 1), other]);
     let entries = [entry_place("e1", "here"), entry_place("e2", "here")];
-    desk.lock().share_among(&entries);
+    desk.lock().assign_shares(&entries);
     desk
 }
 
-fn pick_at(desk: &SharedDesk, now: ClockTime) -> BackendTicket {
+fn pick_at(desk: &SharedRegistry, now: ClockTime) -> BackendTicket {
     desk.pick(&need(None), now).expect("one is free")
 }
 
 /// How many of requests that come each 100 ms for ten seconds from `now` on go to `a`.
-fn sent_to_a(desk: &SharedDesk, now: ClockTime) -> usize {
+fn sent_to_a(desk: &SharedRegistry, now: ClockTime) -> usize {
     let moments = (0..100).map(|step| now + Duration::from_millis(100) * step);
     let tickets = moments.map(|now| {
         let ticket = pick_at(desk, now);
         let is_a = ticket.facts.id == "a";
-        ticket.end(CallEnd::Answered, now);
+        ticket.end(CallOutcome::Answered, now);
         is_a
     });
     tickets.filter(|is_a| *is_a).count()
 }
 
 /// `a` names `rate` in the answer to a request that is sent at `now`.
-fn hear(desk: &SharedDesk, rate: Option<f64>, now: ClockTime) {
-    let need = PickNeed {
+fn hear(desk: &SharedRegistry, rate: Option<f64>, now: ClockTime) {
+    let need = PickRequirements {
         tried: &[],
         ..need(None)
     };
@@ -44,11 +44,11 @@
     assert_eq!(ticket.facts.id, "a");
     let answered = now + Duration::from_millis(20);
     ticket.note_limit(rate, answered);
-    ticket.end(CallEnd::Answered, answered);
+    ticket.end(CallOutcome::Answered, answered);
 }
 
-fn word(rate: Option<f64>, at: ClockTime) -> LimitWord {
-    LimitWord {
+fn word(rate: Option<f64>, at: ClockTime) -> LimitAnnouncement {
+    LimitAnnouncement {
         address: ([10, 0, 0, 1], 80).into(),
         born: None,
         rate,
@@ -86,14 +86,14 @@
     let now = NOW + Duration::from_secs(1);
     earlier.note_limit(None, now);
     assert_eq!(sent_to_a(&desk, now), 0);
-    earlier.end(CallEnd::Answered, now);
+    earlier.end(CallOutcome::Answered, now);
     let mut word = word(None, now + Duration::from_secs(10));
-    desk.lock().take_limit(&word);
+    desk.lock().apply_limit(&word);
     assert_eq!(sent_to_a(&desk, now + Duration::from_secs(11)), 100);
     // An older word, which comes late, changes nothing.
     word.rate = Some(0.0);
     word.at = StoreTime(now.0);
-    desk.lock().take_limit(&word);
+    desk.lock().apply_limit(&word);
     assert_eq!(sent_to_a(&desk, now + Duration::from_secs(22)), 100);
 }
 
@@ -101,12 +101,12 @@
 #[test]
 fn a_limit_goes_with_its_incarnation_or_with_time() {
     let desk = shared_desk();
-    desk.lock().take_limit(&word(Some(0.0), NOW));
+    desk.lock().apply_limit(&word(Some(0.0), NOW));
     assert_eq!(sent_to_a(&desk, NOW), 0);
     assert_eq!(sent_to_a(&desk, NOW + Duration::from_secs(30)), 100);
 
     let desk = shared_desk();
-    desk.lock().take_limit(&word(Some(0.0), NOW));
+    desk.lock().apply_limit(&word(Some(0.0), NOW));
     let mut restarted = facts("a", "here", 1);
     restarted.born = Some(WallTime(2));
     let mut started = restarted.clone();
@@ -116,7 +116,7 @@
         desk.lock().set_fleet(&FleetView { backends });
     }
     assert_eq!(sent_to_a(&desk, NOW), 100);
-    desk.lock().take_limit(&LimitWord {
+    desk.lock().apply_limit(&LimitAnnouncement {
         born: Some(WallTime(2)),
         ..word(Some(0.0), NOW)
     });
@@ -128,26 +128,26 @@
 #[test]
 fn what_an_answer_said_is_told_to_others_once_and_its_end_for_a_while() {
     let desk = shared_desk();
-    assert!(desk.lock().take_untold_limits(NOW).is_empty());
+    assert!(desk.lock().take_pending_limits(NOW).is_empty());
     hear(&desk, Some(RATE), NOW);
     let now = NOW + Duration::from_millis(500);
-    let told = desk.lock().take_untold_limits(now);
+    let told = desk.lock().take_pending_limits(now);
     assert_eq!(told.len(), 1);
-    assert!(desk.lock().take_untold_limits(now).is_empty());
+    assert!(desk.lock().take_pending_limits(now).is_empty());
     let other = shared_desk();
-    other.lock().take_limit(&told[0]);
+    other.lock().apply_limit(&told[0]);
     assert!(sent_to_a(&other, now) < 10);
-    assert!(other.lock().take_untold_limits(now).is_empty());
+    assert!(other.lock().take_pending_limits(now).is_empty());
 
     let free_at = now + Duration::from_mins(1);
     hear(&desk, None, free_at);
     for seconds in 0..2 {
         let now = free_at + Duration::from_millis(500 + seconds * 1000);
-        let told = desk.lock().take_untold_limits(now);
+        let told = desk.lock().take_pending_limits(now);
         assert_eq!(told[0].rate, None);
-        other.lock().take_limit(&told[0]);
+        other.lock().apply_limit(&told[0]);
     }
     let now = free_at + Duration::from_secs(3);
-    assert!(desk.lock().take_untold_limits(now).is_empty());
+    assert!(desk.lock().take_pending_limits(now).is_empty());
     assert_eq!(sent_to_a(&other, now), 100);
 }
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -61,7 +61,7 @@
 }
 
 struct TestHall {
-    desks: Vec<BackendDesk>,
+    desks: Vec<BackendRegistry>,
     engines: Vec<EngineModel>,
     rng: StdRng,
     begun: u32,
@@ -93,9 +93,9 @@
                 .collect(),
         };
         let desks = places.iter().map(|place| {
-            let mut desk = BackendDesk::new(place.clone());
+            let mut desk = BackendRegistry::new(place.clone());
             desk.set_fleet(&fleet);
-            desk.share_among(&places);
+            desk.assign_shares(&places);
             desk
         });
         Self {
@@ -194,7 +194,7 @@
             engine.writing = writing;
             let ended: Vec<(ClockTime, StreamRun)> = ended;
             for (_, run) in ended {
-                self.desks[run.entry].end(run.key, CallEnd::Answered, now, 0);
+                self.desks[run.entry].end(run.key, CallOutcome::Answered, now, 0);
             }
             if engine.reads_until.is_some_and(|until| until <= now)
                 && let Some(run) = engine.waiting.pop_front()
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -22,7 +22,7 @@
 use super::whole_body::WholeBody;
 use crate::daemon::LiveGuard;
 use crate::errors::{ErrorKind, SwitchResult};
-use crate::fleet::{BackendTicket, CallEnd, PickNeed, PickRefusal, VersionNeed};
+use crate::fleet::{BackendTicket, CallOutcome, PickRefusal, PickRequirements, VersionRequirement};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::timeout_awake;
 
@@ -183,7 +183,7 @@
 /// Where a request goes next.
 struct ChosenBackend {
     ticket: BackendTicket,
-    need: VersionNeed,
+    need: VersionRequirement,
     /// When it is taken back if it has not begun by then.
     taken_back: Option<ClockTime>,
 }
@@ -199,7 +199,7 @@
         let now = clock_now();
         let snapshot = gateway.snapshot();
         let need = job.version_need(&snapshot, gateway.older_for(), now);
-        let need = PickNeed {
+        let need = PickRequirements {
             service: &job.routed.service,
             queue_room: queue_room(&need),
             version: need,
@@ -227,10 +227,10 @@
     }
 }
 
-const fn queue_room(version: &VersionNeed) -> u32 {
+const fn queue_room(version: &VersionRequirement) -> u32 {
     match version {
-        VersionNeed::None => PLAIN_QUEUE_ROOM,
-        VersionNeed::Model { .. } => ENGINE_QUEUE_ROOM,
+        VersionRequirement::None => PLAIN_QUEUE_ROOM,
+        VersionRequirement::Model { .. } => ENGINE_QUEUE_ROOM,
     }
 }
 
@@ -312,7 +312,7 @@
         Err(_) => format!("not whole within {left:?}"),
     };
     let backend = answer.ticket.facts.id.clone();
-    answer.ticket.end(CallEnd::Failed, clock_now());
+    answer.ticket.end(CallOutcome::Failed, clock_now());
     log_send_failed(&forwarder.job, &backend, ErrorKind::AnswerCut, &why);
     Err(SendFailure {
         may_have_run: true,
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -10,7 +10,7 @@
 use super::request_log::log_client_gone;
 use super::send_attempt::{HeadWait, SendFailure};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError};
-use crate::fleet::{BackendKey, CallEnd, PickRefusal};
+use crate::fleet::{BackendKey, CallOutcome, PickRefusal};
 use crate::overload::come_back_after;
 use crate::time::{ClockTime, clock_now};
 
@@ -241,7 +241,7 @@
     pub(super) fn head_wait(&self, taken_back: Option<ClockTime>, now: ClockTime) -> HeadWait {
         let wait = HeadWait {
             until: now + self.wait_left(now),
-            silence: CallEnd::Failed,
+            silence: CallOutcome::Failed,
         };
         wait.taken_back_by(taken_back)
     }
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -11,8 +11,8 @@
 use super::request_job::RequestJob;
 use crate::daemon::DrainState;
 use crate::fleet::{
-    BackendDesk, BackendKey, BackendPhase, BackendTicket, LimitWord, LoadReport, PurseLimits,
-    RetryPurse, SharedDesk,
+    BackendKey, BackendPhase, BackendRegistry, BackendTicket, LimitAnnouncement, LoadReport,
+    RetryBudgetShare, RetryShareLimits, SharedRegistry,
 };
 use crate::overload::EntryPlace;
 use crate::platform::TimeBounds;
@@ -36,7 +36,7 @@
     snapshot: SharedSnapshot,
     /// The snapshot that the desk was set to.
     seen: Mutex<Option<Arc<ControlSnapshot>>>,
-    pub(super) desk: SharedDesk,
+    pub(super) desk: SharedRegistry,
     pub(super) shelf: ConnectionShelf,
     crashes: CrashWatch,
     pub(super) drain: DrainState,
@@ -45,7 +45,7 @@
     /// Told whenever a place at a backend server becomes free.
     pub(super) freed: Notify,
     /// Sorted by service.
-    purses: Mutex<Vec<(ByteString, RetryPurse)>>,
+    purses: Mutex<Vec<(ByteString, RetryBudgetShare)>>,
     bounds: TimeBounds,
 }
 
@@ -73,7 +73,7 @@
             snapshot,
             crashes,
             seen: Mutex::new(None),
-            desk: SharedDesk::new(BackendDesk::new(me)),
+            desk: SharedRegistry::new(BackendRegistry::new(me)),
             shelf: ConnectionShelf::default(),
             drain,
             stop_begun: OnceLock::new(),
@@ -98,7 +98,7 @@
                 let mut desk = self.desk.lock();
                 desk.set_clock(newest.clock);
                 desk.set_fleet(&newest.fleet);
-                desk.share_among(&entry_places(&newest));
+                desk.assign_shares(&entry_places(&newest));
                 desk.take_retired()
             };
             self.drop_connections(&retired);
@@ -159,16 +159,16 @@
     }
 
     /// Another entry host told of limits.
-    pub(super) fn take_limits(&self, words: &[LimitWord]) {
+    pub(super) fn take_limits(&self, words: &[LimitAnnouncement]) {
         let mut desk = self.desk.lock();
         for word in words {
-            desk.take_limit(word);
+            desk.apply_limit(word);
         }
     }
 
     /// What other entry hosts are to be told of limits at `now`.
-    pub(super) fn take_untold_limits(&self, now: ClockTime) -> Vec<LimitWord> {
-        self.desk.lock().take_untold_limits(now)
+    pub(super) fn take_pending_limits(&self, now: ClockTime) -> Vec<LimitAnnouncement> {
+        self.desk.lock().take_pending_limits(now)
     }
 
     /// The backend server of `ticket` closed the connection in the middle of `job`.
@@ -202,12 +202,12 @@
 
     /// A request for `service` came in, which earns part of a second send.
     pub(super) fn earn_retry(&self, service: &ByteString, now: ClockTime) {
-        self.with_purse(service, now, |purse, limits| purse.earn(limits, now));
+        self.with_purse(service, now, |purse, limits| purse.credit(limits, now));
     }
 
     /// Takes one second send for `service`, if there is one.
     pub(super) fn spend_retry(&self, service: &ByteString, now: ClockTime) -> bool {
-        self.with_purse(service, now, |purse, limits| purse.spend(limits, now))
+        self.with_purse(service, now, |purse, limits| purse.try_spend(limits, now))
     }
 
     /// Gives a second send for `service` back that was not made.
@@ -219,9 +219,9 @@
         &self,
         service: &ByteString,
         now: ClockTime,
-        action: impl FnOnce(&mut RetryPurse, PurseLimits) -> T,
+        action: impl FnOnce(&mut RetryBudgetShare, RetryShareLimits) -> T,
     ) -> T {
-        let limits = PurseLimits {
+        let limits = RetryShareLimits {
             ratio: self.bounds.retry_ratio,
             extra: self.bounds.retry_extra,
             window: self.bounds.retry_window,
@@ -230,7 +230,7 @@
         let mut purses = self.purses.lock().unwrap_or_else(PoisonError::into_inner);
         let found = purses.binary_search_by(|(name, _)| name.cmp(service));
         let at = found.unwrap_or_else(|at| {
-            purses.insert(at, (service.clone(), RetryPurse::new(limits, now)));
+            purses.insert(at, (service.clone(), RetryBudgetShare::new(limits, now)));
             at
         });
         action(&mut purses[at].1, limits)
--- a/src/gateway/report_relay.rs
+++ b/src/gateway/report_relay.rs
@@ -13,7 +13,7 @@
 use super::gateway_state::GatewayState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
-use crate::fleet::LimitWord;
+use crate::fleet::LimitAnnouncement;
 use crate::load_reports::{
     DigestQueue, DigestReach, LEASE_RENEWAL, LimitDigest, LoadDigest, ReportDatagram, ReportLease,
 };
@@ -116,7 +116,7 @@
     ///
     /// One that sends elsewhere hears of no limit, nor of its end.
     async fn tell_limits(&self, now: ClockTime) {
-        for words in self.gateway.take_untold_limits(now).chunks(LIMITS_MAX) {
+        for words in self.gateway.take_pending_limits(now).chunks(LIMITS_MAX) {
             self.send_limits_near(words.to_vec()).await;
             let digest = LimitDigest {
                 reach: DigestReach::DataCentre,
@@ -129,7 +129,7 @@
         }
     }
 
-    async fn send_limits_near(&self, words: Vec<LimitWord>) {
+    async fn send_limits_near(&self, words: Vec<LimitAnnouncement>) {
         let reach = DigestReach::Receiver;
         let digest = LimitDigest { reach, words };
         self.send_near(&ReportDatagram::Limits(digest)).await;
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -9,7 +9,7 @@
 
 use crate::catalog::{EngineFacts, RepeatRule, RouteRule, ServiceCatalog};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::fleet::{EngineWork, VersionNeed, WeightsVersion};
+use crate::fleet::{EngineWork, VersionRequirement, WeightsVersion};
 use crate::overload::is_returned;
 use crate::platform::{PRIORITY_MAX, RequestHead};
 use crate::quarantine::{RequestDigest, RequestParts};
@@ -147,17 +147,17 @@
         snapshot: &ControlSnapshot,
         older_for: Duration,
         now: ClockTime,
-    ) -> VersionNeed {
+    ) -> VersionRequirement {
         let engine = self.engine_facts(snapshot);
         let (Some(engine), Some(model)) = (engine, &self.head.model) else {
-            return VersionNeed::None;
+            return VersionRequirement::None;
         };
         let wait_for = older_for.saturating_sub(WAIT_MARGIN);
-        VersionNeed::Model {
+        VersionRequirement::Model {
             model: model.clone(),
             layers: engine.layers,
-            least: snapshot.least_version(model, older_for, now),
-            least_to_wait: snapshot.least_version(model, wait_for, now),
+            minimum: snapshot.least_version(model, older_for, now),
+            minimum_to_queue: snapshot.least_version(model, wait_for, now),
         }
     }
 
--- a/src/gateway/send_attempt.rs
+++ b/src/gateway/send_attempt.rs
@@ -16,7 +16,7 @@
 use super::request_log::log_taken_back;
 use crate::catalog::RepeatRule;
 use crate::errors::ErrorKind;
-use crate::fleet::{BackendTicket, CallEnd, VersionNeed};
+use crate::fleet::{BackendTicket, CallOutcome, VersionRequirement};
 use crate::platform::{AnswerFacts, AnswerWord, SendFacts, answer_facts, send_headers};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::timeout_awake;
@@ -42,7 +42,7 @@
 pub(super) struct HeadWait {
     pub(super) until: ClockTime,
     /// What it says of the backend server when none comes.
-    pub(super) silence: CallEnd,
+    pub(super) silence: CallOutcome,
 }
 
 impl HeadWait {
@@ -51,7 +51,7 @@
         match taken_back {
             Some(until) if until < self.until => Self {
                 until,
-                silence: CallEnd::Nothing,
+                silence: CallOutcome::Inconclusive,
             },
             _ => self,
         }
@@ -60,7 +60,7 @@
     /// Whether nothing is sent any more at `now`. A request that would be taken back from older weights sooner
     /// than the way to them may take would only be overtaken by their bound.
     fn is_over(self, now: ClockTime) -> bool {
-        let way = if self.silence == CallEnd::Nothing {
+        let way = if self.silence == CallOutcome::Inconclusive {
             CONNECT_WITHIN
         } else {
             Duration::ZERO
@@ -106,27 +106,27 @@
     gateway: &Arc<GatewayState>,
     job: &RequestJob,
     ticket: BackendTicket,
-    (need, last_event): (&VersionNeed, Option<u64>),
+    (need, last_event): (&VersionRequirement, Option<u64>),
     wait: HeadWait,
 ) -> Result<OpenAnswer, SendFailure> {
     let mut connection = match connect(gateway, job, &ticket).await {
         Ok(connection) => connection,
         Err(failure) => {
-            ticket.end(CallEnd::Failed, clock_now());
+            ticket.end(CallOutcome::Failed, clock_now());
             return Err(failure);
         }
     };
     let request = match build_request(job, &ticket, need, last_event) {
         Ok(request) => request,
         Err(fault) => {
-            ticket.end(CallEnd::Nothing, clock_now());
+            ticket.end(CallOutcome::Inconclusive, clock_now());
             return Err(SendFailure::not_sent(fault.to_string()));
         }
     };
     if wait.is_over(clock_now()) {
         // The connection took as long to open. Counted from there, a request was taken back up to that much
         // too late, and began on older weights behind their bound.
-        ticket.end(CallEnd::Nothing, clock_now());
+        ticket.end(CallOutcome::Inconclusive, clock_now());
         return Err(SendFailure::not_sent("its time was over".to_owned()));
     }
     let sent = await_head(gateway, job, &ticket, wait, connection.send(request)).await;
@@ -134,21 +134,21 @@
         Ok(Ok(answer)) => answer.into_parts(),
         Ok(Err(SendFault::NotSent(detail))) => {
             // A kept connection that the other end has closed says nothing about the backend server.
-            ticket.end(CallEnd::Nothing, clock_now());
+            ticket.end(CallOutcome::Inconclusive, clock_now());
             return Err(SendFailure::not_sent(detail));
         }
         Ok(Err(SendFault::Unknown(detail))) => {
             gateway.note_cut(job, &ticket);
-            ticket.end(CallEnd::Failed, clock_now());
+            ticket.end(CallOutcome::Failed, clock_now());
             return Err(SendFailure::unknown(ErrorKind::AnswerCut, detail));
         }
         Err(HeadEnd { wait, is_told }) => {
-            if wait.silence == CallEnd::Nothing {
+            if wait.silence == CallOutcome::Inconclusive {
                 log_taken_back(job, &ticket.facts.id);
             }
             gateway.shelf.drop_all(ticket.key);
             let end = if is_told {
-                CallEnd::Nothing
+                CallOutcome::Inconclusive
             } else {
                 wait.silence
             };
@@ -201,7 +201,7 @@
         ticket.with_record(|record| record.note_head_wait(now.since(begun), now));
         if silent_at.take_if(|at| *at <= now).is_some() {
             // Others are preferred for a while.
-            ticket.note_silent(now);
+            ticket.note_unresponsive(now);
             gateway.shelf.drop_all(ticket.key);
             is_told = true;
         }
@@ -224,7 +224,7 @@
 ) -> Result<BackendConnection, SendFailure> {
     let now = clock_now();
     let mut is_fresh = job.repeat() == RepeatRule::AtMostOnce;
-    ticket.with_record(|record| is_fresh |= record.wants_fresh(now));
+    ticket.with_record(|record| is_fresh |= record.prefers_fresh_connection(now));
     if !is_fresh && let Some(connection) = gateway.shelf.take(ticket.key, now) {
         return Ok(connection);
     }
@@ -236,15 +236,15 @@
 fn build_request(
     job: &RequestJob,
     ticket: &BackendTicket,
-    need: &VersionNeed,
+    need: &VersionRequirement,
     last_event: Option<u64>,
 ) -> http::Result<Request<Full<Bytes>>> {
     let (priority, version) = match need {
-        VersionNeed::None => (None, None),
+        VersionRequirement::None => (None, None),
         // While any version may answer, one that changes on the way is no reason to be refused.
-        VersionNeed::Model { least, .. } => (
+        VersionRequirement::Model { minimum, .. } => (
             Some(job.engine_priority(last_event.is_some())),
-            least.and(ticket.version),
+            minimum.and(ticket.version),
         ),
     };
     let facts = SendFacts {
@@ -287,7 +287,7 @@
 /// Whether an answer counts as the request's own.
 fn judge(gateway: &Arc<GatewayState>, mut answer: OpenAnswer) -> Result<OpenAnswer, SendFailure> {
     let now = clock_now();
-    answer.ticket.note_begun();
+    answer.ticket.note_response_started();
     if let Some(load) = answer.facts.load {
         answer
             .ticket
@@ -296,15 +296,15 @@
     note_limit(&answer, now);
     let (kind, end) = match answer.facts.word {
         AnswerWord::Run => return Ok(answer),
-        AnswerWord::NotRun => (ErrorKind::BackendBusy, CallEnd::Refused),
-        AnswerWord::Misdirected => (ErrorKind::VersionMismatch, CallEnd::Refused),
-        AnswerWord::Replaced => (ErrorKind::BackendLeaving, CallEnd::Replaced),
+        AnswerWord::NotRun => (ErrorKind::BackendBusy, CallOutcome::Refused),
+        AnswerWord::Misdirected => (ErrorKind::VersionMismatch, CallOutcome::Refused),
+        AnswerWord::Replaced => (ErrorKind::BackendLeaving, CallOutcome::Replaced),
         AnswerWord::Foreign => {
             answer
                 .ticket
                 .with_record(|record| record.note_stray_bytes(now));
             gateway.shelf.drop_all(answer.ticket.key);
-            answer.ticket.end(CallEnd::Nothing, now);
+            answer.ticket.end(CallOutcome::Inconclusive, now);
             let detail = "the answer belongs to another request".to_owned();
             return Err(SendFailure::unknown(ErrorKind::AnswerForeign, detail));
         }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -17,7 +17,7 @@
 use super::stream_source::{SourceStep, StreamSource, next_of};
 use crate::daemon::LiveGuard;
 use crate::errors::SwitchResult;
-use crate::fleet::CallEnd;
+use crate::fleet::CallOutcome;
 use crate::time::{ClockTime, clock_now};
 use crate::transport::timeout_awake;
 
@@ -125,7 +125,7 @@
                 }
                 // It brought nothing, and another one still works on the stream.
                 SourceStep::End if self.sources.len() > 1 && self.sources[at].is_unproven() => {
-                    self.sources.remove(at).end(CallEnd::Nothing);
+                    self.sources.remove(at).end(CallOutcome::Inconclusive);
                 }
                 SourceStep::End => {
                     self.keep_only(at);
@@ -160,7 +160,7 @@
     async fn seek_successor(&mut self) -> Result<Option<(usize, SourceStep)>, String> {
         let since = clock_now();
         for source in &mut self.sources {
-            source.note_silent(since);
+            source.note_unresponsive(since);
         }
         if self.forwarder.pay_repeat(since).is_err() {
             return Ok(None);
@@ -215,7 +215,7 @@
             }
             Ok(answer) => {
                 let status = answer.facts.status;
-                answer.ticket.end(CallEnd::Answered, clock_now());
+                answer.ticket.end(CallOutcome::Answered, clock_now());
                 Err(format!("answered {status}"))
             }
             Err(error) => Err(error.to_string()),
@@ -259,7 +259,7 @@
                 let backend = &other.answer.ticket.facts.id;
                 log_stream_cut(&self.job, backend, self.last_event, &silence);
             }
-            other.end(CallEnd::Nothing);
+            other.end(CallOutcome::Inconclusive);
         }
     }
 
@@ -269,7 +269,7 @@
         for source in self.sources.drain(..) {
             let backend = &source.answer.ticket.facts.id;
             log_stream_cut(&self.job, backend, self.last_event, why);
-            source.end(CallEnd::Failed);
+            source.end(CallOutcome::Failed);
         }
         RelayStep::Cut(why.to_owned())
     }
@@ -309,7 +309,7 @@
         ..
     } = answer;
     let key = ticket.key;
-    ticket.end(CallEnd::Answered, now);
+    ticket.end(CallOutcome::Answered, now);
     forwarder.gateway.freed.notify_waiters();
     if !facts.closes {
         let shelf: &Arc<_> = &forwarder.gateway;
--- a/src/gateway/stream_source.rs
+++ b/src/gateway/stream_source.rs
@@ -9,7 +9,7 @@
 use super::request_job::RequestJob;
 use super::request_log::log_stream_cut;
 use super::send_attempt::OpenAnswer;
-use crate::fleet::CallEnd;
+use crate::fleet::CallOutcome;
 use crate::time::{ClockTime, clock_now};
 
 /// What a source brings next.
@@ -85,10 +85,10 @@
     }
 
     /// Reports once that the backend server is silent: others are preferred for a while.
-    pub(super) fn note_silent(&mut self, now: ClockTime) {
+    pub(super) fn note_unresponsive(&mut self, now: ClockTime) {
         if !self.is_silent {
             self.is_silent = true;
-            self.answer.ticket.note_silent(now);
+            self.answer.ticket.note_unresponsive(now);
         }
     }
 
@@ -103,7 +103,7 @@
         let ticket = &self.answer.ticket;
         log_stream_cut(job, &ticket.facts.id, last, why);
         gateway.note_cut(job, ticket);
-        self.end(CallEnd::Failed);
+        self.end(CallOutcome::Failed);
     }
 
     /// It went on with the stream.
@@ -112,10 +112,10 @@
     }
 
     /// Its part is over before the stream's end.
-    pub(super) fn end(self, end: CallEnd) {
+    pub(super) fn end(self, end: CallOutcome) {
         // Its silence was reported already.
         let end = if self.is_silent {
-            CallEnd::Nothing
+            CallOutcome::Inconclusive
         } else {
             end
         };
--- a/src/gateway/tests/crash_watch.rs
+++ b/src/gateway/tests/crash_watch.rs
@@ -6,8 +6,10 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-use crate::fleet::{BackendDesk, BackendFacts, BackendPhase, EngineHoldings, FleetView, PickNeed};
-use crate::fleet::{BackendKey, SharedDesk, VersionNeed};
+use crate::fleet::{
+    BackendFacts, BackendPhase, BackendRegistry, EngineHoldings, FleetView, PickRequirements,
+};
+use crate::fleet::{BackendKey, SharedRegistry, VersionRequirement};
 use crate::gateway::crash_watch::{CrashWatch, CutRequest};
 use crate::overload::EntryPlace;
 use crate::quarantine::{AnsweredLog, BackendStart};
@@ -22,7 +24,7 @@
     BackendFacts {
         id: "i-1".into(),
         born: None,
-        told: None,
+        sequence: None,
         service: "desk".into(),
         address,
         data_centre: "here".into(),
@@ -33,22 +35,22 @@
 }
 
 fn key_of(facts: &BackendFacts) -> BackendKey {
-    let mut desk = BackendDesk::new(EntryPlace {
+    let mut desk = BackendRegistry::new(EntryPlace {
         data_centre: "here".into(),
         host: "e1".into(),
     });
     desk.set_fleet(&FleetView {
         backends: vec![facts.clone().into()],
     });
-    let need = PickNeed {
+    let need = PickRequirements {
         service: "desk",
-        version: VersionNeed::None,
+        version: VersionRequirement::None,
         tried: &[],
         queue_room: 0,
         is_returned: false,
         work: None,
     };
-    let picked = SharedDesk::new(desk).pick(&need, ClockTime(0));
+    let picked = SharedRegistry::new(desk).pick(&need, ClockTime(0));
     picked.expect("it is free").key
 }
 
--- a/src/gateway/tests/fake_backend.rs
+++ b/src/gateway/tests/fake_backend.rs
@@ -299,7 +299,7 @@
         let facts = backends.iter().enumerate().map(|(at, backend)| {
             Arc::new(BackendFacts {
                 born: None,
-                told: None,
+                sequence: None,
                 id: format!("i-{at}").into(),
                 service: "desk".into(),
                 address: backend.address,
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -20,7 +20,7 @@
 use self::fake_backend::catalog;
 use crate::daemon::DrainState;
 use crate::errors::{ErrorKind, RunOutcome, SwitchError};
-use crate::fleet::{CallEnd, ModelVersion, NamingCertainty, WantedWeights, WeightsVersion};
+use crate::fleet::{CallOutcome, ModelVersion, TargetTimeCertainty, TargetWeights, WeightsVersion};
 use crate::gateway::crash_watch::CrashWatch;
 use crate::gateway::event_reader::EventReader;
 use crate::gateway::forwarder::Forwarder;
@@ -196,20 +196,20 @@
 /// place; others had come there too, and the stream waited at the engine for a second.
 #[test]
 fn a_request_that_waits_at_older_weights_is_taken_back_before_their_bound() {
-    let named_at = ClockTime::from_millis(50_000);
+    let target_set_at = ClockTime::from_millis(50_000);
     let target = ModelVersion {
         model: "m".into(),
         version: WeightsVersion(2),
     };
     let snapshot = ControlSnapshot {
-        wanted: Arc::new(vec![WantedWeights {
+        wanted: Arc::new(vec![TargetWeights {
             target,
-            named_at,
-            certainty: NamingCertainty::Witnessed,
+            target_set_at,
+            certainty: TargetTimeCertainty::Witnessed,
         }]),
         ..ControlSnapshot::default()
     };
-    let now = named_at + Duration::from_secs(7);
+    let now = target_set_at + Duration::from_secs(7);
     let gateway = Arc::new(gateway_on(SharedSnapshot::default(), BOUNDS));
     let forwarder = Forwarder::new(gateway.clone(), job_of("resumed", now));
     let wait_at = |held: u64| {
@@ -218,15 +218,15 @@
         let taken_back = forwarder.job.taken_back_at(&snapshot, held, after);
         forwarder.head_wait(taken_back, now)
     };
-    let bound = named_at + BOUNDS.weights_within;
+    let bound = target_set_at + BOUNDS.weights_within;
     assert!(wait_at(1).until < bound, "it is back before the bound");
     assert_eq!(
         wait_at(1).silence,
-        CallEnd::Nothing,
+        CallOutcome::Inconclusive,
         "the engine did nothing wrong"
     );
     assert!(wait_at(2).until > bound);
-    assert_eq!(wait_at(2).silence, CallEnd::Failed);
+    assert_eq!(wait_at(2).silence, CallOutcome::Failed);
 }
 
 /// Symptom: a stream was cut a tenth of a second after it had been taken, in a planned stop. The last
--- a/src/gateway/tests/pauses.rs
+++ b/src/gateway/tests/pauses.rs
@@ -5,7 +5,7 @@
 use super::NO_RETRIES;
 use super::fake_backend::{BackendWay, FakeBackend, FakeEntry};
 use super::sends::{assert_whole_stream, outcome};
-use crate::fleet::{BackendKey, BackendTicket, PickNeed, VersionNeed};
+use crate::fleet::{BackendKey, BackendTicket, PickRequirements, VersionRequirement};
 use crate::quarantine::{BackendStart, RequestDigest, RequestParts};
 use crate::time::clock_now;
 
@@ -83,9 +83,9 @@
 
 /// Takes a place at any backend server but `tried`, if one is free.
 fn take_place(entry: &FakeEntry, tried: &[BackendKey]) -> Option<BackendTicket> {
-    let need = PickNeed {
+    let need = PickRequirements {
         service: "desk",
-        version: VersionNeed::None,
+        version: VersionRequirement::None,
         tried,
         queue_room: 100,
         is_returned: false,
--- a/src/gateway/tests/take_back.rs
+++ b/src/gateway/tests/take_back.rs
@@ -12,8 +12,8 @@
 use super::fake_backend::{BackendWay, FakeBackend, FakeEntry};
 use super::{BOUNDS, gateway_on, job_of};
 use crate::fleet::{
-    BackendFacts, BackendPhase, CallEnd, EngineHoldings, FleetView, HeldLayers, ModelVersion,
-    NamingCertainty, PickNeed, VersionNeed, WantedWeights, WeightsVersion,
+    BackendFacts, BackendPhase, CallOutcome, EngineHoldings, FleetView, HeldLayers, ModelVersion,
+    PickRequirements, TargetTimeCertainty, TargetWeights, VersionRequirement, WeightsVersion,
 };
 use crate::gateway::send_attempt::{HeadWait, SendFailure, send_attempt};
 use crate::sync::{ControlSnapshot, SharedSnapshot};
@@ -22,9 +22,9 @@
 /// Sends a request on the route of `kind` that is taken back at `until`.
 async fn send_until(entry: &FakeEntry, kind: &str, until: ClockTime) -> Option<SendFailure> {
     let now = clock_now();
-    let need = PickNeed {
+    let need = PickRequirements {
         service: "desk",
-        version: VersionNeed::None,
+        version: VersionRequirement::None,
         tried: &[],
         queue_room: 0,
         is_returned: false,
@@ -33,14 +33,14 @@
     let ticket = entry.gateway.desk.pick(&need, now);
     let wait = HeadWait {
         until,
-        silence: CallEnd::Nothing,
+        silence: CallOutcome::Inconclusive,
     };
     let job = job_of(kind, now);
     let sent = send_attempt(
         &entry.gateway,
         &job,
         ticket.expect("it has places"),
-        (&VersionNeed::None, None),
+        (&VersionRequirement::None, None),
         wait,
     );
     sent.await.err()
@@ -80,7 +80,7 @@
     };
     let facts = BackendFacts {
         born: None,
-        told: None,
+        sequence: None,
         id: "i-0".into(),
         service: "desk".into(),
         address,
@@ -102,14 +102,14 @@
     snapshot.store(known.clone());
     let gateway = Arc::new(gateway_on(snapshot.clone(), BOUNDS));
     gateway.snapshot();
-    let model = VersionNeed::Model {
+    let model = VersionRequirement::Model {
         model: "m".into(),
         layers: 16,
-        least: None,
-        least_to_wait: None,
+        minimum: None,
+        minimum_to_queue: None,
     };
     let now = clock_now();
-    let need = PickNeed {
+    let need = PickRequirements {
         service: "desk",
         version: model.clone(),
         tried: &[],
@@ -120,7 +120,7 @@
     let ticket = gateway.desk.pick(&need, now).expect("it has places");
     let wait = HeadWait {
         until: now + Duration::from_secs(5),
-        silence: CallEnd::Failed,
+        silence: CallOutcome::Failed,
     };
     let sending = tokio::spawn(async move {
         let job = job_of("resumed", now);
@@ -128,10 +128,10 @@
         sent.await.err()
     });
     sleep(Duration::from_millis(100)).await;
-    let second = WantedWeights {
+    let second = TargetWeights {
         target: version(2),
-        named_at: now - BOUNDS.weights_within,
-        certainty: NamingCertainty::Witnessed,
+        target_set_at: now - BOUNDS.weights_within,
+        certainty: TargetTimeCertainty::Witnessed,
     };
     snapshot.store(ControlSnapshot {
         wanted: Arc::new(vec![second]),
--- a/src/gateway/tests/unbroken_answers.rs
+++ b/src/gateway/tests/unbroken_answers.rs
@@ -85,7 +85,7 @@
     let facts = addresses.iter().enumerate().map(|(at, address)| {
         Arc::new(BackendFacts {
             born: None,
-            told: None,
+            sequence: None,
             id: format!("i-{at}").into(),
             service: "desk".into(),
             address: *address,
--- a/src/load_reports/messages.rs
+++ b/src/load_reports/messages.rs
@@ -7,7 +7,7 @@
 use macro_rules_attribute::apply;
 
 use crate::derives::{key, message};
-use crate::fleet::{EngineHoldings, LimitWord, LoadReport};
+use crate::fleet::{EngineHoldings, LimitAnnouncement, LoadReport};
 use crate::time::WallTime;
 
 /// Reports in a digest at most; with 40 bytes each it fits into one packet of 1,500 bytes.
@@ -47,7 +47,7 @@
     /// How far it goes.
     pub(crate) reach: DigestReach,
     /// What was heard of each.
-    pub(crate) words: Vec<LimitWord>,
+    pub(crate) words: Vec<LimitAnnouncement>,
 }
 
 /// The loads of several backend servers.
--- a/src/platform/backend_call.rs
+++ b/src/platform/backend_call.rs
@@ -12,7 +12,7 @@
 
 use super::request_head::{ATTEMPT_ID, DEADLINE, LAST_EVENT, number_value, text_of};
 use crate::derives::{key, plain};
-use crate::fleet::{LoadWord, WeightsVersion, is_rate};
+use crate::fleet::{ResponseLoad, WeightsVersion, is_valid_rate};
 
 const TARGET_ID: HeaderName = HeaderName::from_static("savoryswitch-target-instance");
 /// The backend server that answers, whichever was meant.
@@ -116,7 +116,7 @@
     /// What it says of the request.
     pub(crate) word: AnswerWord,
     /// The backend server's load.
-    pub(crate) load: Option<LoadWord>,
+    pub(crate) load: Option<ResponseLoad>,
     /// How many requests a second it takes from all entry hosts together; none while it names no limit.
     pub(crate) rate_limit: Option<f64>,
     /// The version of weights that answers.
@@ -194,9 +194,9 @@
     }
 }
 
-fn read_load(text: &str) -> Option<LoadWord> {
+fn read_load(text: &str) -> Option<ResponseLoad> {
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
-    Some(LoadWord {
+    Some(ResponseLoad {
         running: numbers.next()??,
         waiting: numbers.next()??,
     })
@@ -204,7 +204,7 @@
 
 fn read_rate(text: &str) -> Option<f64> {
     let rate = text.trim().parse().ok();
-    rate.filter(|rate| is_rate(*rate))
+    rate.filter(|rate| is_valid_rate(*rate))
 }
 
 fn read_keep_alive(text: &str) -> Option<Duration> {
--- a/src/platform/backend_row.rs
+++ b/src/platform/backend_row.rs
@@ -102,7 +102,7 @@
     Ok(BackendFacts {
         id: ByteString::from(id),
         born: text.born.map(WallTime),
-        told: text.sequence,
+        sequence: text.sequence,
         service: text.service.into(),
         address: text.address,
         data_centre: text.zone.into(),
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -79,7 +79,7 @@
     let facts = read_backend_row("i-1", text).expect("it is well formed");
     assert_eq!(facts.phase, BackendPhase::Leaving);
     assert_eq!(
-        facts.holdings.whole_version("m", 16),
+        facts.holdings.complete_version("m", 16),
         Some(WeightsVersion(2))
     );
     assert!(read_backend_row("i-1", b"{}").is_err());
--- a/src/platform/tests/reports.rs
+++ b/src/platform/tests/reports.rs
@@ -27,7 +27,7 @@
         (report.orders_taken, report.active, report.queued),
         (2, 12, 1)
     );
-    let held = report.holdings.whole_version("m", 16);
+    let held = report.holdings.complete_version("m", 16);
     assert_eq!(held, Some(WeightsVersion(2)));
     let empty = br#"{"models":[],"layers":null,"busy":false,"sequence":0}"#;
     let empty = read_report(empty).expect("an engine without weights writes so");
@@ -44,7 +44,7 @@
         if let Ok(read) = read_report(report.to_string().as_bytes()) {
             let told = report.get("models").is_some_and(Value::is_array);
             assert!(told || read.holdings.models.is_empty(), "{report}");
-            let _ = read.holdings.whole_version("m", u32::MAX);
+            let _ = read.holdings.complete_version("m", u32::MAX);
         }
         let _ = read_report(u.bytes(u.len())?);
         Ok(())
--- a/src/replication/load_turn.rs
+++ b/src/replication/load_turn.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::fleet::WantedWeights;
+use crate::fleet::TargetWeights;
 use crate::time::ClockTime;
 use crate::weights::PlanHost;
 
@@ -52,10 +52,10 @@
     pub(super) fn load_at(
         self,
         whole_at: ClockTime,
-        due: &WantedWeights,
+        due: &TargetWeights,
         bound: Duration,
     ) -> ClockTime {
-        let last = due.named_at + bound.saturating_sub(LAST_BEFORE);
+        let last = due.target_set_at + bound.saturating_sub(LAST_BEFORE);
         let span = last.since(whole_at);
         whole_at + span * self.rank / self.of.max(1)
     }
--- a/src/replication/version_load.rs
+++ b/src/replication/version_load.rs
@@ -16,7 +16,7 @@
 use crate::derives::key;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::fleet::{ModelVersion, WantedWeights, WeightsVersion};
+use crate::fleet::{ModelVersion, TargetWeights, WeightsVersion};
 use crate::platform::{EngineClient, EngineReport, LoadOrder, OrderOutcome};
 use crate::sync::{ControlSnapshot, SharedBook};
 use crate::time::{ClockTime, clock_now};
@@ -121,7 +121,7 @@
         let report = &state.report;
         let served = report
             .holdings
-            .whole_version(&self.target.model, self.layers);
+            .complete_version(&self.target.model, self.layers);
         if state.incarnation != self.incarnation {
             Some(LoadEnd::Restarted)
         } else if served == Some(self.target.version) {
@@ -185,7 +185,7 @@
     fn find_whole(&self, snapshot: &ControlSnapshot) -> Option<WholeVersion> {
         let (model, layers) = self.place.model_of(snapshot)?;
         let state = self.watch.state()?;
-        let served = state.report.holdings.whole_version(&model, layers);
+        let served = state.report.holdings.complete_version(&model, layers);
         Some(WholeVersion {
             target: self.store.newest_whole(&model, served)?,
             layers,
@@ -202,7 +202,7 @@
         served: Option<WeightsVersion>,
     ) -> ClockTime {
         let whole_at = version.whole_at;
-        let is_behind = |wanted: &&WantedWeights| {
+        let is_behind = |wanted: &&TargetWeights| {
             wanted.target.model == version.target.model && Some(wanted.target.version) > served
         };
         let due = snapshot.wanted.iter().find(is_behind);
@@ -273,7 +273,7 @@
     pub(super) fn may_cut(&self) -> bool {
         let snapshot = self.book.snapshot().load();
         let catalog = snapshot.catalog.as_ref();
-        catalog.is_some_and(|catalog| catalog.may_cut(&self.place.service))
+        catalog.is_some_and(|catalog| catalog.can_resume_elsewhere(&self.place.service))
     }
 
     /// The engine's state just before an order: when it works on few requests, if these are cut off, or when
--- a/src/replication/version_loop.rs
+++ b/src/replication/version_loop.rs
@@ -121,7 +121,10 @@
             return Ok(None);
         };
         let target = wanted(&snapshot, model);
-        let served = state.report.holdings.whole_version(&target.model, layers);
+        let served = state
+            .report
+            .holdings
+            .complete_version(&target.model, layers);
         if !self.store.knows(&target) {
             self.waits.set_fetch(HostWait::Digests);
             let digests = self.read_digests(&snapshot, &target).await?;
--- a/src/replication/version_retire.rs
+++ b/src/replication/version_retire.rs
@@ -14,7 +14,7 @@
 use super::version_loop::wanted;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::fleet::{ModelVersion, NamingCertainty};
+use crate::fleet::{ModelVersion, TargetTimeCertainty};
 use crate::platform::{EngineReport, LoadOrder, OrderOutcome};
 use crate::sync::ControlSnapshot;
 use crate::time::ClockTime;
@@ -72,14 +72,14 @@
     pub(super) fn is_overdue(&self, report: &EngineReport, now: ClockTime) -> bool {
         let snapshot = self.book.snapshot().load();
         let until = self.place.model_of(&snapshot).and_then(|(model, layers)| {
-            let served = report.holdings.whole_version(&model, layers)?;
+            let served = report.holdings.complete_version(&model, layers)?;
             let newer = snapshot.wanted.iter().filter(|wanted| {
                 // An assumed time is earlier than the true one.
                 wanted.target.model == model
                     && wanted.target.version > served
-                    && wanted.certainty > NamingCertainty::Assumed
+                    && wanted.certainty > TargetTimeCertainty::Assumed
             });
-            newer.map(|wanted| wanted.named_at + self.bound).min()
+            newer.map(|wanted| wanted.target_set_at + self.bound).min()
         });
         until.is_some_and(|until| now + RETIRE_BEFORE >= until)
     }
--- a/src/replication/view_poll.rs
+++ b/src/replication/view_poll.rs
@@ -12,7 +12,7 @@
 use super::events;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::fleet::NamingCertainty;
+use crate::fleet::TargetTimeCertainty;
 use crate::platform::{StoreClient, TableName};
 use crate::sync::{
     AskSpan, EntryRecord, NamingTime, OwnRows, PeerView, SharedBook, VIEW_PATH, ViewBook,
@@ -144,7 +144,10 @@
             .store
             .read_table(TableName::Operator, STORE_WITHIN)
             .await?;
-        let named = NamingTime::guessed(operator.told_at - NAMED_BEFORE, NamingCertainty::Assumed);
+        let named = NamingTime::guessed(
+            operator.told_at - NAMED_BEFORE,
+            TargetTimeCertainty::Assumed,
+        );
         self.book.change(|book| {
             book.note_told(own.revision, own.told_at, span);
             book.take_own_rows(OwnRows::of(&own), named);
--- a/src/sync/backend_list.rs
+++ b/src/sync/backend_list.rs
@@ -39,14 +39,14 @@
 #[derive(Clone, Copy, Debug)]
 struct WordPlace {
     born: Option<WallTime>,
-    told: Option<u64>,
+    sequence: Option<u64>,
 }
 
 impl WordPlace {
     const fn of(facts: &BackendFacts) -> Self {
         Self {
             born: facts.born,
-            told: facts.told,
+            sequence: facts.sequence,
         }
     }
 
@@ -55,7 +55,7 @@
         match (self.born, known.born) {
             (Some(born), Some(known_born)) if born != known_born => Some(born.cmp(&known_born)),
             (Some(_), None) | (None, Some(_)) => None,
-            _ => Some(self.told?.cmp(&known.told?)),
+            _ => Some(self.sequence?.cmp(&known.sequence?)),
         }
     }
 }
--- a/src/sync/naming_time.rs
+++ b/src/sync/naming_time.rs
@@ -6,7 +6,7 @@
 use macro_rules_attribute::apply;
 
 use crate::derives::message;
-use crate::fleet::NamingCertainty;
+use crate::fleet::TargetTimeCertainty;
 use crate::time::StoreTime;
 
 /// How long ago a version is taken to have been named that a process finds at its start, as long as
@@ -26,12 +26,12 @@
     /// One that is surely later, where somebody saw it; else the same.
     pub(crate) by: StoreTime,
     /// How well it is known.
-    pub(crate) certainty: NamingCertainty,
+    pub(crate) certainty: TargetTimeCertainty,
 }
 
 impl NamingTime {
     /// A moment that nobody saw.
-    pub(crate) const fn guessed(at: StoreTime, certainty: NamingCertainty) -> Self {
+    pub(crate) const fn guessed(at: StoreTime, certainty: TargetTimeCertainty) -> Self {
         Self {
             at,
             by: at,
@@ -48,7 +48,7 @@
     pub(super) fn and(self, known: Self) -> Self {
         match self.certainty.cmp(&known.certainty) {
             Ordering::Greater => self,
-            Ordering::Equal if self.certainty == NamingCertainty::Witnessed => {
+            Ordering::Equal if self.certainty == TargetTimeCertainty::Witnessed => {
                 let by = self.by.min(known.by);
                 let at = self.at.max(known.at).min(by);
                 Self { at, by, ..known }
@@ -100,7 +100,7 @@
     pub(super) fn naming_time(self, asked_by: StoreTime, told_at: StoreTime) -> NamingTime {
         match self {
             Self::Started => {
-                NamingTime::guessed(told_at - NAMED_BEFORE_START, NamingCertainty::Assumed)
+                NamingTime::guessed(told_at - NAMED_BEFORE_START, TargetTimeCertainty::Assumed)
             }
             Self::Followed(answered_before) => {
                 // A question that waits at the store is answered at the change.
@@ -108,11 +108,11 @@
                 NamingTime {
                     at: (answered_before + waited).min(told_at),
                     by: told_at,
-                    certainty: NamingCertainty::Witnessed,
+                    certainty: TargetTimeCertainty::Witnessed,
                 }
             }
             Self::Interrupted => {
-                NamingTime::guessed(told_at - NAMED_BEFORE_FOUND, NamingCertainty::Resumed)
+                NamingTime::guessed(told_at - NAMED_BEFORE_FOUND, TargetTimeCertainty::Resumed)
             }
         }
     }
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -8,7 +8,7 @@
 use super::peer_messages::EntryRecord;
 use super::store_clock::StoreClock;
 use crate::catalog::ServiceCatalog;
-use crate::fleet::{FleetView, WantedWeights, WeightsVersion};
+use crate::fleet::{FleetView, TargetWeights, WeightsVersion};
 use crate::quarantine::CrashLedger;
 use crate::time::ClockTime;
 
@@ -20,7 +20,7 @@
     /// The backend servers.
     pub(crate) fleet: Arc<FleetView>,
     /// The versions of weights that were named lately, sorted by model and version.
-    pub(crate) wanted: Arc<Vec<WantedWeights>>,
+    pub(crate) wanted: Arc<Vec<TargetWeights>>,
     /// The entry hosts, sorted.
     pub(crate) entries: Arc<Vec<EntryRecord>>,
     /// Which requests were under way at backend servers that crashed.
@@ -31,7 +31,7 @@
 
 impl ControlSnapshot {
     /// The newest version of `model`.
-    pub(crate) fn newest_version(&self, model: &str) -> Option<&WantedWeights> {
+    pub(crate) fn newest_version(&self, model: &str) -> Option<&TargetWeights> {
         let mut named = self.wanted.iter().rev();
         named.find(|wanted| *wanted.target.model == *model)
     }
@@ -46,8 +46,8 @@
         now: ClockTime,
     ) -> Option<WeightsVersion> {
         let mut named = self.wanted.iter().rev();
-        let is_due = |wanted: &&WantedWeights| {
-            *wanted.target.model == *model && !wanted.allows_older(grace, now)
+        let is_due = |wanted: &&TargetWeights| {
+            *wanted.target.model == *model && !wanted.allows_previous(grace, now)
         };
         named.find(is_due).map(|wanted| wanted.target.version)
     }
@@ -64,7 +64,7 @@
             .wanted
             .iter()
             .filter(|wanted| *wanted.target.model == *model && Some(wanted.target.version) > held);
-        newer.map(|wanted| wanted.named_at + bound).min()
+        newer.map(|wanted| wanted.target_set_at + bound).min()
     }
 }
 
--- a/src/sync/tests/delayed_words.rs
+++ b/src/sync/tests/delayed_words.rs
@@ -7,7 +7,7 @@
 
 use super::delayed_process::NEAR_MAX;
 use super::delayed_world::{Check, World};
-use crate::fleet::{NamingCertainty, WantedWeights};
+use crate::fleet::{TargetTimeCertainty, TargetWeights};
 use crate::platform::StoreRow;
 use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::peer_messages::{PeerAsk, PeerView};
@@ -101,7 +101,7 @@
 }
 
 /// What a process believes at present of the versions that were named, on its own clock.
-fn beliefs(book: &SharedBook) -> Vec<WantedWeights> {
+fn beliefs(book: &SharedBook) -> Vec<TargetWeights> {
     book.snapshot().load().wanted.to_vec()
 }
 
@@ -137,12 +137,12 @@
 
     /// The versions that a process believes in, each with when it was acknowledged and when it is
     /// believed to have been named, in real time.
-    fn believed(&self, at: usize) -> Vec<(WantedWeights, ClockTime, ClockTime)> {
+    fn believed(&self, at: usize) -> Vec<(TargetWeights, ClockTime, ClockTime)> {
         let process = &self.processes[at];
-        let timed = |wanted: WantedWeights| {
+        let timed = |wanted: TargetWeights| {
             let place = usize::try_from(wanted.target.version.0).unwrap_or(0);
             let acknowledged = self.named[place - 2];
-            let believed = wanted.named_at - process.ahead;
+            let believed = wanted.target_set_at - process.ahead;
             (wanted, acknowledged, believed)
         };
         beliefs(&process.book).into_iter().map(timed).collect()
@@ -151,7 +151,7 @@
     fn tell(
         &self,
         at: usize,
-        (wanted, acknowledged, believed): &(WantedWeights, ClockTime, ClockTime),
+        (wanted, acknowledged, believed): &(TargetWeights, ClockTime, ClockTime),
     ) -> String {
         let process = &self.processes[at];
         let told = process.told.as_ref();
@@ -174,7 +174,7 @@
         for belief in self.believed(at) {
             let (wanted, acknowledged, believed) = &belief;
             let is_found = self.processes[at].started >= *acknowledged;
-            let is_assumed = wanted.certainty == NamingCertainty::Assumed;
+            let is_assumed = wanted.certainty == TargetTimeCertainty::Assumed;
             if is_found || (is_assumed && self.restarted >= *acknowledged) {
                 continue;
             }
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -9,7 +9,8 @@
 use super::driver_world::{LAYERS, LateWrite, RealWorld, SERVERS};
 use super::{at_once, found_at, new_book, store_time};
 use crate::fleet::{
-    BackendDesk, BackendPhase, LoadReport, PickNeed, SharedDesk, VersionNeed, WeightsVersion,
+    BackendPhase, BackendRegistry, LoadReport, PickRequirements, SharedRegistry,
+    VersionRequirement, WeightsVersion,
 };
 use crate::overload::EntryPlace;
 use crate::sync::naming_time::NamingKnowledge;
@@ -38,7 +39,7 @@
 /// One entry host.
 struct EntryHost {
     book: SharedBook,
-    desk: SharedDesk,
+    desk: SharedRegistry,
     /// How far it has followed the operator's table; none before it was read.
     operator_seen: Option<u64>,
     /// How far it has followed the backend servers' table.
@@ -53,7 +54,7 @@
     fn start(now: ClockTime) -> Self {
         Self {
             book: new_book(),
-            desk: SharedDesk::new(BackendDesk::new(EntryPlace {
+            desk: SharedRegistry::new(BackendRegistry::new(EntryPlace {
                 data_centre: "z".into(),
                 host: "e1".into(),
             })),
@@ -200,17 +201,17 @@
     }
 
     /// All backend servers that it would send to, with what it takes them for.
-    fn picks(&self, least: Option<u64>, now: ClockTime) -> Vec<(String, u64, u64)> {
+    fn picks(&self, minimum: Option<u64>, now: ClockTime) -> Vec<(String, u64, u64)> {
         let mut tried = Vec::new();
         let mut found = Vec::new();
         loop {
-            let need = PickNeed {
+            let need = PickRequirements {
                 service: "s",
-                version: VersionNeed::Model {
+                version: VersionRequirement::Model {
                     model: "m".into(),
                     layers: LAYERS,
-                    least: least.map(WeightsVersion),
-                    least_to_wait: None,
+                    minimum: minimum.map(WeightsVersion),
+                    minimum_to_queue: None,
                 },
                 tried: &tried,
                 queue_room: 0,
@@ -401,12 +402,12 @@
             }
             let since = (*acknowledged).max(world.disturbed);
             if world.now.since(since) >= BOUND {
-                let least = snapshot.least_version("m", OLDER_FOR, world.now);
-                let is_bound = least >= Some(WeightsVersion(number));
+                let minimum = snapshot.least_version("m", OLDER_FOR, world.now);
+                let is_bound = minimum >= Some(WeightsVersion(number));
                 let named = &snapshot.wanted;
                 assert!(
                     is_bound,
-                    "version {number} of {acknowledged:?} is due at {:?}, {least:?} binds, \
+                    "version {number} of {acknowledged:?} is due at {:?}, {minimum:?} binds, \
                      started {:?}, disturbed {:?}: {named:?}",
                     world.now, host.started, world.disturbed
                 );
--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -8,7 +8,7 @@
 use super::late_words::{belief, follower, name_version, put_document, second};
 use super::restarts::EntryProcess;
 use super::{START, at_once, document, named, new_book, set_clock, store_time};
-use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
+use crate::fleet::{ModelVersion, TargetTimeCertainty, WeightsVersion};
 use crate::platform::{FakeStore, StoreRow, TableName};
 use crate::sync::naming_time::{NamingKnowledge, NamingTime};
 use crate::sync::peer_messages::WantedWord;
@@ -23,7 +23,7 @@
     belief(process).await;
     sleep(Duration::from_secs(3)).await;
     let wanted = belief(process).await;
-    let late = wanted.named_at.since(named_by);
+    let late = wanted.target_set_at.since(named_by);
     assert!(late.is_zero(), "named {late:?} later than it was");
 }
 
@@ -109,7 +109,11 @@
     book.change(|book| book.read_operator_rows(&rows, time));
     let snapshot = book.snapshot().load();
     let wanted = second(&snapshot).expect("it was read");
-    assert!(wanted.named_at <= at(500), "{:?}", wanted.named_at);
+    assert!(
+        wanted.target_set_at <= at(500),
+        "{:?}",
+        wanted.target_set_at
+    );
 }
 
 /// Every host took a version that it found behind a cut for named four seconds after the store's return: the
@@ -126,8 +130,12 @@
     book.change(|book| book.take_operator_rows(&[naming_row(2, 11)], time));
     let snapshot = book.snapshot().load();
     let wanted = second(&snapshot).expect("it was told");
-    assert!(wanted.named_at <= at(3000), "{:?}", wanted.named_at);
-    assert!(wanted.named_at >= at(2800), "it is taken for new");
+    assert!(
+        wanted.target_set_at <= at(3000),
+        "{:?}",
+        wanted.target_set_at
+    );
+    assert!(wanted.target_set_at >= at(2800), "it is taken for new");
 }
 
 fn word(version: u64, at: u64, by: u64) -> WantedWord {
@@ -139,7 +147,7 @@
         named: NamingTime {
             at: StoreTime::from_millis(at),
             by: StoreTime::from_millis(by),
-            certainty: NamingCertainty::Witnessed,
+            certainty: TargetTimeCertainty::Witnessed,
         },
     }
 }
@@ -176,6 +184,6 @@
         book.change(|book| book.take_words(&words, START));
         let snapshot = book.snapshot().load();
         let wanted = second(&snapshot).expect("it was told");
-        assert!(wanted.named_at <= START);
+        assert!(wanted.target_set_at <= START);
     }
 }
--- a/src/sync/tests/late_words.rs
+++ b/src/sync/tests/late_words.rs
@@ -10,7 +10,7 @@
 use super::restarts::EntryProcess;
 use super::{START, new_book};
 use crate::daemon::DrainState;
-use crate::fleet::{ModelVersion, NamingCertainty, WantedWeights, WeightsVersion};
+use crate::fleet::{ModelVersion, TargetTimeCertainty, TargetWeights, WeightsVersion};
 use crate::platform::samples::{document_sample, naming_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::naming_time::NamingTime;
@@ -38,13 +38,13 @@
     clock_now()
 }
 
-pub(super) fn second(snapshot: &ControlSnapshot) -> Option<&WantedWeights> {
+pub(super) fn second(snapshot: &ControlSnapshot) -> Option<&TargetWeights> {
     let mut wanted = snapshot.wanted.iter();
     wanted.find(|wanted| wanted.target.version == WeightsVersion(2))
 }
 
 /// What `process` believes of version 2 as soon as it knows it.
-pub(super) async fn belief(process: &EntryProcess) -> WantedWeights {
+pub(super) async fn belief(process: &EntryProcess) -> TargetWeights {
     let snapshot = process.believes(|snapshot| second(snapshot).is_some());
     let snapshot = snapshot.await;
     second(&snapshot).expect("it was waited for").clone()
@@ -105,8 +105,8 @@
     store.slow_watches(ON_WAY);
     let named_by = name_version(&store);
     let wanted = belief(&process).await;
-    assert_eq!(wanted.certainty, NamingCertainty::Witnessed);
-    let late = wanted.named_at.since(named_by);
+    assert_eq!(wanted.certainty, TargetTimeCertainty::Witnessed);
+    let late = wanted.target_set_at.since(named_by);
     assert!(late.is_zero(), "named {late:?} later than it was");
     process.lose_power();
 }
@@ -123,7 +123,7 @@
     sleep(ON_WAY / 4).await;
     let named_by = name_version(&store);
     let wanted = belief(&process).await;
-    let late = wanted.named_at.since(named_by);
+    let late = wanted.target_set_at.since(named_by);
     assert!(late.is_zero(), "named {late:?} later than it was");
     process.lose_power();
 }
@@ -153,8 +153,8 @@
     far.believes(|snapshot| snapshot.catalog.is_some()).await;
     let named_by = name_version(&store);
     let wanted = belief(&far).await;
-    assert_eq!(wanted.certainty, NamingCertainty::Witnessed);
-    let late = wanted.named_at.since(named_by);
+    assert_eq!(wanted.certainty, TargetTimeCertainty::Witnessed);
+    let late = wanted.target_set_at.since(named_by);
     assert!(late.is_zero(), "named {late:?} later than it was");
     near.lose_power();
     far.lose_power();
@@ -172,7 +172,7 @@
     store.slow_watches(Duration::from_secs(3));
     let named_by = name_version(&store);
     let wanted = belief(&process).await;
-    let late = wanted.named_at.since(named_by);
+    let late = wanted.target_set_at.since(named_by);
     assert!(late.is_zero(), "named {late:?} later than it was");
     process.lose_power();
 }
@@ -184,7 +184,7 @@
     let witnessed = |at, by| NamingTime {
         at: StoreTime::from_millis(at),
         by: StoreTime::from_millis(by),
-        certainty: NamingCertainty::Witnessed,
+        certainty: TargetTimeCertainty::Witnessed,
     };
     let word = |named| WantedWord {
         target: ModelVersion {
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -7,8 +7,8 @@
 use super::*;
 use crate::catalog::CatalogVersion;
 use crate::fleet::{
-    BackendDesk, EngineHoldings, HeldLayers, LoadReport, LoadWord, ModelVersion, PickNeed,
-    SharedDesk, VersionNeed,
+    BackendRegistry, EngineHoldings, HeldLayers, LoadReport, ModelVersion, PickRequirements,
+    ResponseLoad, SharedRegistry, VersionRequirement,
 };
 use crate::overload::EntryPlace;
 use crate::sync::ViewBook;
@@ -57,10 +57,10 @@
     }
 }
 
-fn need() -> PickNeed<'static> {
-    PickNeed {
+fn need() -> PickRequirements<'static> {
+    PickRequirements {
         service: "s",
-        version: VersionNeed::None,
+        version: VersionRequirement::None,
         tried: &[],
         queue_room: u32::MAX,
         is_returned: false,
@@ -68,20 +68,20 @@
     }
 }
 
-fn desk() -> SharedDesk {
-    let mut desk = BackendDesk::new(EntryPlace {
+fn desk() -> SharedRegistry {
+    let mut desk = BackendRegistry::new(EntryPlace {
         data_centre: "z".into(),
         host: "e1".into(),
     });
     desk.set_fleet(&lived_book().snapshot().load().fleet);
-    SharedDesk::new(desk)
+    SharedRegistry::new(desk)
 }
 
 /// Symptom: the thread that takes load reports ended, or a backend server that said it has four billion
 /// requests was taken for an idle one: the sum of what runs and what waits began again at zero.
 #[test]
 fn loads_beyond_all_bounds_are_full_ones() {
-    let word = LoadWord {
+    let word = ResponseLoad {
         running: u32::MAX,
         waiting: u32::MAX,
     };
@@ -107,18 +107,18 @@
     let ages = [0, 1, u64::MAX / 1000, u64::MAX].map(Duration::from_millis);
     let words = ages.map(|age| WantedWord {
         target: target(3),
-        named: NamingTime::guessed(store_time(later) - age, NamingCertainty::Assumed),
+        named: NamingTime::guessed(store_time(later) - age, TargetTimeCertainty::Assumed),
     });
     let alone = new_book();
     alone.change(|book| book.take_words(&words, later));
     let snapshot = alone.snapshot().load();
     let wanted = snapshot.newest_version("m").expect("it was named");
-    assert_eq!(wanted.named_at, ClockTime(0));
+    assert_eq!(wanted.target_set_at, ClockTime(0));
     book.change(|book| book.take_words(&words, later));
     let snapshot = book.snapshot().load();
     let wanted = snapshot.newest_version("m").expect("it was named");
     assert_eq!(
-        wanted.named_at, START,
+        wanted.target_set_at, START,
         "not before version 2, whose naming was told"
     );
     assert_eq!(
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -22,7 +22,7 @@
 
 use bytes::Bytes;
 
-use crate::fleet::{NamingCertainty, WeightsVersion};
+use crate::fleet::{TargetTimeCertainty, WeightsVersion};
 use crate::platform::samples::{backend_sample, document_sample, naming_sample};
 use crate::platform::{StoreRow, TableView};
 use crate::sync::naming_time::{NamingKnowledge, NamingTime};
@@ -67,7 +67,7 @@
 }
 
 fn told_at(at: ClockTime) -> NamingTime {
-    NamingTime::guessed(store_time(at), NamingCertainty::Witnessed)
+    NamingTime::guessed(store_time(at), TargetTimeCertainty::Witnessed)
 }
 
 /// What is taken for the naming of a version that the store tells of at `now`.
@@ -173,18 +173,18 @@
 /// overdue although nobody could have known of the new ones.
 #[test]
 fn a_version_that_is_found_behind_an_outage_is_taken_for_new() {
-    let named_at = |knowledge: NamingKnowledge| found_at(knowledge, START).at;
-    let age = |knowledge: NamingKnowledge| store_time(START).since(named_at(knowledge));
+    let target_set_at = |knowledge: NamingKnowledge| found_at(knowledge, START).at;
+    let age = |knowledge: NamingKnowledge| store_time(START).since(target_set_at(knowledge));
     assert!(age(NamingKnowledge::Interrupted) <= Duration::from_millis(100));
     let certainty = |knowledge: NamingKnowledge| found_at(knowledge, START).certainty;
     assert_eq!(
         certainty(NamingKnowledge::Interrupted),
-        NamingCertainty::Resumed
+        TargetTimeCertainty::Resumed
     );
     assert!(age(NamingKnowledge::Started) >= Duration::from_secs(6));
     assert_eq!(
         certainty(NamingKnowledge::Followed(store_time(START))),
-        NamingCertainty::Witnessed
+        TargetTimeCertainty::Witnessed
     );
 }
 
@@ -211,7 +211,7 @@
     for book in [resumed, started] {
         let snapshot = book.snapshot().load();
         let wanted = snapshot.newest_version("m").expect("it was named");
-        assert_eq!(store_time(wanted.named_at), found.at);
+        assert_eq!(store_time(wanted.target_set_at), found.at);
     }
 }
 
@@ -232,17 +232,17 @@
     set_clock(&witness, started_at);
     for assumed in [1, 6, 30] {
         let book = new_book();
-        let named_at = NamingTime::guessed(
+        let target_set_at = NamingTime::guessed(
             store_time(started_at - Duration::from_secs(assumed)),
-            NamingCertainty::Assumed,
+            TargetTimeCertainty::Assumed,
         );
-        book.change(|book| book.take_operator_rows(&[named(2)], named_at));
+        book.change(|book| book.take_operator_rows(&[named(2)], target_set_at));
         let ask = book.read(ViewBook::ask);
         let view = witness.read(|witness| witness.answer(&ask, Duration::ZERO, started_at));
         book.change(|book| book.merge(view, at_once(started_at)));
         let snapshot = book.snapshot().load();
         let wanted = snapshot.newest_version("m").expect("it was named");
-        assert_eq!(wanted.named_at, START, "assumed {assumed} s");
+        assert_eq!(wanted.target_set_at, START, "assumed {assumed} s");
     }
 }
 
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -9,7 +9,7 @@
 
 use super::{START, at_once, found_at, named, new_book, set_clock, store_time, told_at};
 use crate::daemon::DrainState;
-use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
+use crate::fleet::{ModelVersion, TargetTimeCertainty, WeightsVersion};
 use crate::platform::samples::{document_sample, naming_sample};
 use crate::platform::{FakeStore, StoreClient, TableName, WriteOutcome};
 use crate::sync::naming_time::NamingKnowledge;
@@ -201,12 +201,12 @@
     let snapshot = started.snapshot().load();
     assert_eq!(newest(&snapshot), Some(WeightsVersion(3)));
     let wanted = snapshot.newest_version("m").expect("it was told");
-    assert_eq!(wanted.named_at, START);
+    assert_eq!(wanted.target_set_at, START);
 }
 
-fn named_at(snapshot: &ControlSnapshot) -> ClockTime {
+fn target_set_at(snapshot: &ControlSnapshot) -> ClockTime {
     let wanted = snapshot.newest_version("m");
-    wanted.expect("a version is wanted").named_at
+    wanted.expect("a version is wanted").target_set_at
 }
 
 /// Requests would begin on older weights up to six seconds behind the bound: a process that started took
@@ -229,7 +229,7 @@
     let later = START + Duration::from_secs(10);
     let again = found_at(NamingKnowledge::Interrupted, later);
     book.change(|book| book.take_own_rows(record(6), again));
-    assert_eq!(store_time(named_at(&book.snapshot().load())), found.at);
+    assert_eq!(store_time(target_set_at(&book.snapshot().load())), found.at);
 }
 
 /// The same by the operator's table: the store forgot its history soon after a start, the table was read
@@ -263,13 +263,13 @@
     lived.change(|book| book.take_operator_rows(&[named(2)], told_at(START)));
     let later = START + Duration::from_secs(20);
     let started = new_book();
-    let resumed = NamingTime::guessed(store_time(later), NamingCertainty::Resumed);
+    let resumed = NamingTime::guessed(store_time(later), TargetTimeCertainty::Resumed);
     started.change(|book| book.take_operator_rows(&[named(2)], resumed));
     let words = lived.read(ViewBook::ask).wanted;
     assert!(started.read(|book| book.learns_from(&words)));
     started.change(|book| book.take_words(&words, later));
     assert!(!started.read(|book| book.learns_from(&words)));
-    assert_eq!(named_at(&started.snapshot().load()), START);
+    assert_eq!(target_set_at(&started.snapshot().load()), START);
 }
 
 /// All entry hosts were without power when version 3 was named, and an older naming was done over it before
@@ -316,10 +316,10 @@
     let words = lived.read(ViewBook::ask).wanted;
     assert!(started.read(|book| book.learns_from(&words)));
     started.change(|book| book.take_words(&words, now));
-    assert_eq!(named_at(&started.snapshot().load()), START);
+    assert_eq!(target_set_at(&started.snapshot().load()), START);
     let view = started.read(|book| book.answer(&PeerAsk::default(), Duration::ZERO, now));
     lived.change(|book| book.merge(view, at_once(now)));
-    assert_eq!(named_at(&lived.snapshot().load()), START);
+    assert_eq!(target_set_at(&lived.snapshot().load()), START);
 }
 
 /// A record of version 2 that a process had begun to write, and that the store did last, would bring the
@@ -362,11 +362,11 @@
     });
     cut.change(|book| book.take_own_rows(record, found));
     cut.change(|book| book.take_operator_rows(&[named(2)], found));
-    assert_eq!(store_time(named_at(&cut.snapshot().load())), found.at);
+    assert_eq!(store_time(target_set_at(&cut.snapshot().load())), found.at);
     // The same row once more tells nothing.
     let later = back + Duration::from_secs(5);
     let followed = NamingKnowledge::Followed(store_time(back));
     let later = found_at(followed, later);
     cut.change(|book| book.take_operator_rows(&[named(2)], later));
-    assert_eq!(store_time(named_at(&cut.snapshot().load())), found.at);
+    assert_eq!(store_time(target_set_at(&cut.snapshot().load())), found.at);
 }
--- a/src/sync/tests/storms.rs
+++ b/src/sync/tests/storms.rs
@@ -7,7 +7,7 @@
 use super::restarts::EntryProcess;
 use super::{START, document, named, new_book, told_at};
 use crate::catalog::CatalogVersion;
-use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
+use crate::fleet::{ModelVersion, TargetTimeCertainty, WeightsVersion};
 use crate::platform::samples::{document_sample, naming_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::past_namings::is_last_look;
@@ -111,14 +111,18 @@
             model: "m".into(),
             version: WeightsVersion(2),
         },
-        named: NamingTime::guessed(known_at - Duration::from_secs(6), NamingCertainty::Assumed),
+        named: NamingTime::guessed(
+            known_at - Duration::from_secs(6),
+            TargetTimeCertainty::Assumed,
+        ),
     };
     process.book.change(|book| book.take_words(&[word], now));
     store.set_down(false);
     let is_resumed = |snapshot: &ControlSnapshot| {
         let mut wanted = snapshot.wanted.iter();
         wanted.any(|wanted| {
-            wanted.certainty == NamingCertainty::Resumed && wanted.named_at >= now - ROW_DELAY
+            wanted.certainty == TargetTimeCertainty::Resumed
+                && wanted.target_set_at >= now - ROW_DELAY
         })
     };
     process.believes(is_resumed).await;
--- a/src/sync/view_book.rs
+++ b/src/sync/view_book.rs
@@ -21,7 +21,7 @@
 use crate::catalog::{CatalogVersion, ServiceCatalog};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::fleet::{FleetView, NamingCertainty};
+use crate::fleet::{FleetView, TargetTimeCertainty};
 use crate::platform::{
     DocumentRow, StoreRow, TableName, TableView, read_backend_row, read_document,
     read_wanted_version,
@@ -211,11 +211,11 @@
     fn place(&self, named: NamingTime, revision: u64, source: WordSource) -> NamingTime {
         match (named.certainty, source) {
             // A process that starts has no answers of before.
-            (NamingCertainty::Assumed, _) => named,
-            (NamingCertainty::Witnessed, WordSource::Change(_) | WordSource::PastChange(_)) => {
+            (TargetTimeCertainty::Assumed, _) => named,
+            (TargetTimeCertainty::Witnessed, WordSource::Change(_) | WordSource::PastChange(_)) => {
                 self.marks.narrow(named, revision)
             }
-            (NamingCertainty::Witnessed | NamingCertainty::Resumed, _) => {
+            (TargetTimeCertainty::Witnessed | TargetTimeCertainty::Resumed, _) => {
                 self.marks.cap(named, revision)
             }
         }
--- a/src/sync/wanted_versions.rs
+++ b/src/sync/wanted_versions.rs
@@ -14,7 +14,7 @@
 use super::peer_messages::WantedWord;
 use super::store_clock::StoreClock;
 use crate::events::log_event;
-use crate::fleet::{ModelVersion, NamingCertainty, WantedWeights, WeightsVersion};
+use crate::fleet::{ModelVersion, TargetTimeCertainty, TargetWeights, WeightsVersion};
 use crate::metrics;
 use crate::time::StoreTime;
 
@@ -74,10 +74,10 @@
     }
 
     /// The same on this process's own clock, of which `clock` knows.
-    pub(super) fn on_clock(&self, clock: &StoreClock) -> Vec<WantedWeights> {
-        let weights = |wanted: &WantedWord| WantedWeights {
+    pub(super) fn on_clock(&self, clock: &StoreClock) -> Vec<TargetWeights> {
+        let weights = |wanted: &WantedWord| TargetWeights {
             target: wanted.target.clone(),
-            named_at: clock.earliest(wanted.named.at),
+            target_set_at: clock.earliest(wanted.named.at),
             certainty: wanted.named.certainty,
         };
         self.wanted.iter().map(weights).collect()
@@ -107,7 +107,7 @@
         let is_told = match source {
             WordSource::Neighbour => false,
             // Behind a cut the watch has yet to tell of what was named meanwhile.
-            WordSource::Record(_) => named.certainty == NamingCertainty::Assumed,
+            WordSource::Record(_) => named.certainty == TargetTimeCertainty::Assumed,
             WordSource::Change(_) | WordSource::PastChange(_) | WordSource::Table(_) => true,
         };
         if is_told {
@@ -178,7 +178,7 @@
         match next.filter(|next| next.target.model == target.model) {
             Some(next) => {
                 let at = named.at.min(next.named.at);
-                NamingTime::guessed(at, NamingCertainty::Assumed)
+                NamingTime::guessed(at, TargetTimeCertainty::Assumed)
             }
             None => named,
         }
@@ -193,9 +193,9 @@
         for wanted in of_model.filter(|wanted| *wanted.target.model == *model) {
             let named = &mut wanted.named;
             match named.certainty {
-                NamingCertainty::Assumed => named.at = named.at.max(earliest),
-                NamingCertainty::Resumed => {}
-                NamingCertainty::Witnessed => earliest = earliest.max(named.at),
+                TargetTimeCertainty::Assumed => named.at = named.at.max(earliest),
+                TargetTimeCertainty::Resumed => {}
+                TargetTimeCertainty::Witnessed => earliest = earliest.max(named.at),
             }
         }
     }
