--- a/src/fleet/backend_facts.rs
+++ b/src/fleet/backend_facts.rs
@@ -1,4 +1,4 @@
-//! What others say of the backend servers.
+//! State of backend servers as reported by the store, by their hosts and in responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::overload::usual_pace;
 use crate::time::{ClockTime, WallTime};
 
-/// The number of a version of a model's weights; grows with each that is named.
+/// Version number of a model's weights. Each version that is set as target has a higher number.
 #[apply(key!)]
 #[derive(Default, serde::Serialize, serde::Deserialize)]
 pub(crate) struct WeightsVersion(pub(crate) u64);
@@ -22,41 +22,41 @@
 pub(crate) struct ModelVersion {
     /// The model's name.
     pub(crate) model: ByteString,
-    /// The version.
+    /// The version of its weights.
     pub(crate) version: WeightsVersion,
 }
 
-/// Layers that an engine holds, of one version.
+/// A range of layers of one version that an engine has loaded.
 #[apply(message!)]
 #[derive(Copy, Eq)]
 pub(crate) struct HeldLayers {
-    /// The first of them.
+    /// First layer of the range.
     pub(crate) from: u32,
-    /// The one behind the last.
+    /// End of the range, exclusive.
     pub(crate) to: u32,
-    /// Their version.
+    /// Version of these layers.
     pub(crate) version: WeightsVersion,
 }
 
-/// What an engine has loaded.
+/// The weights that an engine has loaded.
 #[apply(message!)]
 #[derive(Eq, Default)]
 pub(crate) struct EngineHoldings {
-    /// The models.
+    /// The models that are loaded, with their versions.
     pub(crate) models: Vec<ModelVersion>,
-    /// The layers.
+    /// The layers that are loaded.
     pub(crate) layers: Vec<HeldLayers>,
 }
 
 impl EngineHoldings {
-    /// The version of `model` of which all `layers` layers are loaded.
+    /// The version of `model` of which all `layers` layers are loaded, if there is one.
     pub(crate) fn complete_version(&self, model: &str, layers: u32) -> Option<WeightsVersion> {
         let mut held = self.models.iter().filter(|held| *held.model == *model);
-        held.find(|held| self.is_whole(held.version, layers))
+        held.find(|held| self.is_complete(held.version, layers))
             .map(|held| held.version)
     }
 
-    fn is_whole(&self, version: WeightsVersion, layers: u32) -> bool {
+    fn is_complete(&self, version: WeightsVersion, layers: u32) -> bool {
         let mut next = 0;
         let mut ranges: Vec<&HeldLayers> = self
             .layers
@@ -78,95 +78,96 @@
 #[apply(key!)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(crate) enum BackendPhase {
-    /// It does.
+    /// It takes new requests.
     Serving,
-    /// It is about to end and gets nothing new.
+    /// It is about to stop and takes no new requests.
     Leaving,
 }
 
-/// What the store says of a backend server.
+/// A backend server's entry in the store.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct BackendFacts {
-    /// Its name. It may start again under it, and then knows nothing of before.
+    /// Its name. A restarted backend server keeps its name but none of its former state.
     pub(crate) id: ByteString,
-    /// When it started, by its own clock: with its name, the incarnation that these facts tell of.
-    /// None where it does not say so.
+    /// Start time by its own clock, if reported. Together with `id` it identifies an incarnation.
     pub(crate) born: Option<WallTime>,
-    /// How many times this incarnation has told the store of itself, if it says so.
+    /// Sequence number of this update among the updates of this incarnation, if reported.
     #[serde(rename = "told")]
     pub(crate) sequence: Option<u64>,
-    /// Its service.
+    /// The service that it belongs to.
     pub(crate) service: ByteString,
-    /// Where it answers; used again by others some time after it has ended.
+    /// Address for requests. Another backend server may reuse it some time after this one has
+    /// stopped.
     pub(crate) address: SocketAddr,
     /// Its data centre.
     pub(crate) data_centre: ByteString,
-    /// How many requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub(crate) slots: u32,
     /// Whether it takes new requests.
     pub(crate) phase: BackendPhase,
-    /// What its engine has loaded.
+    /// Weights that its engine has loaded.
     pub(crate) holdings: EngineHoldings,
 }
 
-/// How a word about a backend server stands to the incarnation that is known.
+/// Compares the incarnation that a message describes with the known one.
 #[apply(key!)]
 pub(crate) enum IncarnationOrder {
-    /// It tells of a former one and changes nothing.
-    Former,
-    /// It tells of this one, or cannot be told apart.
+    /// An older incarnation; the message is ignored.
+    Older,
+    /// The known incarnation, or a start time is missing and the two can't be distinguished.
     Same,
-    /// It tells of a newer one; nothing that was known holds.
+    /// A newer incarnation; all former state is obsolete.
     Newer,
 }
 
 impl IncarnationOrder {
-    /// The order of a word about the incarnation that started at `born`.
+    /// Compares an incarnation that started at `born` with one that started at `known`.
     ///
-    /// A backend server that starts again under its name holds nothing and has no requests, while
-    /// words of before are still on their way: reports, answers, the store's entry. One would notice
-    /// requests that are refused by an engine that holds nothing, or an engine that gets none.
+    /// A restarted backend server has no weights and no requests, while reports, responses and
+    /// store entries of its former incarnation may still arrive. If these were applied, requests
+    /// would go to an engine without weights, or an engine in service would get none.
     pub(crate) fn of(born: Option<WallTime>, known: Option<WallTime>) -> Self {
         match (born, known) {
-            (Some(born), Some(known)) if born < known => Self::Former,
+            (Some(born), Some(known)) if born < known => Self::Older,
             (Some(born), Some(known)) if born > known => Self::Newer,
             _ => Self::Same,
         }
     }
 }
 
-/// A backend server's load, as it tells it in an answer.
+/// Load that a backend server states in a response.
 #[apply(key!)]
 pub(crate) struct ResponseLoad {
-    /// Requests that it works on.
+    /// Requests in progress.
     pub(crate) running: u32,
-    /// Requests that wait at it.
+    /// Queued requests.
     pub(crate) waiting: u32,
 }
 
-/// What the process beside a backend server says of it, some times a second.
+/// Load report that the process colocated with a backend server sends several times a second.
 #[apply(message!)]
 pub(crate) struct LoadReport {
-    /// Where the backend server answers.
+    /// The backend server's address for requests.
     pub(crate) address: SocketAddr,
-    /// When it started, by its own clock, if it says so.
+    /// Its start time by its own clock, if known.
     pub(crate) born: Option<WallTime>,
-    /// Requests that it works on.
+    /// Requests in progress.
     pub(crate) active: u32,
-    /// Requests that wait at it.
+    /// Queued requests.
     pub(crate) queued: u32,
-    /// Whether it is about to load weights and takes no new requests meanwhile.
+    /// Whether it is about to load weights and takes no new requests until it has.
     pub(crate) is_loading: bool,
-    /// How many times slower than published it is; 1 from processes that do not tell it.
+    /// Slowdown factor relative to the published speed; 1 where the sender does not report it.
     #[serde(default = "usual_pace")]
     pub(crate) pace: f64,
-    /// What its engine has loaded.
+    /// Weights that its engine has loaded.
     pub(crate) holdings: EngineHoldings,
 }
 
 impl LoadReport {
-    /// Whether other weights answer than by `known`, or none: more than another load.
+    /// Whether the weights in service, or whether any are, differ from `known`; the load is
+    /// ignored.
     pub(crate) fn changes_weights(&self, known: &Self) -> bool {
         self.is_loading != known.is_loading
             || self.born != known.born
@@ -174,39 +175,39 @@
     }
 }
 
-/// All backend servers, as of one moment.
+/// A consistent view of all backend servers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetView {
     /// Sorted by id.
     pub(crate) backends: Vec<Arc<BackendFacts>>,
 }
 
-/// A version of weights that is to be served.
+/// The target version of a model's weights.
 #[apply(plain!)]
 pub(crate) struct TargetWeights {
-    /// What is wanted.
+    /// The model and its target version.
     pub(crate) target: ModelVersion,
-    /// When it was named, as far as is known.
+    /// When it was set as target, as far as this process knows.
     pub(crate) target_set_at: ClockTime,
-    /// How well that is known.
+    /// How reliable that time is.
     pub(crate) certainty: TargetTimeCertainty,
 }
 
-/// How well it is known when a version was named, the least first.
+/// How reliably the time of a target update is known, from least to most reliable.
 #[apply(key!)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(crate) enum TargetTimeCertainty {
-    /// A process found it at its start and took it for old.
+    /// The process found the version when it started and assumed that it was set long before.
     Assumed,
-    /// A process that was cut off from the store found it when it was back and took it for new.
+    /// The process found the version when it reached the store again, and assumed that it is new.
     Resumed,
-    /// A process that followed the store was told at that moment.
+    /// The process was following the store and was notified at that time.
     Witnessed,
 }
 
 impl TargetWeights {
-    /// Whether requests may begin on an older version at `now`, if they may for `grace` after it
-    /// was named.
+    /// Whether requests may begin on a previous version at `now`, which is allowed for `grace`
+    /// after the target update.
     pub(crate) fn allows_previous(&self, grace: Duration, now: ClockTime) -> bool {
         // The first version replaces none.
         now.since(self.target_set_at) < grace || self.target.version <= WeightsVersion(1)
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -1,4 +1,4 @@
-//! One backend server as this entry host knows it.
+//! What an entry host knows about one backend server, and its own requests in flight there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,82 +6,83 @@
 use macro_rules_attribute::apply;
 
 use super::backend_facts::{BackendFacts, EngineHoldings, LoadReport, ResponseLoad};
-use super::pick::PickPlace;
-use super::request_limit::{LimitTurn, RequestLimit};
+use super::pick::PickContext;
+use super::request_limit::{RequestLimit, SendPermission};
 use crate::derives::{key, plain};
 use crate::overload::{EnginePlace, usual_pace};
 use crate::routing::CircuitBreaker;
 use crate::time::{ClockTime, WallTime};
 
-/// How long a word about other entry hosts' requests is believed. Model requests last one to three
-/// seconds, so that after this long most of them have ended.
-const HEARD_SPAN: Duration = Duration::from_secs(2);
-/// How long nothing new goes to a backend server that said it is full. Its queue gets shorter by a
-/// request about each 100 ms.
-const FULL_REST: Duration = Duration::from_millis(100);
-/// How long nothing new goes to a backend server that could not be reached or fell silent. Where its
-/// link has become narrow, some calls still succeed, so that the breaker stays closed.
-const FAILED_REST: Duration = Duration::from_millis(400);
-/// How long nothing goes to a backend server at whose address another one answered. It has ended, and
-/// its entry in the store goes within some heartbeats; until then each send would be turned away.
-const REPLACED_REST: Duration = Duration::from_secs(6);
-/// How long the word that an engine is about to load weights holds. It is told five times a second; a
-/// process that died right after it had told would keep requests from its engine for good.
-const LOADING_SPAN: Duration = Duration::from_millis(1500);
-/// For how long it counts that a request waited there for its answer to begin.
+/// How long a reported number of requests counts. Model requests last one to three seconds, so that
+/// most of them have ended after this time.
+const REPORTED_LOAD_SPAN: Duration = Duration::from_secs(2);
+/// Pause after a backend server refused a request because it is full. Its queue shrinks by about
+/// one request per 100 ms.
+const FULL_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a backend server was unreachable or unresponsive. The circuit breaker alone does not
+/// help where its link is congested: some calls still succeed and keep the breaker closed.
+const FAILED_PAUSE: Duration = Duration::from_millis(400);
+/// Pause after another backend server answered at its address. This one has stopped, and its entry
+/// expires from the store within a few heartbeats; until then each send would be rejected.
+const REPLACED_PAUSE: Duration = Duration::from_secs(6);
+/// How long an announced load of weights blocks new requests. The announcement is repeated five
+/// times a second; without an expiry, a process that died after sending it would block its engine
+/// forever.
+const LOADING_EXPIRY: Duration = Duration::from_millis(1500);
+/// How long the measured wait for a response head counts.
 const HEAD_WAIT_SPAN: Duration = Duration::from_secs(2);
-/// How long fresh connections are preferred after a connection delivered bytes that belong to no
-/// request. More of them may be on their way on other connections of the same backend server.
-const FRESH_SPAN: Duration = Duration::from_secs(10);
+/// How long to prefer fresh connections after a connection delivered bytes that belong to no
+/// request. Other pooled connections to the same backend server may be affected as well.
+const FRESH_CONNECTIONS_SPAN: Duration = Duration::from_secs(10);
 
-/// How a call at a backend server ended, as far as it tells about the backend server.
+/// Outcome of a call, as far as it concerns the state of the backend server.
 #[apply(key!)]
 pub(crate) enum CallOutcome {
     /// It answered.
     Answered,
-    /// It said that it is full or does not serve this.
+    /// It refused the request: it is full, or does not serve this model or version.
     Refused,
-    /// Another one answers at its address.
+    /// A different backend server answered at its address.
     Replaced,
-    /// It could not be reached, or broke off, or sent what does not read.
+    /// It was unreachable, the connection broke, or the response was malformed.
     Failed,
-    /// The client left, or the end says nothing about the backend server.
+    /// The client disconnected, or the outcome shows nothing about the backend server.
     Inconclusive,
 }
 
-/// What was last heard of the load of all entry hosts together.
+/// The last reported number of requests, from all entry hosts together.
 #[apply(plain!)]
 #[derive(Copy)]
-struct LoadHeard {
+struct ReportedLoad {
     total: u32,
-    own_then: u32,
+    own_at_report: u32,
     at: ClockTime,
 }
 
-/// One backend server.
+/// State of one backend server.
 #[derive(Debug)]
 pub(crate) struct BackendRecord {
-    /// What the store says of it.
+    /// Its entry in the store.
     pub(crate) facts: Arc<BackendFacts>,
-    /// What its engine has loaded, from whoever said it last.
+    /// Weights that its engine has loaded, by the latest entry or report.
     pub(super) holdings: EngineHoldings,
-    /// Until when it is taken to be about to load weights.
+    /// Until when it is considered to be about to load weights.
     loading_until: ClockTime,
-    /// This entry host's requests under way there.
-    pub(super) own: u32,
-    /// Tokens of the prompts of those of them that have not begun.
+    /// Requests of this entry host in flight there.
+    pub(super) own_in_flight: u32,
+    /// Prompt tokens of those whose response has not started.
     unread_tokens: u32,
-    /// How many times slower than published it is, as was last told.
+    /// Last reported slowdown factor relative to the published speed.
     pace: f64,
-    /// Whether other entry hosts leave it to this one first.
+    /// Whether this entry host is the preferred one for it.
     pub(super) is_own: bool,
-    heard: Option<LoadHeard>,
+    reported: Option<ReportedLoad>,
     pub(super) breaker: CircuitBreaker,
-    /// The longest that a request waited lately for its answer to begin, and when.
+    /// The longest recent wait for a response head, and when it was measured.
     head_wait: (Duration, ClockTime),
-    rest_until: ClockTime,
-    fresh_until: ClockTime,
-    /// How many requests a second it takes from all entry hosts together.
+    paused_until: ClockTime,
+    fresh_connections_until: ClockTime,
+    /// The request rate that it allows to all entry hosts together.
     pub(super) limit: RequestLimit,
 }
 
@@ -91,23 +92,23 @@
             holdings: facts.holdings.clone(),
             facts,
             loading_until: ClockTime(0),
-            own: 0,
+            own_in_flight: 0,
             unread_tokens: 0,
             pace: usual_pace(),
             is_own: true,
-            heard: None,
+            reported: None,
             breaker: CircuitBreaker::default(),
             head_wait: (Duration::ZERO, ClockTime(0)),
-            rest_until: ClockTime(0),
-            fresh_until: ClockTime(0),
+            paused_until: ClockTime(0),
+            fresh_connections_until: ClockTime(0),
             limit: RequestLimit::default(),
         }
     }
 
-    /// What is known of the incarnation that `report` tells of before the store says more: it holds
-    /// what the report says. Whether it takes requests is for the store to say; a leaving one that
-    /// starts again gets none before its new entry, which follows within a heartbeat.
-    pub(super) fn restarted(&self, report: &LoadReport) -> BackendFacts {
+    /// The facts of a new incarnation that only `report` has shown so far. The weights are those of
+    /// the report. The phase stays as it was: it comes from the store, so that one that was leaving
+    /// gets no requests before its new entry, which follows within a heartbeat.
+    pub(super) fn facts_after_restart(&self, report: &LoadReport) -> BackendFacts {
         BackendFacts {
             born: report.born,
             sequence: None,
@@ -133,52 +134,52 @@
         }
     }
 
-    /// How many requests it has at `now`, from all entry hosts, as far as is known.
+    /// Estimated number of its requests at `now`, from all entry hosts.
     pub(crate) fn load(&self, now: ClockTime) -> u32 {
-        self.own + self.others(now)
+        self.own_in_flight + self.others(now)
     }
 
-    /// A request with `tokens` of prompt is sent there.
+    /// Counts a request whose prompt has `tokens` tokens as sent there.
     pub(super) fn note_sent(&mut self, tokens: u32) {
-        self.own += 1;
+        self.own_in_flight += 1;
         self.unread_tokens = self.unread_tokens.saturating_add(tokens);
     }
 
-    /// Of a request's prompt, `tokens` are no longer to be read: it has begun, or is over.
+    /// Subtracts `tokens` of a request's prompt: the response has started or the request has ended.
     pub(super) fn note_read(&mut self, tokens: u32) {
         self.unread_tokens = self.unread_tokens.saturating_sub(tokens);
     }
 
-    /// The engine as a request finds it at `now`.
-    pub(super) fn place(&self, place: &PickPlace<'_>, now: ClockTime) -> EnginePlace {
+    /// State of the engine as a request would find it at `now`.
+    pub(super) fn engine_state(&self, context: &PickContext<'_>, now: ClockTime) -> EnginePlace {
         EnginePlace {
             slots: self.facts.slots,
             load: self.load(now),
             unread_tokens: self.unread_tokens,
             pace: self.pace,
-            is_near: *self.facts.data_centre == *place.data_centre,
+            is_near: *self.facts.data_centre == *context.data_centre,
             is_own: self.is_own,
-            peers: place.peers,
+            peers: context.peers,
         }
     }
 
     fn others(&self, now: ClockTime) -> u32 {
-        match self.heard {
-            Some(heard) if now.since(heard.at) < HEARD_SPAN => {
-                heard.total.saturating_sub(heard.own_then)
+        match self.reported {
+            Some(reported) if now.since(reported.at) < REPORTED_LOAD_SPAN => {
+                reported.total.saturating_sub(reported.own_at_report)
             }
             _ => 0,
         }
     }
 
-    /// A request has waited for `wait` at `now` for its answer to begin.
+    /// Records at `now` that a request has waited for `wait` for its response head.
     pub(crate) fn note_head_wait(&mut self, wait: Duration, now: ClockTime) {
         if wait >= self.head_wait(now) {
             self.head_wait = (wait, now);
         }
     }
 
-    /// The longest that a request waited lately for its answer to begin.
+    /// The longest recent wait for a response head.
     pub(super) fn head_wait(&self, now: ClockTime) -> Duration {
         let (wait, at) = self.head_wait;
         if now.since(at) < HEAD_WAIT_SPAN {
@@ -188,43 +189,43 @@
         }
     }
 
-    /// Whether it is about to load weights, as far as was told lately.
+    /// Whether it was recently announced that it is about to load weights.
     fn is_loading(&self, now: ClockTime) -> bool {
         now < self.loading_until
     }
 
-    /// Whether it may get requests at `now`.
-    pub(super) fn is_open(&self, now: ClockTime) -> bool {
-        !self.is_loading(now) && self.rest_until <= now && self.breaker.lets_pass(now)
+    /// Whether requests may be sent there at `now`.
+    pub(super) fn accepts_requests(&self, now: ClockTime) -> bool {
+        !self.is_loading(now) && self.paused_until <= now && self.breaker.lets_pass(now)
     }
 
-    /// Whether its limit leaves a request to this entry host.
-    pub(super) fn turn(&self, place: &PickPlace<'_>) -> LimitTurn {
-        let share = || place.turns.share(&self.facts);
-        self.limit.turn(share, place.asked)
+    /// Whether its advertised rate allows this entry host to send a request.
+    pub(super) fn send_permission(&self, context: &PickContext<'_>) -> SendPermission {
+        let share = || context.rate_sharers.share(&self.facts);
+        self.limit.send_permission(share, context.picked_at)
     }
 
-    /// Whether a connection that was used before is to be avoided.
+    /// Whether to open a new connection rather than to reuse one.
     pub(crate) fn prefers_fresh_connection(&self, now: ClockTime) -> bool {
-        now < self.fresh_until
+        now < self.fresh_connections_until
     }
 
-    /// A connection delivered bytes that belong to no request.
+    /// Records that a connection delivered bytes that belong to no request.
     pub(crate) fn note_stray_bytes(&mut self, now: ClockTime) {
-        self.fresh_until = now + FRESH_SPAN;
+        self.fresh_connections_until = now + FRESH_CONNECTIONS_SPAN;
     }
 
-    /// It told its load in an answer.
-    pub(crate) fn note_load(&mut self, word: ResponseLoad, now: ClockTime) {
-        self.hear(word.running.saturating_add(word.waiting), now);
+    /// Takes in the load stated in a response.
+    pub(crate) fn note_load(&mut self, load: ResponseLoad, now: ClockTime) {
+        self.set_reported(load.running.saturating_add(load.waiting), now);
     }
 
-    /// The process beside it told its state.
+    /// Takes in a load report from the process colocated with it.
     pub(super) fn note_report(&mut self, report: LoadReport, now: ClockTime) {
         self.set_born(report.born.or(self.facts.born));
-        self.hear(report.active.saturating_add(report.queued), now);
+        self.set_reported(report.active.saturating_add(report.queued), now);
         let span = if report.is_loading {
-            LOADING_SPAN
+            LOADING_EXPIRY
         } else {
             Duration::ZERO
         };
@@ -233,38 +234,44 @@
         self.holdings = report.holdings;
     }
 
-    fn hear(&mut self, total: u32, now: ClockTime) {
-        self.heard = Some(LoadHeard {
+    fn set_reported(&mut self, total: u32, now: ClockTime) {
+        self.reported = Some(ReportedLoad {
             total,
-            own_then: self.own,
+            own_at_report: self.own_in_flight,
             at: now,
         });
     }
 
-    /// A call ended. `jitter` is random. Returns whether nothing is sent there for a while now.
-    pub(super) fn note_end(&mut self, end: CallOutcome, now: ClockTime, jitter: u32) -> bool {
-        match end {
+    /// Records the outcome of a call. `jitter` is random. Returns whether the circuit breaker
+    /// opened.
+    pub(super) fn note_outcome(
+        &mut self,
+        outcome: CallOutcome,
+        now: ClockTime,
+        jitter: u32,
+    ) -> bool {
+        match outcome {
             CallOutcome::Answered => {
                 self.breaker.note_success();
                 false
             }
             CallOutcome::Replaced => {
-                self.rest_until = now + REPLACED_REST;
+                self.paused_until = now + REPLACED_PAUSE;
                 self.breaker.note_nothing(now);
                 false
             }
             CallOutcome::Refused => {
-                self.rest_until = now + FULL_REST;
+                self.paused_until = now + FULL_PAUSE;
                 self.breaker.note_nothing(now);
                 false
             }
-            // An engine that changes its weights cuts off what it still works on.
+            // An engine that loads other weights aborts the requests in progress.
             CallOutcome::Failed if self.is_loading(now) => {
                 self.breaker.note_nothing(now);
                 false
             }
             CallOutcome::Failed => {
-                self.rest_until = now + FAILED_REST;
+                self.paused_until = now + FAILED_PAUSE;
                 self.breaker.note_failure(now, jitter)
             }
             CallOutcome::Inconclusive => {
--- a/src/fleet/backend_ticket.rs
+++ b/src/fleet/backend_ticket.rs
@@ -1,37 +1,39 @@
-//! The desk as requests share it, and a request's place at a backend server.
+//! Shared access to the backend registry, and the ticket of a request in flight at a backend
+//! server.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use super::backend_desk::{BackendKey, BackendRegistry};
 use super::backend_facts::{BackendFacts, WeightsVersion};
 use super::backend_record::{BackendRecord, CallOutcome};
+use super::backend_registry::{BackendKey, BackendRegistry};
 use super::pick::{PickRefusal, PickRequirements};
 use crate::time::{ClockTime, StoreTime, clock_now};
 
-/// The desk as requests share it.
+/// A backend registry shared among requests.
 #[derive(Clone, Debug)]
 pub(crate) struct SharedRegistry {
-    desk: Arc<Mutex<BackendRegistry>>,
+    registry: Arc<Mutex<BackendRegistry>>,
 }
 
 impl SharedRegistry {
-    /// Shares `desk`.
-    pub(crate) fn new(desk: BackendRegistry) -> Self {
+    /// Shares `registry`.
+    pub(crate) fn new(registry: BackendRegistry) -> Self {
         Self {
-            desk: Arc::new(Mutex::new(desk)),
+            registry: Arc::new(Mutex::new(registry)),
         }
     }
 
-    /// The desk, for a moment; never held while waiting.
+    /// Locks the registry. The guard must not be held across an await.
     pub(crate) fn lock(&self) -> MutexGuard<'_, BackendRegistry> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Chooses a backend server; the request counts as under way there until the ticket ends.
+    /// Picks a backend server; the request counts as in flight there until the ticket ends or is
+    /// dropped.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// The reason why no backend server can take the request.
     pub(crate) fn pick(
         &self,
         need: &PickRequirements<'_>,
@@ -39,78 +41,83 @@
     ) -> Result<BackendTicket, PickRefusal> {
         let picked = self.lock().pick(need, now, rand::random())?;
         Ok(BackendTicket {
-            desk: self.clone(),
+            registry: self.clone(),
             key: picked.key,
             facts: picked.facts,
             version: picked.version,
-            unread: picked.unread,
-            asked: picked.asked,
+            unread_tokens: picked.unread_tokens,
+            picked_at: picked.picked_at,
             is_ended: false,
         })
     }
 }
 
-/// A request under way at a backend server.
+/// A request in flight at a backend server.
 #[derive(Debug)]
 pub(crate) struct BackendTicket {
-    desk: SharedRegistry,
-    /// Where.
+    registry: SharedRegistry,
+    /// Key of the backend server.
     pub(crate) key: BackendKey,
-    /// What the store says of it.
+    /// Its entry in the store when it was picked.
     pub(crate) facts: Arc<BackendFacts>,
-    /// The version of weights that it had when it was chosen; none for plain services.
+    /// Version of the weights that it had when it was picked; none for plain services.
     pub(crate) version: Option<WeightsVersion>,
-    /// Tokens of its prompt that count as unread there.
-    unread: u32,
-    /// When it was chosen.
-    asked: StoreTime,
+    /// Tokens of the prompt that still count as unread there.
+    unread_tokens: u32,
+    /// When it was picked, on the store's clock.
+    picked_at: StoreTime,
     is_ended: bool,
 }
 
 impl BackendTicket {
-    /// The backend server began to answer: the prompt is read.
+    /// Records that the response has started, which means that the prompt has been read.
     pub(crate) fn note_response_started(&mut self) {
-        let unread = std::mem::take(&mut self.unread);
-        if unread > 0 {
-            self.with_record(|record| record.note_read(unread));
+        let unread_tokens = std::mem::take(&mut self.unread_tokens);
+        if unread_tokens > 0 {
+            self.with_record(|record| record.note_read(unread_tokens));
         }
     }
 
-    /// Its answer, which came at `now`, names `rate`, or no limit.
+    /// Records that the response, received at `now`, advertised `rate`, or no limit.
     pub(crate) fn note_limit(&self, rate: Option<f64>, now: ClockTime) {
-        let times = (self.asked, now);
-        self.desk.lock().note_limit(self.key, rate, times);
+        let times = (self.picked_at, now);
+        self.registry.lock().note_limit(self.key, rate, times);
     }
 
-    /// The backend server has sent nothing for too long, and the call goes on.
+    /// Records that the backend server has sent nothing for too long, although the call continues.
     pub(crate) fn note_unresponsive(&self, now: ClockTime) {
-        let mut desk = self.desk.lock();
-        desk.note_outcome(self.key, CallOutcome::Failed, now, rand::random());
+        let mut registry = self.registry.lock();
+        registry.note_outcome(self.key, CallOutcome::Failed, now, rand::random());
     }
 
-    /// The call ended.
-    pub(crate) fn end(mut self, end: CallOutcome, now: ClockTime) {
+    /// Ends the call with `outcome`.
+    pub(crate) fn end(mut self, outcome: CallOutcome, now: ClockTime) {
         self.note_response_started();
         self.is_ended = true;
-        self.desk.lock().end(self.key, end, now, rand::random());
+        self.registry
+            .lock()
+            .end(self.key, outcome, now, rand::random());
     }
 
-    /// Changes the backend server's record, if it is still there.
+    /// Changes the backend server's record, unless it was removed.
     pub(crate) fn with_record(&self, change: impl FnOnce(&mut BackendRecord)) {
-        if let Some(record) = self.desk.lock().get_mut(self.key) {
+        if let Some(record) = self.registry.lock().get_mut(self.key) {
             change(record);
         }
     }
 }
 
 impl Drop for BackendTicket {
-    /// The client left: the request's future was dropped wherever it stood.
+    /// Ends the call without an outcome: the request's future was dropped since its client
+    /// disconnected.
     fn drop(&mut self) {
         if !self.is_ended {
             self.note_response_started();
             let now = clock_now();
-            let desk = self.desk.clone();
-            desk.lock().end(self.key, CallOutcome::Inconclusive, now, 0);
+            let registry = self.registry.clone();
+            registry
+                .lock()
+                .end(self.key, CallOutcome::Inconclusive, now, 0);
         }
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,27 +1,28 @@
-//! The backend servers as one entry host sees them: what the store and their hosts say of them,
-//! what this entry host has under way at each, and which of them takes the next request.
+//! The backend servers as one entry host sees them: their state as reported by the store and by
+//! their hosts, the requests that this entry host has in flight at each, and the choice of the
+//! backend server for the next request.
 
-mod backend_desk;
 mod backend_facts;
 mod backend_record;
+mod backend_registry;
 mod backend_ticket;
-mod desk_limits;
-mod desk_share;
 pub(crate) mod events;
 mod pick;
+mod rate_sharers;
+mod registry_limits;
+mod registry_shares;
 mod request_limit;
-mod retry_purse;
+mod retry_budget_share;
 #[cfg(test)]
 mod tests;
-mod turn_sharers;
 
-pub(crate) use backend_desk::{BackendKey, BackendRegistry};
 pub(crate) use backend_facts::{
     BackendFacts, BackendPhase, EngineHoldings, FleetView, HeldLayers, LoadReport, ModelVersion,
     ResponseLoad, TargetTimeCertainty, TargetWeights, WeightsVersion,
 };
 pub(crate) use backend_record::CallOutcome;
+pub(crate) use backend_registry::{BackendKey, BackendRegistry};
 pub(crate) use backend_ticket::{BackendTicket, SharedRegistry};
 pub(crate) use pick::{EngineWork, PickRefusal, PickRequirements, VersionRequirement};
 pub(crate) use request_limit::{LimitAnnouncement, is_valid_rate};
-pub(crate) use retry_purse::{RetryBudgetShare, RetryShareLimits};
+pub(crate) use retry_budget_share::{RetryBudgetShare, RetryShareLimits};
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -1,47 +1,49 @@
-//! Which backend server takes a request.
+//! Picks the backend server for a request.
 
 use std::time::Duration;
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::backend_desk::BackendKey;
 use super::backend_facts::{BackendPhase, WeightsVersion};
 use super::backend_record::BackendRecord;
-use super::request_limit::LimitTurn;
-use super::turn_sharers::TurnSharers;
+use super::backend_registry::BackendKey;
+use super::rate_sharers::RateSharers;
+use super::request_limit::SendPermission;
 use crate::derives::{key, plain};
 use crate::errors::ErrorKind;
 use crate::overload::{EnginePlace, EngineSpeed};
 use crate::time::{ClockTime, StoreTime};
 
-/// One place in so many stays free for new requests before returned ones.
-const SPARE_PART: u32 = 6;
+/// One slot in this many is reserved for new requests, which returning ones may not use.
+const SPARE_SLOTS_PART: u32 = 6;
 
-/// One place in so many at an engine of older weights is taken shortly before their bound.
-const OLDER_PART: u32 = 2;
+/// Shortly before the deadline of previous weights, one slot in this many may be used at their
+/// engines.
+const PREVIOUS_VERSION_PART: u32 = 2;
 
-/// Where requests waited for longer, none goes to older weights shortly before their bound: the way there may
-/// be full, and what is on it can't be taken back.
-const OLDER_WAIT_MAX: Duration = Duration::from_millis(600);
+/// Longest wait for a response head with which an engine of previous weights still gets requests
+/// shortly before their deadline. Beyond it the link may be congested, and requests on it can't be
+/// taken back.
+const PREVIOUS_VERSION_WAIT_MAX: Duration = Duration::from_millis(600);
 
-/// Entry hosts of a data centre that consider a backend server at a time, beside the one that goes
-/// there first.
-const CONSIDERED_BY: u32 = 4;
+/// Number of entry hosts of a data centre that consider a backend server first at a time, in
+/// addition to the one that it is assigned to.
+const CONSIDERING_HOSTS: u32 = 4;
 
-/// How good a backend server of a plain service is for a request, the best first.
+/// How suitable a backend server of a plain service is, best first.
 ///
-/// Bytes between data centres are dear and their links narrow: a place in this data centre is better
-/// than one elsewhere. Waiting is worse than either.
+/// Traffic between data centres is expensive and its links are narrow, so that a backend server in
+/// this data centre is preferred. Queueing is worse than either.
 #[apply(key!)]
-enum PlaceGrade {
+enum SlotGrade {
     NearFree,
     FarFree,
     NearQueue,
     FarQueue,
 }
 
-impl PlaceGrade {
+impl SlotGrade {
     const fn of(is_near: bool, is_free: bool) -> Self {
         match (is_near, is_free) {
             (true, true) => Self::NearFree,
@@ -52,107 +54,110 @@
     }
 }
 
-/// Which weights may answer a request.
+/// The weights that may answer a request.
 #[apply(plain!)]
 pub(crate) enum VersionRequirement {
-    /// It is not for a model.
+    /// The request is not for a model.
     None,
-    /// A version of a model, all of whose layers are loaded.
+    /// A version of a model with all layers loaded.
     Model {
-        /// The model.
+        /// The model's name.
         model: ByteString,
-        /// How many layers it has.
+        /// Number of layers of the model.
         layers: u32,
-        /// The oldest version that may answer; none while any may.
+        /// The oldest version that may answer; none if every version may.
         minimum: Option<WeightsVersion>,
-        /// The oldest version at which a request may wait for a place. One that waits at an older
-        /// version could begin when that version may no longer answer.
+        /// The oldest version whose engines may queue the request. At an older one it might only
+        /// begin after that version's deadline.
         minimum_to_queue: Option<WeightsVersion>,
     },
 }
 
 impl VersionRequirement {
     /// The version with which `record` would answer.
-    pub(super) fn held_by(&self, record: &BackendRecord) -> Option<WeightsVersion> {
+    pub(super) fn version_held_by(&self, record: &BackendRecord) -> Option<WeightsVersion> {
         match self {
             Self::None => None,
             Self::Model { model, layers, .. } => record.holdings.complete_version(model, *layers),
         }
     }
 
-    fn is_met_by(&self, record: &BackendRecord) -> bool {
+    fn is_satisfied_by(&self, record: &BackendRecord) -> bool {
         match self {
             Self::None => true,
             Self::Model { minimum, .. } => {
-                let held = self.held_by(record);
+                let held = self.version_held_by(record);
                 held.is_some() && held >= *minimum
             }
         }
     }
 }
 
-/// What a request needs of a backend server.
+/// Requirements of a request on its backend server.
 #[apply(plain!)]
 pub(crate) struct PickRequirements<'a> {
-    /// The service.
+    /// Name of the service.
     pub(crate) service: &'a str,
-    /// The weights.
+    /// The weights that may answer.
     pub(crate) version: VersionRequirement,
-    /// Where it was tried already.
+    /// Backend servers that were already tried.
     pub(crate) tried: &'a [BackendKey],
-    /// How many requests may wait at a backend server beyond those that it works on.
+    /// Requests that may be queued at a backend server in addition to those in progress.
     pub(crate) queue_room: u32,
-    /// Whether the request was refused before, and comes late however it is served.
+    /// Whether the request was refused before. It is late in any case.
     pub(crate) is_returned: bool,
-    /// What it asks of an engine; none for plain services.
+    /// The work for an engine; none for plain services.
     pub(crate) work: Option<EngineWork>,
 }
 
-/// What a request asks of an engine.
+/// The work that a request means for an engine.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(crate) struct EngineWork {
-    /// How fast the engines are.
+    /// Published speed of the engines.
     pub(crate) speed: EngineSpeed,
     /// Tokens of its prompt.
     pub(crate) prompt_tokens: u32,
 }
 
 impl PickRequirements<'_> {
-    /// How many requests `record` may have at `now`.
-    fn places_at(&self, record: &BackendRecord, now: ClockTime) -> u32 {
+    /// Number of requests that `record` may have at `now` for this one to be sent there.
+    fn slots_at(&self, record: &BackendRecord, now: ClockTime) -> u32 {
         let slots = record.facts.slots;
         match &self.version {
-            // What other entry hosts have just sent is not known yet, and prompts that are read one after
-            // the other delay a beginning. A request that has not begun in time is taken back, but not by
-            // an entry host that stands still: its requests would begin behind the bound.
+            // The latest sends of other entry hosts are not known yet, and an engine reads prompts
+            // one after the other, which delays requests. Entry hosts take back requests that have
+            // not begun in time; a stalled entry host can't, and its requests would begin after the
+            // deadline.
             VersionRequirement::Model {
                 minimum_to_queue, ..
-            } if self.version.held_by(record) < *minimum_to_queue => {
-                if record.head_wait(now) > OLDER_WAIT_MAX {
+            } if self.version.version_held_by(record) < *minimum_to_queue => {
+                if record.head_wait(now) > PREVIOUS_VERSION_WAIT_MAX {
                     0
                 } else {
-                    slots / OLDER_PART
+                    slots / PREVIOUS_VERSION_PART
                 }
             }
-            // A place that it takes from a new request turns that one into a late one as well.
-            VersionRequirement::Model { .. } if self.is_returned => slots - slots / SPARE_PART,
+            // If it took a slot from a new request, that request would be late as well.
+            VersionRequirement::Model { .. } if self.is_returned => {
+                slots - slots / SPARE_SLOTS_PART
+            }
             _ => slots.saturating_add(self.queue_room),
         }
     }
 }
 
-/// Why no backend server takes a request.
+/// Why no backend server can take a request.
 #[apply(key!)]
 pub(crate) enum PickRefusal {
-    /// The service has none that lives and holds the weights.
+    /// No backend server of the service is available with the required weights.
     NoBackend,
-    /// All have as many requests as they should have.
+    /// All of them are at their limit.
     AllFull,
 }
 
 impl PickRefusal {
-    /// The error that the client is told.
+    /// The kind of error reported to the client.
     pub(crate) const fn kind(self) -> ErrorKind {
         match self {
             Self::NoBackend => ErrorKind::NoBackend,
@@ -161,59 +166,59 @@
     }
 }
 
-/// How good a place is, the best first.
-type PlaceChoice = (PlaceGrade, Duration, u32, u32, BackendKey);
+/// Rank of a candidate: grade, delay, load, shuffled key and key; the lowest is the best.
+type SlotRank = (SlotGrade, Duration, u32, u32, BackendKey);
 
-/// Where a request is sent from.
+/// The entry host that sends a request, and when.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PickPlace<'a> {
+pub(super) struct PickContext<'a> {
     pub(super) data_centre: &'a str,
-    /// How many other entry hosts the data centre has.
+    /// Number of other entry hosts in this data centre.
     pub(super) peers: u32,
-    /// Who shares the backend servers that name a rate.
-    pub(super) turns: &'a TurnSharers,
-    /// When the request is sent, on the clock by which these take turns.
-    pub(super) asked: StoreTime,
+    /// The entry hosts that share the advertised rates.
+    pub(super) rate_sharers: &'a RateSharers,
+    /// When the request is sent, on the store's clock, on which send intervals are agreed.
+    pub(super) picked_at: StoreTime,
 }
 
-impl PickPlace<'_> {
-    /// Whether the backend server is considered first for the request with `jitter`: this entry host's
-    /// own ones, and a part of the others that differs from request to request.
+impl PickContext<'_> {
+    /// Whether the backend server is among the first candidates for the request with `jitter`:
+    /// those assigned to this entry host, and a part of the others that differs for each request.
     ///
-    /// Many entry hosts go by the same reports until the next ones. If all of them considered every
-    /// engine for every request, the one that was free in the reports would get what all of them have.
-    fn considers(&self, key: BackendKey, record: &BackendRecord, jitter: u32) -> bool {
+    /// All entry hosts see the same reports until the next ones arrive. If each considered every
+    /// engine for every request, all would send to the engine that was idle in those reports.
+    fn considers_first(&self, key: BackendKey, record: &BackendRecord, jitter: u32) -> bool {
         let part = u32::MAX / self.peers.saturating_add(1);
-        record.is_own || key.turn(jitter) <= part.saturating_mul(CONSIDERED_BY)
+        record.is_own || key.shuffled(jitter) <= part.saturating_mul(CONSIDERING_HOSTS)
     }
 }
 
-/// Chooses among `records` the best place, and among equally good ones the one with fewest requests.
-/// Where those that are considered first have none, all are.
+/// Picks the best of `records`, and among equally good ones the one with the fewest requests. Those
+/// that are not among the first candidates are considered only if none of these is free.
 pub(super) fn pick<'a>(
     records: impl Iterator<Item = (BackendKey, &'a BackendRecord)>,
     need: &PickRequirements<'_>,
-    place: &PickPlace<'_>,
+    context: &PickContext<'_>,
     (now, jitter): (ClockTime, u32),
 ) -> Result<BackendKey, PickRefusal> {
     let mut has_any = false;
-    // Of those that are considered first, and of all.
-    let mut best: [Option<PlaceChoice>; 2] = [None, None];
+    // The best of the first candidates, and the best of all.
+    let mut best: [Option<SlotRank>; 2] = [None, None];
     for (key, record) in records {
-        if !serves(record, need) || need.tried.contains(&key) {
+        if !can_serve(record, need) || need.tried.contains(&key) {
             continue;
         }
         has_any = true;
         let load = record.load(now);
-        let is_free = record.is_open(now) && load < need.places_at(record, now);
-        if !is_free || record.turn(place) == LimitTurn::Others {
+        let is_free = record.accepts_requests(now) && load < need.slots_at(record, now);
+        if !is_free || record.send_permission(context) == SendPermission::Denied {
             continue;
         }
-        let engine = record.place(place, now);
-        let (grade, delay) = rate(&engine, need);
-        // Equal ones take turns, or all entry hosts would go to the same one.
-        let choice = (grade, delay, load, key.turn(jitter), key);
-        let is_first = place.considers(key, record, jitter);
+        let engine = record.engine_state(context, now);
+        let (grade, delay) = grade_and_delay(&engine, need);
+        // The shuffled key breaks ties, or all entry hosts would pick the same one.
+        let choice = (grade, delay, load, key.shuffled(jitter), key);
+        let is_first = context.considers_first(key, record, jitter);
         for (best, counts) in best.iter_mut().zip([is_first, true]) {
             if counts && best.is_none_or(|best| choice < best) {
                 *best = Some(choice);
@@ -228,17 +233,17 @@
     }
 }
 
-/// A place at an engine is as good as the delay that it means; one at a plain service goes by its grade.
-fn rate(place: &EnginePlace, need: &PickRequirements<'_>) -> (PlaceGrade, Duration) {
+/// Engines are rated by the expected delay alone, plain backend servers by grade alone.
+fn grade_and_delay(engine: &EnginePlace, need: &PickRequirements<'_>) -> (SlotGrade, Duration) {
     if let Some(work) = &need.work {
-        return (PlaceGrade::NearFree, place.delay(&work.speed));
+        return (SlotGrade::NearFree, engine.delay(&work.speed));
     }
-    let is_free = place.load < place.slots;
-    (PlaceGrade::of(place.is_near, is_free), Duration::ZERO)
+    let is_free = engine.load < engine.slots;
+    (SlotGrade::of(engine.is_near, is_free), Duration::ZERO)
 }
 
-fn serves(record: &BackendRecord, need: &PickRequirements<'_>) -> bool {
-    let is_meant =
+fn can_serve(record: &BackendRecord, need: &PickRequirements<'_>) -> bool {
+    let is_candidate =
         *record.facts.service == *need.service && record.facts.phase == BackendPhase::Serving;
-    is_meant && need.version.is_met_by(record)
+    is_candidate && need.version.is_satisfied_by(record)
 }
--- a/src/fleet/turn_sharers.rs
+++ b/src/fleet/rate_sharers.rs
@@ -1,4 +1,4 @@
-//! Which entry hosts share the turns at backend servers that name a rate.
+//! The entry hosts that share the rates advertised by backend servers.
 
 use bytestring::ByteString;
 
@@ -6,17 +6,17 @@
 use crate::overload::{EntryPlace, TurnShare};
 use crate::routing::name_hash;
 
-/// The entry hosts by data centre, as hashes of their names.
+/// The entry hosts, grouped by data centre and represented by the hashes of their names.
 #[derive(Clone, Debug)]
-pub(super) struct TurnSharers {
+pub(super) struct RateSharers {
     me: u64,
     all: Vec<u64>,
     /// Sorted by data centre.
     near: Vec<(ByteString, Vec<u64>)>,
 }
 
-impl TurnSharers {
-    /// The sharers among `entries`, to which `me` belongs.
+impl RateSharers {
+    /// Builds the groups from `entries`, which may lack `me`.
     pub(super) fn new(me: &EntryPlace, entries: &[EntryPlace]) -> Self {
         let mut places: Vec<&EntryPlace> = entries.iter().chain([me]).collect();
         places.sort_unstable();
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Who shares the turns of a backend server: the entry hosts of its data centre, or all if it has none.
+    /// The entry hosts that share the rate of a backend server: those of its data centre, or all if
+    /// that has none.
     pub(super) fn share(&self, facts: &BackendFacts) -> TurnShare<'_> {
         let found = self
             .near
--- a/src/fleet/desk_share.rs
+++ b/src/fleet/registry_shares.rs
@@ -1,19 +1,19 @@
-//! Shares the backend servers of a desk out among the entry hosts.
+//! Assigns the backend servers of a registry to the entry hosts, so that each has preferred ones.
 
 use bytestring::ByteString;
 
-use super::backend_desk::BackendRegistry;
-use super::turn_sharers::TurnSharers;
+use super::backend_registry::BackendRegistry;
+use super::rate_sharers::RateSharers;
 use crate::overload::{EntryPlace, EntryShare};
 
 impl BackendRegistry {
-    /// Shares the backend servers out among `entries`, to which this entry host belongs.
+    /// Assigns the backend servers among `entries`, which include this entry host.
     pub(crate) fn assign_shares(&mut self, entries: &[EntryPlace]) {
         let me = self.me.clone();
         let share = EntryShare::new(&me, entries);
         self.peers = share.peers();
-        self.turns = TurnSharers::new(&me, entries);
-        // How many were met so far, by service and data centre.
+        self.rate_sharers = RateSharers::new(&me, entries);
+        // Backend servers seen so far, by service and data centre.
         let mut met: Vec<((ByteString, ByteString), usize)> = Vec::new();
         for at in 0..self.by_id.len() {
             let key = self.by_id[at].1;
--- a/src/fleet/request_limit.rs
+++ b/src/fleet/request_limit.rs
@@ -1,4 +1,4 @@
-//! How many requests a second a backend server takes from all entry hosts together, as it says itself.
+//! The request rate that a backend server advertises for all entry hosts together.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,126 +9,133 @@
 use crate::overload::TurnShare;
 use crate::time::{StoreTime, WallTime};
 
-/// For how long a limit holds that nobody hears of any more.
-const LIMIT_SPAN: Duration = Duration::from_secs(30);
-/// For how long it is told again and again that a limit has ended: a datagram may be lost.
-const END_TOLD_SPAN: Duration = Duration::from_secs(2);
+/// How long a limit applies after it was last confirmed.
+const LIMIT_EXPIRY: Duration = Duration::from_secs(30);
+/// How long the end of a limit is announced repeatedly, since a datagram may be lost.
+const END_ANNOUNCED_SPAN: Duration = Duration::from_secs(2);
 
-/// What one entry host tells others of a limit.
+/// Announcement of a limit from one entry host to others.
 #[apply(message!)]
 pub(crate) struct LimitAnnouncement {
-    /// Where the backend server answers.
+    /// The backend server's address for requests.
     pub(crate) address: SocketAddr,
-    /// When it started, by its own clock, if it says so.
+    /// Its start time by its own clock, if known.
     pub(crate) born: Option<WallTime>,
-    /// Requests a second; none when it no longer names a limit.
+    /// Requests per second; none if it no longer advertises a limit.
     pub(crate) rate: Option<f64>,
-    /// When it said so.
+    /// When it advertised this, on the store's clock.
     pub(crate) at: StoreTime,
 }
 
-/// What is known of the limit of one backend server.
+/// The known limit of one backend server.
 #[apply(plain!)]
 #[derive(Copy, Default)]
 pub(super) struct RequestLimit {
     rate: Option<f64>,
-    /// When it was last said to be so.
+    /// When the limit was last confirmed.
     at: StoreTime,
-    /// What of it was last told to other entry hosts.
-    told: Option<StoreTime>,
-    /// Whether this entry host heard it from the backend server.
+    /// Confirmation time of the state that was last announced to other entry hosts.
+    announced_at: Option<StoreTime>,
+    /// Whether this entry host received it in a response, rather than from another entry host.
     is_own: bool,
-    /// When the last turn began that was used.
-    used: StoreTime,
+    /// Start of the last send interval that was used.
+    used_interval: StoreTime,
 }
 
 impl RequestLimit {
-    /// An answer at `now` to a request that was sent at `asked` named `rate`, or no limit. Returns whether
-    /// the rate changed.
-    pub(super) fn note_answer(
+    /// Takes in the limit in a response received at `now` to a request sent at `picked_at`; none if
+    /// the response advertised none. Returns whether the rate changed.
+    pub(super) fn note_response(
         &mut self,
         rate: Option<f64>,
-        asked: StoreTime,
+        picked_at: StoreTime,
         now: StoreTime,
     ) -> bool {
-        // An answer without a limit may have been written before the limit was first named.
-        if rate.is_none() && (self.rate.is_none() || asked <= self.at) {
+        // A response without a limit may have been written before the limit was first advertised.
+        if rate.is_none() && (self.rate.is_none() || picked_at <= self.at) {
             return false;
         }
         self.is_own = true;
         self.set(rate, now)
     }
 
-    /// Another entry host told `word`. Returns whether the rate changed.
-    pub(super) fn take_word(&mut self, word: &LimitAnnouncement) -> bool {
-        if word.at <= self.at {
+    /// Takes in the announcement of another entry host. Returns whether the rate changed.
+    pub(super) fn apply_announcement(&mut self, announcement: &LimitAnnouncement) -> bool {
+        if announcement.at <= self.at {
             return false;
         }
         self.is_own = false;
-        self.set(word.rate.filter(|rate| is_valid_rate(*rate)), word.at)
+        self.set(
+            announcement.rate.filter(|rate| is_valid_rate(*rate)),
+            announcement.at,
+        )
     }
 
     fn set(&mut self, rate: Option<f64>, at: StoreTime) -> bool {
         let is_change = self.rate != rate;
         if self.rate.is_none() {
-            // Nothing was saved up while there was no limit.
-            self.used = at;
+            // No send intervals accumulate while there is no limit.
+            self.used_interval = at;
         }
         self.rate = rate;
         self.at = self.at.max(at);
         is_change
     }
 
-    /// The rate that is to be kept to at `now`.
+    /// The rate that applies at `now`.
     fn rate(&self, now: StoreTime) -> Option<f64> {
-        self.rate.filter(|_| now.since(self.at) < LIMIT_SPAN)
+        self.rate.filter(|_| now.since(self.at) < LIMIT_EXPIRY)
     }
 
-    /// Whether a request may go to it at `now`; `share` tells who shares its turns.
-    pub(super) fn turn<'a>(
+    /// Whether a request may be sent there at `now`; `share` returns who shares the rate.
+    pub(super) fn send_permission<'a>(
         &self,
         share: impl FnOnce() -> TurnShare<'a>,
         now: StoreTime,
-    ) -> LimitTurn {
+    ) -> SendPermission {
         let Some(rate) = self.rate(now) else {
-            return LimitTurn::Unlimited;
+            return SendPermission::Unlimited;
         };
-        match share().open_turn(rate, self.used, now) {
-            Some(begun) => LimitTurn::Open(begun),
-            None => LimitTurn::Others,
+        match share().open_turn(rate, self.used_interval, now) {
+            Some(start) => SendPermission::Interval(start),
+            None => SendPermission::Denied,
         }
     }
 
-    /// The turn that began at `begun` is used.
-    pub(super) fn note_used(&mut self, begun: StoreTime) {
-        self.used = begun;
+    /// Marks the send interval that began at `start` as used.
+    pub(super) fn mark_used(&mut self, start: StoreTime) {
+        self.used_interval = start;
     }
 
-    /// What other entry hosts are to be told at `now`: the rate, and when that was said.
+    /// Returns the rate to announce to other entry hosts at `now`, with the time of its
+    /// confirmation.
     pub(super) fn take_pending(&mut self, now: StoreTime) -> Option<(Option<f64>, StoreTime)> {
-        let is_news = self.told.is_none_or(|told| told < self.at);
-        let is_end = self.rate.is_none() && now.since(self.at) < END_TOLD_SPAN;
-        if !self.is_own || self.at == StoreTime(0) || !(is_news || is_end) {
+        let is_unannounced = self
+            .announced_at
+            .is_none_or(|announced_at| announced_at < self.at);
+        let is_recent_end = self.rate.is_none() && now.since(self.at) < END_ANNOUNCED_SPAN;
+        if !self.is_own || self.at == StoreTime(0) || !(is_unannounced || is_recent_end) {
             return None;
         }
-        self.told = Some(self.at);
+        self.announced_at = Some(self.at);
         Some((self.rate, self.at))
     }
 }
 
-/// Whether a request may go to a backend server by its limit.
+/// Whether the limit of a backend server allows a request.
 #[apply(plain!)]
 #[derive(Copy)]
-pub(super) enum LimitTurn {
-    /// It names none.
+pub(super) enum SendPermission {
+    /// It advertises no limit.
     Unlimited,
-    /// In the turn that began then, which this entry host has not used.
-    Open(StoreTime),
-    /// The turns of now are those of others, or used.
-    Others,
+    /// It is allowed in the send interval that began at this time, which this entry host has not
+    /// used.
+    Interval(StoreTime),
+    /// The current send intervals belong to other entry hosts, or are used.
+    Denied,
 }
 
-/// Whether `rate` can be one.
+/// Whether `rate` is finite and not negative.
 pub(crate) fn is_valid_rate(rate: f64) -> bool {
     rate.is_finite() && rate >= 0.0
 }
--- a/src/fleet/retry_purse.rs
+++ b/src/fleet/retry_budget_share.rs
@@ -1,9 +1,10 @@
-//! The part of a service's budget for second sends that this entry host may spend.
+//! The part of a service's retry budget that this entry host may spend.
 //!
-//! All entry hosts share one budget: in any window, a ratio of the requests and a fixed number beyond it. Each
-//! takes the ratio of its own requests and an even part of the fixed number, so that nobody has to be asked
-//! when a request fails. What a window's requests allow may be spent in one moment: a backend server that
-//! crashes or changes its weights cuts many streams at once.
+//! All entry hosts share one budget: for any time window, a ratio of its requests plus a fixed
+//! number. Each entry host takes the ratio of its own requests and an equal part of the fixed
+//! number, so that a retry needs no coordination. The budget of a window may be spent at once,
+//! since a backend server that crashes or changes its weights interrupts many streams at the same
+//! time.
 
 use std::time::Duration;
 
@@ -12,25 +13,25 @@
 use crate::derives::plain;
 use crate::time::ClockTime;
 
-/// The part of the budget that is left unspent, against entry hosts that are not known yet, that
-/// restart, or that count a window differently.
+/// Part of the budget that may be spent. The rest allows for entry hosts that are not known yet,
+/// that restart, or that align their windows differently.
 const SAFETY: f64 = 0.8;
-/// Slices of a window.
+/// Number of time slices in a window.
 const WINDOW_SLICES: u64 = 20;
-/// Slices of the window before in which requests count in full.
+/// Number of slices before a window whose requests count in full.
 const FRESH_SLICES: u64 = 8;
 
-/// What the entry hosts together may spend.
+/// The retry budget of all entry hosts together.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(crate) struct RetryShareLimits {
-    /// Second sends for each request.
+    /// Retries per request.
     pub(crate) ratio: f64,
-    /// Second sends beyond that in one window.
+    /// Additional retries per window.
     pub(crate) extra: f64,
-    /// The length of a window.
+    /// Length of a window.
     pub(crate) window: Duration,
-    /// How many entry hosts there are.
+    /// Number of entry hosts.
     pub(crate) entries: usize,
 }
 
@@ -43,7 +44,7 @@
         self.extra / self.entries.max(1) as f64
     }
 
-    /// The number of the slice that holds `now`.
+    /// Number of the slice that contains `now`.
     fn slice_at(self, now: ClockTime) -> u64 {
         let micros = self.window.as_micros() / u128::from(WINDOW_SLICES);
         let micros = u64::try_from(micros).unwrap_or(u64::MAX).max(1);
@@ -51,27 +52,27 @@
     }
 }
 
-/// What happened in one slice of time.
+/// Counts for one slice of time.
 #[apply(plain!)]
 #[derive(Copy)]
-struct PurseSlice {
+struct BudgetSlice {
     number: u64,
     requests: f64,
     spent: f64,
 }
 
-/// One service's purse.
+/// The retry budget share for one service.
 #[apply(plain!)]
 pub(crate) struct RetryBudgetShare {
-    /// The slice in which it was made.
+    /// The slice in which it was created.
     first: u64,
-    /// Of the last two windows, sorted by number.
-    slices: Vec<PurseSlice>,
+    /// Slices of the last two windows, sorted by number.
+    slices: Vec<BudgetSlice>,
 }
 
 impl RetryBudgetShare {
-    /// A new purse has spent half of its fixed part: a process that restarts often must not get it anew
-    /// each time.
+    /// Creates a share of which half of the fixed number counts as spent, so that a process that
+    /// restarts often does not get the full number each time.
     pub(crate) fn new(limits: RetryShareLimits, now: ClockTime) -> Self {
         Self {
             first: limits.slice_at(now),
@@ -79,23 +80,23 @@
         }
     }
 
-    /// A request came in.
+    /// Counts a request.
     pub(crate) fn credit(&mut self, limits: RetryShareLimits, now: ClockTime) {
         self.newest_slice(limits, now).requests += 1.0;
     }
 
-    /// Takes one second send, if there is one.
+    /// Takes one retry from the share, if one is left.
     pub(crate) fn try_spend(&mut self, limits: RetryShareLimits, now: ClockTime) -> bool {
         let newest = self.newest_slice(limits, now).number;
         let oldest = newest.saturating_sub(WINDOW_SLICES);
-        let can = (oldest..=newest).all(|begin| self.allows_one_since(begin, limits));
+        let can = (oldest..=newest).all(|begin| self.allows_one_more_since(begin, limits));
         if can {
             self.newest_slice(limits, now).spent += 1.0;
         }
         can
     }
 
-    /// A second send that was taken was not made.
+    /// Returns a retry that was taken and not used.
     pub(crate) fn refund(&mut self) {
         let mut slices = self.slices.iter_mut().rev();
         if let Some(slice) = slices.find(|slice| slice.spent >= 1.0) {
@@ -103,54 +104,55 @@
         }
     }
 
-    /// Whether a window that begins in slice `begin` leaves one more second send. Its requests are its own,
-    /// those of the window half a window before it or those before it, whichever are most. The latter count
-    /// for less the older they are: clients that have moved on since would count at two entry hosts.
-    fn allows_one_since(&self, begin: u64, limits: RetryShareLimits) -> bool {
+    /// Whether the window that begins in slice `begin` has a retry left. It counts the requests of
+    /// the window itself, of the window half a window earlier, or of the time before it, whichever
+    /// are most. The last ones count less the older they are, because clients that have moved to
+    /// another entry host since would be counted by both.
+    fn allows_one_more_since(&self, begin: u64, limits: RetryShareLimits) -> bool {
         let half = WINDOW_SLICES / 2;
-        // Slices that the earlier one may hold in part do not count.
+        // Slices that only partly belong to the earlier window are left out.
         let earlier = (begin.saturating_sub(half - 1), begin + half);
         let own = (begin + 1, begin + WINDOW_SLICES + 1);
         let [earlier, own] =
             [earlier, own].map(|(from, to)| self.sum(from, to, |slice| slice.requests));
-        let requests = earlier.max(own).max(self.aged_before(begin));
-        // The other entry hosts may have become known since the purse was made.
-        let held_back = if begin <= self.first {
+        let requests = earlier.max(own).max(self.weighted_before(begin));
+        // Other entry hosts may have become known only after the share was created.
+        let withheld = if begin <= self.first {
             limits.own_extra() / 2.0
         } else {
             0.0
         };
         let spent = self.sum(begin, u64::MAX, |slice| slice.spent);
-        spent + 1.0 <= (limits.ratio * requests + limits.own_extra() - held_back) * SAFETY
+        spent + 1.0 <= (limits.ratio * requests + limits.own_extra() - withheld) * SAFETY
     }
 
-    /// The requests of the window before slice `begin`, those that are older than `FRESH_SLICES` in part.
+    /// Requests in the window before slice `begin`; those older than `FRESH_SLICES` count in part.
     #[expect(clippy::cast_precision_loss, reason = "a window has few slices")]
-    fn aged_before(&self, begin: u64) -> f64 {
+    fn weighted_before(&self, begin: u64) -> f64 {
         let aging = (WINDOW_SLICES - FRESH_SLICES) as f64;
-        let weigh = |slice: &PurseSlice| {
+        let weigh = |slice: &BudgetSlice| {
             let age = begin.saturating_sub(slice.number);
             let left = WINDOW_SLICES.saturating_sub(age) as f64;
             slice.requests * (left / aging).min(1.0)
         };
-        // Slices that the window may hold in part do not count.
+        // Slices that only partly belong to that window are left out.
         self.sum(begin.saturating_sub(WINDOW_SLICES - 1), begin, weigh)
     }
 
-    /// The sum of `part` over the slices from `from` up to before `to`.
-    fn sum(&self, from: u64, to: u64, part: impl Fn(&PurseSlice) -> f64) -> f64 {
+    /// Sums `part` over the slices `from..to`.
+    fn sum(&self, from: u64, to: u64, part: impl Fn(&BudgetSlice) -> f64) -> f64 {
         let first = self.slices.partition_point(|slice| slice.number < from);
         let slices = self.slices[first..].iter();
         slices.take_while(|slice| slice.number < to).map(part).sum()
     }
 
-    /// The slice that holds `now`; those of before the last two windows are forgotten.
-    fn newest_slice(&mut self, limits: RetryShareLimits, now: ClockTime) -> &mut PurseSlice {
+    /// The slice that contains `now`. Slices older than two windows are dropped.
+    fn newest_slice(&mut self, limits: RetryShareLimits, now: ClockTime) -> &mut BudgetSlice {
         let number = limits.slice_at(now);
         if self.slices.last().is_none_or(|last| last.number < number) {
             let kept_from = number.saturating_sub(2 * WINDOW_SLICES);
             self.slices.retain(|slice| slice.number >= kept_from);
-            self.slices.push(PurseSlice {
+            self.slices.push(BudgetSlice {
                 number,
                 requests: 0.0,
                 spent: 0.0,
--- a/src/fleet/tests/incarnations.rs
+++ b/src/fleet/tests/incarnations.rs
@@ -1,9 +1,9 @@
-//! A backend server that starts again under the name that it had.
+//! Backend servers that restart under the same name.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{NOW, desk_of, facts, need};
+use super::{NOW, facts, need, registry_of};
 use crate::fleet::*;
 use crate::time::WallTime;
 
@@ -35,89 +35,98 @@
     }
 }
 
-fn set(desk: &SharedRegistry, facts: BackendFacts) {
+fn set(registry: &SharedRegistry, facts: BackendFacts) {
     let fleet = FleetView {
         backends: vec![Arc::new(facts)],
     };
-    desk.lock().set_fleet(&fleet);
+    registry.lock().set_fleet(&fleet);
 }
 
-fn refusal(desk: &SharedRegistry) -> Option<PickRefusal> {
-    desk.pick(&need(None), NOW + LATER).err()
+fn refusal(registry: &SharedRegistry) -> Option<PickRefusal> {
+    registry.pick(&need(None), NOW + LATER).err()
 }
 
-/// An engine crashed, started again within a second and had its weights back soon. No entry host sent
-/// it anything for a while: the requests that had been under way at the crash still counted as its
-/// load, and their failures kept it at rest.
+/// Failure: an engine crashed, restarted within a second and soon had its weights again, but got no
+/// requests for a while. The requests in flight at the crash still counted as its load, and their
+/// failures kept it paused.
 #[test]
-fn what_was_under_way_and_failed_before_a_restart_does_not_count_behind_it() {
-    let desk = desk_of(vec![started_at(1, 1)]);
+fn requests_and_failures_before_a_restart_do_not_count_after_it() {
+    let registry = registry_of(vec![started_at(1, 1)]);
     let mut tickets: Vec<BackendTicket> = (0..5)
-        .map(|_| desk.pick(&need(None), NOW).expect("there are five places"))
+        .map(|_| {
+            registry
+                .pick(&need(None), NOW)
+                .expect("there are five slots")
+        })
         .collect();
     for ticket in tickets.drain(..3) {
         ticket.end(CallOutcome::Failed, NOW);
     }
-    set(&desk, started_at(2, 1));
+    set(&registry, started_at(2, 1));
     let fresh: Vec<BackendTicket> = (0..5)
-        .map(|_| desk.pick(&need(None), NOW + LATER).expect("five places"))
+        .map(|_| registry.pick(&need(None), NOW + LATER).expect("five slots"))
         .collect();
     assert!(fresh.iter().all(|ticket| ticket.key != tickets[0].key));
-    // The ends of the former ones change nothing any more.
+    // The old tickets have no effect on the new record.
     for ticket in tickets {
         ticket.end(CallOutcome::Failed, NOW + LATER);
     }
     drop(fresh);
-    assert_eq!(refusal(&desk), None);
+    assert_eq!(refusal(&registry), None);
 }
 
-/// A backend server that started again holds nothing, whatever it held before. Its entry said so, but
-/// the holdings of the former one came back with a report that had been on its way.
+/// A restarted backend server has no weights, whatever it had before. Failure: its entry said so,
+/// but a delayed report of the former incarnation brought the former weights back.
 #[test]
-fn the_word_of_a_former_incarnation_changes_nothing() {
-    let desk = desk_of(vec![started_at(1, 1)]);
+fn a_report_of_a_former_incarnation_is_ignored() {
+    let registry = registry_of(vec![started_at(1, 1)]);
     let former = report_of(&started_at(1, 1), 0);
-    set(&desk, empty_since(2));
-    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
-    desk.lock().note_report(former, NOW + LATER);
-    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
-    // The store's entry may lie behind the report as well.
-    set(&desk, started_at(1, 1));
-    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
-    desk.lock()
+    set(&registry, empty_since(2));
+    assert_eq!(refusal(&registry), Some(PickRefusal::NoBackend));
+    registry.lock().note_report(former, NOW + LATER);
+    assert_eq!(refusal(&registry), Some(PickRefusal::NoBackend));
+    // The store's entry may be older than the report, too.
+    set(&registry, started_at(1, 1));
+    assert_eq!(refusal(&registry), Some(PickRefusal::NoBackend));
+    registry
+        .lock()
         .note_report(report_of(&started_at(2, 1), 0), NOW + LATER);
-    assert_eq!(refusal(&desk), None);
+    assert_eq!(refusal(&registry), None);
 }
 
-/// The report of a new incarnation may come before its entry: the entry is written about once a second,
-/// a report five times.
+/// The report of a new incarnation may arrive before its entry, since an entry is written about
+/// once a second and a report is sent five times a second.
 #[test]
-fn a_report_tells_of_a_restart_before_the_entry_does() {
-    let desk = desk_of(vec![started_at(1, 1)]);
-    let ticket = desk.pick(&need(None), NOW).expect("a place is free");
+fn a_report_can_reveal_a_restart_before_the_entry_does() {
+    let registry = registry_of(vec![started_at(1, 1)]);
+    let ticket = registry.pick(&need(None), NOW).expect("a slot is free");
     let load = ResponseLoad {
         running: 9,
         waiting: 9,
     };
-    desk.lock().note_report(report_of(&empty_since(2), 0), NOW);
-    assert_eq!(refusal(&desk), Some(PickRefusal::NoBackend));
-    desk.lock()
+    registry
+        .lock()
+        .note_report(report_of(&empty_since(2), 0), NOW);
+    assert_eq!(refusal(&registry), Some(PickRefusal::NoBackend));
+    registry
+        .lock()
         .note_report(report_of(&started_at(2, 1), 0), NOW);
-    // An answer of the former one tells its load late.
+    // A delayed response of the former incarnation states its load.
     ticket.with_record(|record| record.note_load(load, NOW));
-    assert_eq!(refusal(&desk), None);
-    set(&desk, started_at(1, 1));
-    assert_eq!(refusal(&desk), None);
+    assert_eq!(refusal(&registry), None);
+    set(&registry, started_at(1, 1));
+    assert_eq!(refusal(&registry), None);
 }
 
-/// Backend servers that do not say when they started are used as they were.
+/// Backend servers that do not report their start time are used without distinguishing
+/// incarnations.
 #[test]
-fn a_backend_server_without_a_start_is_used_and_its_reports_count() {
-    let desk = desk_of(vec![facts("a", "here", 1)]);
+fn a_backend_server_without_a_start_time_is_used_and_its_reports_count() {
+    let registry = registry_of(vec![facts("a", "here", 1)]);
     let mut full = report_of(&facts("a", "here", 1), 9);
-    desk.lock().note_report(full.clone(), NOW);
-    assert_eq!(refusal(&desk), Some(PickRefusal::AllFull));
+    registry.lock().note_report(full.clone(), NOW);
+    assert_eq!(refusal(&registry), Some(PickRefusal::AllFull));
     full.active = 0;
-    desk.lock().note_report(full, NOW);
-    assert_eq!(refusal(&desk), None);
+    registry.lock().note_report(full, NOW);
+    assert_eq!(refusal(&registry), None);
 }
--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -1,6 +1,6 @@
-mod herds;
 mod incarnations;
 mod request_limits;
+mod thundering_herds;
 mod uneven_entries;
 
 use std::sync::Arc;
@@ -48,12 +48,12 @@
     }
 }
 
-fn desk_of(backends: Vec<BackendFacts>) -> SharedRegistry {
-    let mut desk = BackendRegistry::new(entry_place("e1", "here"));
-    desk.set_fleet(&FleetView {
+fn registry_of(backends: Vec<BackendFacts>) -> SharedRegistry {
+    let mut registry = BackendRegistry::new(entry_place("e1", "here"));
+    registry.set_fleet(&FleetView {
         backends: backends.into_iter().map(Arc::new).collect(),
     });
-    SharedRegistry::new(desk)
+    SharedRegistry::new(registry)
 }
 
 fn need(minimum: Option<u64>) -> PickRequirements<'static> {
@@ -73,43 +73,50 @@
 }
 
 #[test]
-fn places_fill_up_in_the_own_data_centre_first_and_then_none_is_left() {
-    let desk = desk_of(vec![facts("a", "here", 1), facts("b", "there", 1)]);
+fn slots_fill_up_in_the_own_data_centre_first_and_then_all_are_full() {
+    let registry = registry_of(vec![facts("a", "here", 1), facts("b", "there", 1)]);
     let tickets: Vec<BackendTicket> = (0..10)
-        .map(|_| desk.pick(&need(None), NOW).expect("there are ten places"))
+        .map(|_| {
+            registry
+                .pick(&need(None), NOW)
+                .expect("there are ten slots")
+        })
         .collect();
     let ids: String = tickets.iter().map(|ticket| &*ticket.facts.id).collect();
     assert_eq!(ids, "aaaabbbbab");
     assert_eq!(
-        desk.pick(&need(None), NOW).err(),
+        registry.pick(&need(None), NOW).err(),
         Some(PickRefusal::AllFull)
     );
     drop(tickets);
-    assert!(desk.pick(&need(None), NOW).is_ok());
+    assert!(registry.pick(&need(None), NOW).is_ok());
 }
 
-/// Symptom: after an outage nearly every request was late for several seconds. Those that had been
-/// refused came back together and took every place, so that new ones waited, were refused and came
-/// back late in their turn.
+/// Failure: after an outage nearly every request was late for several seconds. Refused requests
+/// returned at the same time and took every slot, so that new requests were queued, refused and
+/// returned late themselves.
 #[test]
-fn a_returned_request_leaves_places_to_new_ones() {
+fn a_returned_request_leaves_slots_to_new_ones() {
     let mut backend = facts("a", "here", 1);
     backend.slots = 6;
-    let desk = desk_of(vec![backend]);
+    let registry = registry_of(vec![backend]);
     let mut returned = need(None);
     returned.is_returned = true;
     let tickets: Vec<BackendTicket> = (0..5)
-        .map(|_| desk.pick(&returned, NOW).expect("there are five places"))
+        .map(|_| registry.pick(&returned, NOW).expect("there are five slots"))
         .collect();
-    assert_eq!(desk.pick(&returned, NOW).err(), Some(PickRefusal::AllFull));
-    assert!(desk.pick(&need(None), NOW).is_ok());
+    assert_eq!(
+        registry.pick(&returned, NOW).err(),
+        Some(PickRefusal::AllFull)
+    );
+    assert!(registry.pick(&need(None), NOW).is_ok());
     drop(tickets);
 }
 
-/// Symptom: an engine got no request any more although it served. The process beside it had told that
-/// it was about to load weights, and was killed before it could tell that it had.
+/// Failure: an engine in service got no more requests. The process colocated with it had announced
+/// a load of weights, and was killed before it could announce the end.
 #[test]
-fn the_word_that_an_engine_is_about_to_load_wears_off() {
+fn the_announcement_of_a_load_expires() {
     let backend = facts("a", "here", 1);
     let report = LoadReport {
         born: None,
@@ -120,35 +127,35 @@
         pace: 1.0,
         holdings: backend.holdings.clone(),
     };
-    let desk = desk_of(vec![backend]);
-    desk.lock().note_report(report, NOW);
+    let registry = registry_of(vec![backend]);
+    registry.lock().note_report(report, NOW);
     assert_eq!(
-        desk.pick(&need(None), NOW).err(),
+        registry.pick(&need(None), NOW).err(),
         Some(PickRefusal::AllFull)
     );
     let later = NOW + std::time::Duration::from_secs(2);
-    assert!(desk.pick(&need(None), later).is_ok());
+    assert!(registry.pick(&need(None), later).is_ok());
 }
 
 #[test]
-fn an_older_version_gets_nothing_once_a_newer_one_is_due() {
-    let desk = desk_of(vec![facts("a", "here", 1), facts("b", "there", 2)]);
-    let ticket = desk.pick(&need(Some(2)), NOW).expect("b holds it");
+fn a_previous_version_gets_no_requests_after_its_deadline() {
+    let registry = registry_of(vec![facts("a", "here", 1), facts("b", "there", 2)]);
+    let ticket = registry.pick(&need(Some(2)), NOW).expect("b holds it");
     assert_eq!(&*ticket.facts.id, "b");
     assert_eq!(ticket.version, Some(WeightsVersion(2)));
     assert_eq!(
-        desk.pick(&need(Some(3)), NOW).err(),
+        registry.pick(&need(Some(3)), NOW).err(),
         Some(PickRefusal::NoBackend)
     );
 }
 
-/// Symptom: a request began on an older version after its time. It had been sent in time, to an engine
-/// that had no free place, and waited there for 1.6 s while the bound passed. The same where a place
-/// seemed free, but others were sent there too: sent at 22.12, its entry host frozen at 22.51, begun at
-/// 23.36, 70 ms behind the bound. So only half of the places are taken.
+/// Failure: a request began on a previous version after its deadline. It had been sent in time, but
+/// to an engine without a free slot, where it was queued for 1.6 s. The same happened where a slot
+/// seemed free because other entry hosts sent there as well: sent at 22.12 s, entry host stalled at
+/// 22.51 s, begun at 23.36 s, 70 ms after the deadline. Therefore only half of the slots are used.
 #[test]
-fn nothing_waits_at_a_version_that_is_about_to_go() {
-    let desk = desk_of(vec![facts("a", "here", 1)]);
+fn no_request_is_queued_at_a_version_close_to_its_deadline() {
+    let registry = registry_of(vec![facts("a", "here", 1)]);
     let waits = need(None);
     let mut begins = need(None);
     if let VersionRequirement::Model {
@@ -158,17 +165,21 @@
         *minimum_to_queue = Some(WeightsVersion(2));
     }
     let tickets: Vec<BackendTicket> = (0..2)
-        .map(|_| desk.pick(&begins, NOW).expect("there are two places"))
+        .map(|_| registry.pick(&begins, NOW).expect("there are two slots"))
         .collect();
-    assert_eq!(desk.pick(&begins, NOW).err(), Some(PickRefusal::AllFull));
-    assert!(desk.pick(&waits, NOW).is_ok());
+    assert_eq!(
+        registry.pick(&begins, NOW).err(),
+        Some(PickRefusal::AllFull)
+    );
+    assert!(registry.pick(&waits, NOW).is_ok());
     drop(tickets);
 }
 
-/// Guards against requests that are on their way to older weights, over a full link, when their bound comes.
+/// Guards against requests that are still in transit to previous weights over a congested link when
+/// the deadline passes.
 #[test]
-fn nothing_goes_to_older_weights_where_answers_begin_late() {
-    let desk = desk_of(vec![facts("a", "here", 1)]);
+fn no_request_goes_to_previous_weights_where_response_heads_are_late() {
+    let registry = registry_of(vec![facts("a", "here", 1)]);
     let mut begins = need(None);
     if let VersionRequirement::Model {
         minimum_to_queue, ..
@@ -176,36 +187,42 @@
     {
         *minimum_to_queue = Some(WeightsVersion(2));
     }
-    let ticket = desk.pick(&begins, NOW).expect("a place is free");
+    let ticket = registry.pick(&begins, NOW).expect("a slot is free");
     let waited = |wait| ticket.with_record(|record| record.note_head_wait(wait, NOW));
     waited(Duration::from_millis(300));
-    assert!(desk.pick(&begins, NOW).is_ok());
+    assert!(registry.pick(&begins, NOW).is_ok());
     waited(Duration::from_millis(900));
     waited(Duration::from_millis(100));
-    assert_eq!(desk.pick(&begins, NOW).err(), Some(PickRefusal::AllFull));
-    assert!(desk.pick(&need(None), NOW).is_ok(), "the bound is far");
+    assert_eq!(
+        registry.pick(&begins, NOW).err(),
+        Some(PickRefusal::AllFull)
+    );
+    assert!(
+        registry.pick(&need(None), NOW).is_ok(),
+        "the deadline is far"
+    );
     let later = NOW + Duration::from_secs(3);
-    assert!(desk.pick(&begins, later).is_ok(), "it was long ago");
+    assert!(registry.pick(&begins, later).is_ok(), "it was long ago");
 }
 
-/// Symptom: a request reached a backend server seconds after the store had said that it leaves. Its
-/// record stayed at the desk because a request was under way there.
+/// Failure: a request was sent to a backend server seconds after its entry was marked as leaving.
+/// Its record was kept because a request was in flight there.
 #[test]
-fn a_backend_server_that_left_the_list_gets_nothing_while_a_call_ends_there() {
-    let desk = desk_of(vec![facts("a", "here", 1)]);
-    let ticket = desk.pick(&need(None), NOW).expect("a is there");
-    desk.lock().set_fleet(&FleetView::default());
+fn an_unlisted_backend_server_gets_no_requests_while_a_call_is_in_flight_there() {
+    let registry = registry_of(vec![facts("a", "here", 1)]);
+    let ticket = registry.pick(&need(None), NOW).expect("a is there");
+    registry.lock().set_fleet(&FleetView::default());
     assert_eq!(
-        desk.pick(&need(None), NOW).err(),
+        registry.pick(&need(None), NOW).err(),
         Some(PickRefusal::NoBackend)
     );
     let key = ticket.key;
     ticket.end(CallOutcome::Answered, NOW);
-    assert!(desk.lock().get(key).is_none());
+    assert!(registry.lock().get(key).is_none());
 }
 
 #[test]
-fn layers_count_as_whole_only_without_a_gap_and_of_one_version() {
+fn a_version_is_complete_only_if_its_layers_have_no_gap() {
     let mut holdings = facts("a", "here", 2).holdings;
     assert_eq!(holdings.complete_version("m", 16), Some(WeightsVersion(2)));
     assert_eq!(holdings.complete_version("m", 17), None);
@@ -227,10 +244,10 @@
     assert_eq!(holdings.complete_version("other", 16), None);
 }
 
-/// Symptom: a service got more second sends than its budget allows. Each of several entry hosts took
-/// the fixed part for itself.
+/// Failure: a service got more retries than its budget allows, because each of several entry hosts
+/// spent the whole fixed number.
 #[test]
-fn the_purses_of_all_entry_hosts_together_stay_within_the_budget() {
+fn the_shares_of_all_entry_hosts_together_stay_within_the_budget() {
     let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 100.0,
@@ -240,48 +257,49 @@
     let mut spent = 0;
     let requests = 1000;
     for _ in 0..limits.entries {
-        let mut purse = RetryBudgetShare::new(limits, NOW);
+        let mut share = RetryBudgetShare::new(limits, NOW);
         for _ in 0..requests / limits.entries {
-            purse.credit(limits, NOW);
-            let mut send_again = || u32::from(purse.try_spend(limits, NOW));
+            share.credit(limits, NOW);
+            let mut send_again = || u32::from(share.try_spend(limits, NOW));
             spent += send_again() + send_again();
         }
     }
-    assert!(spent <= 200 + 100, "{spent} second sends");
-    assert!(spent > 100, "{spent} second sends");
+    assert!(spent <= 200 + 100, "{spent} retries");
+    assert!(spent > 100, "{spent} retries");
 }
 
-/// How many of `sends` a purse pays for in one moment, behind a window of 200 requests.
-fn paid_together(sends: usize) -> usize {
+/// How many of `sends` retries a share allows at once, after a window with 200 requests.
+fn spent_together(sends: usize) -> usize {
     let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 198.0,
         window: WINDOW,
         entries: 32,
     };
-    let mut purse = RetryBudgetShare::new(limits, NOW);
+    let mut share = RetryBudgetShare::new(limits, NOW);
     for request in 0..200 {
-        purse.credit(limits, NOW + request * Duration::from_millis(50));
+        share.credit(limits, NOW + request * Duration::from_millis(50));
     }
     let now = NOW + WINDOW;
-    (0..sends).filter(|_| purse.try_spend(limits, now)).count()
+    (0..sends).filter(|_| share.try_spend(limits, now)).count()
 }
 
-/// Guards against streams that are lost because many are cut in one moment, while the budget has retries left.
+/// Guards against streams that are lost because many are interrupted at once, while the budget has
+/// retries left.
 #[test]
-fn a_purse_pays_for_many_streams_that_are_cut_together() {
-    assert_eq!(paid_together(25), 25);
+fn a_share_allows_retries_for_many_streams_interrupted_at_once() {
+    assert_eq!(spent_together(25), 25);
 }
 
-/// Guards against a purse that throws away what its requests of half a window have earned.
+/// Guards against a share that loses the retries due to the requests of half a window.
 #[test]
-fn a_purse_keeps_what_half_a_window_has_earned() {
-    assert_eq!(paid_together(16), 16);
+fn a_share_keeps_the_retries_of_half_a_window() {
+    assert_eq!(spent_together(16), 16);
 }
 
-/// Guards against more second sends than the budget allows in some window, whatever traffic came before it.
+/// Guards against exceeding the budget in any window, whatever the preceding traffic.
 #[test]
-fn a_purse_keeps_to_the_budget_in_any_window() {
+fn a_share_keeps_to_the_budget_in_any_window() {
     let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 10.0,
@@ -289,19 +307,19 @@
         entries: 1,
     };
     run_cases(200, 4096, |u| {
-        let mut purse = RetryBudgetShare::new(limits, NOW);
-        let (mut now, mut requests, mut spends) = (NOW, Vec::new(), Vec::new());
+        let mut share = RetryBudgetShare::new(limits, NOW);
+        let (mut now, mut requests, mut sends) = (NOW, Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(1..=400)? {
-            // Bursts and calm spells.
+            // Bursts and quiet periods.
             let pause = *u.choose(&[0_u64, 1, 20, 300, 2500, 9000])?;
             now = now + Duration::from_millis(pause);
             for _ in 0..u.int_in_range(0..=30)? {
-                purse.credit(limits, now);
+                share.credit(limits, now);
                 requests.push(now);
             }
             for _ in 0..u.int_in_range(0..=15)? {
-                if purse.try_spend(limits, now) {
-                    spends.push(now);
+                if share.try_spend(limits, now) {
+                    sends.push(now);
                 }
             }
         }
@@ -309,20 +327,21 @@
             let before = times.partition_point(|at| *at < from);
             times.partition_point(|at| *at <= from + WINDOW) - before
         };
-        for begin in &spends {
+        for begin in &sends {
             let windows = [*begin, *begin - WINDOW / 2, *begin - WINDOW];
             let most = windows.map(|from| count(&requests, from)).into_iter().max();
             let allowed = most.unwrap_or(0) / 5 + 10;
-            let spent = count(&spends, *begin);
+            let spent = count(&sends, *begin);
             assert!(spent <= allowed, "{spent} of {allowed} since {begin:?}");
         }
         Ok(())
     });
 }
 
-/// Guards against an entry host that pays for nothing after its start because it first knew of no other one.
+/// Guards against an entry host that allows no retries after its start because it did not know the
+/// other entry hosts at first.
 #[test]
-fn a_purse_pays_though_the_other_entry_hosts_became_known_late() {
+fn a_share_allows_retries_although_other_entry_hosts_became_known_late() {
     let alone = RetryShareLimits {
         ratio: 0.2,
         extra: 198.0,
@@ -333,35 +352,35 @@
         entries: 32,
         ..alone
     };
-    let mut purse = RetryBudgetShare::new(alone, NOW);
+    let mut share = RetryBudgetShare::new(alone, NOW);
     for _ in 0..50 {
-        purse.credit(all, NOW);
+        share.credit(all, NOW);
     }
-    let paid = (0..10).filter(|_| purse.try_spend(all, NOW)).count();
+    let paid = (0..10).filter(|_| share.try_spend(all, NOW)).count();
     assert_eq!(paid, 10);
 }
 
-/// Guards against more second sends than the budget allows where clients move from one entry host to another.
+/// Guards against exceeding the budget when clients move from one entry host to another.
 #[test]
-fn purses_keep_to_the_budget_when_requests_move_to_another_entry_host() {
+fn shares_keep_to_the_budget_when_requests_move_to_another_entry_host() {
     let limits = RetryShareLimits {
         ratio: 0.2,
         extra: 0.0,
         window: WINDOW,
         entries: 2,
     };
-    let mut purses = [NOW, NOW].map(|now| RetryBudgetShare::new(limits, now));
+    let mut shares = [NOW, NOW].map(|now| RetryBudgetShare::new(limits, now));
     let mut spent = 0;
-    // Both moments of second sends are in one window, and the requests are not.
+    // The retries at both times are within one window, the requests are not.
     let times = [
         (NOW, NOW + WINDOW * 8 / 10),
         (NOW + WINDOW, NOW + WINDOW * 15 / 10),
     ];
-    for (purse, (begun, now)) in purses.iter_mut().zip(times) {
+    for (share, (begun, now)) in shares.iter_mut().zip(times) {
         for _ in 0..500 {
-            purse.credit(limits, begun);
+            share.credit(limits, begun);
         }
-        spent += (0..500).filter(|_| purse.try_spend(limits, now)).count();
+        spent += (0..500).filter(|_| share.try_spend(limits, now)).count();
     }
-    assert!(spent <= 100, "{spent} second sends of 100");
+    assert!(spent <= 100, "{spent} retries of 100");
 }
--- a/src/fleet/tests/herds.rs
+++ b/src/fleet/tests/thundering_herds.rs
@@ -25,14 +25,14 @@
     facts
 }
 
-/// The desk of the entry host `host` among [`entries`].
-fn desk_of_entry(host: &str, engines: &[&str]) -> SharedRegistry {
-    let mut desk = BackendRegistry::new(entry_place(host, "here"));
-    desk.set_fleet(&FleetView {
+/// The registry of the entry host `host`, one of [`entries`].
+fn registry_of_entry(host: &str, engines: &[&str]) -> SharedRegistry {
+    let mut registry = BackendRegistry::new(entry_place(host, "here"));
+    registry.set_fleet(&FleetView {
         backends: engines.iter().map(|id| Arc::new(engine(id))).collect(),
     });
-    desk.assign_shares(&entries());
-    SharedRegistry::new(desk)
+    registry.assign_shares(&entries());
+    SharedRegistry::new(registry)
 }
 
 fn work_need(prompt_tokens: u32) -> PickRequirements<'static> {
@@ -57,23 +57,23 @@
     }
 }
 
-/// Symptom: streams came late at engines that had free places, while other engines read nothing. Events:
-/// a report showed three entry hosts the same engine as the least loaded one; in the 200 ms until the
-/// next each sent its requests there, and their prompts were read one behind the other. Cause: each knew
-/// its own requests only, and all went by the same order.
+/// Failure: streams were late at engines with free slots while other engines had no prompt to read.
+/// A report showed the same engine as the least loaded to three entry hosts. In the 200 ms until
+/// the next report each sent its requests there, and the engine read their prompts one after the
+/// other. Each entry host knew only its own requests, and all ranked engines in the same order.
 #[test]
-fn entry_hosts_that_hear_the_same_do_not_send_to_the_same_engine() {
+fn entry_hosts_with_the_same_reports_do_not_send_to_the_same_engine() {
     let engines = ["m1", "m2", "m3", "m4", "m5", "m6"];
     let mut taken: Vec<String> = Vec::new();
     let mut tickets = Vec::new();
     for host in ["e1", "e2", "e3"] {
-        let desk = desk_of_entry(host, &engines);
+        let registry = registry_of_entry(host, &engines);
         for id in engines {
             let active = if id == "m1" { 6 } else { 8 };
-            desk.lock().note_report(report(id, active, 1.0), NOW);
+            registry.lock().note_report(report(id, active, 1.0), NOW);
         }
         for _ in 0..2 {
-            let ticket = desk.pick(&work_need(950), NOW).expect("places are free");
+            let ticket = registry.pick(&work_need(950), NOW).expect("slots are free");
             taken.push(ticket.facts.id.to_string());
             tickets.push(ticket);
         }
@@ -82,14 +82,14 @@
     assert_eq!(taken, engines, "each engine reads one prompt");
 }
 
-/// Symptom: requests were late at an entry host's own engines while those of its neighbours were nearly
-/// idle: the share of clients that each entry host gets is uneven. The shares say who goes first, not
-/// who may go.
+/// Failure: requests were late at the engines assigned to an entry host while those of its
+/// neighbours were nearly idle, since clients are spread unevenly over entry hosts. An assignment
+/// gives preference, not exclusive use.
 #[test]
 fn an_entry_host_with_more_clients_uses_its_neighbours_engines() {
-    let desk = desk_of_entry("e1", &["m1", "m2", "m3"]);
+    let registry = registry_of_entry("e1", &["m1", "m2", "m3"]);
     let tickets: Vec<BackendTicket> = (0..40)
-        .map(|_| desk.pick(&work_need(950), NOW).expect("places are free"))
+        .map(|_| registry.pick(&work_need(950), NOW).expect("slots are free"))
         .collect();
     for id in ["m1", "m2", "m3"] {
         let there = tickets.iter().filter(|ticket| *ticket.facts.id == *id);
@@ -98,42 +98,46 @@
     }
 }
 
-/// Symptom: one prompt in eight came late behind another that the same entry host had sent to the same
-/// engine 50 ms before, though an engine with one request more was reading nothing.
+/// Failure: one prompt in eight was late because the same entry host had sent another to the same
+/// engine 50 ms earlier, although an engine with one request more had no prompt to read.
 #[test]
-fn a_prompt_goes_where_none_is_being_read() {
-    let desk = desk_of_entry("e1", &["m1", "m4"]);
-    desk.lock().assign_shares(&[]);
-    desk.lock().note_report(report("m1", 7, 1.0), NOW);
-    desk.lock().note_report(report("m4", 8, 1.0), NOW);
-    let first = desk.pick(&work_need(3800), NOW).expect("a place");
+fn a_prompt_goes_to_an_engine_that_reads_no_other() {
+    let registry = registry_of_entry("e1", &["m1", "m4"]);
+    registry.lock().assign_shares(&[]);
+    registry.lock().note_report(report("m1", 7, 1.0), NOW);
+    registry.lock().note_report(report("m4", 8, 1.0), NOW);
+    let first = registry.pick(&work_need(3800), NOW).expect("a slot");
     assert_eq!(&*first.facts.id, "m1");
-    let mut second = desk.pick(&work_need(100), NOW).expect("a place");
+    let mut second = registry.pick(&work_need(100), NOW).expect("a slot");
     assert_eq!(&*second.facts.id, "m4");
     second.note_response_started();
     drop(first);
-    let third = desk.pick(&work_need(100), NOW).expect("a place");
-    assert_eq!(&*third.facts.id, "m1", "what has ended is not waited for");
+    let third = registry.pick(&work_need(100), NOW).expect("a slot");
+    assert_eq!(
+        &*third.facts.id, "m1",
+        "a request that has ended counts no more"
+    );
 }
 
-/// Symptom: streams at an engine that had become five times slower were late and kept being sent there.
-/// Its reports say so; its requests, which last longer, do not until it is full.
+/// Failure: streams were late at an engine that had become five times slower, and more were sent
+/// there. Its reports show this at once; its requests, which only last longer, do not until it is
+/// full.
 #[test]
-fn an_engine_that_says_that_it_is_slow_comes_last() {
-    let desk = desk_of_entry("e1", &["m1", "m4"]);
-    desk.lock().assign_shares(&[]);
-    desk.lock().note_report(report("m1", 2, 5.0), NOW);
-    desk.lock().note_report(report("m4", 10, 1.0), NOW);
-    let ticket = desk.pick(&work_need(950), NOW).expect("a place");
+fn an_engine_that_reports_a_slowdown_comes_last() {
+    let registry = registry_of_entry("e1", &["m1", "m4"]);
+    registry.lock().assign_shares(&[]);
+    registry.lock().note_report(report("m1", 2, 5.0), NOW);
+    registry.lock().note_report(report("m4", 10, 1.0), NOW);
+    let ticket = registry.pick(&work_need(950), NOW).expect("a slot");
     assert_eq!(&*ticket.facts.id, "m4");
 }
 
-/// Somebody else's document may hold any figures; none of them ends a process.
+/// A document written by a user may contain any figures; none of them may crash a process.
 #[test]
-fn figures_out_of_all_range_make_no_place_and_no_process_fail() {
+fn out_of_range_figures_cause_neither_a_refusal_nor_a_panic() {
     for figure in [0.0, -1.0, 1e300, f64::NAN, f64::INFINITY] {
-        let desk = desk_of_entry("e1", &["m1", "m2"]);
-        desk.lock().note_report(report("m1", 20, figure), NOW);
+        let registry = registry_of_entry("e1", &["m1", "m2"]);
+        registry.lock().note_report(report("m1", 20, figure), NOW);
         let mut need = work_need(u32::MAX);
         need.work = Some(EngineWork {
             speed: EngineSpeed {
@@ -146,17 +150,17 @@
             prompt_tokens: u32::MAX,
         });
         let tickets: Vec<BackendTicket> = (0..3)
-            .map(|_| desk.pick(&need, NOW).expect("places are free"))
+            .map(|_| registry.pick(&need, NOW).expect("slots are free"))
             .collect();
         drop(tickets);
     }
 }
 
-/// Guards against a herd of one data centre's entry hosts on an engine elsewhere that has just emptied. The
-/// load pattern: all engines here are full, and for 0.4 s all twenty entry hosts see the same far one as
-/// the least loaded.
+/// Guards against a thundering herd of one data centre's entry hosts on an engine elsewhere that
+/// has just become idle. Load pattern: all engines in this data centre are full, and for 0.4 s all
+/// twenty entry hosts see the same remote engine as the least loaded.
 #[test]
-fn entry_hosts_whose_engines_are_full_do_not_meet_at_one_far_engine() {
+fn entry_hosts_with_full_engines_do_not_all_send_to_one_remote_engine() {
     const ENTRIES: u8 = 20;
     const EMPTIED: u32 = 2;
     let near = ["m1", "m2", "m3", "m4"];
@@ -168,7 +172,7 @@
         .collect();
     let mut tickets = Vec::new();
     for place in &places {
-        let mut desk = BackendRegistry::new(place.clone());
+        let mut registry = BackendRegistry::new(place.clone());
         let near_facts = near.iter().map(|id| engine(id));
         let far_facts = far.iter().map(|id| BackendFacts {
             data_centre: "there".into(),
@@ -176,20 +180,20 @@
         });
         let mut backends: Vec<BackendFacts> = near_facts.chain(far_facts).collect();
         backends.sort_by(|left, right| left.id.cmp(&right.id));
-        desk.set_fleet(&FleetView {
+        registry.set_fleet(&FleetView {
             backends: backends.into_iter().map(Arc::new).collect(),
         });
-        desk.assign_shares(&places);
+        registry.assign_shares(&places);
         for id in near {
-            desk.note_report(report(id, SLOTS, 1.0), NOW);
+            registry.note_report(report(id, SLOTS, 1.0), NOW);
         }
         for id in &far {
             let active = if id == "fA" { EMPTIED } else { SLOTS / 2 };
-            desk.note_report(report(id, active, 1.0), NOW);
+            registry.note_report(report(id, active, 1.0), NOW);
         }
-        let desk = SharedRegistry::new(desk);
+        let registry = SharedRegistry::new(registry);
         for _ in 0..2 {
-            tickets.push(desk.pick(&work_need(950), NOW).expect("places are free"));
+            tickets.push(registry.pick(&work_need(950), NOW).expect("slots are free"));
         }
     }
     for id in &far {
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -1,4 +1,4 @@
-//! A data centre's entry hosts before its engines, near the most that these can do.
+//! Simulates the entry hosts and engines of one data centre close to the engines' capacity.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 const SLOTS: u32 = 8;
 const STEP: Duration = Duration::from_millis(5);
 const LENGTH: Duration = Duration::from_secs(14);
-/// Until the queues are as long as they get.
+/// Time until the queues have reached their usual length.
 const SETTLED: Duration = Duration::from_secs(4);
 const REPORT_PAUSE: Duration = Duration::from_millis(200);
-/// How old a report is when entry hosts have it: the engine's own lag, and the way over a relay.
+/// Age of a report when entry hosts receive it: the engine's own delay, and the way over a relay.
 const REPORT_AGE: Duration = Duration::from_millis(300);
-/// Tokens that an engine reads in a millisecond, and how long a token takes that it writes.
+/// Prompt tokens that an engine reads per millisecond, and the time it takes to generate a token.
 const READ_PER_MS: f64 = 20.4;
 const TOKEN_MS: f64 = 10.4;
-/// The part of what the engines can do that is asked of them.
+/// Offered load as a fraction of the engines' capacity.
 const UTILISATION: f64 = 0.8;
-/// When a first event is late.
+/// Time limit for the first event of a stream.
 const AIM: Duration = Duration::from_millis(500);
 
 const SPEED: EngineSpeed = EngineSpeed {
@@ -46,9 +46,9 @@
 #[derive(Default)]
 struct EngineModel {
     waiting: VecDeque<StreamRun>,
-    /// When the prompt that is read now is read.
+    /// When the prompt that is being read will be finished.
     reads_until: Option<ClockTime>,
-    /// Those that write, with when they end.
+    /// Streams being generated, with their end times.
     writing: Vec<(ClockTime, StreamRun)>,
     reports: VecDeque<(ClockTime, u32)>,
 }
@@ -60,8 +60,8 @@
     }
 }
 
-struct TestHall {
-    desks: Vec<BackendRegistry>,
+struct EntrySimulation {
+    registries: Vec<BackendRegistry>,
     engines: Vec<EngineModel>,
     rng: StdRng,
     begun: u32,
@@ -82,7 +82,7 @@
     facts
 }
 
-impl TestHall {
+impl EntrySimulation {
     fn new(seed: u64) -> Self {
         let places: Vec<EntryPlace> = (0..ENTRIES)
             .map(|number| entry_place(&format!("e{number:02}"), "here"))
@@ -92,14 +92,14 @@
                 .map(|number| Arc::new(engine_facts(number)))
                 .collect(),
         };
-        let desks = places.iter().map(|place| {
-            let mut desk = BackendRegistry::new(place.clone());
-            desk.set_fleet(&fleet);
-            desk.assign_shares(&places);
-            desk
+        let registries = places.iter().map(|place| {
+            let mut registry = BackendRegistry::new(place.clone());
+            registry.set_fleet(&fleet);
+            registry.assign_shares(&places);
+            registry
         });
         Self {
-            desks: desks.collect(),
+            registries: registries.collect(),
             engines: (0..ENGINES).map(|_| EngineModel::default()).collect(),
             rng: StdRng::seed_from_u64(seed),
             begun: 0,
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Clients choose their entry hosts by a hash: some have five times as many as others.
+    /// Clients are mapped to entry hosts by a hash; some entry hosts get five times as many as
+    /// others.
     fn run(&mut self) {
         let clients: Vec<usize> = (0..ENTRIES * 2)
             .map(|_| self.rng.random_range(0..ENTRIES))
@@ -144,7 +145,7 @@
             while engine.reports.front().is_some_and(|(due, _)| *due <= now) {
                 let (_, load) = engine.reports.pop_front().expect("there is one");
                 let facts = engine_facts(number);
-                for desk in &mut self.desks {
+                for registry in &mut self.registries {
                     let report = LoadReport {
                         address: facts.address,
                         born: None,
@@ -154,7 +155,7 @@
                         pace: 1.0,
                         holdings: facts.holdings.clone(),
                     };
-                    desk.note_report(report, now);
+                    registry.note_report(report, now);
                 }
             }
         }
@@ -169,7 +170,7 @@
             prompt_tokens: 930,
         });
         let jitter = self.rng.random();
-        match self.desks[entry].pick(&need, now, jitter) {
+        match self.registries[entry].pick(&need, now, jitter) {
             Err(_) => self.refused += 1,
             Ok(picked) => {
                 let number: usize = picked.facts.id[1..].parse().expect("a number");
@@ -185,7 +186,8 @@
         }
     }
 
-    /// An engine reads one prompt after the other, for those that have a place.
+    /// Advances the engines. An engine reads prompts one after the other, as long as it has a free
+    /// slot.
     fn work(&mut self, now: ClockTime) {
         for engine in &mut self.engines {
             let (ended, writing) = std::mem::take(&mut engine.writing)
@@ -194,13 +196,13 @@
             engine.writing = writing;
             let ended: Vec<(ClockTime, StreamRun)> = ended;
             for (_, run) in ended {
-                self.desks[run.entry].end(run.key, CallOutcome::Answered, now, 0);
+                self.registries[run.entry].end(run.key, CallOutcome::Answered, now, 0);
             }
             if engine.reads_until.is_some_and(|until| until <= now)
                 && let Some(run) = engine.waiting.pop_front()
             {
                 engine.reads_until = None;
-                if let Some(record) = self.desks[run.entry].get_mut(run.key) {
+                if let Some(record) = self.registries[run.entry].get_mut(run.key) {
                     record.note_read(930);
                 }
                 if run.sent.since(NOW) > SETTLED {
@@ -221,21 +223,21 @@
     }
 }
 
-/// Guards against streams that come late at engines where many entry hosts meet, beside others that have
-/// room. The load pattern: twenty entry hosts of uneven traffic go by the same reports, a third of a
-/// second old, and ask four fifths of what the engines can do.
+/// Guards against late streams at engines where many entry hosts send at once while others have
+/// free slots. Load pattern: twenty entry hosts with uneven traffic use the same reports, a third
+/// of a second old, and request four fifths of the engines' capacity.
 #[test]
-fn many_entry_hosts_do_not_meet_at_the_engine_that_was_free() {
+fn many_entry_hosts_do_not_send_to_the_same_idle_engine() {
     let (mut begun, mut late, mut refused) = (0, 0, 0);
     for seed in 1..=3 {
-        let mut hall = TestHall::new(seed);
-        hall.run();
-        begun += hall.begun;
-        late += hall.late;
-        refused += hall.refused;
+        let mut simulation = EntrySimulation::new(seed);
+        simulation.run();
+        begun += simulation.begun;
+        late += simulation.late;
+        refused += simulation.refused;
     }
     println!("{late} of {begun} late, {refused} refused");
-    // 95 of 100 are to come in time.
+    // 95 of 100 must be in time.
     assert!(
         late * 20 <= begun,
         "{late} of {begun} late, {refused} refused"
