--- a/src/replication/chunk_fetch.rs
+++ b/src/replication/chunk_fetch.rs
@@ -11,10 +11,10 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-use super::chunk_messages::{ChunkAsk, ChunkReply, GET_PATH, HAVE_PATH};
+use super::chunk_messages::{ChunkQuery, ChunkResponse, GET_PATH, HAVE_PATH};
 use super::chunk_store::ChunkStore;
 use super::events;
-use super::version_retire::layer_chunks;
+use super::weights_retirement::layer_chunks;
 use crate::documents::SpreadObjective;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
@@ -29,22 +29,22 @@
 };
 
 /// How often the plan is looked at when nothing happens.
-const STEP_PAUSE: Duration = Duration::from_millis(40);
+const PLAN_INTERVAL: Duration = Duration::from_millis(40);
 /// A chunk that takes longer came over a link that carries less than it should: while a version
 /// spreads, half of the chunks come within 150 ms and all but a few within 550.
-const PULL_SLOW: Duration = Duration::from_millis(700);
+const SLOW_PULL: Duration = Duration::from_millis(700);
 /// Hosts whose chunks are late at a time when the link of this host is slow, and not theirs.
 const SLOW_SOURCES: usize = 2;
 /// A chunk that takes no longer shows that the link carries what it should.
-const PULL_FAST: Duration = Duration::from_millis(250);
-const ASK_WITHIN: Duration = Duration::from_millis(500);
-const PULL_WITHIN: Duration = Duration::from_secs(4);
+const FAST_PULL: Duration = Duration::from_millis(250);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
+const PULL_TIMEOUT: Duration = Duration::from_secs(4);
 /// A chunk takes 27 ms on the origin's idle link; all hosts that read share it.
-const ORIGIN_WITHIN: Duration = Duration::from_millis(2500);
+const ORIGIN_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long the first in a chunk's line has before the next looks after it. One that is there says that
 /// it is about to read the chunk, and is left to it; one that died leaves its chunks unread, and the
 /// origin may not be there for long.
-const TURN_SPAN: Duration = Duration::from_millis(300);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(300);
 /// Chunks under way to this host. More would only wait behind each other, and requests to the engine
 /// behind them.
 const PULLS_MAX: usize = 6;
@@ -56,7 +56,7 @@
 
 /// What a fetch works with.
 #[derive(Clone)]
-pub(super) struct FetchEdges {
+pub(super) struct FetchContext {
     pub(super) store: ChunkStore,
     pub(super) client: Arc<PeerClient>,
     pub(super) origin: Option<OriginClient>,
@@ -69,17 +69,17 @@
     pub(super) slow_host: Arc<Mutex<Option<SocketAddr>>>,
 }
 
-impl FetchEdges {
+impl FetchContext {
     /// A chunk came from `address` in `took`. Slow ones from two hosts in a row mean that the link of
     /// this host is slow.
-    fn watch_link(&self, address: SocketAddr, took: Duration) {
+    fn observe_link(&self, address: SocketAddr, took: Duration) {
         let mut slow_host = self
             .slow_host
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if took < PULL_SLOW {
+        if took < SLOW_PULL {
             *slow_host = None;
-            if took < PULL_FAST {
+            if took < FAST_PULL {
                 self.pacer.speed_up();
             }
         } else if slow_host
@@ -98,16 +98,16 @@
 
 /// Why a fetch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FetchEnd {
+pub(super) enum FetchOutcome {
     /// Every chunk is staged.
-    Whole,
+    Complete,
     /// Chunks of several sources do not match: the digests may be wrong.
-    DigestsDoubted,
+    DigestsSuspect,
     /// It is to be looked again whether this version is still wanted.
-    LookAgain,
+    Recheck,
 }
 
-enum FetchNews {
+enum FetchUpdate {
     Asked(PeerKey, SwitchResult<HaveWord>),
     Pulled(FlightId, SwitchResult<HaveWord>),
     Read(FlightId, SwitchResult<()>),
@@ -115,11 +115,11 @@
 
 /// The fetch of one version.
 pub(super) struct ChunkFetch {
-    edges: FetchEdges,
+    context: FetchContext,
     target: ModelVersion,
     plan: FetchPlan,
-    news_sender: mpsc::UnboundedSender<FetchNews>,
-    news: mpsc::UnboundedReceiver<FetchNews>,
+    update_sender: mpsc::UnboundedSender<FetchUpdate>,
+    updates: mpsc::UnboundedReceiver<FetchUpdate>,
     under_way: JoinSet<()>,
     flights: Vec<(FlightId, AbortHandle)>,
     mismatches: u32,
@@ -131,39 +131,39 @@
     /// A fetch of `target`, which has `layers` layers and of which `held` is staged. Each host has another
     /// layer whole first.
     pub(super) fn new(
-        edges: FetchEdges,
+        context: FetchContext,
         target: ModelVersion,
         (held, layers): (ChunkMap, u32),
     ) -> Self {
         let limits = FetchLimits {
             pulls_max: PULLS_MAX,
-            turn_span: TURN_SPAN,
+            turn_span: TAKEOVER_DELAY,
             origin_reads_max: ORIGIN_READS_MAX,
-            origin_within: ORIGIN_WITHIN,
+            origin_within: ORIGIN_TIMEOUT,
             ..FetchLimits::default()
         };
         let name = format!("{}/{}", target.model, target.version.0);
         let layer = rand::rng().random_range(0..layers.max(1));
         let first = layer_chunks(layer, held.count(), layers);
         let mut plan = FetchPlan::new(
-            edges.me.clone(),
+            context.me.clone(),
             (
                 WeightsDigest::of(name.as_bytes()),
                 SpreadObjective::OriginBytes,
             ),
             held,
             limits,
-            (edges.chunk_span, rand::random()),
+            (context.chunk_span, rand::random()),
             clock_now(),
         );
         plan.prefer(first);
-        let (news_sender, news) = mpsc::unbounded_channel();
+        let (update_sender, updates) = mpsc::unbounded_channel();
         Self {
-            edges,
+            context,
             target,
             plan,
-            news_sender,
-            news,
+            update_sender,
+            updates,
             under_way: JoinSet::new(),
             flights: Vec::new(),
             mismatches: 0,
@@ -182,58 +182,61 @@
     }
 
     /// Works until the version is whole, or up to `span`.
-    pub(super) async fn run(&mut self, span: Duration) -> FetchEnd {
+    pub(super) async fn run(&mut self, span: Duration) -> FetchOutcome {
         let until = clock_now() + span;
         while clock_now() < until {
             if self.plan.held().is_full() {
-                return FetchEnd::Whole;
+                return FetchOutcome::Complete;
             }
             if self.mismatches >= MISMATCHES_MAX {
-                return FetchEnd::DigestsDoubted;
+                return FetchOutcome::DigestsSuspect;
             }
-            self.watch_pulls(clock_now());
-            let pulls_max = self.edges.pacer.chunks_under_way(PULLS_MAX);
+            self.check_pulls(clock_now());
+            let pulls_max = self.context.pacer.chunks_under_way(PULLS_MAX);
             self.plan.set_pulls_max(pulls_max);
             for step in self.plan.next_steps(clock_now()) {
-                self.carry_out(step);
+                self.execute(step);
             }
-            self.edges.store.claim(&self.target, self.plan.claimed());
-            let wake = Instant::now() + STEP_PAUSE;
+            self.context.store.claim(&self.target, self.plan.claimed());
+            let wake = Instant::now() + PLAN_INTERVAL;
             tokio::select! {
-                news = self.news.recv() => {
-                    if let Some(news) = news {
-                        self.take(news);
+                updates = self.updates.recv() => {
+                    if let Some(updates) = updates {
+                        self.take(updates);
                     }
                 }
                 () = sleep_until(wake) => {}
             }
-            while let Ok(news) = self.news.try_recv() {
-                self.take(news);
+            while let Ok(updates) = self.updates.try_recv() {
+                self.take(updates);
             }
             while self.under_way.try_join_next().is_some() {}
         }
-        FetchEnd::LookAgain
+        FetchOutcome::Recheck
     }
 
     /// Chunks that do not come tell of a slow link sooner than those that come late.
-    fn watch_pulls(&mut self, now: ClockTime) {
-        if now < self.slow_until || self.plan.late_sources(PULL_SLOW, now) < SLOW_SOURCES {
+    fn check_pulls(&mut self, now: ClockTime) {
+        if now < self.slow_until || self.plan.late_sources(SLOW_PULL, now) < SLOW_SOURCES {
             return;
         }
-        self.slow_until = now + PULL_SLOW;
-        log_event!(events::LINK_SLOW, "under_way_ms={}", PULL_SLOW.as_millis());
-        self.edges.pacer.slow_down();
+        self.slow_until = now + SLOW_PULL;
+        log_event!(events::LINK_SLOW, "under_way_ms={}", SLOW_PULL.as_millis());
+        self.context.pacer.slow_down();
     }
 
-    fn carry_out(&mut self, step: FetchStep) {
-        let edges = self.edges.clone();
+    fn execute(&mut self, step: FetchStep) {
+        let context = self.context.clone();
         let target = self.target.clone();
-        let news = self.news_sender.clone();
+        let updates = self.update_sender.clone();
         match step {
             FetchStep::Ask(key) => {
                 let address = self.address(key);
                 self.under_way.spawn(async move {
-                    let _ = news.send(FetchNews::Asked(key, ask(&edges, address, target).await));
+                    let _ = updates.send(FetchUpdate::Asked(
+                        key,
+                        query_holdings(&context, address, target).await,
+                    ));
                 });
             }
             FetchStep::Fetch {
@@ -243,8 +246,8 @@
             } => {
                 let address = self.address(key);
                 let task = self.under_way.spawn(async move {
-                    let pulled = pull(&edges, address, &target, index).await;
-                    let _ = news.send(FetchNews::Pulled(flight, pulled));
+                    let pulled = pull(&context, address, &target, index).await;
+                    let _ = updates.send(FetchUpdate::Pulled(flight, pulled));
                 });
                 self.flights.push((flight, task));
             }
@@ -254,8 +257,8 @@
                 source: FlightSource::Origin,
             } => {
                 let task = self.under_way.spawn(async move {
-                    let read = read_origin(&edges, &target, index).await;
-                    let _ = news.send(FetchNews::Read(flight, read));
+                    let read = read_origin(&context, &target, index).await;
+                    let _ = updates.send(FetchUpdate::Read(flight, read));
                 });
                 self.flights.push((flight, task));
             }
@@ -263,7 +266,7 @@
                 metrics::count_retry(ErrorKind::PeerSilent);
                 if let FlightSource::Peer(key) = source {
                     // The connection may have gone silent for good while new ones work.
-                    self.edges.client.drop_pool(self.address(key));
+                    self.context.client.drop_pool(self.address(key));
                 }
                 self.abort(flight);
             }
@@ -282,42 +285,42 @@
         self.plan.peers().get(key).host.address
     }
 
-    fn take(&mut self, news: FetchNews) {
+    fn take(&mut self, updates: FetchUpdate) {
         let now = clock_now();
-        match news {
-            FetchNews::Asked(key, answer) => {
-                if let Ok(word) = &answer {
-                    self.plan.on_word(word, now);
+        match updates {
+            FetchUpdate::Asked(key, answer) => {
+                if let Ok(announcement) = &answer {
+                    self.plan.on_word(announcement, now);
                 }
                 let failure = answer.err().map(|error| error.kind);
                 self.plan.on_asked(key, failure, now);
             }
-            FetchNews::Pulled(flight, pulled) => {
-                if let Ok(word) = &pulled {
-                    self.plan.on_word(word, now);
+            FetchUpdate::Pulled(flight, pulled) => {
+                if let Ok(announcement) = &pulled {
+                    self.plan.on_word(announcement, now);
                 }
-                self.take_chunk(flight, pulled.map(|_| ()));
+                self.finish_chunk(flight, pulled.map(|_| ()));
             }
-            FetchNews::Read(flight, read) => self.take_chunk(flight, read),
+            FetchUpdate::Read(flight, read) => self.finish_chunk(flight, read),
         }
     }
 
-    fn take_chunk(&mut self, flight: FlightId, result: SwitchResult<()>) {
+    fn finish_chunk(&mut self, flight: FlightId, result: SwitchResult<()>) {
         let now = clock_now();
         self.flights.retain(|(known, _)| *known != flight);
         match result {
             Ok(()) => {
-                for twin in self.plan.on_delivered(flight, now) {
-                    self.abort(twin);
+                for duplicate in self.plan.on_delivered(flight, now) {
+                    self.abort(duplicate);
                 }
             }
             Err(error) => {
                 metrics::count_retry(error.kind);
                 if error.kind == ErrorKind::ChunkCorrupt {
                     self.mismatches += 1;
-                    log_event!(events::CHUNK_REFUSED, "{error}");
+                    log_event!(events::CHUNK_CORRUPT, "{error}");
                 } else if error.kind != ErrorKind::UploadBusy {
-                    log_event!(events::SOURCE_FAILED, "{error}");
+                    log_event!(events::CHUNK_FETCH_FAILED, "{error}");
                 }
                 self.plan
                     .on_failed(flight, error.kind, error.retry_after, now);
@@ -326,63 +329,70 @@
     }
 }
 
-async fn ask(
-    edges: &FetchEdges,
+async fn query_holdings(
+    context: &FetchContext,
     address: SocketAddr,
     target: ModelVersion,
 ) -> SwitchResult<HaveWord> {
-    let ask = ChunkAsk {
+    let query_holdings = ChunkQuery {
         target,
         index: None,
     };
-    let called = edges.client.call(address, HAVE_PATH, &ask, ASK_WITHIN);
+    let called = context
+        .client
+        .call(address, HAVE_PATH, &query_holdings, QUERY_TIMEOUT);
     let answer = called.await;
     if answer
         .as_ref()
         .is_err_and(|error: &SwitchError| error.kind == ErrorKind::PeerSilent)
     {
-        edges.client.drop_pool(address);
+        context.client.drop_pool(address);
     }
     answer
 }
 
 async fn pull(
-    edges: &FetchEdges,
+    context: &FetchContext,
     address: SocketAddr,
     target: &ModelVersion,
     index: u32,
 ) -> SwitchResult<HaveWord> {
-    let ask = ChunkAsk {
+    let query_holdings = ChunkQuery {
         target: target.clone(),
         index: Some(index),
     };
-    let called = edges
-        .client
-        .call::<_, ChunkReply>(address, GET_PATH, &ask, PULL_WITHIN);
-    let asked_at = clock_now();
+    let called =
+        context
+            .client
+            .call::<_, ChunkResponse>(address, GET_PATH, &query_holdings, PULL_TIMEOUT);
+    let queried_at = clock_now();
     let reply = called.await?;
-    edges.watch_link(address, clock_now().since(asked_at));
+    context.observe_link(address, clock_now().since(queried_at));
     let bytes = Bytes::from(reply.bytes);
-    take_in(edges, &bytes).await;
-    edges.store.keep(target, index, bytes)?;
+    pace_download(context, &bytes).await;
+    context.store.insert_checked(target, index, bytes)?;
     metrics::count_event("chunks_from_hosts", 1);
-    Ok(reply.word)
+    Ok(reply.announcement)
 }
 
 /// The next chunk is asked for when the link has taken this one in: requests to the engine come over
 /// the same link.
-async fn take_in(edges: &FetchEdges, bytes: &Bytes) {
+async fn pace_download(context: &FetchContext, bytes: &Bytes) {
     let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
-    edges.pacer.take_in(length).await;
+    context.pacer.take_in(length).await;
 }
 
-async fn read_origin(edges: &FetchEdges, target: &ModelVersion, index: u32) -> SwitchResult<()> {
-    let Some(origin) = &edges.origin else {
+async fn read_origin(
+    context: &FetchContext,
+    target: &ModelVersion,
+    index: u32,
+) -> SwitchResult<()> {
+    let Some(origin) = &context.origin else {
         let detail = "the document names no origin of weights";
         return Err(SwitchError::new(ErrorKind::OriginUnavailable, detail));
     };
-    let bytes = origin.read_chunk(target, index, ORIGIN_WITHIN).await?;
+    let bytes = origin.read_chunk(target, index, ORIGIN_TIMEOUT).await?;
     metrics::count_event("chunks_from_origin", 1);
-    take_in(edges, &bytes).await;
-    edges.store.keep(target, index, bytes)
+    pace_download(context, &bytes).await;
+    context.store.insert_checked(target, index, bytes)
 }
--- a/src/replication/chunk_messages.rs
+++ b/src/replication/chunk_messages.rs
@@ -1,8 +1,8 @@
 //! What hosts of backend servers say to each other about chunks.
 //!
-//! `POST /peer/chunks/have` takes a [`ChunkAsk`] and answers with a
+//! `POST /peer/chunks/have` takes a [`ChunkQuery`] and answers with a
 //! [`HaveWord`](crate::weights::HaveWord), `POST /peer/chunks/get` takes one and answers with a
-//! [`ChunkReply`], `POST /peer/chunks/digests` takes one and answers with the version's digests.
+//! [`ChunkResponse`], `POST /peer/chunks/digests` takes one and answers with the version's digests.
 
 use macro_rules_attribute::apply;
 
@@ -16,7 +16,7 @@
 
 /// A question about a version.
 #[apply(message!)]
-pub(super) struct ChunkAsk {
+pub(super) struct ChunkQuery {
     /// The version.
     pub(super) target: ModelVersion,
     /// The chunk that is asked for.
@@ -25,9 +25,10 @@
 
 /// A chunk with what its sender holds.
 #[apply(message!)]
-pub(super) struct ChunkReply {
+pub(super) struct ChunkResponse {
     /// What the sender holds.
-    pub(super) word: HaveWord,
+    #[serde(rename = "word")]
+    pub(super) announcement: HaveWord,
     /// The chunk.
     #[serde(with = "serde_bytes")]
     pub(super) bytes: Vec<u8>,
--- a/src/replication/chunk_routes.rs
+++ b/src/replication/chunk_routes.rs
@@ -7,17 +7,17 @@
 use volo_http::response::Response;
 use volo_http::server::route::{Router, post};
 
-use super::chunk_messages::{ChunkAsk, ChunkReply, DIGESTS_PATH, GET_PATH, HAVE_PATH};
+use super::chunk_messages::{ChunkQuery, ChunkResponse, DIGESTS_PATH, GET_PATH, HAVE_PATH};
 use super::chunk_store::ChunkStore;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
 use crate::transport::{error_reply, message_reply, read_message};
 use crate::weights::{HaveWord, LinkDirection, LinkPacer};
 
-const ASK_BYTES_MAX: usize = 4 * 1024;
+const QUERY_BYTES_MAX: usize = 4 * 1024;
 /// How long a host that asks for a chunk is kept waiting for the link, rather than being turned away
 /// to ask elsewhere.
-const TURN_WITHIN: Duration = Duration::from_millis(120);
+const LINK_WAIT_MAX: Duration = Duration::from_millis(120);
 
 #[derive(Clone)]
 struct ChunkService {
@@ -47,16 +47,18 @@
 }
 
 async fn answer(service: ChunkService, call: ChunkCall, request: Request) -> Response {
-    let ask = match read_message::<ChunkAsk>(request.into_body(), ASK_BYTES_MAX).await {
-        Ok(ask) => ask,
+    let query = match read_message::<ChunkQuery>(request.into_body(), QUERY_BYTES_MAX).await {
+        Ok(query) => query,
         Err(error) => return error_reply(&error),
     };
     let answered = match call {
-        ChunkCall::Have => word_of(&service, &ask).map(|word| message_reply(&word)),
-        ChunkCall::Get => chunk_of(&service, &ask)
+        ChunkCall::Have => {
+            announcement_of(&service, &query).map(|announcement| message_reply(&announcement))
+        }
+        ChunkCall::Get => chunk_of(&service, &query)
             .await
             .map(|chunk| message_reply(&chunk)),
-        ChunkCall::Digests => match service.store.digests(&ask.target) {
+        ChunkCall::Digests => match service.store.digests(&query.target) {
             Some(digests) => Ok(message_reply(&*digests)),
             None => Err(not_here()),
         },
@@ -66,26 +68,29 @@
 
 /// What this host says of a version, with how long its link is busy: others then ask a host whose
 /// link is idle.
-fn word_of(service: &ChunkService, ask: &ChunkAsk) -> SwitchResult<HaveWord> {
-    let mut word = service.store.word(&ask.target).ok_or_else(not_here)?;
+fn announcement_of(service: &ChunkService, query: &ChunkQuery) -> SwitchResult<HaveWord> {
+    let mut announcement = service
+        .store
+        .announcement(&query.target)
+        .ok_or_else(not_here)?;
     let backlog = service.pacer.backlog(LinkDirection::Up);
-    word.backlog_ms = u64::try_from(backlog.as_millis()).unwrap_or(u64::MAX);
-    Ok(word)
+    announcement.backlog_ms = u64::try_from(backlog.as_millis()).unwrap_or(u64::MAX);
+    Ok(announcement)
 }
 
 /// A chunk, when the link is free for it. The engine's live answers leave over the same link: what is
 /// sent without regard to its rate stands before them in the link's queue.
-async fn chunk_of(service: &ChunkService, ask: &ChunkAsk) -> SwitchResult<ChunkReply> {
-    let index = ask.index.ok_or_else(not_here)?;
-    let bytes = service.store.read(&ask.target, index).await?;
+async fn chunk_of(service: &ChunkService, query: &ChunkQuery) -> SwitchResult<ChunkResponse> {
+    let index = query.index.ok_or_else(not_here)?;
+    let bytes = service.store.read(&query.target, index).await?;
     let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
-    if let Err(backlog) = service.pacer.send_out(length, TURN_WITHIN).await {
+    if let Err(backlog) = service.pacer.send_out(length, LINK_WAIT_MAX).await {
         let busy = SwitchError::new(ErrorKind::UploadBusy, "enough chunks are on their way");
         return Err(busy.come_back_in(backlog));
     }
     metrics::count_event("chunks_sent", 1);
-    Ok(ChunkReply {
-        word: word_of(service, ask)?,
+    Ok(ChunkResponse {
+        announcement: announcement_of(service, query)?,
         bytes: bytes.to_vec(),
     })
 }
--- a/src/replication/chunk_staging.rs
+++ b/src/replication/chunk_staging.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use super::chunk_store::{ChunkStore, FoundChunk, missing};
+use super::chunk_store::{ChunkSource, ChunkStore, missing_chunk};
 use super::events;
 use crate::errors::{ErrorKind, SwitchResult};
 use crate::events::log_event;
@@ -14,9 +14,9 @@
 use crate::weights::ChunkMap;
 
 /// The engine is on the same host and answers within a few milliseconds.
-const STAGE_WITHIN: Duration = Duration::from_millis(1500);
+const STAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How many staged chunks are read to see whether any of the wanted version is staged at all.
-const SAMPLES: usize = 3;
+const SAMPLED_CHUNKS: usize = 3;
 
 impl ChunkStore {
     /// Looks what lies staged of `target`, chunk by chunk against its digests, and takes it over: an
@@ -25,16 +25,16 @@
     /// # Errors
     ///
     /// When the engine does not answer.
-    pub(super) async fn look(&self, target: &ModelVersion) -> SwitchResult<()> {
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
+    pub(super) async fn recover_staged(&self, target: &ModelVersion) -> SwitchResult<()> {
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         let mut found = Vec::new();
         let mut misses = 0;
-        for index in self.engine.staged(&target.model, STAGE_WITHIN).await? {
+        for index in self.engine.staged(&target.model, STAGE_TIMEOUT).await? {
             match self.read_back(target, index, &digests).await? {
                 Some(bytes) => found.push((index, bytes)),
                 None => misses += 1,
             }
-            if misses >= SAMPLES && found.is_empty() {
+            if misses >= SAMPLED_CHUNKS && found.is_empty() {
                 break;
             }
         }
@@ -52,9 +52,9 @@
         if self.is_at_engine(target) {
             return Ok(());
         }
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         let mut staged = ChunkMap::empty(digests.count());
-        for index in self.engine.staged(&target.model, STAGE_WITHIN).await? {
+        for index in self.engine.staged(&target.model, STAGE_TIMEOUT).await? {
             staged.insert(index);
         }
         self.note_staged(target, staged);
@@ -68,16 +68,16 @@
     /// `ChunkMissing` when it is not held or has gone bad.
     pub(super) async fn read(&self, target: &ModelVersion, index: u32) -> SwitchResult<Bytes> {
         let digests = match self.find(target, index) {
-            Some(FoundChunk::Memory(bytes)) => return Ok(bytes),
-            Some(FoundChunk::Engine(digests)) => digests,
-            None => return Err(missing(index)),
+            Some(ChunkSource::Memory(bytes)) => return Ok(bytes),
+            Some(ChunkSource::Engine(digests)) => digests,
+            None => return Err(missing_chunk(index)),
         };
         if let Some(bytes) = self.read_back(target, index, &digests).await? {
             return Ok(bytes);
         }
-        log_bad(target, index);
+        log_corrupt(target, index);
         self.drop_chunk(target, index);
-        Err(missing(index))
+        Err(missing_chunk(index))
     }
 
     /// Stages a whole version at the engine and reads every chunk back: staged bytes go bad, and
@@ -87,7 +87,7 @@
     ///
     /// When the engine does not answer, or a chunk is not held.
     pub(super) async fn stage(&self, target: &ModelVersion) -> SwitchResult<()> {
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         self.stage_range(target, 0..digests.count()).await
     }
 
@@ -101,14 +101,14 @@
         target: &ModelVersion,
         range: Range<u32>,
     ) -> SwitchResult<()> {
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
-        let staged = self.staged(target).ok_or_else(|| missing(0))?;
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
+        let staged = self.staged(target).ok_or_else(|| missing_chunk(0))?;
         for index in range.clone().filter(|index| !staged.contains(*index)) {
             self.stage_chunk(target, index).await?;
         }
         for index in range {
             if self.read_back(target, index, &digests).await?.is_none() {
-                log_bad(target, index);
+                log_corrupt(target, index);
                 self.stage_chunk(target, index).await?;
             }
         }
@@ -119,7 +119,7 @@
         let bytes = self.read(target, index).await?;
         let staging = self
             .engine
-            .stage_chunk(&target.model, index, bytes, STAGE_WITHIN);
+            .stage_chunk(&target.model, index, bytes, STAGE_TIMEOUT);
         staging.await
     }
 
@@ -132,7 +132,7 @@
     ) -> SwitchResult<Option<Bytes>> {
         let read = self
             .engine
-            .read_chunk(&target.model, index, STAGE_WITHIN)
+            .read_chunk(&target.model, index, STAGE_TIMEOUT)
             .await;
         match read {
             Ok(bytes) if digests.matches(index, &bytes) => Ok(Some(bytes)),
@@ -143,9 +143,9 @@
     }
 }
 
-fn log_bad(target: &ModelVersion, index: u32) {
+fn log_corrupt(target: &ModelVersion, index: u32) {
     log_event!(
-        events::STAGED_CHUNK_BAD,
+        events::STAGED_CHUNK_CORRUPT,
         "model={} chunk={index}",
         target.model
     );
--- a/src/replication/chunk_store.rs
+++ b/src/replication/chunk_store.rs
@@ -18,21 +18,21 @@
 
 /// Where a version's chunks are.
 #[derive(Clone, Debug)]
-enum ChunkPlace {
+enum ChunkLocation {
     /// In memory, each once it has come.
     Memory(Vec<Option<Bytes>>),
     /// Staged at the engine, which serves the version.
     Engine,
 }
 
-impl ChunkPlace {
+impl ChunkLocation {
     fn empty(count: u32) -> Self {
         Self::Memory(vec![None; usize::try_from(count).unwrap_or(0)])
     }
 }
 
 /// A chunk that is held.
-pub(super) enum FoundChunk {
+pub(super) enum ChunkSource {
     /// Here it is.
     Memory(Bytes),
     /// It lies staged at the engine, and is checked against these digests.
@@ -49,17 +49,17 @@
     /// The chunks that were found staged, and need not be staged again.
     staged: ChunkMap,
     /// Whether it was looked what lies staged at this incarnation of the engine.
-    is_looked_at: bool,
-    place: ChunkPlace,
+    is_staging_checked: bool,
+    location: ChunkLocation,
 }
 
 impl HeldVersion {
     fn forget_staged(&mut self) {
         let count = self.digests.count();
         self.staged = ChunkMap::empty(count);
-        self.is_looked_at = false;
-        if matches!(self.place, ChunkPlace::Engine) {
-            self.place = ChunkPlace::empty(count);
+        self.is_staging_checked = false;
+        if matches!(self.location, ChunkLocation::Engine) {
+            self.location = ChunkLocation::empty(count);
             self.held = ChunkMap::empty(count);
         }
     }
@@ -92,8 +92,8 @@
             held: nothing.clone(),
             claimed: nothing.clone(),
             staged: nothing,
-            is_looked_at: false,
-            place: ChunkPlace::empty(digests.count()),
+            is_staging_checked: false,
+            location: ChunkLocation::empty(digests.count()),
             digests,
         };
         let mut versions = self.lock();
@@ -112,7 +112,7 @@
     }
 
     /// The newest whole version of `model` that is newer than `than` and in memory.
-    pub(super) fn newest_whole(
+    pub(super) fn newest_complete(
         &self,
         model: &str,
         than: Option<WeightsVersion>,
@@ -120,7 +120,9 @@
         let versions = self.lock();
         let mut newest = versions.iter().rev().filter(|version| {
             let is_newer = *version.target.model == *model && Some(version.target.version) > than;
-            is_newer && version.held.is_full() && matches!(version.place, ChunkPlace::Memory(_))
+            is_newer
+                && version.held.is_full()
+                && matches!(version.location, ChunkLocation::Memory(_))
         });
         newest.next().map(|version| version.target.clone())
     }
@@ -136,7 +138,7 @@
     }
 
     /// What this host says of `target`; nothing if it does not know it.
-    pub(super) fn word(&self, target: &ModelVersion) -> Option<HaveWord> {
+    pub(super) fn announcement(&self, target: &ModelVersion) -> Option<HaveWord> {
         self.with(target, |version| HaveWord {
             host: self.host.clone(),
             held: version.held.clone(),
@@ -155,14 +157,19 @@
     /// # Errors
     ///
     /// `ChunkCorrupt` when it does not match, `ChunkMissing` when the version is not fetched.
-    pub(super) fn keep(&self, target: &ModelVersion, index: u32, bytes: Bytes) -> SwitchResult<()> {
-        let digests = self.digests(target).ok_or_else(|| missing(index))?;
+    pub(super) fn insert_checked(
+        &self,
+        target: &ModelVersion,
+        index: u32,
+        bytes: Bytes,
+    ) -> SwitchResult<()> {
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(index))?;
         if !digests.matches(index, &bytes) {
             let detail = format!("chunk {index} does not match its digest");
             return Err(SwitchError::new(ErrorKind::ChunkCorrupt, detail));
         }
         self.with(target, |version| {
-            if let ChunkPlace::Memory(chunks) = &mut version.place
+            if let ChunkLocation::Memory(chunks) = &mut version.location
                 && let Some(slot) = slot_of(chunks, index)
             {
                 *slot = Some(bytes);
@@ -175,8 +182,8 @@
     /// Takes over the chunks of `target` that lie staged, each of which was checked.
     pub(super) fn take_staged(&self, target: &ModelVersion, found: Vec<(u32, Bytes)>) {
         self.with(target, |version| {
-            version.is_looked_at = true;
-            let ChunkPlace::Memory(chunks) = &mut version.place else {
+            version.is_staging_checked = true;
+            let ChunkLocation::Memory(chunks) = &mut version.location else {
                 return;
             };
             for (index, bytes) in found {
@@ -190,16 +197,16 @@
     }
 
     /// Where chunk `index` of `target` is; none if it is not held.
-    pub(super) fn find(&self, target: &ModelVersion, index: u32) -> Option<FoundChunk> {
-        let found = self.with(target, |version| match &mut version.place {
-            ChunkPlace::Memory(chunks) => {
+    pub(super) fn find(&self, target: &ModelVersion, index: u32) -> Option<ChunkSource> {
+        let found = self.with(target, |version| match &mut version.location {
+            ChunkLocation::Memory(chunks) => {
                 let bytes = slot_of(chunks, index).and_then(|slot| slot.clone());
-                bytes.map(FoundChunk::Memory)
+                bytes.map(ChunkSource::Memory)
             }
-            ChunkPlace::Engine => {
+            ChunkLocation::Engine => {
                 let digests = version.digests.clone();
                 let is_held = version.held.contains(index);
-                is_held.then_some(FoundChunk::Engine(digests))
+                is_held.then_some(ChunkSource::Engine(digests))
             }
         });
         found.flatten()
@@ -223,13 +230,14 @@
 
     /// Whether `target` lies at the engine, and is no longer held here.
     pub(super) fn is_at_engine(&self, target: &ModelVersion) -> bool {
-        let is_there = |version: &mut HeldVersion| matches!(version.place, ChunkPlace::Engine);
+        let is_there =
+            |version: &mut HeldVersion| matches!(version.location, ChunkLocation::Engine);
         self.with(target, is_there).unwrap_or(false)
     }
 
     /// Whether it was looked what lies staged of `target`.
-    pub(super) fn is_looked_at(&self, target: &ModelVersion) -> bool {
-        let looked_at = self.with(target, |version| version.is_looked_at);
+    pub(super) fn is_staging_checked(&self, target: &ModelVersion) -> bool {
+        let looked_at = self.with(target, |version| version.is_staging_checked);
         looked_at.unwrap_or(false)
     }
 
@@ -241,7 +249,7 @@
     /// `[1308]` behind it.
     pub(super) fn note_unserved(&self, target: &ModelVersion) {
         self.with(target, |version| {
-            if matches!(version.place, ChunkPlace::Engine) {
+            if matches!(version.location, ChunkLocation::Engine) {
                 version.forget_staged();
             }
         });
@@ -257,11 +265,11 @@
 
     /// The engine serves `target`: its chunks lie staged, and memory is given back.
     pub(super) fn note_served(&self, target: &ModelVersion) {
-        self.with(target, |version| version.place = ChunkPlace::Engine);
+        self.with(target, |version| version.location = ChunkLocation::Engine);
         // What was staged before has been written over.
         let mut versions = self.lock();
         versions.retain(|version| {
-            version.target >= *target || matches!(version.place, ChunkPlace::Memory(_))
+            version.target >= *target || matches!(version.location, ChunkLocation::Memory(_))
         });
     }
 
@@ -290,7 +298,7 @@
 }
 
 /// Says that a chunk is not held.
-pub(super) fn missing(index: u32) -> SwitchError {
+pub(super) fn missing_chunk(index: u32) -> SwitchError {
     let detail = format!("chunk {index} is not here");
     SwitchError::new(ErrorKind::ChunkMissing, detail)
 }
--- a/src/replication/digest_line.rs
+++ b/src/replication/digest_sources.rs
@@ -14,20 +14,20 @@
 /// Hosts that read the origin, and that bring the digests into a data centre; one of them may be down.
 const LEADERS: usize = 2;
 /// How long those that stand before a host have, for each place before it.
-const PLACE_SPAN: Duration = Duration::from_millis(500);
+const RANK_SPAN: Duration = Duration::from_millis(500);
 /// The longest that a host waits for others.
-const PATIENCE_MAX: Duration = Duration::from_secs(4);
+const WAIT_MAX: Duration = Duration::from_secs(4);
 
 /// Where a host stands among those that need the digests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct DigestLine {
+pub(super) struct DigestSources {
     /// Those that this host asks; none if it reads the origin.
-    asked: Vec<SocketAddr>,
+    sources: Vec<SocketAddr>,
     /// How many hosts of its data centre stand before it.
-    place: u32,
+    rank: u32,
 }
 
-impl DigestLine {
+impl DigestSources {
     /// The place of `me` among `hosts` for `target`.
     pub(super) fn new(hosts: &[PlanHost], me: &LineHost, target: &ModelVersion) -> Self {
         let weight = |host: &str| {
@@ -47,7 +47,7 @@
             .filter(is_near)
             .map(|(_, host)| host.address)
             .collect();
-        let asked = if before.len() < LEADERS {
+        let sources = if before.len() < LEADERS {
             Vec::new()
         } else if near.len() < LEADERS {
             before[..LEADERS]
@@ -58,23 +58,23 @@
             near.clone()
         };
         Self {
-            asked,
-            place: u32::try_from(near.len()).unwrap_or(u32::MAX),
+            sources,
+            rank: u32::try_from(near.len()).unwrap_or(u32::MAX),
         }
     }
 
     /// How long others are asked before the origin is read.
-    pub(super) fn patience(&self) -> Duration {
-        (PLACE_SPAN.saturating_mul(self.place.saturating_add(1))).min(PATIENCE_MAX)
+    pub(super) fn wait_limit(&self) -> Duration {
+        (RANK_SPAN.saturating_mul(self.rank.saturating_add(1))).min(WAIT_MAX)
     }
 
     /// The host to ask next; `part` is random, from 0 to 1. Every other time it is one of the first,
     /// which have the digests first.
     pub(super) fn choose(&self, part: f64) -> Option<SocketAddr> {
         let (part, count) = if part < 0.5 {
-            (part * 2.0, self.asked.len().min(LEADERS))
+            (part * 2.0, self.sources.len().min(LEADERS))
         } else {
-            (part * 2.0 - 1.0, self.asked.len())
+            (part * 2.0 - 1.0, self.sources.len())
         };
         let last = count.checked_sub(1)?;
         #[expect(
@@ -84,6 +84,6 @@
             reason = "a part of the number of hosts"
         )]
         let at = (part * count as f64) as usize;
-        self.asked.get(at.min(last)).copied()
+        self.sources.get(at.min(last)).copied()
     }
 }
--- a/src/replication/engine_watch.rs
+++ b/src/replication/engine_monitor.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::chunk_store::ChunkStore;
-use super::engine_incarnation::{EngineIncarnation, IncarnationWatch, ReportOrigin};
+use super::engine_incarnation::{EngineIncarnation, IncarnationTracker, ReportOrigin};
 use super::events;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -21,27 +21,27 @@
     pub(super) report: EngineReport,
     pub(super) incarnation: EngineIncarnation,
     /// It was so at this moment or later.
-    pub(super) asked_at: ClockTime,
+    pub(super) queried_at: ClockTime,
 }
 
 #[derive(Debug, Default)]
-struct WatchRecord {
-    incarnations: IncarnationWatch,
-    asked_at: ClockTime,
+struct MonitorRecord {
+    incarnations: IncarnationTracker,
+    queried_at: ClockTime,
     /// The incarnation that is about to change its weights.
     loading: Option<EngineIncarnation>,
 }
 
 /// The engine's last state, and whether it is about to change its weights.
-pub(super) struct EngineWatch {
+pub(super) struct EngineMonitor {
     engine: EngineClient,
     store: ChunkStore,
-    record: Mutex<WatchRecord>,
+    record: Mutex<MonitorRecord>,
     state: watch::Sender<Option<EngineState>>,
     changed: Notify,
 }
 
-impl EngineWatch {
+impl EngineMonitor {
     /// Watches `engine`. What `store` knows of it ends with each of its incarnations.
     pub(super) fn new(engine: EngineClient, store: ChunkStore) -> Self {
         Self {
@@ -68,10 +68,10 @@
     /// # Errors
     ///
     /// When the engine does not answer within `within`.
-    pub(super) async fn ask(&self, within: Duration) -> SwitchResult<Option<EngineState>> {
-        let asked_at = clock_now();
+    pub(super) async fn query(&self, within: Duration) -> SwitchResult<Option<EngineState>> {
+        let queried_at = clock_now();
         let report = self.engine.report(within).await?;
-        Ok(self.take(report, asked_at))
+        Ok(self.take(report, queried_at))
     }
 
     /// Entry hosts are told at once whether the engine is about to change its weights. What was said
@@ -87,44 +87,44 @@
     }
 
     /// The engine did not answer.
-    pub(super) fn note_silent(&self) {
+    pub(super) fn note_unresponsive(&self) {
         self.state.send_replace(None);
     }
 
     /// Waits up to `pause`, or until there is something to tell.
-    pub(super) async fn rest(&self, pause: Duration) {
+    pub(super) async fn wait(&self, pause: Duration) {
         let _ = timeout(pause, self.changed.notified()).await;
     }
 
-    /// Takes in a report that was asked for at `asked_at`.
-    fn take(&self, report: EngineReport, asked_at: ClockTime) -> Option<EngineState> {
+    /// Takes in a report that was asked for at `queried_at`.
+    fn take(&self, report: EngineReport, queried_at: ClockTime) -> Option<EngineState> {
         let mut record = self.lock();
         // Two tasks ask; an answer that was overtaken tells nothing new.
-        if asked_at < record.asked_at {
+        if queried_at < record.queried_at {
             return None;
         }
-        let was_silent = self.state.borrow().is_none();
-        match record.incarnations.take(&report, was_silent) {
+        let was_unresponsive = self.state.borrow().is_none();
+        match record.incarnations.take(&report, was_unresponsive) {
             ReportOrigin::Known => {}
-            ReportOrigin::Former => return None,
+            ReportOrigin::Older => return None,
             ReportOrigin::Restarted => {
                 let born = report.born.map(|born| born.0);
                 log_event!(events::ENGINE_RESTARTED, "born_ms={born:?}");
                 self.store.forget_engine();
             }
         }
-        record.asked_at = asked_at;
+        record.queried_at = queried_at;
         let state = EngineState {
             report,
             incarnation: record.incarnations.incarnation(),
-            asked_at,
+            queried_at,
         };
         // Sent before the lock is given back, so that a state never replaces a later one.
         self.state.send_replace(Some(state.clone()));
         Some(state)
     }
 
-    fn lock(&self) -> MutexGuard<'_, WatchRecord> {
+    fn lock(&self) -> MutexGuard<'_, MonitorRecord> {
         self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/replication/version_load.rs
+++ b/src/replication/engine_updater.rs
@@ -8,11 +8,11 @@
 
 use super::chunk_store::ChunkStore;
 use super::engine_incarnation::EngineIncarnation;
-use super::engine_watch::{EngineState, EngineWatch};
+use super::engine_monitor::{EngineMonitor, EngineState};
 use super::events;
-use super::host_wait::{HostWait, WaitBoard};
-use super::load_turn::LoadRank;
-use super::version_loop::{HostPlace, plan_hosts};
+use super::host_wait::{HostWait, WaitPublisher};
+use super::load_rank::LoadRank;
+use super::version_fetcher::{HostIdentity, plan_hosts};
 use crate::derives::key;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -21,41 +21,41 @@
 use crate::sync::{ControlSnapshot, SharedBook};
 use crate::time::{ClockTime, clock_now};
 
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-pub(super) const ORDER_WITHIN: Duration = Duration::from_millis(800);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+pub(super) const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long an engine may take from an order to the version, the requests that it works on included.
-const LOAD_WITHIN: Duration = Duration::from_secs(9);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(9);
 /// The time between the word to entry hosts that the engine is about to change and the order: a
 /// request that arrives behind the order is turned away and costs a second send.
-const WARNING_SPAN: Duration = Duration::from_millis(25);
+const ANNOUNCEMENT_LEAD: Duration = Duration::from_millis(25);
 /// How many requests an engine may still work on when it is ordered to change and cuts them off. Each
 /// goes on at another engine, which reads its prompt again in 30 ms; waiting for the last of sixteen
 /// leaves the engine nearly idle for two seconds.
-const CUT_MAX: u32 = 6;
+const ABORTED_REQUESTS_MAX: u32 = 6;
 /// How long an engine is waited for to come down to so few.
-const CALM_WITHIN: Duration = Duration::from_millis(1500);
-const CALM_LOOK: Duration = Duration::from_millis(40);
+const DRAIN_WAIT_MAX: Duration = Duration::from_millis(1500);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// How long after an order a report may still show an engine that does nothing: two reports.
-const ORDER_SHOWS_WITHIN: Duration = Duration::from_millis(400);
+const ORDER_VISIBLE_WITHIN: Duration = Duration::from_millis(400);
 /// The pause after a load that did not end with the version served; doubles with each in a row. A load
 /// reads every chunk back, so that a refused order given again at once would keep host and engine busy.
-const RETRY_FIRST: Duration = Duration::from_millis(100);
+const RETRY_FIRST_PAUSE: Duration = Duration::from_millis(100);
 const RETRY_DOUBLINGS: u32 = 4;
 
 /// What the changes work with.
-pub(super) struct VersionLoad {
-    pub(super) place: HostPlace,
+pub(super) struct EngineUpdater {
+    pub(super) identity: HostIdentity,
     pub(super) book: SharedBook,
     pub(super) engine: EngineClient,
     pub(super) store: ChunkStore,
-    pub(super) watch: Arc<EngineWatch>,
-    pub(super) waits: Arc<WaitBoard>,
+    pub(super) monitor: Arc<EngineMonitor>,
+    pub(super) waits: Arc<WaitPublisher>,
     /// How long after it was named a version must have replaced the older ones.
-    pub(super) bound: Duration,
+    pub(super) weights_deadline: Duration,
 }
 
 /// A version that is whole here and newer than what the engine serves.
-struct WholeVersion {
+struct CompleteVersion {
     target: ModelVersion,
     layers: u32,
     served: Option<WeightsVersion>,
@@ -63,31 +63,31 @@
 }
 
 /// A version that is whole and waits for its turn.
-struct WaitingVersion {
+struct PendingVersion {
     target: ModelVersion,
     /// The engine that is to load it.
     incarnation: EngineIncarnation,
-    whole_at: ClockTime,
+    complete_at: ClockTime,
     /// Loads in a row that did not end with the version served.
     failures: u32,
     retry_at: ClockTime,
 }
 
-impl WaitingVersion {
-    fn new(found: &WholeVersion, now: ClockTime) -> Self {
+impl PendingVersion {
+    fn new(found: &CompleteVersion, now: ClockTime) -> Self {
         let target = found.target.clone();
         log_event!(events::VERSION_STAGED, "version={}", target.version.0);
         Self {
             target,
             incarnation: found.incarnation,
-            whole_at: now,
+            complete_at: now,
             failures: 0,
             retry_at: now,
         }
     }
 
     fn note_failure(&mut self, now: ClockTime) {
-        let pause = RETRY_FIRST * (1 << self.failures.min(RETRY_DOUBLINGS));
+        let pause = RETRY_FIRST_PAUSE * (1 << self.failures.min(RETRY_DOUBLINGS));
         self.failures += 1;
         self.retry_at = now + pause;
     }
@@ -95,7 +95,7 @@
 
 /// How a load ended.
 #[apply(key!)]
-enum LoadEnd {
+enum LoadOutcome {
     /// The engine serves the version.
     Served,
     /// The engine started again; nothing of the order is left.
@@ -114,42 +114,42 @@
 impl LoadRun<'_> {
     /// How the load ended, by the engine's `state` after an order of `ordered_at`; none while it goes
     /// on.
-    fn end(&self, state: Option<&EngineState>, ordered_at: ClockTime) -> Option<LoadEnd> {
+    fn end(&self, state: Option<&EngineState>, ordered_at: ClockTime) -> Option<LoadOutcome> {
         let Some(state) = state else {
-            return Some(LoadEnd::Unserved);
+            return Some(LoadOutcome::Unserved);
         };
         let report = &state.report;
         let served = report
             .holdings
             .complete_version(&self.target.model, self.layers);
         if state.incarnation != self.incarnation {
-            Some(LoadEnd::Restarted)
+            Some(LoadOutcome::Restarted)
         } else if served == Some(self.target.version) {
-            Some(LoadEnd::Served)
-        } else if !report.is_busy && state.asked_at > ordered_at + ORDER_SHOWS_WITHIN {
-            Some(LoadEnd::Unserved)
+            Some(LoadOutcome::Served)
+        } else if !report.is_busy && state.queried_at > ordered_at + ORDER_VISIBLE_WITHIN {
+            Some(LoadOutcome::Unserved)
         } else {
             None
         }
     }
 }
 
-impl VersionLoad {
+impl EngineUpdater {
     /// Works for as long as the process lives.
     pub(super) async fn run(self) {
-        let mut waiting: Option<WaitingVersion> = None;
+        let mut waiting: Option<PendingVersion> = None;
         loop {
             self.step(&mut waiting).await;
-            sleep(LOOK_PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
-    async fn step(&self, waiting: &mut Option<WaitingVersion>) {
+    async fn step(&self, waiting: &mut Option<PendingVersion>) {
         let snapshot = self.book.snapshot().load();
-        let Some(found) = self.find_whole(&snapshot) else {
+        let Some(found) = self.find_complete(&snapshot) else {
             self.waits.set_load(None);
-            if let Some(overdue) = self.find_overdue(&snapshot, clock_now())
-                && let Err(error) = self.retire(&overdue).await
+            if let Some(expired) = self.find_expired(&snapshot, clock_now())
+                && let Err(error) = self.retire(&expired).await
             {
                 log_event!(events::LOAD_REFUSED, "{error}");
             }
@@ -160,10 +160,10 @@
         let known = waiting
             .take()
             .filter(|known| known.target == found.target && known.incarnation == found.incarnation);
-        let version = waiting.insert(known.unwrap_or_else(|| WaitingVersion::new(&found, now)));
+        let version = waiting.insert(known.unwrap_or_else(|| PendingVersion::new(&found, now)));
         let load_at = self.load_at(&snapshot, version, found.served);
         if now < load_at.max(version.retry_at) {
-            self.waits.set_load(Some(HostWait::Turn));
+            self.waits.set_load(Some(HostWait::Schedule));
             return;
         }
         let run = LoadRun {
@@ -172,8 +172,8 @@
             incarnation: found.incarnation,
         };
         match self.load(&run).await {
-            Ok(LoadEnd::Served | LoadEnd::Restarted) => {}
-            Ok(LoadEnd::Unserved) => version.note_failure(clock_now()),
+            Ok(LoadOutcome::Served | LoadOutcome::Restarted) => {}
+            Ok(LoadOutcome::Unserved) => version.note_failure(clock_now()),
             Err(error) => {
                 log_event!(events::LOAD_REFUSED, "{error}");
                 version.note_failure(clock_now());
@@ -182,12 +182,12 @@
     }
 
     /// The newest whole version that is newer than what the engine serves.
-    fn find_whole(&self, snapshot: &ControlSnapshot) -> Option<WholeVersion> {
-        let (model, layers) = self.place.model_of(snapshot)?;
-        let state = self.watch.state()?;
+    fn find_complete(&self, snapshot: &ControlSnapshot) -> Option<CompleteVersion> {
+        let (model, layers) = self.identity.model_of(snapshot)?;
+        let state = self.monitor.state()?;
         let served = state.report.holdings.complete_version(&model, layers);
-        Some(WholeVersion {
-            target: self.store.newest_whole(&model, served)?,
+        Some(CompleteVersion {
+            target: self.store.newest_complete(&model, served)?,
             layers,
             served,
             incarnation: state.incarnation,
@@ -198,60 +198,64 @@
     fn load_at(
         &self,
         snapshot: &ControlSnapshot,
-        version: &WaitingVersion,
+        version: &PendingVersion,
         served: Option<WeightsVersion>,
     ) -> ClockTime {
-        let whole_at = version.whole_at;
-        let is_behind = |wanted: &&TargetWeights| {
+        let complete_at = version.complete_at;
+        let is_newer_target = |wanted: &&TargetWeights| {
             wanted.target.model == version.target.model && Some(wanted.target.version) > served
         };
-        let due = snapshot.wanted.iter().find(is_behind);
+        let due = snapshot.wanted.iter().find(is_newer_target);
         match (served, due) {
             (Some(_), Some(due)) => {
-                let others = plan_hosts(snapshot, &self.place);
-                let rank = LoadRank::new(&self.place.me.host, &self.place.me.data_centre, &others);
-                rank.load_at(whole_at, due, self.bound)
+                let others = plan_hosts(snapshot, &self.identity);
+                let rank = LoadRank::new(
+                    &self.identity.me.host,
+                    &self.identity.me.data_centre,
+                    &others,
+                );
+                rank.load_at(complete_at, due, self.weights_deadline)
             }
-            _ => whole_at,
+            _ => complete_at,
         }
     }
 
     /// Orders the engine to load a version, and waits until it serves it.
-    async fn load(&self, run: &LoadRun<'_>) -> SwitchResult<LoadEnd> {
+    async fn load(&self, run: &LoadRun<'_>) -> SwitchResult<LoadOutcome> {
         self.waits.set_load(Some(HostWait::Staging));
         self.store.stage(run.target).await?;
         self.waits.set_load(Some(HostWait::Order));
-        self.watch.announce_load(Some(run.incarnation));
+        self.monitor.announce_load(Some(run.incarnation));
         let changed = self.change(run).await;
-        self.watch.announce_load(None);
+        self.monitor.announce_load(None);
         changed
     }
 
-    async fn change(&self, run: &LoadRun<'_>) -> SwitchResult<LoadEnd> {
-        sleep(WARNING_SPAN).await;
-        let may_cut = self.may_cut();
-        let Some(state) = self.state_for_order(may_cut).await? else {
-            return Ok(LoadEnd::Unserved);
+    async fn change(&self, run: &LoadRun<'_>) -> SwitchResult<LoadOutcome> {
+        sleep(ANNOUNCEMENT_LEAD).await;
+        let may_abort = self.may_abort();
+        let Some(state) = self.state_for_order(may_abort).await? else {
+            return Ok(LoadOutcome::Unserved);
         };
         if state.incarnation != run.incarnation {
-            return Ok(LoadEnd::Restarted);
+            return Ok(LoadOutcome::Restarted);
         }
-        if !state.report.is_busy && !self.order(run.target, &state.report, may_cut).await {
-            return Ok(LoadEnd::Unserved);
+        if !state.report.is_busy && !self.order(run.target, &state.report, may_abort).await {
+            return Ok(LoadOutcome::Unserved);
         }
         self.waits.set_load(Some(HostWait::Load));
         Ok(self.await_version(run).await)
     }
 
     /// Gives the order; tells whether it may have been taken.
-    async fn order(&self, target: &ModelVersion, report: &EngineReport, may_cut: bool) -> bool {
+    async fn order(&self, target: &ModelVersion, report: &EngineReport, may_abort: bool) -> bool {
         let order = LoadOrder {
             target: target.clone(),
             layer: None,
             orders_taken: report.orders_taken,
-            cuts_requests: may_cut,
+            cuts_requests: may_abort,
         };
-        match self.engine.order_load(&order, ORDER_WITHIN).await {
+        match self.engine.order_load(&order, ORDER_TIMEOUT).await {
             Ok(OrderOutcome::Begun | OrderOutcome::InForce) => {
                 let (version, active) = (target.version.0, report.active);
                 log_event!(events::LOAD_ORDERED, "version={version} active={active}");
@@ -270,41 +274,42 @@
     }
 
     /// Whether all requests of this host's service may go on elsewhere.
-    pub(super) fn may_cut(&self) -> bool {
+    pub(super) fn may_abort(&self) -> bool {
         let snapshot = self.book.snapshot().load();
         let catalog = snapshot.catalog.as_ref();
-        catalog.is_some_and(|catalog| catalog.can_resume_elsewhere(&self.place.service))
+        catalog.is_some_and(|catalog| catalog.can_resume_elsewhere(&self.identity.service))
     }
 
     /// The engine's state just before an order: when it works on few requests, if these are cut off, or when
     /// what waits there would begin on weights that may answer no more. None if the engine told of a former
     /// state.
-    async fn state_for_order(&self, may_cut: bool) -> SwitchResult<Option<EngineState>> {
-        let until = clock_now() + CALM_WITHIN;
+    async fn state_for_order(&self, may_abort: bool) -> SwitchResult<Option<EngineState>> {
+        let until = clock_now() + DRAIN_WAIT_MAX;
         loop {
-            let state = self.watch.ask(ORDER_WITHIN).await?;
-            let is_calm = state.as_ref().is_none_or(|state| {
+            let state = self.monitor.query(ORDER_TIMEOUT).await?;
+            let is_drained = state.as_ref().is_none_or(|state| {
                 let report = &state.report;
-                let is_calm = report.active + report.queued <= CUT_MAX || report.is_busy;
-                is_calm || (report.queued > 0 && self.is_overdue(report, clock_now()))
+                let is_drained =
+                    report.active + report.queued <= ABORTED_REQUESTS_MAX || report.is_busy;
+                is_drained || (report.queued > 0 && self.is_expired(report, clock_now()))
             });
-            if !may_cut || is_calm || clock_now() >= until {
+            if !may_abort || is_drained || clock_now() >= until {
                 return Ok(state);
             }
-            sleep(CALM_LOOK).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
     }
 
-    async fn await_version(&self, run: &LoadRun<'_>) -> LoadEnd {
+    async fn await_version(&self, run: &LoadRun<'_>) -> LoadOutcome {
         let ordered_at = clock_now();
-        let mut states = self.watch.subscribe();
+        let mut states = self.monitor.subscribe();
         let end = |state: &Option<EngineState>| run.end(state.as_ref(), ordered_at);
         let ended = states.wait_for(|state| end(state).is_some());
-        let Ok(Ok(state)) = timeout(LOAD_WITHIN, ended).await else {
-            return LoadEnd::Unserved;
+        let Ok(Ok(state)) = timeout(LOAD_TIMEOUT, ended).await else {
+            return LoadOutcome::Unserved;
         };
-        let end = end(&state).unwrap_or(LoadEnd::Unserved);
-        if end == LoadEnd::Served {
+        let end = end(&state).unwrap_or(LoadOutcome::Unserved);
+        if end == LoadOutcome::Served {
             log_event!(events::VERSION_SERVED, "version={}", run.target.version.0);
             self.store.note_served(run.target);
             self.waits.end_load();
--- a/src/replication/events.rs
+++ b/src/replication/events.rs
@@ -3,28 +3,28 @@
 use crate::events::LogEvent;
 
 pub(crate) const SERVING: LogEvent = LogEvent::info(1300, "listening");
-pub(crate) const ENGINE_SILENT: LogEvent = LogEvent::warn(1301, "the engine does not answer");
-pub(crate) const ENGINE_BACK: LogEvent = LogEvent::info(1302, "the engine answers");
-pub(crate) const FETCH_BEGUN: LogEvent = LogEvent::info(1303, "a version is being fetched");
+pub(crate) const ENGINE_UNRESPONSIVE: LogEvent = LogEvent::warn(1301, "the engine does not answer");
+pub(crate) const ENGINE_RESPONSIVE: LogEvent = LogEvent::info(1302, "the engine answers");
+pub(crate) const FETCH_STARTED: LogEvent = LogEvent::info(1303, "a version is being fetched");
 pub(crate) const VERSION_STAGED: LogEvent = LogEvent::info(1304, "a version is staged whole");
-pub(crate) const CHUNK_REFUSED: LogEvent =
+pub(crate) const CHUNK_CORRUPT: LogEvent =
     LogEvent::warn(1305, "a chunk does not match its digest");
-pub(crate) const SOURCE_FAILED: LogEvent = LogEvent::info(1306, "a chunk did not come");
-pub(crate) const STAGED_CHUNK_BAD: LogEvent =
+pub(crate) const CHUNK_FETCH_FAILED: LogEvent = LogEvent::info(1306, "a chunk did not come");
+pub(crate) const STAGED_CHUNK_CORRUPT: LogEvent =
     LogEvent::warn(1307, "a staged chunk has gone bad and is fetched again");
 pub(crate) const LOAD_ORDERED: LogEvent = LogEvent::info(1308, "the engine was ordered to load");
 pub(crate) const LOAD_REFUSED: LogEvent = LogEvent::warn(1309, "the engine refused an order");
 pub(crate) const VERSION_SERVED: LogEvent = LogEvent::info(1310, "the engine serves a version");
 pub(crate) const DIGESTS_FAILED: LogEvent =
     LogEvent::warn(1311, "the digests of a version were not read");
-pub(crate) const DIGESTS_DOUBTED: LogEvent = LogEvent::warn(
+pub(crate) const DIGESTS_SUSPECT: LogEvent = LogEvent::warn(
     1312,
     "the digests are read again: chunks of several sources do not match",
 );
-pub(crate) const VERSION_GIVEN_UP: LogEvent = LogEvent::info(1313, "a version is no longer wanted");
-pub(crate) const ENTRIES_SILENT: LogEvent =
+pub(crate) const FETCH_ABANDONED: LogEvent = LogEvent::info(1313, "a version is no longer wanted");
+pub(crate) const ENTRIES_UNRESPONSIVE: LogEvent =
     LogEvent::warn(1314, "no entry host answers; the store is read instead");
-pub(crate) const STORE_UNREAD: LogEvent = LogEvent::warn(1315, "the store was not read");
+pub(crate) const STORE_READ_FAILED: LogEvent = LogEvent::warn(1315, "the store was not read");
 pub(crate) const LINK_SLOW: LogEvent = LogEvent::warn(
     1316,
     "the link carries less than it should; weights get less of it",
@@ -36,7 +36,7 @@
 );
 pub(crate) const LEASE_UNREADABLE: LogEvent =
     LogEvent::warn(1319, "a lease on load reports does not read");
-pub(crate) const OLDER_RETIRED: LogEvent = LogEvent::info(
+pub(crate) const PREVIOUS_RETIRED: LogEvent = LogEvent::info(
     1320,
     "the engine was ordered off weights that may answer no more",
 );
@@ -44,24 +44,24 @@
 /// All of this slice's events.
 pub(crate) const ALL: &[LogEvent] = &[
     SERVING,
-    ENGINE_SILENT,
-    ENGINE_BACK,
-    FETCH_BEGUN,
+    ENGINE_UNRESPONSIVE,
+    ENGINE_RESPONSIVE,
+    FETCH_STARTED,
     VERSION_STAGED,
-    CHUNK_REFUSED,
-    SOURCE_FAILED,
-    STAGED_CHUNK_BAD,
+    CHUNK_CORRUPT,
+    CHUNK_FETCH_FAILED,
+    STAGED_CHUNK_CORRUPT,
     LOAD_ORDERED,
     LOAD_REFUSED,
     VERSION_SERVED,
     DIGESTS_FAILED,
-    DIGESTS_DOUBTED,
-    VERSION_GIVEN_UP,
-    ENTRIES_SILENT,
-    STORE_UNREAD,
+    DIGESTS_SUSPECT,
+    FETCH_ABANDONED,
+    ENTRIES_UNRESPONSIVE,
+    STORE_READ_FAILED,
     LINK_SLOW,
     WAIT_CHANGED,
     ENGINE_RESTARTED,
     LEASE_UNREADABLE,
-    OLDER_RETIRED,
+    PREVIOUS_RETIRED,
 ];
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -8,13 +8,13 @@
 
 use super::chunk_routes::chunk_routes;
 use super::chunk_store::ChunkStore;
-use super::engine_watch::EngineWatch;
+use super::engine_monitor::EngineMonitor;
+use super::engine_updater::EngineUpdater;
 use super::events;
-use super::host_wait::WaitBoard;
-use super::load_reports::{ReportEdges, report_load};
-use super::version_load::VersionLoad;
-use super::version_loop::{HostPlace, VersionLoop};
-use super::view_poll::ViewPoll;
+use super::host_wait::WaitPublisher;
+use super::load_reports::{ReportContext, report_load};
+use super::version_fetcher::{HostIdentity, VersionFetcher};
+use super::view_poller::ViewPoller;
 use crate::daemon::DrainState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
@@ -27,7 +27,7 @@
 const STOP_LINGER: Duration = Duration::from_millis(100);
 /// The part of the link that weights may fill. The rest is for the engine's live answers and for what
 /// goes with each chunk: headers, questions, packets.
-const WEIGHTS_SHARE: f64 = 0.8;
+const WEIGHTS_LINK_SHARE: f64 = 0.8;
 /// The size of a chunk in use; only estimates of time come from it.
 const CHUNK_BYTES: f64 = 24_576.0;
 const STOP_LONGEST: Duration = Duration::from_millis(400);
@@ -68,45 +68,45 @@
 
 /// What the daemon's tasks share.
 struct HostParts {
-    place: HostPlace,
+    identity: HostIdentity,
     client: Arc<PeerClient>,
     engine: EngineClient,
     book: SharedBook,
     store: ChunkStore,
-    watch: Arc<EngineWatch>,
-    waits: Arc<WaitBoard>,
+    monitor: Arc<EngineMonitor>,
+    waits: Arc<WaitPublisher>,
     pacer: LinkPacer,
 }
 
 impl HostParts {
     fn new(settings: &PlatformSettings) -> SwitchResult<Self> {
-        let place = host_place(settings)?;
+        let identity = host_identity(settings)?;
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
-        let engine = EngineClient::new(place.address, client.clone());
-        let store = ChunkStore::new(place.me.host.clone(), engine.clone());
+        let engine = EngineClient::new(identity.address, client.clone());
+        let store = ChunkStore::new(identity.me.host.clone(), engine.clone());
         Ok(Self {
             client,
             book: SharedBook::default(),
-            watch: Arc::new(EngineWatch::new(engine.clone(), store.clone())),
-            waits: Arc::new(WaitBoard::new(place.service.clone())),
+            monitor: Arc::new(EngineMonitor::new(engine.clone(), store.clone())),
+            waits: Arc::new(WaitPublisher::new(identity.service.clone())),
             pacer: LinkPacer::new(weights_rate(settings.link_bytes_per_s)),
-            place,
+            identity,
             engine,
             store,
         })
     }
 
-    fn reports(&self) -> ReportEdges {
-        ReportEdges {
-            address: self.place.address,
-            data_centre: self.place.me.data_centre.clone(),
+    fn reports(&self) -> ReportContext {
+        ReportContext {
+            address: self.identity.address,
+            data_centre: self.identity.me.data_centre.clone(),
             book: self.book.clone(),
-            watch: self.watch.clone(),
+            monitor: self.monitor.clone(),
         }
     }
 
-    fn poll(&self, settings: &PlatformSettings) -> ViewPoll {
-        ViewPoll {
+    fn poll(&self, settings: &PlatformSettings) -> ViewPoller {
+        ViewPoller {
             client: self.client.clone(),
             store: StoreClient::new(settings.store_address, self.client.clone()),
             book: self.book.clone(),
@@ -116,42 +116,44 @@
         }
     }
 
-    fn loads(&self, settings: &PlatformSettings) -> VersionLoad {
-        VersionLoad {
-            place: self.place.clone(),
+    fn loads(&self, settings: &PlatformSettings) -> EngineUpdater {
+        EngineUpdater {
+            identity: self.identity.clone(),
             book: self.book.clone(),
             engine: self.engine.clone(),
             store: self.store.clone(),
-            watch: self.watch.clone(),
+            monitor: self.monitor.clone(),
             waits: self.waits.clone(),
-            bound: settings.bounds.weights_within,
+            weights_deadline: settings.bounds.weights_within,
         }
     }
 
-    fn versions(&self, settings: &PlatformSettings) -> VersionLoop {
+    fn versions(&self, settings: &PlatformSettings) -> VersionFetcher {
         let span = CHUNK_BYTES / settings.link_bytes_per_s.max(1.0);
-        VersionLoop {
-            place: self.place.clone(),
+        VersionFetcher {
+            identity: self.identity.clone(),
             chunk_span: Duration::from_secs_f64(span),
             pacer: self.pacer.clone(),
             book: self.book.clone(),
             client: self.client.clone(),
             store: self.store.clone(),
-            watch: self.watch.clone(),
+            monitor: self.monitor.clone(),
             waits: self.waits.clone(),
         }
     }
 }
 
-fn host_place(settings: &PlatformSettings) -> SwitchResult<HostPlace> {
-    let missing = |field: &str| {
+fn host_identity(settings: &PlatformSettings) -> SwitchResult<HostIdentity> {
+    let missing_chunk = |field: &str| {
         let detail = format!("{field} is missing; a backend server's host needs it");
         SwitchError::new(ErrorKind::SettingInvalid, detail)
     };
     let service = settings.backend_service.clone();
-    Ok(HostPlace {
-        address: settings.backend_address.ok_or_else(|| missing("app"))?,
-        service: service.ok_or_else(|| missing("service"))?,
+    Ok(HostIdentity {
+        address: settings
+            .backend_address
+            .ok_or_else(|| missing_chunk("app"))?,
+        service: service.ok_or_else(|| missing_chunk("service"))?,
         me: LineHost {
             host: settings.ip.to_string().into(),
             data_centre: settings.data_centre.clone(),
@@ -168,5 +170,5 @@
     reason = "a rate is positive and far below 2^53 bytes a second"
 )]
 fn weights_rate(link_bytes_per_s: f64) -> u64 {
-    (link_bytes_per_s * WEIGHTS_SHARE) as u64
+    (link_bytes_per_s * WEIGHTS_LINK_SHARE) as u64
 }
--- a/src/replication/host_wait.rs
+++ b/src/replication/host_wait.rs
@@ -28,7 +28,7 @@
     /// Chunks of it, those that lie staged included.
     Chunks,
     /// Its turn among the hosts that change their engines.
-    Turn,
+    Schedule,
     /// The staging of the whole version.
     Staging,
     /// The engine's answer to the order.
@@ -45,7 +45,7 @@
             Self::Engine => "engine",
             Self::Digests => "digests",
             Self::Chunks => "chunks",
-            Self::Turn => "turn",
+            Self::Schedule => "turn",
             Self::Staging => "staging",
             Self::Order => "order",
             Self::Load => "load",
@@ -58,25 +58,25 @@
 pub(super) struct WaitState {
     fetch: Option<HostWait>,
     load: Option<HostWait>,
-    told: Option<HostWait>,
+    published: Option<HostWait>,
 }
 
 impl WaitState {
     /// The fetching task waits for `wait`.
     pub(super) fn set_fetch(&mut self, wait: HostWait) -> Option<HostWait> {
         self.fetch = Some(wait);
-        self.news()
+        self.take_change()
     }
 
     /// The loading task waits for `wait`; for none if no version is whole.
     pub(super) fn set_load(&mut self, wait: Option<HostWait>) -> Option<HostWait> {
         self.load = wait;
-        self.news()
+        self.take_change()
     }
 
     /// The engine holds what was loaded.
     pub(super) fn end_load(&mut self) -> Option<HostWait> {
-        if self.fetch == Some(HostWait::Turn) {
+        if self.fetch == Some(HostWait::Schedule) {
             self.fetch = Some(HostWait::Nothing);
         }
         self.set_load(None)
@@ -84,27 +84,27 @@
 
     /// What the host waits for, if that was not told yet. Without an answer of the engine no load
     /// goes on.
-    fn news(&mut self) -> Option<HostWait> {
+    fn take_change(&mut self) -> Option<HostWait> {
         let wait = match self.fetch {
             Some(HostWait::Engine | HostWait::Document) => self.fetch,
             _ => self.load.or(self.fetch),
         };
-        if wait == self.told {
+        if wait == self.published {
             return None;
         }
-        self.told = wait;
+        self.published = wait;
         wait
     }
 }
 
 /// Tells what the host waits for whenever that changes.
 #[derive(Debug)]
-pub(super) struct WaitBoard {
+pub(super) struct WaitPublisher {
     service: ByteString,
     state: Mutex<WaitState>,
 }
 
-impl WaitBoard {
+impl WaitPublisher {
     /// The board of a host beside an engine of `service`.
     pub(super) fn new(service: ByteString) -> Self {
         Self {
--- a/src/replication/load_turn.rs
+++ b/src/replication/load_rank.rs
@@ -13,13 +13,13 @@
 
 /// How long before the bound the last engine begins to change: entry hosts stop sending to older
 /// versions about then.
-const LAST_BEFORE: Duration = Duration::from_millis(1300);
+const LAST_LOAD_LEAD: Duration = Duration::from_millis(1300);
 
 /// This host's place in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadRank {
     pub(super) rank: u32,
-    pub(super) of: u32,
+    pub(super) host_count: u32,
 }
 
 impl LoadRank {
@@ -43,20 +43,20 @@
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         Self {
             rank: count(rank.unwrap_or(0)),
-            of: count(order.len()),
+            host_count: count(order.len()),
         }
     }
 
-    /// When this host's engine changes, if the host was whole at `whole_at` and `due` is the oldest
-    /// version that the engine is behind, which must be served `bound` after it was named.
+    /// When this host's engine changes, if the host was whole at `complete_at` and `due` is the oldest
+    /// version that the engine is behind, which must be served `weights_deadline` after it was named.
     pub(super) fn load_at(
         self,
-        whole_at: ClockTime,
+        complete_at: ClockTime,
         due: &TargetWeights,
-        bound: Duration,
+        weights_deadline: Duration,
     ) -> ClockTime {
-        let last = due.target_set_at + bound.saturating_sub(LAST_BEFORE);
-        let span = last.since(whole_at);
-        whole_at + span * self.rank / self.of.max(1)
+        let last = due.target_set_at + weights_deadline.saturating_sub(LAST_LOAD_LEAD);
+        let span = last.since(complete_at);
+        complete_at + span * self.rank / self.host_count.max(1)
     }
 }
--- a/src/replication/load_reports.rs
+++ b/src/replication/load_reports.rs
@@ -7,7 +7,7 @@
 use bytestring::ByteString;
 use tokio::net::UdpSocket;
 
-use super::engine_watch::{EngineState, EngineWatch};
+use super::engine_monitor::{EngineMonitor, EngineState};
 use super::events;
 use crate::events::log_event;
 use crate::fleet::LoadReport;
@@ -18,54 +18,58 @@
 
 /// How often entry hosts hear of a load. A model server begins about ten requests a second, so that
 /// an entry host's view is off by two requests at most; a report is some 200 bytes.
-const REPORT_PAUSE: Duration = Duration::from_millis(200);
-const ENGINE_WITHIN: Duration = Duration::from_millis(600);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+const ENGINE_TIMEOUT: Duration = Duration::from_millis(600);
 const LEASE_BYTES_MAX: usize = 256;
 
 /// What the reports work with.
-pub(super) struct ReportEdges {
+pub(super) struct ReportContext {
     pub(super) address: SocketAddr,
     pub(super) data_centre: ByteString,
     pub(super) book: SharedBook,
-    pub(super) watch: Arc<EngineWatch>,
+    pub(super) monitor: Arc<EngineMonitor>,
 }
 
 /// Reports for as long as the process lives; `socket` takes leases.
-pub(super) async fn report_load(edges: ReportEdges, socket: UdpSocket) {
-    let mut leases = ReportLeases::new(edges.data_centre.clone());
+pub(super) async fn report_load(context: ReportContext, socket: UdpSocket) {
+    let mut leases = ReportLeases::new(context.data_centre.clone());
     let mut last: Option<LoadReport> = None;
     loop {
-        let was_there = edges.watch.state().is_some();
-        match edges.watch.ask(ENGINE_WITHIN).await {
+        let was_responsive = context.monitor.state().is_some();
+        match context.monitor.query(ENGINE_TIMEOUT).await {
             Ok(Some(state)) => {
-                if !was_there {
-                    log_event!(events::ENGINE_BACK, "holdings={:?}", state.report.holdings);
+                if !was_responsive {
+                    log_event!(
+                        events::ENGINE_RESPONSIVE,
+                        "holdings={:?}",
+                        state.report.holdings
+                    );
                 }
-                let report = edges.report(&state);
+                let report = context.report(&state);
                 let is_change = last
                     .as_ref()
                     .is_none_or(|last| report.changes_weights(last));
                 last = Some(report.clone());
                 take_leases(&socket, &mut leases);
-                let receivers = edges
+                let receivers = context
                     .book
                     .read(|book| leases.receivers(book.entries(), is_change, clock_now()));
                 send_report(report, &socket, &receivers).await;
             }
             Ok(None) => {}
             Err(error) => {
-                if was_there {
-                    log_event!(events::ENGINE_SILENT, "{error}");
+                if was_responsive {
+                    log_event!(events::ENGINE_UNRESPONSIVE, "{error}");
                 }
-                edges.watch.note_silent();
+                context.monitor.note_unresponsive();
             }
         }
         // The next report is due after the pause, or as soon as there is something to tell.
-        edges.watch.rest(REPORT_PAUSE).await;
+        context.monitor.wait(REPORT_INTERVAL).await;
     }
 }
 
-impl ReportEdges {
+impl ReportContext {
     fn report(&self, state: &EngineState) -> LoadReport {
         let report = &state.report;
         LoadReport {
@@ -73,7 +77,7 @@
             born: report.born,
             active: report.active,
             queued: report.queued,
-            is_loading: self.watch.is_loading(state),
+            is_loading: self.monitor.is_loading(state),
             pace: report.pace,
             holdings: report.holdings.clone(),
         }
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -7,19 +7,19 @@
 mod chunk_routes;
 mod chunk_staging;
 mod chunk_store;
-mod digest_line;
+mod digest_sources;
 mod engine_incarnation;
-mod engine_watch;
+mod engine_monitor;
+mod engine_updater;
 pub(crate) mod events;
 mod host_daemon;
 mod host_wait;
+mod load_rank;
 mod load_reports;
-mod load_turn;
 #[cfg(test)]
 mod tests;
-mod version_load;
-mod version_loop;
-mod version_retire;
-mod view_poll;
+mod version_fetcher;
+mod view_poller;
+mod weights_retirement;
 
 pub(crate) use host_daemon::run_backend_host;
--- a/src/replication/tests/backend_host.rs
+++ b/src/replication/tests/backend_host.rs
@@ -13,7 +13,7 @@
 use crate::platform::{
     BirthWord, FakeEngine, FakeOrigin, FakeStore, PlatformSettings, TableName, TimeBounds,
 };
-use crate::replication::chunk_messages::{ChunkAsk, HAVE_PATH};
+use crate::replication::chunk_messages::{ChunkQuery, HAVE_PATH};
 use crate::replication::run_backend_host;
 use crate::sync::{EntryRecord, SyncSettings, start_sync};
 use crate::test_support::free_address;
@@ -26,7 +26,7 @@
 /// A host that asks for the fourth time, 0.2 seconds after the third, has done what follows from the
 /// answer to the first, or to the second if its other task asked first.
 const REPORTS_MIN: usize = 4;
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Below the ports that connections are opened from.
 const PEER_PORT: u16 = 7700;
 /// A link that never holds anything up.
@@ -57,7 +57,7 @@
             let text = serde_json::to_string(entry).expect("it encodes");
             store.put(TableName::Own, &entry.host, &text);
         }
-        let peers = own_address();
+        let peers = unique_address();
         let runtime = Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -97,7 +97,7 @@
     }
 
     /// Version `version` is wanted from now on.
-    pub(super) fn name_version(&self, version: u64) {
+    pub(super) fn set_target(&self, version: u64) {
         let (key, text) = naming_sample(version);
         self.store.put(TableName::Operator, key, &text);
     }
@@ -105,13 +105,13 @@
     /// Waits until the engine holds `version` and the host has heard so.
     pub(super) async fn await_served(&self, version: u64) {
         self.await_held(version).await;
-        self.await_heard().await;
+        self.await_reports().await;
     }
 
     /// Waits until the host has taken in what the engine holds.
-    pub(super) async fn await_heard(&self) {
-        let is_heard = || self.engine.reports() >= REPORTS_MIN;
-        self.await_that("the host hears of it", is_heard).await;
+    pub(super) async fn await_reports(&self) {
+        let has_reported = || self.engine.reports() >= REPORTS_MIN;
+        self.await_that("the host hears of it", has_reported).await;
     }
 
     /// Waits until the engine holds `version`.
@@ -124,7 +124,7 @@
     pub(super) async fn await_that(&self, what: &str, is_so: impl Fn() -> bool) {
         let waiting = async {
             while !is_so() {
-                sleep(LOOK_PAUSE).await;
+                sleep(CHECK_INTERVAL).await;
             }
         };
         let waited = timeout(WAIT_MAX, waiting).await;
@@ -145,17 +145,17 @@
     }
 
     /// What it tells other hosts of `version`.
-    pub(super) async fn word(&self, version: u64) -> Option<HaveWord> {
+    pub(super) async fn announcement(&self, version: u64) -> Option<HaveWord> {
         let client = PeerClient::new(ClientLimits::default());
         let target = ModelVersion {
             model: "m".into(),
             version: WeightsVersion(version),
         };
-        let ask = ChunkAsk {
+        let query = ChunkQuery {
             target,
             index: None,
         };
-        let called = client.call(self.peers, HAVE_PATH, &ask, WAIT_MAX);
+        let called = client.call(self.peers, HAVE_PATH, &query, WAIT_MAX);
         called.await.ok()
     }
 
@@ -193,7 +193,7 @@
 
 /// An address of this machine that no other test uses, nor another run of the tests beside this one. A
 /// port that was free a moment ago may by now be one end of another test's connection.
-fn own_address() -> SocketAddr {
+fn unique_address() -> SocketAddr {
     static HOSTS: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     let ip = Ipv4Addr::new(127, high, low, HOSTS.fetch_add(1, Ordering::Relaxed));
--- a/src/replication/tests/digest_lines.rs
+++ b/src/replication/tests/digest_sources.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::fleet::{ModelVersion, WeightsVersion};
-use crate::replication::digest_line::DigestLine;
+use crate::replication::digest_sources::DigestSources;
 use crate::weights::{LineHost, PlanHost};
 
 const CENTRES: u8 = 5;
@@ -34,15 +34,15 @@
 #[test]
 fn two_hosts_of_hundreds_read_the_origin_at_once() {
     let hosts = hosts();
-    let lines: Vec<DigestLine> = hosts
+    let lines: Vec<DigestSources> = hosts
         .iter()
-        .map(|host| DigestLine::new(&hosts, &host.line, &target()))
+        .map(|host| DigestSources::new(&hosts, &host.line, &target()))
         .collect();
     let read_at_once = lines.iter().filter(|line| line.choose(0.0).is_none());
     assert_eq!(read_at_once.count(), 2);
     let soon = lines
         .iter()
-        .filter(|line| line.choose(0.0).is_some() && line.patience() <= Duration::from_secs(1));
+        .filter(|line| line.choose(0.0).is_some() && line.wait_limit() <= Duration::from_secs(1));
     let most = 2 * usize::from(CENTRES);
     assert!(soon.count() <= most, "others wait for those before them");
 }
@@ -53,7 +53,7 @@
     let hosts = hosts();
     let mut asked = vec![0_u32; hosts.len()];
     for host in &hosts {
-        let line = DigestLine::new(&hosts, &host.line, &target());
+        let line = DigestSources::new(&hosts, &host.line, &target());
         if let Some(address) = line.choose(0.25) {
             let at = hosts.iter().position(|host| host.address == address);
             asked[at.expect("it is one of them")] += 1;
--- a/src/replication/tests/host_waits.rs
+++ b/src/replication/tests/host_waits.rs
@@ -13,11 +13,14 @@
         assert_eq!(state.set_fetch(wait), Some(wait));
         assert_eq!(state.set_fetch(wait), None);
     }
-    assert_eq!(state.set_fetch(HostWait::Turn), Some(HostWait::Turn));
+    assert_eq!(
+        state.set_fetch(HostWait::Schedule),
+        Some(HostWait::Schedule)
+    );
     for wait in [HostWait::Staging, HostWait::Order, HostWait::Load] {
         assert_eq!(state.set_load(Some(wait)), Some(wait));
     }
-    assert_eq!(state.set_fetch(HostWait::Turn), None);
+    assert_eq!(state.set_fetch(HostWait::Schedule), None);
     assert_eq!(state.end_load(), Some(HostWait::Nothing));
     assert_eq!(state.set_fetch(HostWait::Nothing), None);
 }
@@ -27,7 +30,7 @@
 #[test]
 fn a_silent_engine_and_a_newer_version_are_told() {
     let mut state = WaitState::default();
-    state.set_fetch(HostWait::Turn);
+    state.set_fetch(HostWait::Schedule);
     state.set_load(Some(HostWait::Load));
     assert_eq!(state.set_fetch(HostWait::Engine), Some(HostWait::Engine));
     assert_eq!(state.set_fetch(HostWait::Chunks), Some(HostWait::Load));
--- a/src/replication/tests/incarnations.rs
+++ b/src/replication/tests/incarnations.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{EngineHoldings, HeldLayers, WeightsVersion};
 use crate::platform::EngineReport;
-use crate::replication::engine_incarnation::{IncarnationWatch, ReportOrigin};
+use crate::replication::engine_incarnation::{IncarnationTracker, ReportOrigin};
 use crate::time::WallTime;
 
 const FIRST: Option<WallTime> = Some(WallTime(1_000));
@@ -28,53 +28,54 @@
     }
 }
 
-fn watch_of(first: &EngineReport) -> IncarnationWatch {
-    let mut watch = IncarnationWatch::default();
-    assert_eq!(watch.take(first, true), ReportOrigin::Known);
-    watch
+fn tracker_of(first: &EngineReport) -> IncarnationTracker {
+    let mut tracker = IncarnationTracker::default();
+    assert_eq!(tracker.take(first, true), ReportOrigin::Known);
+    tracker
 }
 
 /// The time of its start decides: the counts of a new incarnation may have caught up with the former
 /// one's, and the same incarnation may be empty or silent for a while.
 #[test]
 fn a_later_start_is_another_incarnation_and_the_same_start_is_none() {
-    let mut watch = watch_of(&report(FIRST, 1, true));
-    let before = watch.incarnation();
+    let mut tracker = tracker_of(&report(FIRST, 1, true));
+    let before = tracker.incarnation();
     assert_eq!(
-        watch.take(&report(FIRST, 1, false), true),
+        tracker.take(&report(FIRST, 1, false), true),
         ReportOrigin::Known
     );
-    assert_eq!(watch.incarnation(), before);
+    assert_eq!(tracker.incarnation(), before);
     assert_eq!(
-        watch.take(&report(LATER, 1, true), false),
+        tracker.take(&report(LATER, 1, true), false),
         ReportOrigin::Restarted
     );
-    assert!(watch.incarnation() > before);
+    assert!(tracker.incarnation() > before);
 }
 
 /// Late answers of the former incarnation are passed over, but an engine whose clock was set back
 /// before it started again must not be taken for its former self for good.
 #[test]
 fn an_earlier_start_counts_once_it_is_told_again_and_again() {
-    let mut watch = watch_of(&report(LATER, 0, false));
+    let mut tracker = tracker_of(&report(LATER, 0, false));
     let earlier = report(FIRST, 1, true);
     for _ in 0..2 {
-        assert_eq!(watch.take(&earlier, false), ReportOrigin::Former);
-        assert_eq!(watch.take(&earlier, false), ReportOrigin::Former);
-        let current = watch.take(&report(LATER, 0, false), false);
+        assert_eq!(tracker.take(&earlier, false), ReportOrigin::Older);
+        assert_eq!(tracker.take(&earlier, false), ReportOrigin::Older);
+        let current = tracker.take(&report(LATER, 0, false), false);
         assert_eq!(current, ReportOrigin::Known);
     }
-    assert_eq!(watch.take(&earlier, false), ReportOrigin::Former);
-    assert_eq!(watch.take(&earlier, false), ReportOrigin::Former);
-    assert_eq!(watch.take(&earlier, false), ReportOrigin::Restarted);
-    assert_eq!(watch.take(&earlier, false), ReportOrigin::Known);
+    assert_eq!(tracker.take(&earlier, false), ReportOrigin::Older);
+    assert_eq!(tracker.take(&earlier, false), ReportOrigin::Older);
+    assert_eq!(tracker.take(&earlier, false), ReportOrigin::Restarted);
+    assert_eq!(tracker.take(&earlier, false), ReportOrigin::Known);
 }
 
 /// Without a time of start, only what is told can show that nothing of before is known.
 #[test]
 fn without_a_time_of_start_lost_counts_and_holdings_tell_a_restart() {
-    let told =
-        |next: EngineReport, was_silent| watch_of(&report(None, 2, true)).take(&next, was_silent);
+    let told = |next: EngineReport, was_unresponsive| {
+        tracker_of(&report(None, 2, true)).take(&next, was_unresponsive)
+    };
     let busy = EngineReport {
         is_busy: true,
         ..report(None, 2, false)
@@ -88,8 +89,11 @@
         (report(None, 2, false), false, ReportOrigin::Restarted),
         (report(None, 3, false), true, ReportOrigin::Restarted),
     ];
-    for (next, was_silent, expected) in cases {
-        let origin = told(next.clone(), was_silent);
-        assert_eq!(origin, expected, "{next:?}, silent before: {was_silent}");
+    for (next, was_unresponsive, expected) in cases {
+        let origin = told(next.clone(), was_unresponsive);
+        assert_eq!(
+            origin, expected,
+            "{next:?}, silent before: {was_unresponsive}"
+        );
     }
 }
--- a/src/replication/tests/messages.rs
+++ b/src/replication/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between hosts of backend servers that came to harm.
 
 use crate::fleet::{ModelVersion, WeightsVersion};
-use crate::replication::chunk_messages::{ChunkAsk, ChunkReply};
+use crate::replication::chunk_messages::{ChunkQuery, ChunkResponse};
 use crate::test_support::{run_cases, spoil_bytes};
 use crate::transport::{decode_message, encode_message};
 use crate::weights::{ChunkMap, HaveWord};
@@ -11,15 +11,15 @@
 
 #[test]
 fn whatever_another_host_sends_about_chunks_ends_no_thread() {
-    let ask = ChunkAsk {
+    let query = ChunkQuery {
         target: ModelVersion {
             model: "m".into(),
             version: WeightsVersion(2),
         },
         index: Some(u32::MAX),
     };
-    let reply = ChunkReply {
-        word: HaveWord {
+    let reply = ChunkResponse {
+        announcement: HaveWord {
             host: "h".into(),
             held: ChunkMap::full(96),
             claimed: ChunkMap::empty(96),
@@ -27,15 +27,21 @@
         },
         bytes: vec![7; 200],
     };
-    let messages = [encode_message(&ask), encode_message(&reply)];
+    let messages = [encode_message(&query), encode_message(&reply)];
     let messages = messages.map(|message| message.expect("it encodes"));
     run_cases(CASES, CASE_BYTES, |u| {
         let mut bytes = u.choose(&messages)?.to_vec();
         spoil_bytes(u, &mut bytes)?;
-        let _ = decode_message::<ChunkAsk>(&bytes);
-        if let Ok(reply) = decode_message::<ChunkReply>(&bytes) {
-            let _ = (reply.word.held.fits(96), reply.word.held.contains(95));
-            let _ = (reply.word.claimed.is_full(), reply.word.held.len());
+        let _ = decode_message::<ChunkQuery>(&bytes);
+        if let Ok(reply) = decode_message::<ChunkResponse>(&bytes) {
+            let _ = (
+                reply.announcement.held.fits(96),
+                reply.announcement.held.contains(95),
+            );
+            let _ = (
+                reply.announcement.claimed.is_full(),
+                reply.announcement.held.len(),
+            );
         }
         Ok(())
     });
--- a/src/replication/tests/mod.rs
+++ b/src/replication/tests/mod.rs
@@ -1,8 +1,8 @@
 mod backend_host;
-mod digest_lines;
+mod digest_sources;
 mod host_waits;
 mod incarnations;
 mod messages;
 mod reports;
 mod restarts;
-mod retire;
+mod retirement;
--- a/src/replication/tests/reports.rs
+++ b/src/replication/tests/reports.rs
@@ -26,7 +26,7 @@
 
 /// A relay's request for reports, as it stands on the wire.
 #[apply(message!)]
-struct LeaseWord {
+struct LeaseRequest {
     relay: SocketAddr,
 }
 
@@ -61,7 +61,7 @@
     /// The first entry hosts of the data centre ask the host at `leases` for reports.
     async fn ask(&self, leases: SocketAddr) {
         for (socket, record) in self.sockets.iter().zip(&self.records).take(RELAYS) {
-            let lease = LeaseWord {
+            let lease = LeaseRequest {
                 relay: record.reports,
             };
             let datagram = encode_message(&lease).expect("it encodes");
--- a/src/replication/tests/restarts.rs
+++ b/src/replication/tests/restarts.rs
@@ -75,13 +75,17 @@
 async fn other_hosts_are_told_at_once_that_nothing_is_held_any_more() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
-    let held = |word: Option<HaveWord>| word.map(|word| word.held.len());
+    let held =
+        |announcement: Option<HaveWord>| announcement.map(|announcement| announcement.held.len());
     let all = host.origin.chunks_read();
-    assert_eq!(held(host.word(1).await).map(usize::try_from), Some(Ok(all)));
+    assert_eq!(
+        held(host.announcement(1).await).map(usize::try_from),
+        Some(Ok(all))
+    );
     host.origin.hand_out_only(all);
     host.engine.restart(StagedRest::Gone);
-    host.await_heard().await;
-    assert_eq!(held(host.word(1).await), Some(0));
+    host.await_reports().await;
+    assert_eq!(held(host.announcement(1).await), Some(0));
     host.end();
 }
 
@@ -138,7 +142,7 @@
     host.await_served(1).await;
     host.engine
         .restart_at(EngineCall::Order, 0, StagedRest::Gone);
-    host.name_version(2);
+    host.set_target(2);
     host.await_held(2).await;
     host.end();
 }
--- a/src/replication/tests/retire.rs
+++ b/src/replication/tests/retirement.rs
@@ -7,7 +7,7 @@
 use super::backend_host::BackendHost;
 use crate::fleet::WeightsVersion;
 use crate::platform::BirthWord;
-use crate::replication::version_retire::{first_layer, layer_chunks};
+use crate::replication::weights_retirement::{first_layer, layer_chunks};
 use crate::weights::ChunkMap;
 
 const CHUNKS: usize = 6;
@@ -18,13 +18,13 @@
 const HEARD_WITHIN: Duration = Duration::from_secs(1);
 
 /// A host whose engine serves version 1 while `known` chunks of version 2 are to be had.
-async fn overdue_host(known: usize) -> BackendHost {
+async fn host_with_expired_weights(known: usize) -> BackendHost {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     host.start_entry().await;
     sleep(HEARD_WITHIN).await;
     host.origin.hand_out_only(CHUNKS + known);
-    host.name_version(2);
+    host.set_target(2);
     sleep(SERVED_FOR).await;
     assert_eq!(host.engine.held(), Some(WeightsVersion(1)));
     host
@@ -33,7 +33,7 @@
 /// Guards against requests that begin on older weights behind their bound since they reach their engine late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_is_taken_off_older_weights_at_their_bound() {
-    let host = overdue_host(3).await;
+    let host = host_with_expired_weights(3).await;
     let cuts = host.engine.cuts();
     sleep(REST).await;
     assert_eq!(host.engine.held(), None);
@@ -47,7 +47,7 @@
 /// Guards against requests that wait at their engine until their weights may answer no more.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_waits_at_an_engine_at_the_bound_of_its_weights_is_cut_off() {
-    let host = overdue_host(3).await;
+    let host = host_with_expired_weights(3).await;
     let cuts = host.engine.cuts();
     host.engine.note_queued(2);
     sleep(REST).await;
--- a/src/replication/version_loop.rs
+++ b/src/replication/version_fetcher.rs
@@ -9,13 +9,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::chunk_fetch::{ChunkFetch, FetchEdges, FetchEnd};
-use super::chunk_messages::{ChunkAsk, DIGESTS_PATH};
+use super::chunk_fetch::{ChunkFetch, FetchContext, FetchOutcome};
+use super::chunk_messages::{ChunkQuery, DIGESTS_PATH};
 use super::chunk_store::ChunkStore;
-use super::digest_line::DigestLine;
-use super::engine_watch::EngineWatch;
+use super::digest_sources::DigestSources;
+use super::engine_monitor::EngineMonitor;
 use super::events;
-use super::host_wait::{HostWait, WaitBoard};
+use super::host_wait::{HostWait, WaitPublisher};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, WeightsVersion};
@@ -26,19 +26,19 @@
 use crate::weights::{LineHost, LinkPacer, PlanHost};
 
 /// How often it is looked whether another version is wanted.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
-const DIGESTS_WITHIN: Duration = Duration::from_millis(1500);
-const PEER_DIGESTS_WITHIN: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
+const DIGESTS_TIMEOUT: Duration = Duration::from_millis(1500);
+const PEER_DIGESTS_TIMEOUT: Duration = Duration::from_millis(400);
 /// The mean pause between two questions for digests.
 const DIGEST_PAUSE: Duration = Duration::from_millis(60);
 /// A fetch of which this part of the chunks has left the origin is ended although a newer version is
 /// wanted: the older one binds from its own naming, and without it no engine could serve between the
 /// two. Where more is left, both share the origin's link and neither may come before its bound.
-const FINISH_PART: f64 = 0.9;
+const FINISH_FETCHED_PART: f64 = 0.9;
 
 /// Where this host stands, and beside what.
 #[derive(Clone, Debug)]
-pub(super) struct HostPlace {
+pub(super) struct HostIdentity {
     pub(super) service: ByteString,
     pub(super) me: LineHost,
     pub(super) address: SocketAddr,
@@ -46,7 +46,7 @@
     pub(super) peer_port: u16,
 }
 
-impl HostPlace {
+impl HostIdentity {
     /// The model of this host's engine, with its number of layers.
     pub(super) fn model_of(&self, snapshot: &ControlSnapshot) -> Option<(ByteString, u32)> {
         let catalog = snapshot.catalog.as_ref()?;
@@ -57,18 +57,19 @@
 
 /// The other hosts of the service, as the fetch plan sees them. All stand in one line to the origin,
 /// in whatever region they are, so that it gives each chunk once.
-pub(super) fn plan_hosts(snapshot: &ControlSnapshot, place: &HostPlace) -> Vec<PlanHost> {
+pub(super) fn plan_hosts(snapshot: &ControlSnapshot, identity: &HostIdentity) -> Vec<PlanHost> {
     let backends = snapshot.fleet.backends.iter();
-    let others = backends
-        .filter(|facts| facts.service == place.service && facts.address.ip() != place.address.ip());
+    let others = backends.filter(|facts| {
+        facts.service == identity.service && facts.address.ip() != identity.address.ip()
+    });
     let mut hosts: Vec<PlanHost> = others
         .map(|facts| PlanHost {
             line: LineHost {
                 host: facts.address.ip().to_string().into(),
                 data_centre: facts.data_centre.clone(),
-                region: place.me.region.clone(),
+                region: identity.me.region.clone(),
             },
-            address: SocketAddr::new(facts.address.ip(), place.peer_port),
+            address: SocketAddr::new(facts.address.ip(), identity.peer_port),
         })
         .collect();
     hosts.sort_by(|left, right| left.line.host.cmp(&right.line.host));
@@ -77,19 +78,19 @@
 }
 
 /// What the loop works with.
-pub(super) struct VersionLoop {
-    pub(super) place: HostPlace,
+pub(super) struct VersionFetcher {
+    pub(super) identity: HostIdentity,
     /// How long a chunk takes on this host's idle link.
     pub(super) chunk_span: Duration,
     pub(super) pacer: LinkPacer,
     pub(super) book: SharedBook,
     pub(super) client: Arc<PeerClient>,
     pub(super) store: ChunkStore,
-    pub(super) watch: Arc<EngineWatch>,
-    pub(super) waits: Arc<WaitBoard>,
+    pub(super) monitor: Arc<EngineMonitor>,
+    pub(super) waits: Arc<WaitPublisher>,
 }
 
-impl VersionLoop {
+impl VersionFetcher {
     /// Works for as long as the process lives. An older version that is nearly here is ended beside the
     /// fetch of a newer one: what is left of it is on other hosts, and the origin's link is free.
     pub(super) async fn run(self) {
@@ -103,24 +104,24 @@
                     fetches.push((target, tokio::spawn(fetch)));
                 }
                 Ok(_) => {}
-                Err(error) => log_event!(events::SOURCE_FAILED, "{error}"),
+                Err(error) => log_event!(events::CHUNK_FETCH_FAILED, "{error}"),
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
     /// One look: which version is to be fetched, if any.
     async fn step(&self) -> SwitchResult<Option<ModelVersion>> {
         let snapshot = self.book.snapshot().load();
-        let Some((model, layers)) = self.place.model_of(&snapshot) else {
+        let Some((model, layers)) = self.identity.model_of(&snapshot) else {
             self.waits.set_fetch(HostWait::Document);
             return Ok(None);
         };
-        let Some(state) = self.watch.state() else {
+        let Some(state) = self.monitor.state() else {
             self.waits.set_fetch(HostWait::Engine);
             return Ok(None);
         };
-        let target = wanted(&snapshot, model);
+        let target = target_version(&snapshot, model);
         let served = state
             .report
             .holdings
@@ -135,18 +136,18 @@
             self.store.adopt_served(&target).await?;
             return Ok(None);
         }
-        self.look_at_unserved(target).await
+        self.check_unserved(target).await
     }
 
     /// What is to be fetched of `target`, which the engine does not serve.
-    async fn look_at_unserved(&self, target: ModelVersion) -> SwitchResult<Option<ModelVersion>> {
+    async fn check_unserved(&self, target: ModelVersion) -> SwitchResult<Option<ModelVersion>> {
         self.store.note_unserved(&target);
-        if !self.store.is_looked_at(&target) {
+        if !self.store.is_staging_checked(&target) {
             self.waits.set_fetch(HostWait::Chunks);
-            self.store.look(&target).await?;
+            self.store.recover_staged(&target).await?;
         }
         if self.store.held(&target).is_some_and(|held| held.is_full()) {
-            self.waits.set_fetch(HostWait::Turn);
+            self.waits.set_fetch(HostWait::Schedule);
             return Ok(None);
         }
         self.waits.set_fetch(HostWait::Chunks);
@@ -167,13 +168,17 @@
         snapshot: &ControlSnapshot,
         target: &ModelVersion,
     ) -> SwitchResult<ChunkDigests> {
-        let line = DigestLine::new(&plan_hosts(snapshot, &self.place), &self.place.me, target);
-        let until = clock_now() + line.patience();
+        let sources = DigestSources::new(
+            &plan_hosts(snapshot, &self.identity),
+            &self.identity.me,
+            target,
+        );
+        let until = clock_now() + sources.wait_limit();
         while clock_now() < until {
-            let Some(host) = line.choose(rand::random()) else {
+            let Some(host) = sources.choose(rand::random()) else {
                 break;
             };
-            if let Some(digests) = self.ask_digests(host, target).await {
+            if let Some(digests) = self.query_digests(host, target).await {
                 return Ok(digests);
             }
             let part = rand::rng().random_range(0.5..1.5);
@@ -183,28 +188,28 @@
             let detail = "the document names no origin of weights";
             return Err(SwitchError::new(ErrorKind::OriginUnavailable, detail));
         };
-        let read = origin.read_digests(target, DIGESTS_WITHIN).await;
+        let read = origin.read_digests(target, DIGESTS_TIMEOUT).await;
         if let Err(error) = &read {
             log_event!(events::DIGESTS_FAILED, "{error}");
         }
-        self.leave_origin(snapshot);
+        self.close_origin_connections(snapshot);
         read
     }
 
-    async fn ask_digests(&self, host: SocketAddr, target: &ModelVersion) -> Option<ChunkDigests> {
-        let ask = ChunkAsk {
+    async fn query_digests(&self, host: SocketAddr, target: &ModelVersion) -> Option<ChunkDigests> {
+        let query = ChunkQuery {
             target: target.clone(),
             index: None,
         };
         let called = self
             .client
-            .call(host, DIGESTS_PATH, &ask, PEER_DIGESTS_WITHIN);
+            .call(host, DIGESTS_PATH, &query, PEER_DIGESTS_TIMEOUT);
         called.await.ok()
     }
 
     /// Closes the connections to the origin. It takes a limited number of them, and hosts that read
     /// the next version need them.
-    fn leave_origin(&self, snapshot: &ControlSnapshot) {
+    fn close_origin_connections(&self, snapshot: &ControlSnapshot) {
         let catalog = snapshot.catalog.as_ref();
         if let Some(origin) = catalog.and_then(|catalog| catalog.weights_origin()) {
             self.client.drop_pool(origin.address);
@@ -221,47 +226,47 @@
             return Ok(());
         }
         log_event!(
-            events::FETCH_BEGUN,
+            events::FETCH_STARTED,
             "model={} version={} held={}/{}",
             target.model,
             target.version.0,
             held.len(),
             held.count()
         );
-        let edges = FetchEdges {
+        let context = FetchContext {
             store: self.store.clone(),
             client: self.client.clone(),
             origin: self.origin(&snapshot),
-            me: self.place.me.clone(),
+            me: self.identity.me.clone(),
             chunk_span: self.chunk_span,
             pacer: self.pacer.clone(),
             slow_host: Arc::default(),
         };
         let layers = self
-            .place
+            .identity
             .model_of(&snapshot)
             .map_or(1, |(_, layers)| layers);
-        let mut fetch = ChunkFetch::new(edges, target.clone(), (held, layers));
+        let mut fetch = ChunkFetch::new(context, target.clone(), (held, layers));
         let ended = self.fetch_with(&mut fetch, target).await;
-        self.leave_origin(&snapshot);
+        self.close_origin_connections(&snapshot);
         ended
     }
 
     async fn fetch_with(&self, fetch: &mut ChunkFetch, target: &ModelVersion) -> SwitchResult<()> {
         loop {
             let snapshot = self.book.snapshot().load();
-            let is_wanted = wanted(&snapshot, target.model.clone()) == *target;
-            if !is_wanted && fetch.known_part() < FINISH_PART {
-                log_event!(events::VERSION_GIVEN_UP, "version={}", target.version.0);
+            let is_target = target_version(&snapshot, target.model.clone()) == *target;
+            if !is_target && fetch.known_part() < FINISH_FETCHED_PART {
+                log_event!(events::FETCH_ABANDONED, "version={}", target.version.0);
                 self.store.forget(target);
                 return Ok(());
             }
-            fetch.set_hosts(&plan_hosts(&snapshot, &self.place));
-            match fetch.run(LOOK_PAUSE).await {
-                FetchEnd::Whole => return Ok(()),
-                FetchEnd::LookAgain => {}
-                FetchEnd::DigestsDoubted => {
-                    log_event!(events::DIGESTS_DOUBTED, "version={}", target.version.0);
+            fetch.set_hosts(&plan_hosts(&snapshot, &self.identity));
+            match fetch.run(CHECK_INTERVAL).await {
+                FetchOutcome::Complete => return Ok(()),
+                FetchOutcome::Recheck => {}
+                FetchOutcome::DigestsSuspect => {
+                    log_event!(events::DIGESTS_SUSPECT, "version={}", target.version.0);
                     // The next look reads them again, from the origin.
                     self.store.forget(target);
                     return self.renew_digests(&snapshot, target).await;
@@ -278,20 +283,20 @@
         let Some(origin) = self.origin(snapshot) else {
             return Ok(());
         };
-        let digests = origin.read_digests(target, DIGESTS_WITHIN).await?;
+        let digests = origin.read_digests(target, DIGESTS_TIMEOUT).await?;
         self.store.begin(target, Arc::new(digests));
         Ok(())
     }
 }
 
-async fn fetch_logged(fetcher: Arc<VersionLoop>, target: ModelVersion) {
+async fn fetch_logged(fetcher: Arc<VersionFetcher>, target: ModelVersion) {
     if let Err(error) = fetcher.fetch(&target).await {
-        log_event!(events::SOURCE_FAILED, "{error}");
+        log_event!(events::CHUNK_FETCH_FAILED, "{error}");
     }
 }
 
 /// The version that the engine should serve; the first, where none was named yet.
-pub(super) fn wanted(snapshot: &ControlSnapshot, model: ByteString) -> ModelVersion {
+pub(super) fn target_version(snapshot: &ControlSnapshot, model: ByteString) -> ModelVersion {
     match snapshot.newest_version(&model) {
         Some(wanted) => wanted.target.clone(),
         None => ModelVersion {
--- a/src/replication/view_poll.rs
+++ b/src/replication/view_poller.rs
@@ -34,16 +34,16 @@
 /// The pause after a question without an answer.
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
 /// Entry hosts in a row that do not answer, after which the store is read.
-const SILENT_MAX: u32 = 3;
-const STORE_WITHIN: Duration = Duration::from_millis(1200);
+const FAILED_QUERIES_MAX: u32 = 3;
+const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How long a host does without a newer document than it has: it needs of it which model its engine is to
 /// serve and where the origin is, and an entry host waits for neither.
 const DOCUMENT_PAUSE: Duration = Duration::from_secs(2);
 /// How long ago a version may have been named that is found in the store.
-const NAMED_BEFORE: Duration = Duration::from_secs(5);
+const TARGET_SET_BEFORE: Duration = Duration::from_secs(5);
 
 /// What the polling works with.
-pub(super) struct ViewPoll {
+pub(super) struct ViewPoller {
     pub(super) client: Arc<PeerClient>,
     pub(super) store: StoreClient,
     pub(super) book: SharedBook,
@@ -53,43 +53,43 @@
     pub(super) document_at: Option<ClockTime>,
 }
 
-impl ViewPoll {
+impl ViewPoller {
     /// Polls for as long as the process lives.
     pub(super) async fn run(mut self) {
-        let mut silent = 0_u32;
+        let mut failed_queries = 0_u32;
         loop {
             let mut pause = POLL_PAUSE;
-            if self.ask_entry().await {
-                silent = 0;
+            if self.query_entry().await {
+                failed_queries = 0;
             } else {
-                silent += 1;
+                failed_queries += 1;
                 pause = FAILURE_PAUSE;
             }
-            if silent >= SILENT_MAX {
-                log_event!(events::ENTRIES_SILENT);
+            if failed_queries >= FAILED_QUERIES_MAX {
+                log_event!(events::ENTRIES_UNRESPONSIVE);
                 if let Err(error) = self.read_store().await {
-                    log_event!(events::STORE_UNREAD, "{error}");
+                    log_event!(events::STORE_READ_FAILED, "{error}");
                 }
-                silent = 0;
+                failed_queries = 0;
             }
             let part = rand::rng().random_range(0.8..1.2);
             sleep(pause.mul_f64(part)).await;
         }
     }
 
-    async fn ask_entry(&mut self) -> bool {
+    async fn query_entry(&mut self) -> bool {
         let Some((address, is_near)) = self.choose_entry() else {
             return false;
         };
-        let mut ask = self.book.read(ViewBook::ask);
-        ask.wait_ms = u64::try_from(POLL_WAIT.as_millis()).unwrap_or(0);
+        let mut query = self.book.read(ViewBook::ask);
+        query.wait_ms = u64::try_from(POLL_WAIT.as_millis()).unwrap_or(0);
         let asked = clock_now();
         // A document need not cross the link between two regions for a host that has one.
         let is_far_and_known = !is_near && self.document_at.is_some();
-        ask.can_wait_for_document = is_far_and_known || self.can_wait_for_document(asked);
+        query.can_wait_for_document = is_far_and_known || self.can_wait_for_document(asked);
         let called = self
             .client
-            .call_arriving::<_, PeerView>(address, VIEW_PATH, &ask, POLL_PACE);
+            .call_arriving::<_, PeerView>(address, VIEW_PATH, &query, POLL_PACE);
         if let Ok(view) = called.await {
             let heard = clock_now();
             if view.document.is_some() {
@@ -135,17 +135,17 @@
 
     async fn read_store(&self) -> SwitchResult<()> {
         let asked = clock_now();
-        let own = self.store.read_table(TableName::Own, STORE_WITHIN).await?;
+        let own = self.store.read_table(TableName::Own, STORE_TIMEOUT).await?;
         let span = AskSpan {
             asked,
             heard: clock_now(),
         };
         let operator = self
             .store
-            .read_table(TableName::Operator, STORE_WITHIN)
+            .read_table(TableName::Operator, STORE_TIMEOUT)
             .await?;
         let named = NamingTime::guessed(
-            operator.told_at - NAMED_BEFORE,
+            operator.told_at - TARGET_SET_BEFORE,
             TargetTimeCertainty::Assumed,
         );
         self.book.change(|book| {
@@ -155,7 +155,7 @@
         });
         let backends = self
             .store
-            .read_table(TableName::Backends, STORE_WITHIN)
+            .read_table(TableName::Backends, STORE_TIMEOUT)
             .await?;
         self.book
             .change(|book| book.set_backends(&backends, clock_now()));
--- a/src/replication/version_retire.rs
+++ b/src/replication/weights_retirement.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use super::engine_incarnation::EngineIncarnation;
+use super::engine_updater::{EngineUpdater, ORDER_TIMEOUT};
 use super::events;
-use super::version_load::{ORDER_WITHIN, VersionLoad};
-use super::version_loop::wanted;
+use super::version_fetcher::target_version;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, TargetTimeCertainty};
@@ -22,10 +22,10 @@
 
 /// How long before their bound the engine is taken off older weights: the order and the staging of a layer
 /// take some 20 ms each, and entry hosts have taken back what waits.
-const RETIRE_BEFORE: Duration = Duration::from_millis(200);
+const RETIRE_LEAD: Duration = Duration::from_millis(200);
 
 /// An engine that serves weights which may answer no more.
-pub(super) struct OverdueWeights {
+pub(super) struct ExpiredWeights {
     incarnation: EngineIncarnation,
     /// The newest version, of which a layer is here.
     target: ModelVersion,
@@ -45,22 +45,22 @@
     ranges.find(|(_, range)| range.clone().all(|index| held.contains(index)))
 }
 
-impl VersionLoad {
+impl EngineUpdater {
     /// What the engine serves beyond its bound at `now`, if it can be taken off it.
-    pub(super) fn find_overdue(
+    pub(super) fn find_expired(
         &self,
         snapshot: &ControlSnapshot,
         now: ClockTime,
-    ) -> Option<OverdueWeights> {
-        let (model, layers) = self.place.model_of(snapshot)?;
-        let state = self.watch.state()?;
-        if state.report.is_busy || !self.is_overdue(&state.report, now) {
+    ) -> Option<ExpiredWeights> {
+        let (model, layers) = self.identity.model_of(snapshot)?;
+        let state = self.monitor.state()?;
+        if state.report.is_busy || !self.is_expired(&state.report, now) {
             return None;
         }
-        let target = wanted(snapshot, model);
+        let target = target_version(snapshot, model);
         let held = self.store.held(&target)?;
         let (layer, chunks) = first_layer(&held, layers)?;
-        Some(OverdueWeights {
+        Some(ExpiredWeights {
             incarnation: state.incarnation,
             target,
             layer,
@@ -69,19 +69,24 @@
     }
 
     /// Whether the weights that an engine of `report` serves may answer no more at `now`, or in a moment.
-    pub(super) fn is_overdue(&self, report: &EngineReport, now: ClockTime) -> bool {
+    pub(super) fn is_expired(&self, report: &EngineReport, now: ClockTime) -> bool {
         let snapshot = self.book.snapshot().load();
-        let until = self.place.model_of(&snapshot).and_then(|(model, layers)| {
-            let served = report.holdings.complete_version(&model, layers)?;
-            let newer = snapshot.wanted.iter().filter(|wanted| {
-                // An assumed time is earlier than the true one.
-                wanted.target.model == model
-                    && wanted.target.version > served
-                    && wanted.certainty > TargetTimeCertainty::Assumed
+        let until = self
+            .identity
+            .model_of(&snapshot)
+            .and_then(|(model, layers)| {
+                let served = report.holdings.complete_version(&model, layers)?;
+                let newer = snapshot.wanted.iter().filter(|wanted| {
+                    // An assumed time is earlier than the true one.
+                    wanted.target.model == model
+                        && wanted.target.version > served
+                        && wanted.certainty > TargetTimeCertainty::Assumed
+                });
+                newer
+                    .map(|wanted| wanted.target_set_at + self.weights_deadline)
+                    .min()
             });
-            newer.map(|wanted| wanted.target_set_at + self.bound).min()
-        });
-        until.is_some_and(|until| now + RETIRE_BEFORE >= until)
+        until.is_some_and(|until| now + RETIRE_LEAD >= until)
     }
 
     /// Orders the engine to load the layer that is here. What it works on ends first, unless others wait
@@ -90,17 +95,17 @@
     /// # Errors
     ///
     /// When the engine does not answer; it may have taken the order all the same.
-    pub(super) async fn retire(&self, overdue: &OverdueWeights) -> SwitchResult<()> {
-        let OverdueWeights {
+    pub(super) async fn retire(&self, expired: &ExpiredWeights) -> SwitchResult<()> {
+        let ExpiredWeights {
             incarnation,
             target,
             layer,
             chunks,
-        } = overdue;
-        self.watch.announce_load(Some(*incarnation));
+        } = expired;
+        self.monitor.announce_load(Some(*incarnation));
         let ordered = async {
             self.store.stage_range(target, chunks.clone()).await?;
-            let Some(state) = self.watch.ask(ORDER_WITHIN).await? else {
+            let Some(state) = self.monitor.query(ORDER_TIMEOUT).await? else {
                 return Ok(OrderOutcome::Refused);
             };
             if state.incarnation != *incarnation {
@@ -108,7 +113,7 @@
             }
             let report = &state.report;
             log_event!(
-                events::OLDER_RETIRED,
+                events::PREVIOUS_RETIRED,
                 "version={} layer={layer} active={} queued={}",
                 target.version.0,
                 report.active,
@@ -118,13 +123,13 @@
                 target: target.clone(),
                 layer: Some(*layer),
                 orders_taken: report.orders_taken,
-                cuts_requests: report.queued > 0 && self.may_cut(),
+                cuts_requests: report.queued > 0 && self.may_abort(),
             };
-            self.engine.order_load(&order, ORDER_WITHIN).await
+            self.engine.order_load(&order, ORDER_TIMEOUT).await
         };
         let outcome = ordered.await;
-        let asked = self.watch.ask(ORDER_WITHIN).await;
-        self.watch.announce_load(None);
+        let asked = self.monitor.query(ORDER_TIMEOUT).await;
+        self.monitor.announce_load(None);
         asked?;
         if outcome? == OrderOutcome::Refused {
             log_event!(
