--- a/src/replication/chunk_fetch.rs
+++ b/src/replication/chunk_fetch.rs
@@ -1,5 +1,5 @@
-//! Brings the chunks of one version to this host: carries out the fetch plan's steps and tells it
-//! what came of them.
+//! Fetches the chunks of one version: executes the steps of the fetch plan and reports their
+//! results to it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -28,30 +28,30 @@
     LinkPacer, PeerKey, PlanHost, WeightsDigest,
 };
 
-/// How often the plan is looked at when nothing happens.
+/// How often the plan is evaluated when no update arrives.
 const PLAN_INTERVAL: Duration = Duration::from_millis(40);
-/// A chunk that takes longer came over a link that carries less than it should: while a version
-/// spreads, half of the chunks come within 150 ms and all but a few within 550.
+/// A chunk that takes longer indicates a congested link. While a version spreads, half of the
+/// chunks arrive within 150 ms and all but a few within 550 ms.
 const SLOW_PULL: Duration = Duration::from_millis(700);
-/// Hosts whose chunks are late at a time when the link of this host is slow, and not theirs.
+/// Number of sources that are late at the same time when this host's own link is the slow one.
 const SLOW_SOURCES: usize = 2;
-/// A chunk that takes no longer shows that the link carries what it should.
+/// A chunk that takes no longer shows that the link has its normal capacity.
 const FAST_PULL: Duration = Duration::from_millis(250);
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 const PULL_TIMEOUT: Duration = Duration::from_secs(4);
-/// A chunk takes 27 ms on the origin's idle link; all hosts that read share it.
+/// A chunk takes 27 ms on the origin's idle link, which all hosts that read from it share.
 const ORIGIN_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long the first in a chunk's line has before the next looks after it. One that is there says that
-/// it is about to read the chunk, and is left to it; one that died leaves its chunks unread, and the
-/// origin may not be there for long.
+/// How long the first host in line for a chunk has before the next one reads it from the origin. A
+/// live host announces that it is about to read the chunk and keeps it. One that died leaves its
+/// chunks unread, and the origin may soon become unavailable.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(300);
-/// Chunks under way to this host. More would only wait behind each other, and requests to the engine
-/// behind them.
+/// Chunks in transit to this host. More would only queue up in front of each other and of requests
+/// to the engine.
 const PULLS_MAX: usize = 6;
-/// Chunks under way from the origin to one host. Some eight hosts read at a time; the fewer chunks
-/// share the origin's link, the sooner each of them can be passed on.
+/// Chunks in transit from the origin to one host. About eight hosts read at a time; the fewer
+/// chunks share the origin's link, the sooner each can be passed on.
 const ORIGIN_READS_MAX: usize = 1;
-/// Chunks that did not match, from whatever source, after which the digests are doubted.
+/// Number of corrupt chunks, from any sources, after which the digests themselves are suspect.
 const MISMATCHES_MAX: u32 = 6;
 
 /// What a fetch works with.
@@ -61,17 +61,17 @@
     pub(super) client: Arc<PeerClient>,
     pub(super) origin: Option<OriginClient>,
     pub(super) me: LineHost,
-    /// How long a chunk takes on this host's idle link.
+    /// Transfer time of a chunk on this host's idle link.
     pub(super) chunk_span: Duration,
-    /// This host's link.
+    /// Paces transfers on this host's link.
     pub(super) pacer: LinkPacer,
-    /// The host from which the last chunk came, if it came slowly.
+    /// Source of the last chunk, if that chunk was slow.
     pub(super) slow_host: Arc<Mutex<Option<SocketAddr>>>,
 }
 
 impl FetchContext {
-    /// A chunk came from `address` in `took`. Slow ones from two hosts in a row mean that the link of
-    /// this host is slow.
+    /// Records that a chunk from `address` arrived in `took`. Slow chunks from two different hosts
+    /// in a row mean that this host's own link is slow.
     fn observe_link(&self, address: SocketAddr, took: Duration) {
         let mut slow_host = self
             .slow_host
@@ -96,14 +96,14 @@
     }
 }
 
-/// Why a fetch ended.
+/// Why a fetch run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchOutcome {
-    /// Every chunk is staged.
+    /// This host holds every chunk.
     Complete,
-    /// Chunks of several sources do not match: the digests may be wrong.
+    /// Chunks from several sources do not match: the digests may be wrong.
     DigestsSuspect,
-    /// It is to be looked again whether this version is still wanted.
+    /// The run's time is over; check whether this version is still the target.
     Recheck,
 }
 
@@ -123,13 +123,13 @@
     under_way: JoinSet<()>,
     flights: Vec<(FlightId, AbortHandle)>,
     mismatches: u32,
-    /// Until when chunks under way tell nothing new of the link.
+    /// Until when chunks in transit give no new information about the link.
     slow_until: ClockTime,
 }
 
 impl ChunkFetch {
-    /// A fetch of `target`, which has `layers` layers and of which `held` is staged. Each host has another
-    /// layer whole first.
+    /// Creates a fetch of `target`, which has `layers` layers and of which `held` is present. A
+    /// random layer is completed first, so that hosts differ in the layer that they complete first.
     pub(super) fn new(
         context: FetchContext,
         target: ModelVersion,
@@ -171,17 +171,17 @@
         }
     }
 
-    /// The hosts that hold or want the version.
+    /// Sets the hosts that hold the version or need it.
     pub(super) fn set_hosts(&mut self, hosts: &[PlanHost]) {
         self.plan.set_hosts(hosts);
     }
 
-    /// The part of the version's chunks that are here or at a host that is known to hold them.
+    /// The part of the version's chunks that this host holds or that another host is known to hold.
     pub(super) fn known_part(&self) -> f64 {
         f64::from(self.plan.known_count()) / f64::from(self.plan.held().count().max(1))
     }
 
-    /// Works until the version is whole, or up to `span`.
+    /// Runs until the version is complete, or for at most `span`.
     pub(super) async fn run(&mut self, span: Duration) -> FetchOutcome {
         let until = clock_now() + span;
         while clock_now() < until {
@@ -215,7 +215,7 @@
         FetchOutcome::Recheck
     }
 
-    /// Chunks that do not come tell of a slow link sooner than those that come late.
+    /// Detects a slow link by chunks that are overdue, sooner than by those that arrive late.
     fn check_pulls(&mut self, now: ClockTime) {
         if now < self.slow_until || self.plan.late_sources(SLOW_PULL, now) < SLOW_SOURCES {
             return;
@@ -265,7 +265,7 @@
             FetchStep::Cancel(flight, source) => {
                 metrics::count_retry(ErrorKind::PeerSilent);
                 if let FlightSource::Peer(key) = source {
-                    // The connection may have gone silent for good while new ones work.
+                    // The connection may be broken for good while new ones work.
                     self.context.client.drop_pool(self.address(key));
                 }
                 self.abort(flight);
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Ends the work on a chunk that is of no more use.
+    /// Aborts a transfer that is no longer needed.
     fn abort(&mut self, flight: FlightId) {
         for (_, task) in self.flights.iter().filter(|(known, _)| *known == flight) {
             task.abort();
@@ -375,8 +375,8 @@
     Ok(reply.announcement)
 }
 
-/// The next chunk is asked for when the link has taken this one in: requests to the engine come over
-/// the same link.
+/// Delays the next chunk until the link has had time to transfer this one, since requests to the
+/// engine arrive over the same link.
 async fn pace_download(context: &FetchContext, bytes: &Bytes) {
     let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
     context.pacer.take_in(length).await;
@@ -388,7 +388,7 @@
     index: u32,
 ) -> SwitchResult<()> {
     let Some(origin) = &context.origin else {
-        let detail = "the document names no origin of weights";
+        let detail = "the document has no origin of weights";
         return Err(SwitchError::new(ErrorKind::OriginUnavailable, detail));
     };
     let bytes = origin.read_chunk(target, index, ORIGIN_TIMEOUT).await?;
--- a/src/replication/chunk_messages.rs
+++ b/src/replication/chunk_messages.rs
@@ -1,8 +1,8 @@
-//! What hosts of backend servers say to each other about chunks.
+//! Messages about chunks between hosts of backend servers.
 //!
-//! `POST /peer/chunks/have` takes a [`ChunkQuery`] and answers with a
-//! [`HaveWord`](crate::weights::HaveWord), `POST /peer/chunks/get` takes one and answers with a
-//! [`ChunkResponse`], `POST /peer/chunks/digests` takes one and answers with the version's digests.
+//! Each of these takes a [`ChunkQuery`]: `POST /peer/chunks/have` returns a
+//! [`HaveWord`](crate::weights::HaveWord), `POST /peer/chunks/get` a [`ChunkResponse`], and
+//! `POST /peer/chunks/digests` the digests of the version.
 
 use macro_rules_attribute::apply;
 
@@ -14,22 +14,22 @@
 pub(super) const GET_PATH: &str = "/peer/chunks/get";
 pub(super) const DIGESTS_PATH: &str = "/peer/chunks/digests";
 
-/// A question about a version.
+/// A query about a version.
 #[apply(message!)]
 pub(super) struct ChunkQuery {
     /// The version.
     pub(super) target: ModelVersion,
-    /// The chunk that is asked for.
+    /// Index of the requested chunk; none for queries about the whole version.
     pub(super) index: Option<u32>,
 }
 
-/// A chunk with what its sender holds.
+/// A chunk, together with what its sender holds.
 #[apply(message!)]
 pub(super) struct ChunkResponse {
-    /// What the sender holds.
+    /// What the sender holds of the version.
     #[serde(rename = "word")]
     pub(super) announcement: HaveWord,
-    /// The chunk.
+    /// Content of the chunk.
     #[serde(with = "serde_bytes")]
     pub(super) bytes: Vec<u8>,
 }
--- a/src/replication/chunk_routes.rs
+++ b/src/replication/chunk_routes.rs
@@ -1,4 +1,4 @@
-//! What a host of a backend server answers other hosts.
+//! HTTP routes by which a host of a backend server serves chunks to other hosts.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use crate::weights::{HaveWord, LinkDirection, LinkPacer};
 
 const QUERY_BYTES_MAX: usize = 4 * 1024;
-/// How long a host that asks for a chunk is kept waiting for the link, rather than being turned away
-/// to ask elsewhere.
+/// Longest wait for link capacity. Beyond it the requesting host is refused, so that it can try
+/// another host.
 const LINK_WAIT_MAX: Duration = Duration::from_millis(120);
 
 #[derive(Clone)]
@@ -32,7 +32,7 @@
     Digests,
 }
 
-/// The routes.
+/// Builds the router.
 pub(super) fn chunk_routes(store: ChunkStore, pacer: LinkPacer) -> Router {
     let service = ChunkService { store, pacer };
     let handler = |call: ChunkCall| {
@@ -66,8 +66,8 @@
     answered.unwrap_or_else(|error| error_reply(&error))
 }
 
-/// What this host says of a version, with how long its link is busy: others then ask a host whose
-/// link is idle.
+/// What this host holds of a version, and for how long its link is busy, so that other hosts can
+/// choose one with an idle link.
 fn announcement_of(service: &ChunkService, query: &ChunkQuery) -> SwitchResult<HaveWord> {
     let mut announcement = service
         .store
@@ -78,14 +78,14 @@
     Ok(announcement)
 }
 
-/// A chunk, when the link is free for it. The engine's live answers leave over the same link: what is
-/// sent without regard to its rate stands before them in the link's queue.
+/// Returns a chunk as soon as the link has capacity. The engine's responses leave over the same
+/// link, and chunks sent faster than its rate would queue up in front of them.
 async fn chunk_of(service: &ChunkService, query: &ChunkQuery) -> SwitchResult<ChunkResponse> {
     let index = query.index.ok_or_else(not_here)?;
     let bytes = service.store.read(&query.target, index).await?;
     let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
     if let Err(backlog) = service.pacer.send_out(length, LINK_WAIT_MAX).await {
-        let busy = SwitchError::new(ErrorKind::UploadBusy, "enough chunks are on their way");
+        let busy = SwitchError::new(ErrorKind::UploadBusy, "the link is busy with other chunks");
         return Err(busy.come_back_in(backlog));
     }
     metrics::count_event("chunks_sent", 1);
@@ -98,6 +98,6 @@
 fn not_here() -> SwitchError {
     SwitchError::new(
         ErrorKind::ChunkMissing,
-        "this host does not stage that version",
+        "this host does not hold the version",
     )
 }
--- a/src/replication/chunk_staging.rs
+++ b/src/replication/chunk_staging.rs
@@ -1,4 +1,4 @@
-//! Chunks on their way to the engine's staging place and back.
+//! Stages chunks at the engine and reads staged chunks back.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 
 /// The engine is on the same host and answers within a few milliseconds.
 const STAGE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How many staged chunks are read to see whether any of the wanted version is staged at all.
+/// Staged chunks to read before concluding that none of the target version is staged.
 const SAMPLED_CHUNKS: usize = 3;
 
 impl ChunkStore {
-    /// Looks what lies staged of `target`, chunk by chunk against its digests, and takes it over: an
-    /// engine that crashed keeps what was staged, but a part of it may have gone bad.
+    /// Checks the chunks staged for `target` against its digests and takes over those that match.
+    /// An engine that crashed keeps its staged chunks, but some of them may be corrupt.
     ///
     /// # Errors
     ///
-    /// When the engine does not answer.
+    /// If the engine does not answer.
     pub(super) async fn recover_staged(&self, target: &ModelVersion) -> SwitchResult<()> {
         let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         let mut found = Vec::new();
@@ -42,12 +42,12 @@
         Ok(())
     }
 
-    /// The engine serves `target`: its chunks lie staged, other hosts may need them, and memory is
-    /// given back.
+    /// Records that the engine serves `target`. Its chunks stay available to other hosts from
+    /// staging, and their memory is freed.
     ///
     /// # Errors
     ///
-    /// When the engine does not tell what is staged.
+    /// If the engine does not list its staged chunks.
     pub(super) async fn adopt_served(&self, target: &ModelVersion) -> SwitchResult<()> {
         if self.is_at_engine(target) {
             return Ok(());
@@ -61,11 +61,11 @@
         Ok(())
     }
 
-    /// A chunk, read back and checked if it is staged. One that has gone bad is no longer held.
+    /// Returns a chunk; a staged one is read back and checked. A corrupt one is no longer held.
     ///
     /// # Errors
     ///
-    /// `ChunkMissing` when it is not held or has gone bad.
+    /// `ChunkMissing` if it is not held or is corrupt.
     pub(super) async fn read(&self, target: &ModelVersion, index: u32) -> SwitchResult<Bytes> {
         let digests = match self.find(target, index) {
             Some(ChunkSource::Memory(bytes)) => return Ok(bytes),
@@ -80,18 +80,18 @@
         Err(missing_chunk(index))
     }
 
-    /// Stages a whole version at the engine and reads every chunk back: staged bytes go bad, and
-    /// the engine loads whatever is there.
+    /// Stages all chunks of a version at the engine and reads each of them back, because staged
+    /// chunks can become corrupt and the engine loads them unchecked.
     ///
     /// # Errors
     ///
-    /// When the engine does not answer, or a chunk is not held.
+    /// If the engine does not answer, or a chunk is not held.
     pub(super) async fn stage(&self, target: &ModelVersion) -> SwitchResult<()> {
         let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         self.stage_range(target, 0..digests.count()).await
     }
 
-    /// The same for the chunks of `range` alone.
+    /// Like [`ChunkStore::stage`], for the chunks of `range`.
     ///
     /// # Errors
     ///
@@ -123,7 +123,7 @@
         staging.await
     }
 
-    /// A staged chunk; none if it is not there or does not match its digest.
+    /// Reads a staged chunk; none if it is missing or does not match its digest.
     async fn read_back(
         &self,
         target: &ModelVersion,
--- a/src/replication/chunk_store.rs
+++ b/src/replication/chunk_store.rs
@@ -1,6 +1,6 @@
-//! The chunks that this host holds, as all of the process shares them. Chunks that are fetched stay in
-//! memory until the engine has loaded their version; those of a version that it serves lie staged at
-//! the engine and are read back from there, for as long as it serves it.
+//! The chunks that this host holds, shared by all tasks of the process. Fetched chunks stay in
+//! memory until the engine has loaded their version. While the engine serves a version, its chunks
+//! are read back from the engine's staging area.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,16 +12,16 @@
 use crate::platform::{ChunkDigests, EngineClient};
 use crate::weights::{ChunkMap, HaveWord};
 
-/// Versions that are held at a time: one that waits to be loaded, one that is fetched, and the one
-/// that is served.
+/// Versions held at a time: the one in service, one that is ready to be loaded, and one that is
+/// being fetched.
 const VERSIONS_MAX: usize = 3;
 
-/// Where a version's chunks are.
+/// Where the chunks of a version are.
 #[derive(Clone, Debug)]
 enum ChunkLocation {
-    /// In memory, each once it has come.
+    /// In memory, one entry per chunk; none until it has been fetched.
     Memory(Vec<Option<Bytes>>),
-    /// Staged at the engine, which serves the version.
+    /// In the staging area of the engine, which serves the version.
     Engine,
 }
 
@@ -31,24 +31,24 @@
     }
 }
 
-/// A chunk that is held.
+/// Where a held chunk was found.
 pub(super) enum ChunkSource {
-    /// Here it is.
+    /// Its content, from memory.
     Memory(Bytes),
-    /// It lies staged at the engine, and is checked against these digests.
+    /// It is staged at the engine, and has to be checked against these digests.
     Engine(Arc<ChunkDigests>),
 }
 
-/// What is held of one version.
+/// State of one version.
 #[derive(Clone, Debug)]
 struct HeldVersion {
     target: ModelVersion,
     digests: Arc<ChunkDigests>,
     held: ChunkMap,
     claimed: ChunkMap,
-    /// The chunks that were found staged, and need not be staged again.
+    /// Chunks that were found staged and need not be staged again.
     staged: ChunkMap,
-    /// Whether it was looked what lies staged at this incarnation of the engine.
+    /// Whether the staging area of this incarnation of the engine was checked for the version.
     is_staging_checked: bool,
     location: ChunkLocation,
 }
@@ -65,17 +65,17 @@
     }
 }
 
-/// The held chunks. Clones share them.
+/// The chunks held by this host. Clones share them.
 #[derive(Clone)]
 pub(super) struct ChunkStore {
     host: ByteString,
     pub(super) engine: EngineClient,
-    /// Sorted by version.
+    /// Sorted by model and version.
     versions: Arc<Mutex<Vec<HeldVersion>>>,
 }
 
 impl ChunkStore {
-    /// The chunks of the host called `host`, whose engine is `engine`.
+    /// Creates an empty store for the host named `host`, whose engine is `engine`.
     pub(super) fn new(host: ByteString, engine: EngineClient) -> Self {
         Self {
             host,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// `target` is wanted from now on; nothing of it is held yet.
+    /// Starts to hold `target`, of which no chunk is present yet.
     pub(super) fn begin(&self, target: &ModelVersion, digests: Arc<ChunkDigests>) {
         let nothing = ChunkMap::empty(digests.count());
         let version = HeldVersion {
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Whether `target` is held, or being fetched.
+    /// Whether `target` is held or being fetched.
     pub(super) fn knows(&self, target: &ModelVersion) -> bool {
         self.with(target, |_| ()).is_some()
     }
 
-    /// The newest whole version of `model` that is newer than `than` and in memory.
+    /// The newest version of `model` that is complete in memory and newer than `than`.
     pub(super) fn newest_complete(
         &self,
         model: &str,
@@ -127,7 +127,7 @@
         newest.next().map(|version| version.target.clone())
     }
 
-    /// The digests of `target`, if they are known.
+    /// The digests of `target`, if known.
     pub(super) fn digests(&self, target: &ModelVersion) -> Option<Arc<ChunkDigests>> {
         self.with(target, |version| version.digests.clone())
     }
@@ -137,7 +137,7 @@
         self.with(target, |version| version.held.clone())
     }
 
-    /// What this host says of `target`; nothing if it does not know it.
+    /// What this host announces about `target`; none if it does not hold the version.
     pub(super) fn announcement(&self, target: &ModelVersion) -> Option<HaveWord> {
         self.with(target, |version| HaveWord {
             host: self.host.clone(),
@@ -147,16 +147,17 @@
         })
     }
 
-    /// Says which chunks this host is about to read from the origin.
+    /// Sets the chunks that this host is about to read from the origin.
     pub(super) fn claim(&self, target: &ModelVersion, claimed: ChunkMap) {
         self.with(target, |version| version.claimed = claimed);
     }
 
-    /// Checks a chunk and keeps it. One that does not match is never kept or passed on.
+    /// Checks a chunk and stores it. A chunk that does not match its digest is never stored or
+    /// passed on.
     ///
     /// # Errors
     ///
-    /// `ChunkCorrupt` when it does not match, `ChunkMissing` when the version is not fetched.
+    /// `ChunkCorrupt` if it does not match, `ChunkMissing` if the version is not being fetched.
     pub(super) fn insert_checked(
         &self,
         target: &ModelVersion,
@@ -179,7 +180,7 @@
         Ok(())
     }
 
-    /// Takes over the chunks of `target` that lie staged, each of which was checked.
+    /// Takes over staged chunks of `target` that have been checked.
     pub(super) fn take_staged(&self, target: &ModelVersion, found: Vec<(u32, Bytes)>) {
         self.with(target, |version| {
             version.is_staging_checked = true;
@@ -196,7 +197,7 @@
         });
     }
 
-    /// Where chunk `index` of `target` is; none if it is not held.
+    /// Finds chunk `index` of `target`; none if it is not held.
     pub(super) fn find(&self, target: &ModelVersion, index: u32) -> Option<ChunkSource> {
         let found = self.with(target, |version| match &mut version.location {
             ChunkLocation::Memory(chunks) => {
@@ -212,7 +213,7 @@
         found.flatten()
     }
 
-    /// A staged chunk has gone bad.
+    /// Drops a staged chunk that is corrupt.
     pub(super) fn drop_chunk(&self, target: &ModelVersion, index: u32) {
         self.with(target, |version| version.held.remove(index));
     }
@@ -222,31 +223,31 @@
         self.with(target, |version| version.staged.clone())
     }
 
-    /// The engine serves `target`, of which `staged` lie staged there.
+    /// Records that the engine serves `target` and has `staged` chunks of it in staging.
     pub(super) fn note_staged(&self, target: &ModelVersion, staged: ChunkMap) {
         self.with(target, |version| version.held = staged);
         self.note_served(target);
     }
 
-    /// Whether `target` lies at the engine, and is no longer held here.
+    /// Whether the chunks of `target` are at the engine and no longer in memory.
     pub(super) fn is_at_engine(&self, target: &ModelVersion) -> bool {
         let is_there =
             |version: &mut HeldVersion| matches!(version.location, ChunkLocation::Engine);
         self.with(target, is_there).unwrap_or(false)
     }
 
-    /// Whether it was looked what lies staged of `target`.
+    /// Whether the staging area was checked for `target`.
     pub(super) fn is_staging_checked(&self, target: &ModelVersion) -> bool {
         let looked_at = self.with(target, |version| version.is_staging_checked);
         looked_at.unwrap_or(false)
     }
 
-    /// The engine does not serve `target`, or no longer: what lies staged is only known again once it
-    /// was looked at.
+    /// Records that the engine does not serve `target`, or no longer does. Its staged chunks count
+    /// only once they have been checked again.
     ///
-    /// An engine that started again serves nothing. As long as the version counted as served there, it
-    /// was neither fetched nor loaded again; one would notice `[1302]` with empty holdings and no
-    /// `[1308]` behind it.
+    /// A restarted engine serves nothing. If the version still counted as served, it would neither
+    /// be fetched nor loaded again: the log shows `[1302]` with empty holdings and no `[1308]`
+    /// after it.
     pub(super) fn note_unserved(&self, target: &ModelVersion) {
         self.with(target, |version| {
             if matches!(version.location, ChunkLocation::Engine) {
@@ -255,25 +256,24 @@
         });
     }
 
-    /// Another incarnation of the engine: what was known of the former one is looked at again. What
-    /// this host itself holds stays.
+    /// Discards what is known of a former incarnation of the engine. Chunks in memory stay.
     pub(super) fn forget_engine(&self) {
         for version in self.lock().iter_mut() {
             version.forget_staged();
         }
     }
 
-    /// The engine serves `target`: its chunks lie staged, and memory is given back.
+    /// Records that the engine serves `target`, which frees the memory of its chunks.
     pub(super) fn note_served(&self, target: &ModelVersion) {
         self.with(target, |version| version.location = ChunkLocation::Engine);
-        // What was staged before has been written over.
+        // The staging area no longer contains the previous versions.
         let mut versions = self.lock();
         versions.retain(|version| {
             version.target >= *target || matches!(version.location, ChunkLocation::Memory(_))
         });
     }
 
-    /// A version is no longer fetched; its chunks go.
+    /// Drops a version and its chunks.
     pub(super) fn forget(&self, target: &ModelVersion) {
         self.lock().retain(|version| version.target != *target);
     }
@@ -297,8 +297,8 @@
     chunks.get_mut(usize::try_from(index).ok()?)
 }
 
-/// Says that a chunk is not held.
+/// The error for a chunk that is not held.
 pub(super) fn missing_chunk(index: u32) -> SwitchError {
-    let detail = format!("chunk {index} is not here");
+    let detail = format!("chunk {index} is not held by this host");
     SwitchError::new(ErrorKind::ChunkMissing, detail)
 }
--- a/src/replication/digest_sources.rs
+++ b/src/replication/digest_sources.rs
@@ -1,8 +1,10 @@
-//! Whom a host asks for the digests of a version, and how long before it reads the origin.
+//! Chooses the hosts to query for the digests of a version, and how long to do so before reading
+//! the origin.
 //!
-//! Load pattern: hundreds of hosts hear of a version at the same moment and need its digests before
-//! they can fetch a chunk. Two hosts of all read the origin, two of each data centre ask these, and
-//! the others ask any host of their data centre, so that no host answers more than a few dozen.
+//! Load pattern: hundreds of hosts learn of a version at the same time and need its digests before
+//! they can fetch a chunk. Two of all hosts read the origin, two of each data centre query these,
+//! and the others query any higher-ranked host of their data centre, so that none answers more than
+//! a few dozen.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,24 +13,24 @@
 use crate::routing::name_hash;
 use crate::weights::{LineHost, PlanHost};
 
-/// Hosts that read the origin, and that bring the digests into a data centre; one of them may be down.
+/// Hosts that read the origin, and hosts of each data centre that query those; one may be down.
 const LEADERS: usize = 2;
-/// How long those that stand before a host have, for each place before it.
+/// Time allowed for each higher-ranked host of the data centre.
 const RANK_SPAN: Duration = Duration::from_millis(500);
-/// The longest that a host waits for others.
+/// Longest time to query other hosts.
 const WAIT_MAX: Duration = Duration::from_secs(4);
 
-/// Where a host stands among those that need the digests.
+/// The hosts from which one host can get the digests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct DigestSources {
-    /// Those that this host asks; none if it reads the origin.
+    /// The hosts to query; none if this host reads the origin.
     sources: Vec<SocketAddr>,
-    /// How many hosts of its data centre stand before it.
+    /// Number of hosts of its data centre with a higher rank.
     rank: u32,
 }
 
 impl DigestSources {
-    /// The place of `me` among `hosts` for `target`.
+    /// Determines the sources of `me` among `hosts` for `target`.
     pub(super) fn new(hosts: &[PlanHost], me: &LineHost, target: &ModelVersion) -> Self {
         let weight = |host: &str| {
             let name = format!("{host}/{}/{}", target.model, target.version.0);
@@ -63,13 +65,13 @@
         }
     }
 
-    /// How long others are asked before the origin is read.
+    /// How long to query other hosts before reading the origin.
     pub(super) fn wait_limit(&self) -> Duration {
         (RANK_SPAN.saturating_mul(self.rank.saturating_add(1))).min(WAIT_MAX)
     }
 
-    /// The host to ask next; `part` is random, from 0 to 1. Every other time it is one of the first,
-    /// which have the digests first.
+    /// The host to query next; `part` is random, from 0 to 1. Half of the queries go to the first
+    /// hosts, which get the digests first.
     pub(super) fn choose(&self, part: f64) -> Option<SocketAddr> {
         let (part, count) = if part < 0.5 {
             (part * 2.0, self.sources.len().min(LEADERS))
@@ -81,7 +83,7 @@
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             clippy::cast_precision_loss,
-            reason = "a part of the number of hosts"
+            reason = "a fraction of the number of hosts"
         )]
         let at = (part * count as f64) as usize;
         self.sources.get(at.min(last)).copied()
--- a/src/replication/engine_incarnation.rs
+++ b/src/replication/engine_incarnation.rs
@@ -1,5 +1,5 @@
-//! Which incarnation of the engine a report tells of. An engine may start again under its name; it
-//! then holds and knows nothing of before, and counts its orders anew.
+//! Determines which incarnation of the engine a report describes. A restarted engine keeps its
+//! name, but has no weights and counts its orders from zero.
 
 use macro_rules_attribute::apply;
 
@@ -8,24 +8,24 @@
 use crate::platform::EngineReport;
 use crate::time::WallTime;
 
-/// Reports in a row that tell of an earlier start, after which it is taken for a start with a clock
-/// that was set back. One or two can be late answers of the former incarnation; each question has one
-/// answer, so that late ones do not come in a longer row.
+/// Reports in a row with an earlier start time after which the engine counts as restarted with its
+/// clock set back. One or two can be delayed responses of the former incarnation, but not more:
+/// each query has one response.
 const OLDER_REPORTS_MAX: u32 = 3;
 
-/// One start of the engine, as this process counts them.
+/// Number of an engine start, as counted by this process.
 #[apply(key!)]
 #[derive(Default)]
 pub(super) struct EngineIncarnation(u64);
 
-/// What a report is, beside those before it.
+/// The incarnation that a report describes, compared with the known one.
 #[apply(key!)]
 pub(super) enum ReportOrigin {
-    /// The incarnation that is known.
+    /// The known incarnation.
     Known,
-    /// A later one: nothing of before holds.
+    /// A newer incarnation; all former state is obsolete.
     Restarted,
-    /// An earlier one, come late.
+    /// An older incarnation, in a delayed report.
     Older,
 }
 
@@ -37,7 +37,7 @@
     holds_any: bool,
 }
 
-/// Follows the engine from one incarnation to the next.
+/// Tracks the engine across restarts.
 #[derive(Debug, Default)]
 pub(super) struct IncarnationTracker {
     incarnation: EngineIncarnation,
@@ -46,12 +46,13 @@
 }
 
 impl IncarnationTracker {
-    /// The incarnation that is known.
+    /// The current incarnation.
     pub(super) const fn incarnation(&self) -> EngineIncarnation {
         self.incarnation
     }
 
-    /// Takes in the next report; `was_unresponsive` tells that the engine did not answer before it.
+    /// Classifies the next report; `was_unresponsive` tells whether the engine did not answer
+    /// before it.
     pub(super) fn take(&mut self, report: &EngineReport, was_unresponsive: bool) -> ReportOrigin {
         let origin = match &self.last {
             None => ReportOrigin::Known,
@@ -72,8 +73,9 @@
         origin
     }
 
-    /// An engine whose clock was set back says that it started earlier than the one before. Taken for
-    /// a late answer each time, it would never be brought its weights; the host would tell of no load.
+    /// Accepts an older start time once it was reported often enough. An engine whose clock was set
+    /// back reports an earlier start than before its restart. If its reports were ignored as
+    /// delayed, it would get no weights and its load would not be reported.
     const fn confirm_older(&mut self, origin: ReportOrigin) -> ReportOrigin {
         if !matches!(origin, ReportOrigin::Older) {
             self.older_reports = 0;
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Whether an engine that does not say when it started has forgotten what it knew: it took fewer
-    /// orders than before, or holds nothing although no order made it drop what it held.
+    /// Whether an engine that does not report its start time has lost its state: it counts fewer
+    /// orders than before, or holds nothing although no order made it release its weights.
     fn has_lost_state(&self, report: &EngineReport, was_unresponsive: bool) -> bool {
         let is_idle_and_empty = holds_nothing(report) && !report.is_busy;
         let has_dropped = self.holds_any && report.orders_taken == self.orders_taken;
--- a/src/replication/engine_monitor.rs
+++ b/src/replication/engine_monitor.rs
@@ -1,5 +1,5 @@
-//! What this host knows of its engine: the one place that asks it for its state, so that everything
-//! here goes by the same incarnation.
+//! Monitors the engine of this host. It alone queries the engine's state, so that all tasks agree
+//! about the engine's incarnation.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::platform::{EngineClient, EngineReport};
 use crate::time::{ClockTime, clock_now};
 
-/// The engine's state.
+/// State of the engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineState {
     pub(super) report: EngineReport,
     pub(super) incarnation: EngineIncarnation,
-    /// It was so at this moment or later.
+    /// When it was queried; the state is from this time or later.
     pub(super) queried_at: ClockTime,
 }
 
@@ -32,7 +32,7 @@
     loading: Option<EngineIncarnation>,
 }
 
-/// The engine's last state, and whether it is about to change its weights.
+/// The last known state of the engine, and whether it is about to change its weights.
 pub(super) struct EngineMonitor {
     engine: EngineClient,
     store: ChunkStore,
@@ -42,7 +42,8 @@
 }
 
 impl EngineMonitor {
-    /// Watches `engine`. What `store` knows of it ends with each of its incarnations.
+    /// Monitors `engine`. When it restarts, `store` discards what it knows of the former
+    /// incarnation.
     pub(super) fn new(engine: EngineClient, store: ChunkStore) -> Self {
         Self {
             engine,
@@ -53,53 +54,54 @@
         }
     }
 
-    /// The engine's last state; none while it does not answer.
+    /// The last state; none while the engine does not answer.
     pub(super) fn state(&self) -> Option<EngineState> {
         self.state.borrow().clone()
     }
 
-    /// Follows the state.
+    /// Subscribes to changes of the state.
     pub(super) fn subscribe(&self) -> watch::Receiver<Option<EngineState>> {
         self.state.subscribe()
     }
 
-    /// Asks the engine for its state; none if the answer tells of a state before one that is known.
+    /// Queries the engine's state; none if the response is older than the known state.
     ///
     /// # Errors
     ///
-    /// When the engine does not answer within `within`.
+    /// If the engine does not answer within `within`.
     pub(super) async fn query(&self, within: Duration) -> SwitchResult<Option<EngineState>> {
         let queried_at = clock_now();
         let report = self.engine.report(within).await?;
         Ok(self.take(report, queried_at))
     }
 
-    /// Entry hosts are told at once whether the engine is about to change its weights. What was said
-    /// of one incarnation is not said of the next, which takes no requests for another reason.
+    /// Sets the incarnation that is about to change its weights, if any, and wakes up the reporting
+    /// task so that entry hosts know at once. The setting does not apply to later incarnations,
+    /// which take no requests for other reasons.
     pub(super) fn announce_load(&self, loading: Option<EngineIncarnation>) {
         self.lock().loading = loading;
         self.changed.notify_one();
     }
 
-    /// Whether an engine in `state` takes no new requests since its weights change.
+    /// Whether an engine in `state` takes no new requests because its weights change.
     pub(super) fn is_loading(&self, state: &EngineState) -> bool {
         state.report.is_busy || self.lock().loading == Some(state.incarnation)
     }
 
-    /// The engine did not answer.
+    /// Records that the engine did not answer.
     pub(super) fn note_unresponsive(&self) {
         self.state.send_replace(None);
     }
 
-    /// Waits up to `pause`, or until there is something to tell.
+    /// Waits for `pause`, or until there is a change to report.
     pub(super) async fn wait(&self, pause: Duration) {
         let _ = timeout(pause, self.changed.notified()).await;
     }
 
-    /// Takes in a report that was asked for at `queried_at`.
+    /// Takes in a report that was queried at `queried_at`.
     fn take(&self, report: EngineReport, queried_at: ClockTime) -> Option<EngineState> {
         let mut record = self.lock();
-        // Two tasks ask; an answer that was overtaken tells nothing new.
+        // Two tasks query the engine; an outdated response is dropped.
         if queried_at < record.queried_at {
             return None;
         }
@@ -119,7 +121,7 @@
             incarnation: record.incarnations.incarnation(),
             queried_at,
         };
-        // Sent before the lock is given back, so that a state never replaces a later one.
+        // Sent while the lock is held, so that a state never replaces a newer one.
         self.state.send_replace(Some(state.clone()));
         Some(state)
     }
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -1,4 +1,5 @@
-//! Changes the engine of this host to the newest version that is whole here, when its turn has come.
+//! Makes the engine of this host load the newest complete version, at the time that its rank
+//! allows.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,26 +24,27 @@
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 pub(super) const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long an engine may take from an order to the version, the requests that it works on included.
+/// Longest time from an order until the engine serves the version, including the requests in
+/// progress.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(9);
-/// The time between the word to entry hosts that the engine is about to change and the order: a
-/// request that arrives behind the order is turned away and costs a second send.
+/// Time between the announcement of a load to entry hosts and the order. A request that arrives
+/// after the order is rejected and costs a retry.
 const ANNOUNCEMENT_LEAD: Duration = Duration::from_millis(25);
-/// How many requests an engine may still work on when it is ordered to change and cuts them off. Each
-/// goes on at another engine, which reads its prompt again in 30 ms; waiting for the last of sixteen
-/// leaves the engine nearly idle for two seconds.
+/// Number of requests in progress that an order may abort. Each continues at another engine, which
+/// reads its prompt again in 30 ms; waiting for the last of sixteen would leave the engine nearly
+/// idle for two seconds.
 const ABORTED_REQUESTS_MAX: u32 = 6;
-/// How long an engine is waited for to come down to so few.
+/// Longest wait for the number of requests to fall that low.
 const DRAIN_WAIT_MAX: Duration = Duration::from_millis(1500);
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// How long after an order a report may still show an engine that does nothing: two reports.
+/// How long after an order a report may still show an idle engine: two reports.
 const ORDER_VISIBLE_WITHIN: Duration = Duration::from_millis(400);
-/// The pause after a load that did not end with the version served; doubles with each in a row. A load
-/// reads every chunk back, so that a refused order given again at once would keep host and engine busy.
+/// Pause after a load that did not succeed, doubled for each failure in a row. A load reads every
+/// chunk back, so that repeating a refused order at once would keep host and engine busy.
 const RETRY_FIRST_PAUSE: Duration = Duration::from_millis(100);
 const RETRY_DOUBLINGS: u32 = 4;
 
-/// What the changes work with.
+/// Loads complete versions into the engine.
 pub(super) struct EngineUpdater {
     pub(super) identity: HostIdentity,
     pub(super) book: SharedBook,
@@ -50,11 +52,11 @@
     pub(super) store: ChunkStore,
     pub(super) monitor: Arc<EngineMonitor>,
     pub(super) waits: Arc<WaitPublisher>,
-    /// How long after it was named a version must have replaced the older ones.
+    /// How long after a target update the previous versions must be out of service.
     pub(super) weights_deadline: Duration,
 }
 
-/// A version that is whole here and newer than what the engine serves.
+/// A version that is complete here and newer than the one that the engine serves.
 struct CompleteVersion {
     target: ModelVersion,
     layers: u32,
@@ -62,13 +64,13 @@
     incarnation: EngineIncarnation,
 }
 
-/// A version that is whole and waits for its turn.
+/// A complete version that waits for its load time.
 struct PendingVersion {
     target: ModelVersion,
-    /// The engine that is to load it.
+    /// The incarnation of the engine that is to load it.
     incarnation: EngineIncarnation,
     complete_at: ClockTime,
-    /// Loads in a row that did not end with the version served.
+    /// Loads in a row that did not succeed.
     failures: u32,
     retry_at: ClockTime,
 }
@@ -98,13 +100,13 @@
 enum LoadOutcome {
     /// The engine serves the version.
     Served,
-    /// The engine started again; nothing of the order is left.
+    /// The engine restarted, and the order is lost.
     Restarted,
-    /// It does not serve the version, and nothing shows that it will.
+    /// The engine does not serve the version, and does not seem to be loading it.
     Unserved,
 }
 
-/// A load under way.
+/// A load in progress.
 struct LoadRun<'a> {
     target: &'a ModelVersion,
     layers: u32,
@@ -112,8 +114,8 @@
 }
 
 impl LoadRun<'_> {
-    /// How the load ended, by the engine's `state` after an order of `ordered_at`; none while it goes
-    /// on.
+    /// The outcome of the load by the engine's `state`, after an order at `ordered_at`; none while
+    /// it is in progress.
     fn end(&self, state: Option<&EngineState>, ordered_at: ClockTime) -> Option<LoadOutcome> {
         let Some(state) = state else {
             return Some(LoadOutcome::Unserved);
@@ -135,7 +137,7 @@
 }
 
 impl EngineUpdater {
-    /// Works for as long as the process lives.
+    /// Runs for the lifetime of the process.
     pub(super) async fn run(self) {
         let mut waiting: Option<PendingVersion> = None;
         loop {
@@ -156,7 +158,7 @@
             return;
         };
         let now = clock_now();
-        // A former engine's turn and failures say nothing of the next.
+        // The load time and the failures of a former incarnation do not apply to this one.
         let known = waiting
             .take()
             .filter(|known| known.target == found.target && known.incarnation == found.incarnation);
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The newest whole version that is newer than what the engine serves.
+    /// The newest complete version that is newer than the one that the engine serves.
     fn find_complete(&self, snapshot: &ControlSnapshot) -> Option<CompleteVersion> {
         let (model, layers) = self.identity.model_of(snapshot)?;
         let state = self.monitor.state()?;
@@ -194,7 +196,7 @@
         })
     }
 
-    /// An engine that serves nothing loads at once.
+    /// When to load `version`. An engine that serves nothing loads at once.
     fn load_at(
         &self,
         snapshot: &ControlSnapshot,
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Orders the engine to load a version, and waits until it serves it.
+    /// Orders the engine to load a version and waits until it serves it.
     async fn load(&self, run: &LoadRun<'_>) -> SwitchResult<LoadOutcome> {
         self.waits.set_load(Some(HostWait::Staging));
         self.store.stage(run.target).await?;
@@ -247,7 +249,7 @@
         Ok(self.await_version(run).await)
     }
 
-    /// Gives the order; tells whether it may have been taken.
+    /// Sends the order; returns whether the engine may have accepted it.
     async fn order(&self, target: &ModelVersion, report: &EngineReport, may_abort: bool) -> bool {
         let order = LoadOrder {
             target: target.clone(),
@@ -265,7 +267,7 @@
                 log_event!(events::LOAD_REFUSED, "version={}", target.version.0);
                 false
             }
-            // It may have been taken; the report shows it before another is given.
+            // It may have been accepted; the next report shows that before another order is sent.
             Err(error) => {
                 log_event!(events::LOAD_REFUSED, "{error}");
                 true
@@ -273,16 +275,16 @@
         }
     }
 
-    /// Whether all requests of this host's service may go on elsewhere.
+    /// Whether all requests of this host's service can resume at another backend server.
     pub(super) fn may_abort(&self) -> bool {
         let snapshot = self.book.snapshot().load();
         let catalog = snapshot.catalog.as_ref();
         catalog.is_some_and(|catalog| catalog.can_resume_elsewhere(&self.identity.service))
     }
 
-    /// The engine's state just before an order: when it works on few requests, if these are cut off, or when
-    /// what waits there would begin on weights that may answer no more. None if the engine told of a former
-    /// state.
+    /// Waits for a good time for the order and returns the engine's state. The time has come when
+    /// few requests are in progress and may be aborted, or when queued requests would begin on
+    /// expired weights. Returns none if the response was outdated.
     async fn state_for_order(&self, may_abort: bool) -> SwitchResult<Option<EngineState>> {
         let until = clock_now() + DRAIN_WAIT_MAX;
         loop {
--- a/src/replication/events.rs
+++ b/src/replication/events.rs
@@ -5,43 +5,44 @@
 pub(crate) const SERVING: LogEvent = LogEvent::info(1300, "listening");
 pub(crate) const ENGINE_UNRESPONSIVE: LogEvent = LogEvent::warn(1301, "the engine does not answer");
 pub(crate) const ENGINE_RESPONSIVE: LogEvent = LogEvent::info(1302, "the engine answers");
-pub(crate) const FETCH_STARTED: LogEvent = LogEvent::info(1303, "a version is being fetched");
-pub(crate) const VERSION_STAGED: LogEvent = LogEvent::info(1304, "a version is staged whole");
+pub(crate) const FETCH_STARTED: LogEvent = LogEvent::info(1303, "fetch of a version started");
+pub(crate) const VERSION_STAGED: LogEvent =
+    LogEvent::info(1304, "all chunks of a version are present");
 pub(crate) const CHUNK_CORRUPT: LogEvent =
     LogEvent::warn(1305, "a chunk does not match its digest");
-pub(crate) const CHUNK_FETCH_FAILED: LogEvent = LogEvent::info(1306, "a chunk did not come");
+pub(crate) const CHUNK_FETCH_FAILED: LogEvent = LogEvent::info(1306, "a chunk was not received");
 pub(crate) const STAGED_CHUNK_CORRUPT: LogEvent =
-    LogEvent::warn(1307, "a staged chunk has gone bad and is fetched again");
+    LogEvent::warn(1307, "a staged chunk is corrupt and is fetched again");
 pub(crate) const LOAD_ORDERED: LogEvent = LogEvent::info(1308, "the engine was ordered to load");
 pub(crate) const LOAD_REFUSED: LogEvent = LogEvent::warn(1309, "the engine refused an order");
 pub(crate) const VERSION_SERVED: LogEvent = LogEvent::info(1310, "the engine serves a version");
 pub(crate) const DIGESTS_FAILED: LogEvent =
-    LogEvent::warn(1311, "the digests of a version were not read");
+    LogEvent::warn(1311, "reading the digests of a version failed");
 pub(crate) const DIGESTS_SUSPECT: LogEvent = LogEvent::warn(
     1312,
-    "the digests are read again: chunks of several sources do not match",
+    "chunks from several sources do not match; reading the digests again",
 );
-pub(crate) const FETCH_ABANDONED: LogEvent = LogEvent::info(1313, "a version is no longer wanted");
+pub(crate) const FETCH_ABANDONED: LogEvent =
+    LogEvent::info(1313, "fetch abandoned: the version is no longer the target");
 pub(crate) const ENTRIES_UNRESPONSIVE: LogEvent =
-    LogEvent::warn(1314, "no entry host answers; the store is read instead");
-pub(crate) const STORE_READ_FAILED: LogEvent = LogEvent::warn(1315, "the store was not read");
+    LogEvent::warn(1314, "no entry host answers; reading the store instead");
+pub(crate) const STORE_READ_FAILED: LogEvent = LogEvent::warn(1315, "reading the store failed");
 pub(crate) const LINK_SLOW: LogEvent = LogEvent::warn(
     1316,
-    "the link carries less than it should; weights get less of it",
+    "the link is slower than configured; reducing the rate of weights",
 );
-pub(crate) const WAIT_CHANGED: LogEvent = LogEvent::info(1317, "the host waits for something else");
+pub(crate) const WAIT_CHANGED: LogEvent =
+    LogEvent::info(1317, "what the host waits for has changed");
 pub(crate) const ENGINE_RESTARTED: LogEvent = LogEvent::warn(
     1318,
-    "the engine has started again; what was known of it is looked at anew",
+    "the engine restarted; its staged chunks are checked again",
 );
 pub(crate) const LEASE_UNREADABLE: LogEvent =
-    LogEvent::warn(1319, "a lease on load reports does not read");
-pub(crate) const PREVIOUS_RETIRED: LogEvent = LogEvent::info(
-    1320,
-    "the engine was ordered off weights that may answer no more",
-);
+    LogEvent::warn(1319, "a lease on load reports is malformed");
+pub(crate) const PREVIOUS_RETIRED: LogEvent =
+    LogEvent::info(1320, "the engine was ordered to release expired weights");
 
-/// All of this slice's events.
+/// All log events of this module.
 pub(crate) const ALL: &[LogEvent] = &[
     SERVING,
     ENGINE_UNRESPONSIVE,
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -1,4 +1,5 @@
-//! The daemon beside an engine on the users' platform: its parts put together.
+//! The daemon colocated with an engine on the users' platform: creates its tasks and their shared
+//! state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,12 +24,12 @@
 use crate::transport::{ClientLimits, HttpServer, PeerClient, start_metrics};
 use crate::weights::{LineHost, LinkPacer};
 
-/// Other hosts find out within one call that this one is gone; nothing waits for it.
+/// Other hosts notice within one call that this one has stopped; nothing has to wait for it.
 const STOP_LINGER: Duration = Duration::from_millis(100);
-/// The part of the link that weights may fill. The rest is for the engine's live answers and for what
-/// goes with each chunk: headers, questions, packets.
+/// Part of the link that weights may use. The rest is for the engine's responses and for the
+/// overhead of chunks: headers, queries, packets.
 const WEIGHTS_LINK_SHARE: f64 = 0.8;
-/// The size of a chunk in use; only estimates of time come from it.
+/// Size of a chunk in use, for time estimates only.
 const CHUNK_BYTES: f64 = 24_576.0;
 const STOP_LONGEST: Duration = Duration::from_millis(400);
 
@@ -36,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// `SettingInvalid` when a setting is missing or an address cannot be had.
+/// `SettingInvalid` if a setting is missing or an address is not available.
 pub(crate) async fn run_backend_host(settings: PlatformSettings) -> SwitchResult<()> {
     let parts = HostParts::new(&settings)?;
     let leases = SocketAddr::new(settings.ip, settings.peer_port);
@@ -52,7 +53,7 @@
     serve_peers(&settings, parts).await
 }
 
-/// Answers other hosts until the process is told to stop.
+/// Serves other hosts until the process is told to stop.
 async fn serve_peers(settings: &PlatformSettings, parts: HostParts) -> SwitchResult<()> {
     let peers = SocketAddr::new(settings.ip, settings.peer_port);
     let server = HttpServer::bind(peers, chunk_routes(parts.store, parts.pacer)).await?;
@@ -66,7 +67,7 @@
     Ok(())
 }
 
-/// What the daemon's tasks share.
+/// State shared by the daemon's tasks.
 struct HostParts {
     identity: HostIdentity,
     client: Arc<PeerClient>,
@@ -163,7 +164,7 @@
     })
 }
 
-/// The part of the link that weights may fill, in bytes a second.
+/// Part of the link that weights may use, in bytes per second.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/src/replication/host_wait.rs
+++ b/src/replication/host_wait.rs
@@ -1,4 +1,4 @@
-//! What a host waits for on its way to the wanted weights, for the log and a gauge.
+//! What a host waits for until its engine has the target weights, for the log and a gauge.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -10,30 +10,30 @@
 use crate::events::log_event;
 use crate::metrics;
 
-/// The gauge's name; its level is the place in [`HostWait`].
+/// Name of the gauge. Its level is the index of the variant of [`HostWait`].
 const GAUGE_NAME: &str = "host_waits_for";
 
-/// What a host waits for. A live host beside an engine that does not hold the wanted weights waits
-/// for one of these, and never for nothing.
+/// What a host waits for. While its engine does not hold the target weights, a host always waits
+/// for one of these other than `Nothing`.
 #[apply(key!)]
 pub(super) enum HostWait {
-    /// The engine holds the wanted weights, and other hosts can be given them.
+    /// The engine holds the target weights, and other hosts can fetch them here.
     Nothing,
-    /// A document that names the engine's model.
+    /// A document with the engine's model.
     Document,
     /// The engine, which does not answer.
     Engine,
-    /// The digests of the wanted version, without which no chunk can be checked or passed on.
+    /// The digests of the target version, which are needed to check and pass on chunks.
     Digests,
-    /// Chunks of it, those that lie staged included.
+    /// Chunks of the target version, including the check of staged ones.
     Chunks,
-    /// Its turn among the hosts that change their engines.
+    /// Its load time, according to its rank among the hosts that load the version.
     Schedule,
-    /// The staging of the whole version.
+    /// The staging of the complete version.
     Staging,
-    /// The engine's answer to the order.
+    /// The engine's response to the order.
     Order,
-    /// The end of the order.
+    /// The end of the load.
     Load,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the two tasks wait for that bring a version here and load it.
+/// What the fetching task and the loading task wait for.
 #[derive(Debug, Default)]
 pub(super) struct WaitState {
     fetch: Option<HostWait>,
@@ -62,19 +62,20 @@
 }
 
 impl WaitState {
-    /// The fetching task waits for `wait`.
+    /// Sets what the fetching task waits for. Returns the host's wait if it changed.
     pub(super) fn set_fetch(&mut self, wait: HostWait) -> Option<HostWait> {
         self.fetch = Some(wait);
         self.take_change()
     }
 
-    /// The loading task waits for `wait`; for none if no version is whole.
+    /// Sets what the loading task waits for; none if no version is complete. Returns the host's
+    /// wait if it changed.
     pub(super) fn set_load(&mut self, wait: Option<HostWait>) -> Option<HostWait> {
         self.load = wait;
         self.take_change()
     }
 
-    /// The engine holds what was loaded.
+    /// Records that the engine holds the loaded version. Returns the host's wait if it changed.
     pub(super) fn end_load(&mut self) -> Option<HostWait> {
         if self.fetch == Some(HostWait::Schedule) {
             self.fetch = Some(HostWait::Nothing);
@@ -82,8 +83,8 @@
         self.set_load(None)
     }
 
-    /// What the host waits for, if that was not told yet. Without an answer of the engine no load
-    /// goes on.
+    /// The host's wait, if it was not published yet. A load can't proceed while the engine does not
+    /// answer, so that this takes precedence.
     fn take_change(&mut self) -> Option<HostWait> {
         let wait = match self.fetch {
             Some(HostWait::Engine | HostWait::Document) => self.fetch,
@@ -97,7 +98,7 @@
     }
 }
 
-/// Tells what the host waits for whenever that changes.
+/// Publishes what the host waits for whenever it changes.
 #[derive(Debug)]
 pub(super) struct WaitPublisher {
     service: ByteString,
@@ -105,7 +106,7 @@
 }
 
 impl WaitPublisher {
-    /// The board of a host beside an engine of `service`.
+    /// Creates the publisher of a host whose engine belongs to `service`.
     pub(super) fn new(service: ByteString) -> Self {
         Self {
             service,
@@ -113,17 +114,17 @@
         }
     }
 
-    /// As [`WaitState::set_fetch`].
+    /// See [`WaitState::set_fetch`].
     pub(super) fn set_fetch(&self, wait: HostWait) {
         self.change(|state| state.set_fetch(wait));
     }
 
-    /// As [`WaitState::set_load`].
+    /// See [`WaitState::set_load`].
     pub(super) fn set_load(&self, wait: Option<HostWait>) {
         self.change(|state| state.set_load(wait));
     }
 
-    /// As [`WaitState::end_load`].
+    /// See [`WaitState::end_load`].
     pub(super) fn end_load(&self) {
         self.change(WaitState::end_load);
     }
--- a/src/replication/load_rank.rs
+++ b/src/replication/load_rank.rs
@@ -1,9 +1,10 @@
-//! When a host's engine changes to a newer version.
+//! Determines when a host's engine loads a newer version.
 //!
-//! An engine that changes takes nothing new until what it works on has ended, two to three seconds.
-//! Hosts become whole at about the same time; if all changed then, no place would be left for those
-//! seconds. So they change one after the other, in an order that each works out for itself, until
-//! shortly before the older version may no longer be used.
+//! An engine that changes its weights takes no requests until those in progress have ended, which
+//! takes two to three seconds. Hosts complete a version at about the same time. If all engines
+//! loaded it then, no slot would be left for those seconds. Hosts therefore load one after the
+//! other until shortly before the deadline of the previous version, in an order that each computes
+//! for itself.
 
 use std::time::Duration;
 
@@ -11,11 +12,11 @@
 use crate::time::ClockTime;
 use crate::weights::PlanHost;
 
-/// How long before the bound the last engine begins to change: entry hosts stop sending to older
-/// versions about then.
+/// How long before the deadline the last engine starts its load. Entry hosts stop sending requests
+/// to previous versions at about that time.
 const LAST_LOAD_LEAD: Duration = Duration::from_millis(1300);
 
-/// This host's place in the order.
+/// This host's rank in the load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadRank {
     pub(super) rank: u32,
@@ -23,8 +24,8 @@
 }
 
 impl LoadRank {
-    /// The place of the host called `me`, in `data_centre`, among `others`. Data centres take turns,
-    /// so that each loses the same part of its engines at a time.
+    /// The rank of the host `me`, in `data_centre`, among `others`. The order alternates between
+    /// data centres, so that each loses the same part of its engines at a time.
     pub(super) fn new(me: &str, data_centre: &str, others: &[PlanHost]) -> Self {
         let lines = others.iter().map(|host| &host.line);
         let mut hosts: Vec<(&str, &str)> = lines
@@ -47,8 +48,9 @@
         }
     }
 
-    /// When this host's engine changes, if the host was whole at `complete_at` and `due` is the oldest
-    /// version that the engine is behind, which must be served `weights_deadline` after it was named.
+    /// When this host's engine loads, given that the version was complete here at `complete_at`.
+    /// `due` is the oldest target that the engine does not serve yet; it must be in service
+    /// `weights_deadline` after its target update.
     pub(super) fn load_at(
         self,
         complete_at: ClockTime,
--- a/src/replication/load_reports.rs
+++ b/src/replication/load_reports.rs
@@ -1,4 +1,4 @@
-//! Asks the engine for its state some times a second and reports it to entry hosts.
+//! Queries the engine's state several times a second and reports it to entry hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::time::clock_now;
 use crate::transport::{decode_message, encode_datagram};
 
-/// How often entry hosts hear of a load. A model server begins about ten requests a second, so that
-/// an entry host's view is off by two requests at most; a report is some 200 bytes.
+/// Interval of load reports. A model server begins about ten requests a second, so that an entry
+/// host's view is off by two requests at most. A report has about 200 bytes.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(600);
 const LEASE_BYTES_MAX: usize = 256;
 
-/// What the reports work with.
+/// What the reporting task works with.
 pub(super) struct ReportContext {
     pub(super) address: SocketAddr,
     pub(super) data_centre: ByteString,
@@ -30,7 +30,7 @@
     pub(super) monitor: Arc<EngineMonitor>,
 }
 
-/// Reports for as long as the process lives; `socket` takes leases.
+/// Sends reports for the lifetime of the process; leases arrive at `socket`.
 pub(super) async fn report_load(context: ReportContext, socket: UdpSocket) {
     let mut leases = ReportLeases::new(context.data_centre.clone());
     let mut last: Option<LoadReport> = None;
@@ -64,7 +64,7 @@
                 context.monitor.note_unresponsive();
             }
         }
-        // The next report is due after the pause, or as soon as there is something to tell.
+        // The next report is due after the interval, or as soon as there is a change to report.
         context.monitor.wait(REPORT_INTERVAL).await;
     }
 }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Takes the leases that have come since the last report.
+/// Takes in the leases received since the last report.
 fn take_leases(socket: &UdpSocket, leases: &mut ReportLeases) {
     let mut buffer = [0; LEASE_BYTES_MAX];
     while let Ok((length, peer)) = socket.try_recv_from(&mut buffer) {
@@ -100,7 +100,7 @@
         return;
     };
     for receiver in receivers {
-        // A report that is lost is followed by the next.
+        // A lost report is superseded by the next one.
         let _ = socket.send_to(&datagram, receiver).await;
     }
 }
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,6 +1,6 @@
-//! Beside an engine on the users' platform: tells entry hosts the engine's load, brings the wanted
-//! version's chunks from other hosts and the origin, checks and stages them, and orders the engine
-//! to load a whole version.
+//! Runs colocated with an engine on the users' platform. It reports the engine's load to entry
+//! hosts, fetches the chunks of the target version from other hosts and the origin, checks and
+//! stages them, and orders the engine to load the complete version.
 
 mod chunk_fetch;
 mod chunk_messages;
--- a/src/replication/tests/backend_host.rs
+++ b/src/replication/tests/backend_host.rs
@@ -1,4 +1,4 @@
-//! The daemon beside a stand-in of an engine, for tests that end it and start it.
+//! Fixture: a host's daemon with a stand-in for its engine, which tests can stop and restart.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -21,18 +21,18 @@
 use crate::weights::HaveWord;
 
 /// Far longer than a host needs for anything here, and shorter than the nine seconds for which it
-/// waits for the end of an order.
+/// waits for the end of a load.
 pub(super) const WAIT_MAX: Duration = Duration::from_secs(6);
-/// A host that asks for the fourth time, 0.2 seconds after the third, has done what follows from the
-/// answer to the first, or to the second if its other task asked first.
+/// Number of reports after which the host has acted on the first. The fourth query is sent 0.2
+/// seconds after the third, and the second may have been sent by the other task.
 const REPORTS_MIN: usize = 4;
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Below the ports that connections are opened from.
+/// Below the ephemeral port range.
 const PEER_PORT: u16 = 7700;
-/// A link that never holds anything up.
+/// Link rate that never delays anything.
 const LINK_BYTES_PER_S: f64 = 1e9;
 
-/// A host with its engine, the origin and the store that tells what is wanted.
+/// A host with its engine, the origin, and the store that contains the target version.
 pub(super) struct BackendHost {
     pub(super) engine: FakeEngine,
     pub(super) origin: FakeOrigin,
@@ -42,12 +42,12 @@
 }
 
 impl BackendHost {
-    /// Starts a host beside an engine that holds nothing; version 1 is wanted.
+    /// Starts a host whose engine holds nothing. The target is version 1.
     pub(super) async fn start(birth: BirthWord) -> Self {
         Self::start_among(birth, &[]).await
     }
 
-    /// The same, where the store names `entries` as entry hosts.
+    /// Like [`Self::start`], with the entry hosts `entries` in the store.
     pub(super) async fn start_among(birth: BirthWord, entries: &[EntryRecord]) -> Self {
         let engine = FakeEngine::start(birth).await;
         let origin = FakeOrigin::start().await;
@@ -62,7 +62,7 @@
             .worker_threads(1)
             .enable_all()
             .build()
-            .expect("a thread can be had");
+            .expect("a thread is available");
         runtime.spawn(run_backend_host(settings(&engine, &store, peers)));
         Self {
             engine,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// An entry host follows the store from now on, and tells the host of it.
+    /// Starts an entry host that follows the store and answers the host's queries.
     pub(super) async fn start_entry(&self) {
         let control = free_address().await;
         let settings = SyncSettings {
@@ -88,30 +88,30 @@
         };
         let book = start_sync(settings, DrainState::new(Duration::ZERO, Duration::ZERO));
         let is_there = || !book.read(|book| book.entries().is_empty());
-        self.await_that("the entry host is entered", is_there).await;
+        self.await_that("the entry host is listed", is_there).await;
     }
 
-    /// Where it answers other processes.
+    /// Address on which the host answers other processes.
     pub(super) const fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Version `version` is wanted from now on.
+    /// Sets `version` as target.
     pub(super) fn set_target(&self, version: u64) {
         let (key, text) = naming_sample(version);
         self.store.put(TableName::Operator, key, &text);
     }
 
-    /// Waits until the engine holds `version` and the host has heard so.
+    /// Waits until the engine holds `version` and the host knows it.
     pub(super) async fn await_served(&self, version: u64) {
         self.await_held(version).await;
         self.await_reports().await;
     }
 
-    /// Waits until the host has taken in what the engine holds.
+    /// Waits until the host has processed the engine's state.
     pub(super) async fn await_reports(&self) {
         let has_reported = || self.engine.reports() >= REPORTS_MIN;
-        self.await_that("the host hears of it", has_reported).await;
+        self.await_that("the host knows it", has_reported).await;
     }
 
     /// Waits until the engine holds `version`.
@@ -120,7 +120,7 @@
         self.await_that("the engine holds the version", held).await;
     }
 
-    /// Waits until `is_so`.
+    /// Waits until `is_so` returns true.
     pub(super) async fn await_that(&self, what: &str, is_so: impl Fn() -> bool) {
         let waiting = async {
             while !is_so() {
@@ -128,13 +128,10 @@
             }
         };
         let waited = timeout(WAIT_MAX, waiting).await;
-        assert!(
-            waited.is_ok(),
-            "in {WAIT_MAX:?} it did not come that {what}"
-        );
+        assert!(waited.is_ok(), "timed out after {WAIT_MAX:?}: {what}");
     }
 
-    /// Chunks read from the origin, chunks staged, and orders begun.
+    /// Numbers of chunks read from the origin, chunks staged and orders accepted.
     pub(super) fn work_done(&self) -> (usize, usize, usize) {
         let (engine, origin) = (&self.engine, &self.origin);
         (
@@ -144,7 +141,7 @@
         )
     }
 
-    /// What it tells other hosts of `version`.
+    /// What the host announces about `version` to other hosts.
     pub(super) async fn announcement(&self, version: u64) -> Option<HaveWord> {
         let client = PeerClient::new(ClientLimits::default());
         let target = ModelVersion {
@@ -159,7 +156,7 @@
         called.await.ok()
     }
 
-    /// Nothing of it is left.
+    /// Checks that no corrupt chunk was loaded, and stops the host.
     pub(super) fn end(self) {
         assert_eq!(self.engine.bad_loads(), 0, "the engine loaded bad chunks");
         self.runtime.shutdown_background();
@@ -191,8 +188,8 @@
     }
 }
 
-/// An address of this machine that no other test uses, nor another run of the tests beside this one. A
-/// port that was free a moment ago may by now be one end of another test's connection.
+/// A loopback address that is used by no other test and by no concurrent test run. A port that was
+/// free a moment ago could by now be the local port of another test's connection.
 fn unique_address() -> SocketAddr {
     static HOSTS: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
--- a/src/replication/tests/digest_sources.rs
+++ b/src/replication/tests/digest_sources.rs
@@ -1,4 +1,4 @@
-//! Who reads the digests of a version, and who asks whom.
+//! Which hosts read the digests of a version, and from where.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// Guards against hundreds of hosts that read the digests from the origin at once, over the link and the
-/// connections that the chunks need.
+/// Guards against hundreds of hosts that read the digests from the origin at once, over the link
+/// and the connections that are needed for chunks.
 #[test]
 fn two_hosts_of_hundreds_read_the_origin_at_once() {
     let hosts = hosts();
@@ -44,12 +44,12 @@
         .iter()
         .filter(|line| line.choose(0.0).is_some() && line.wait_limit() <= Duration::from_secs(1));
     let most = 2 * usize::from(CENTRES);
-    assert!(soon.count() <= most, "others wait for those before them");
+    assert!(soon.count() <= most, "others wait for higher-ranked hosts");
 }
 
-/// Guards against one host that answers all others, over a link that takes two seconds for it.
+/// Guards against one host that answers all others, which takes two seconds of its link.
 #[test]
-fn a_host_is_asked_for_digests_by_a_few_dozen() {
+fn a_host_is_queried_for_digests_by_a_few_dozen() {
     let hosts = hosts();
     let mut asked = vec![0_u32; hosts.len()];
     for host in &hosts {
--- a/src/replication/tests/host_waits.rs
+++ b/src/replication/tests/host_waits.rs
@@ -1,11 +1,11 @@
-//! What a host says that it waits for.
+//! What a host publishes about its waits.
 
 use crate::replication::host_wait::{HostWait, WaitState};
 
-/// A host that had stopped on its way to the wanted weights said nothing, and one saw it only by what
-/// was missing in its log. Each change is told, and each once.
+/// Failure: a host that was stuck before it had the target weights logged nothing, so that the
+/// fault showed only by missing log lines. Each change must be published, exactly once.
 #[test]
-fn a_host_tells_each_change_of_what_it_waits_for_once() {
+fn a_host_publishes_each_change_of_its_wait_once() {
     let mut state = WaitState::default();
     assert_eq!(state.set_load(None), None, "nothing is known yet");
     let fetch = [HostWait::Document, HostWait::Engine, HostWait::Chunks];
@@ -25,10 +25,10 @@
     assert_eq!(state.set_fetch(HostWait::Nothing), None);
 }
 
-/// An engine that falls silent in the middle of a load is what is waited for; and a load that ended
-/// while a newer version is fetched leaves the host waiting for that.
+/// An engine that stops answering during a load is what the host waits for. After the end of a
+/// load, the host waits for the newer version that is being fetched.
 #[test]
-fn a_silent_engine_and_a_newer_version_are_told() {
+fn an_unresponsive_engine_and_a_newer_version_are_published() {
     let mut state = WaitState::default();
     state.set_fetch(HostWait::Schedule);
     state.set_load(Some(HostWait::Load));
--- a/src/replication/tests/incarnations.rs
+++ b/src/replication/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which reports tell of another incarnation of the engine.
+//! Which reports reveal another incarnation of the engine.
 
 use crate::fleet::{EngineHoldings, HeldLayers, WeightsVersion};
 use crate::platform::EngineReport;
@@ -34,10 +34,10 @@
     tracker
 }
 
-/// The time of its start decides: the counts of a new incarnation may have caught up with the former
-/// one's, and the same incarnation may be empty or silent for a while.
+/// The start time decides: the counts of a new incarnation may have caught up with those of the
+/// former one, and one incarnation may be empty or unresponsive for a while.
 #[test]
-fn a_later_start_is_another_incarnation_and_the_same_start_is_none() {
+fn a_later_start_time_is_a_new_incarnation_and_the_same_one_is_not() {
     let mut tracker = tracker_of(&report(FIRST, 1, true));
     let before = tracker.incarnation();
     assert_eq!(
@@ -52,10 +52,10 @@
     assert!(tracker.incarnation() > before);
 }
 
-/// Late answers of the former incarnation are passed over, but an engine whose clock was set back
-/// before it started again must not be taken for its former self for good.
+/// Delayed reports of the former incarnation are ignored, but an engine whose clock was set back
+/// before its restart must not be mistaken for its former incarnation forever.
 #[test]
-fn an_earlier_start_counts_once_it_is_told_again_and_again() {
+fn an_earlier_start_time_counts_after_repeated_reports() {
     let mut tracker = tracker_of(&report(LATER, 0, false));
     let earlier = report(FIRST, 1, true);
     for _ in 0..2 {
@@ -70,9 +70,9 @@
     assert_eq!(tracker.take(&earlier, false), ReportOrigin::Known);
 }
 
-/// Without a time of start, only what is told can show that nothing of before is known.
+/// Without a start time, only lost state reveals a restart.
 #[test]
-fn without_a_time_of_start_lost_counts_and_holdings_tell_a_restart() {
+fn without_a_start_time_lost_counts_and_holdings_reveal_a_restart() {
     let told = |next: EngineReport, was_unresponsive| {
         tracker_of(&report(None, 2, true)).take(&next, was_unresponsive)
     };
@@ -93,7 +93,7 @@
         let origin = told(next.clone(), was_unresponsive);
         assert_eq!(
             origin, expected,
-            "{next:?}, silent before: {was_unresponsive}"
+            "{next:?}, unresponsive before: {was_unresponsive}"
         );
     }
 }
--- a/src/replication/tests/messages.rs
+++ b/src/replication/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts of backend servers that came to harm.
+//! Corrupt messages between hosts of backend servers.
 
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::replication::chunk_messages::{ChunkQuery, ChunkResponse};
@@ -10,7 +10,7 @@
 const CASE_BYTES: u32 = 512;
 
 #[test]
-fn whatever_another_host_sends_about_chunks_ends_no_thread() {
+fn corrupt_chunk_messages_cause_no_panic() {
     let query = ChunkQuery {
         target: ModelVersion {
             model: "m".into(),
--- a/src/replication/tests/reports.rs
+++ b/src/replication/tests/reports.rs
@@ -1,4 +1,4 @@
-//! To whom a host reports its engine's load, and how often.
+//! To which entry hosts a host reports its engine's load, and how often.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::sync::EntryRecord;
 use crate::transport::encode_message;
 
-/// Entry hosts of the host's data centre, and of each of four others.
+/// Entry hosts of each data centre: that of the host and four others.
 const ENTRIES: usize = 20;
 const DATA_CENTRES: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Time for the host to read its entry hosts, and for leases to be taken.
+/// Time for the host to learn of the entry hosts and their leases.
 const SETTLE: Duration = Duration::from_millis(3500);
 const COUNTED: Duration = Duration::from_secs(2);
 const RENEWAL: Duration = Duration::from_millis(400);
-/// Reports of a host in a second.
+/// Reports of a host per second.
 const REPORTS_PER_S: usize = 5;
 const RELAYS: usize = 2;
 
-/// A relay's request for reports, as it stands on the wire.
+/// A relay's request for reports in its wire format.
 #[apply(message!)]
 struct LeaseRequest {
     relay: SocketAddr,
 }
 
-/// Entry hosts that only take datagrams.
+/// Entry hosts that only receive datagrams.
 struct ReportSinks {
     sockets: Vec<UdpSocket>,
     records: Vec<EntryRecord>,
@@ -58,19 +58,19 @@
         sinks
     }
 
-    /// The first entry hosts of the data centre ask the host at `leases` for reports.
+    /// Sends requests for reports to `leases` from the first entry hosts of the data centre.
     async fn ask(&self, leases: SocketAddr) {
         for (socket, record) in self.sockets.iter().zip(&self.records).take(RELAYS) {
             let lease = LeaseRequest {
                 relay: record.reports,
             };
             let datagram = encode_message(&lease).expect("it encodes");
-            // A host that takes none answers by a refusal, which the next receive tells.
+            // A host that accepts no leases causes an ICMP error, which the next receive returns.
             let _ = socket.send_to(&datagram, leases).await;
         }
     }
 
-    /// The datagrams that have come to each.
+    /// Number of datagrams that each entry host has received.
     fn take_all(&self) -> Vec<usize> {
         let mut buffer = [0; 2048];
         let count = |socket: &UdpSocket| {
@@ -84,8 +84,9 @@
     }
 }
 
-/// Guards against reports that grow with the number of entry hosts: 138 hosts that told each of 98
-/// five times a second took the links and processors that requests needed.
+/// Guards against a reporting load that grows with the number of entry hosts: 138 hosts that
+/// reported to each of 98 five times a second used up the links and processors that requests
+/// needed.
 #[tokio::test]
 async fn a_host_reports_to_its_relays_only() {
     let sinks = ReportSinks::start().await;
--- a/src/replication/tests/restarts.rs
+++ b/src/replication/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! An engine that starts again under its name beside a host whose process lives on.
+//! Engines that restart under the same name while the host's process keeps running.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::platform::{BirthWord, EngineCall, StagedRest};
 use crate::weights::HaveWord;
 
-/// Longer than the host needs to see that its engine is silent.
+/// Longer than the host needs to notice that its engine is unresponsive.
 const OUTAGE: Duration = Duration::from_millis(500);
 
-/// A third of the engines crashed and were back 1.5 seconds later under their names. Each host told
-/// `[1302] the engine answers: holdings=EngineHoldings { models: [], layers: [] }` and then nothing
-/// for the rest of the day: no `[1303]`, no `[1308]`. The host took the version for here, since all
-/// of its chunks lay staged, but ordered the engine to load only what was in its own memory. Every
-/// chunk was still staged, so that nothing needs to be brought again.
+/// Failure: a third of the engines crashed and restarted 1.5 seconds later under the same names.
+/// Each host logged `[1302] the engine answers: holdings=EngineHoldings { models: [], layers: [] }`
+/// and nothing else for the rest of the day: no `[1303]`, no `[1308]`. The host considered the
+/// version present because all of its chunks were staged, but it only ordered loads of versions in
+/// its own memory. Since every chunk is still staged, none needs to be fetched again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_that_starts_again_loads_what_is_still_staged() {
+async fn a_restarted_engine_loads_what_is_still_staged() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     let read = host.origin.chunks_read();
@@ -30,10 +30,10 @@
     host.end();
 }
 
-/// As above, but nothing was staged any more. The host told `[1302]` with empty holdings; it went on
-/// telling other hosts that it held every chunk, and brought none.
+/// As above, but nothing was staged any more. Failure: the host logged `[1302]` with empty
+/// holdings, kept announcing to other hosts that it held every chunk, and fetched none.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_that_starts_again_with_nothing_staged_gets_its_weights_anew() {
+async fn a_restarted_engine_with_nothing_staged_gets_its_weights_again() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     let read = host.origin.chunks_read();
@@ -45,10 +45,10 @@
     host.end();
 }
 
-/// Staged chunks survive a crash, but some had gone bad. Loaded as they lay, they would have made
-/// tokens of spoiled weights. Only the bad ones are brought again.
+/// Staged chunks survive a crash, but some are corrupt. If they were loaded unchecked, the engine
+/// would generate tokens from corrupt weights. Only the corrupt ones are fetched again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn chunks_that_went_bad_in_a_crash_are_brought_again() {
+async fn chunks_corrupted_by_a_crash_are_fetched_again() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     let read = host.origin.chunks_read();
@@ -58,10 +58,10 @@
     host.end();
 }
 
-/// The engine was back before the host asked again, so that no report failed; and it says nothing of
-/// its start. Its empty holdings tell that it knows nothing of before.
+/// The engine restarts before the host queries it again, so that no query fails, and does not
+/// report its start time. Its empty holdings reveal that it has lost its state.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_quick_restart_without_a_time_of_start_is_seen_by_what_is_held() {
+async fn a_quick_restart_without_a_start_time_is_detected_by_its_holdings() {
     let host = BackendHost::start(BirthWord::Untold).await;
     host.await_served(1).await;
     host.engine.restart(StagedRest::Gone);
@@ -69,10 +69,10 @@
     host.end();
 }
 
-/// A host whose engine had lost its staged chunks told others that it held all of them; these asked
-/// it for chunks that it could not give, and waited.
+/// Failure: a host whose engine had lost its staged chunks announced all of them. Other hosts
+/// requested chunks that it could not provide, and waited.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn other_hosts_are_told_at_once_that_nothing_is_held_any_more() {
+async fn other_hosts_learn_at_once_that_nothing_is_held_any_more() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     let held =
@@ -89,10 +89,10 @@
     host.end();
 }
 
-/// An engine that froze answers again with what it held. Nothing is brought, staged or ordered anew:
-/// each would cost the engine the requests that it works on.
+/// A stalled engine resumes with the weights that it held. Nothing may be fetched, staged or
+/// ordered again, since each of these would cost the engine the requests in progress.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_that_was_only_silent_keeps_what_it_has() {
+async fn an_engine_that_was_only_unresponsive_keeps_its_weights() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     let before = host.work_done();
@@ -105,10 +105,10 @@
     host.end();
 }
 
-/// The engine started again while half of the chunks were here. What the host itself holds stays, and
-/// the rest is fetched.
+/// The engine restarts when half of the chunks are present. The chunks in the host's memory stay,
+/// and the rest is fetched.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_fetch_goes_on_over_a_restart() {
+async fn a_fetch_continues_after_a_restart() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.origin.hand_out_only(3);
     let has_part = || host.origin.chunks_read() == 3;
@@ -123,10 +123,10 @@
     host.end();
 }
 
-/// The engine started again and lost the chunks of which some had just been staged. Those staged
-/// before and counted as such would have been missing in the load.
+/// The engine restarts and loses its chunks while they are being staged. If those staged before the
+/// restart still counted, they would be missing from the load.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_restart_in_the_middle_of_staging_stages_all_again() {
+async fn a_restart_during_staging_stages_all_chunks_again() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.engine
         .restart_at(EngineCall::Stage, 3, StagedRest::Gone);
@@ -134,10 +134,10 @@
     host.end();
 }
 
-/// The engine started again between the last look at it and the order, which counts on the orders of
-/// the former incarnation and is refused. Given again unchanged it would be refused for good.
+/// The engine restarts between the last query and the order. The order contains the order count of
+/// the former incarnation and is refused; repeated unchanged, it would be refused forever.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_order_that_meets_a_new_incarnation_is_made_out_anew() {
+async fn an_order_refused_by_a_new_incarnation_is_created_anew() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     host.engine
@@ -147,10 +147,11 @@
     host.end();
 }
 
-/// The engine took the order and started again before its end, sooner than a report could fail. The
-/// host waited nine seconds for a version that could not come: `[1308]`, and no `[1310]` behind it.
+/// Failure: the engine accepted the order and restarted before it had finished, too quickly for a
+/// query to fail. The host waited nine seconds for a version that could not come: `[1308]`, and no
+/// `[1310]` after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_wait_for_the_end_of_an_order_ends_with_the_incarnation() {
+async fn a_wait_for_the_end_of_a_load_ends_with_the_incarnation() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.engine.hold_orders();
     host.await_that("an order is begun", || host.engine.orders_begun() == 1)
@@ -161,10 +162,10 @@
     host.end();
 }
 
-/// An answer of the former incarnation came after one of the new. Taken for a further restart it
-/// would have thrown away what had just been staged and loaded.
+/// A response of the former incarnation arrives after one of the new incarnation. If it counted as
+/// another restart, the chunks that were just staged and loaded would be discarded.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_late_report_of_the_former_incarnation_changes_nothing() {
+async fn a_delayed_report_of_the_former_incarnation_is_ignored() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
     host.engine.restart(StagedRest::Gone);
--- a/src/replication/tests/retirement.rs
+++ b/src/replication/tests/retirement.rs
@@ -1,4 +1,4 @@
-//! Engines whose weights may answer no more.
+//! Engines whose weights have expired.
 
 use std::time::Duration;
 
@@ -11,13 +11,14 @@
 use crate::weights::ChunkMap;
 
 const CHUNKS: usize = 6;
-/// How long after a naming the engine still serves the older version, and from when on it no longer may.
+/// Time after a target update at which the engine still serves the previous version, shortly before
+/// that version's deadline.
 const SERVED_FOR: Duration = Duration::from_secs(7);
 const REST: Duration = Duration::from_millis(1500);
-/// By then the host has heard of a new entry host.
+/// Time within which the host learns of a new entry host.
 const HEARD_WITHIN: Duration = Duration::from_secs(1);
 
-/// A host whose engine serves version 1 while `known` chunks of version 2 are to be had.
+/// A host whose engine serves version 1 while `known` chunks of version 2 are available.
 async fn host_with_expired_weights(known: usize) -> BackendHost {
     let host = BackendHost::start(BirthWord::Told).await;
     host.await_served(1).await;
@@ -30,23 +31,23 @@
     host
 }
 
-/// Guards against requests that begin on older weights behind their bound since they reach their engine late.
+/// Guards against requests that begin on expired weights because they reach the engine late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_is_taken_off_older_weights_at_their_bound() {
+async fn an_engine_releases_previous_weights_at_their_deadline() {
     let host = host_with_expired_weights(3).await;
     let cuts = host.engine.cuts();
     sleep(REST).await;
     assert_eq!(host.engine.held(), None);
     assert_eq!(host.engine.held_in_part(), Some(WeightsVersion(2)));
-    assert_eq!(host.engine.cuts(), cuts, "what it works on may end");
+    assert_eq!(host.engine.cuts(), cuts, "requests in progress may end");
     host.origin.hand_out_only(usize::MAX);
     host.await_held(2).await;
     host.end();
 }
 
-/// Guards against requests that wait at their engine until their weights may answer no more.
+/// Guards against requests that are queued at their engine until its weights have expired.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_waits_at_an_engine_at_the_bound_of_its_weights_is_cut_off() {
+async fn requests_queued_at_the_deadline_of_their_weights_are_aborted() {
     let host = host_with_expired_weights(3).await;
     let cuts = host.engine.cuts();
     host.engine.note_queued(2);
@@ -56,9 +57,9 @@
     host.end();
 }
 
-/// Guards against an engine that loads a layer of which a chunk is missing.
+/// Guards against loading a layer of which a chunk is missing.
 #[test]
-fn a_layer_is_whole_with_all_chunks_that_it_shares_with_others() {
+fn a_layer_is_complete_with_all_chunks_that_it_shares_with_others() {
     // Two layers share a chunk where the chunks do not divide evenly.
     assert_eq!(layer_chunks(0, 6, 4), 0..2);
     assert_eq!(layer_chunks(1, 6, 4), 1..3);
--- a/src/replication/version_fetcher.rs
+++ b/src/replication/version_fetcher.rs
@@ -1,4 +1,4 @@
-//! Keeps this host at the wanted version of its engine's model: reads the digests, fetches the chunks.
+//! Fetches the target version of the engine's model: its digests first, then its chunks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,18 +25,19 @@
 use crate::transport::PeerClient;
 use crate::weights::{LineHost, LinkPacer, PlanHost};
 
-/// How often it is looked whether another version is wanted.
+/// How often to check for another target version.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 const DIGESTS_TIMEOUT: Duration = Duration::from_millis(1500);
 const PEER_DIGESTS_TIMEOUT: Duration = Duration::from_millis(400);
-/// The mean pause between two questions for digests.
+/// Mean pause between two queries for digests.
 const DIGEST_PAUSE: Duration = Duration::from_millis(60);
-/// A fetch of which this part of the chunks has left the origin is ended although a newer version is
-/// wanted: the older one binds from its own naming, and without it no engine could serve between the
-/// two. Where more is left, both share the origin's link and neither may come before its bound.
+/// A fetch is finished although there is a newer target if at least this part of the chunks has
+/// left the origin. The older target has a deadline of its own, and without it no engine could
+/// serve requests between the two deadlines. If more is left, both fetches would share the origin's
+/// link and both might miss their deadlines.
 const FINISH_FETCHED_PART: f64 = 0.9;
 
-/// Where this host stands, and beside what.
+/// Identity of this host and of its engine.
 #[derive(Clone, Debug)]
 pub(super) struct HostIdentity {
     pub(super) service: ByteString,
@@ -47,7 +48,7 @@
 }
 
 impl HostIdentity {
-    /// The model of this host's engine, with its number of layers.
+    /// The model of this host's engine, and its number of layers.
     pub(super) fn model_of(&self, snapshot: &ControlSnapshot) -> Option<(ByteString, u32)> {
         let catalog = snapshot.catalog.as_ref()?;
         let engine = catalog.service(&self.service)?.engine.as_ref()?;
@@ -55,8 +56,8 @@
     }
 }
 
-/// The other hosts of the service, as the fetch plan sees them. All stand in one line to the origin,
-/// in whatever region they are, so that it gives each chunk once.
+/// The other hosts of the service, for the fetch plan. They form one group regardless of their
+/// region, so that the origin sends each chunk once.
 pub(super) fn plan_hosts(snapshot: &ControlSnapshot, identity: &HostIdentity) -> Vec<PlanHost> {
     let backends = snapshot.fleet.backends.iter();
     let others = backends.filter(|facts| {
@@ -77,10 +78,10 @@
     hosts
 }
 
-/// What the loop works with.
+/// Fetches target versions.
 pub(super) struct VersionFetcher {
     pub(super) identity: HostIdentity,
-    /// How long a chunk takes on this host's idle link.
+    /// Transfer time of a chunk on this host's idle link.
     pub(super) chunk_span: Duration,
     pub(super) pacer: LinkPacer,
     pub(super) book: SharedBook,
@@ -91,8 +92,9 @@
 }
 
 impl VersionFetcher {
-    /// Works for as long as the process lives. An older version that is nearly here is ended beside the
-    /// fetch of a newer one: what is left of it is on other hosts, and the origin's link is free.
+    /// Runs for the lifetime of the process. A nearly complete older target is finished while a
+    /// newer one is being fetched: its remaining chunks are at other hosts, so that the origin's
+    /// link is free.
     pub(super) async fn run(self) {
         let shared = Arc::new(self);
         let mut fetches: Vec<(ModelVersion, JoinHandle<()>)> = Vec::new();
@@ -110,7 +112,7 @@
         }
     }
 
-    /// One look: which version is to be fetched, if any.
+    /// Checks once which version has to be fetched, if any.
     async fn step(&self) -> SwitchResult<Option<ModelVersion>> {
         let snapshot = self.book.snapshot().load();
         let Some((model, layers)) = self.identity.model_of(&snapshot) else {
@@ -139,7 +141,7 @@
         self.check_unserved(target).await
     }
 
-    /// What is to be fetched of `target`, which the engine does not serve.
+    /// Checks whether chunks of `target`, which the engine does not serve, have to be fetched.
     async fn check_unserved(&self, target: ModelVersion) -> SwitchResult<Option<ModelVersion>> {
         self.store.note_unserved(&target);
         if !self.store.is_staging_checked(&target) {
@@ -159,10 +161,10 @@
         Some(OriginClient::new(origin, self.client.clone()))
     }
 
-    /// The digests of `target`, from the origin or from hosts that stand before this one.
+    /// Gets the digests of `target` from higher-ranked hosts or from the origin.
     ///
-    /// Read by each of hundreds of hosts, the digests would take the origin's link for as long as the
-    /// chunks do, and all its connections.
+    /// If each of hundreds of hosts read them from the origin, the digests would occupy its link
+    /// for as long as the chunks do, and all of its connections.
     async fn read_digests(
         &self,
         snapshot: &ControlSnapshot,
@@ -185,7 +187,7 @@
             sleep(DIGEST_PAUSE.mul_f64(part)).await;
         }
         let Some(origin) = self.origin(snapshot) else {
-            let detail = "the document names no origin of weights";
+            let detail = "the document has no origin of weights";
             return Err(SwitchError::new(ErrorKind::OriginUnavailable, detail));
         };
         let read = origin.read_digests(target, DIGESTS_TIMEOUT).await;
@@ -207,8 +209,8 @@
         called.await.ok()
     }
 
-    /// Closes the connections to the origin. It takes a limited number of them, and hosts that read
-    /// the next version need them.
+    /// Closes the connections to the origin. Their number is limited, and hosts that fetch the next
+    /// version need them.
     fn close_origin_connections(&self, snapshot: &ControlSnapshot) {
         let catalog = snapshot.catalog.as_ref();
         if let Some(origin) = catalog.and_then(|catalog| catalog.weights_origin()) {
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Fetches until the version is whole, or another is wanted.
+    /// Fetches until the version is complete, or another one is the target.
     async fn fetch(&self, target: &ModelVersion) -> SwitchResult<()> {
         let snapshot = self.book.snapshot().load();
         let Some(held) = self.store.held(target) else {
@@ -267,7 +269,7 @@
                 FetchOutcome::Recheck => {}
                 FetchOutcome::DigestsSuspect => {
                     log_event!(events::DIGESTS_SUSPECT, "version={}", target.version.0);
-                    // The next look reads them again, from the origin.
+                    // The origin's digests replace those that may be wrong.
                     self.store.forget(target);
                     return self.renew_digests(&snapshot, target).await;
                 }
@@ -295,7 +297,7 @@
     }
 }
 
-/// The version that the engine should serve; the first, where none was named yet.
+/// The version that the engine should serve; version 1 if no target was set.
 pub(super) fn target_version(snapshot: &ControlSnapshot, model: ByteString) -> ModelVersion {
     match snapshot.newest_version(&model) {
         Some(wanted) => wanted.target.clone(),
--- a/src/replication/view_poller.rs
+++ b/src/replication/view_poller.rs
@@ -1,5 +1,5 @@
-//! How a host of a backend server knows the document, the wanted weights and the other hosts: from
-//! entry hosts, so that the store is asked by few; from the store when none of them answers.
+//! Polls entry hosts for the document, the target versions and the other hosts, so that few
+//! processes query the store. Reads the store if no entry host answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,41 +20,42 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{AnswerPace, PeerClient};
 
-/// How long an entry host holds the question open. A version is told the moment it is known there;
-/// asking four times in a second and a half told it 0.2 s later on average.
+/// How long an entry host holds a query open. It answers as soon as it knows of a new version. Four
+/// queries in a second and a half reported a version 0.2 s later on average.
 const POLL_WAIT: Duration = Duration::from_millis(800);
-/// The pause between two questions.
+/// Pause between two queries.
 const POLL_PAUSE: Duration = Duration::from_millis(50);
-/// How an answer has to arrive: a document of 2,000 routes takes half a second of a host's whole link.
+/// Time limits for a response: a document with 2,000 routes takes half a second of a host's entire
+/// link.
 const POLL_PACE: AnswerPace = AnswerPace {
     head: Duration::from_millis(1300),
     idle: Duration::from_millis(500),
     whole: Duration::from_secs(4),
 };
-/// The pause after a question without an answer.
+/// Pause after a query without a response.
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
-/// Entry hosts in a row that do not answer, after which the store is read.
+/// Failed queries in a row after which the store is read.
 const FAILED_QUERIES_MAX: u32 = 3;
 const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long a host does without a newer document than it has: it needs of it which model its engine is to
-/// serve and where the origin is, and an entry host waits for neither.
+/// How long a host accepts that its document may be outdated. It needs the document only for the
+/// model of its engine and the origin's address, neither of which entry hosts wait for.
 const DOCUMENT_PAUSE: Duration = Duration::from_secs(2);
-/// How long ago a version may have been named that is found in the store.
+/// Assumed time since the target update for a version that is read from the store.
 const TARGET_SET_BEFORE: Duration = Duration::from_secs(5);
 
-/// What the polling works with.
+/// Polls entry hosts and the store.
 pub(super) struct ViewPoller {
     pub(super) client: Arc<PeerClient>,
     pub(super) store: StoreClient,
     pub(super) book: SharedBook,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) data_centre: ByteString,
-    /// When a document last came from an entry host.
+    /// When an entry host last sent a document.
     pub(super) document_at: Option<ClockTime>,
 }
 
 impl ViewPoller {
-    /// Polls for as long as the process lives.
+    /// Polls for the lifetime of the process.
     pub(super) async fn run(mut self) {
         let mut failed_queries = 0_u32;
         loop {
@@ -84,7 +85,7 @@
         let mut query = self.book.read(ViewBook::ask);
         query.wait_ms = u64::try_from(POLL_WAIT.as_millis()).unwrap_or(0);
         let asked = clock_now();
-        // A document need not cross the link between two regions for a host that has one.
+        // A host that has a document does not need another over the link between two regions.
         let is_far_and_known = !is_near && self.document_at.is_some();
         query.can_wait_for_document = is_far_and_known || self.can_wait_for_document(asked);
         let called = self
@@ -99,18 +100,19 @@
             self.book.change(|book| book.merge(view, span));
             return true;
         }
-        // A silent connection looks like a silent entry host; the next call opens another.
+        // The connection may be broken rather than the entry host; the next call opens a new one.
         self.client.drop_pool(address);
         false
     }
 
-    /// Whether the last document that came will do at `now`.
+    /// Whether the last document is recent enough at `now`.
     pub(super) fn can_wait_for_document(&self, now: ClockTime) -> bool {
         self.document_at
             .is_some_and(|at| now.since(at) < DOCUMENT_PAUSE)
     }
 
-    /// Mostly an entry host of this data centre: bytes between data centres are dear. Tells whether it is one.
+    /// Chooses an entry host, mostly of this data centre because traffic between data centres is
+    /// expensive. Returns whether it is in this data centre.
     fn choose_entry(&self) -> Option<(SocketAddr, bool)> {
         let (near, all) = self.book.read(|book| {
             let is_near = |entry: &&EntryRecord| entry.data_centre == self.data_centre;
--- a/src/replication/weights_retirement.rs
+++ b/src/replication/weights_retirement.rs
@@ -1,9 +1,9 @@
-//! Takes an engine off weights that may answer no more while the newer ones are not whole here.
+//! Makes an engine release expired weights while the newer ones are not complete on this host.
 //!
-//! A request can reach an engine, or begin there, long after its entry host has given it up: it waits in a
-//! full link, or at the engine while its entry host stands still. An engine that no longer holds the older
-//! weights turns it away. An engine lets go of them when it loads layers of another version; one layer is
-//! enough, and it counts for the load of the rest.
+//! A request can reach an engine, or begin there, long after its entry host has abandoned it: it is
+//! delayed by a congested link, or queued at the engine while its entry host is stalled. An engine
+//! without the previous weights rejects it. An engine releases them when it loads layers of another
+//! version. One layer is enough, and need not be loaded again with the rest.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -20,33 +20,34 @@
 use crate::time::ClockTime;
 use crate::weights::ChunkMap;
 
-/// How long before their bound the engine is taken off older weights: the order and the staging of a layer
-/// take some 20 ms each, and entry hosts have taken back what waits.
+/// How long before their deadline the weights are released. The order and the staging of a layer
+/// take about 20 ms each, and entry hosts have taken back queued requests by then.
 const RETIRE_LEAD: Duration = Duration::from_millis(200);
 
-/// An engine that serves weights which may answer no more.
+/// Expired weights in service, and the layer whose load releases them.
 pub(super) struct ExpiredWeights {
     incarnation: EngineIncarnation,
-    /// The newest version, of which a layer is here.
+    /// The target version, of which a layer is complete here.
     target: ModelVersion,
     layer: u32,
     chunks: Range<u32>,
 }
 
-/// The chunks of which `layer` of `layers` is made, of `count` in all.
+/// Indices of the chunks that contain `layer`, for a version with `layers` layers and `count`
+/// chunks.
 pub(super) fn layer_chunks(layer: u32, count: u32, layers: u32) -> Range<u32> {
     let layers = layers.max(1);
     (layer * count / layers)..((layer + 1) * count).div_ceil(layers)
 }
 
-/// The first of `layers` layers all of whose chunks are held, with these.
+/// The first of `layers` layers whose chunks are all held, and their indices.
 pub(super) fn first_layer(held: &ChunkMap, layers: u32) -> Option<(u32, Range<u32>)> {
     let mut ranges = (0..layers).map(|layer| (layer, layer_chunks(layer, held.count(), layers)));
     ranges.find(|(_, range)| range.clone().all(|index| held.contains(index)))
 }
 
 impl EngineUpdater {
-    /// What the engine serves beyond its bound at `now`, if it can be taken off it.
+    /// Finds expired weights that the engine serves at `now` and can be made to release.
     pub(super) fn find_expired(
         &self,
         snapshot: &ControlSnapshot,
@@ -68,7 +69,8 @@
         })
     }
 
-    /// Whether the weights that an engine of `report` serves may answer no more at `now`, or in a moment.
+    /// Whether the weights served by an engine with this `report` have expired at `now`, or are
+    /// about to.
     pub(super) fn is_expired(&self, report: &EngineReport, now: ClockTime) -> bool {
         let snapshot = self.book.snapshot().load();
         let until = self
@@ -77,7 +79,7 @@
             .and_then(|(model, layers)| {
                 let served = report.holdings.complete_version(&model, layers)?;
                 let newer = snapshot.wanted.iter().filter(|wanted| {
-                    // An assumed time is earlier than the true one.
+                    // An assumed time may be earlier than the true one.
                     wanted.target.model == model
                         && wanted.target.version > served
                         && wanted.certainty > TargetTimeCertainty::Assumed
@@ -89,12 +91,13 @@
         until.is_some_and(|until| now + RETIRE_LEAD >= until)
     }
 
-    /// Orders the engine to load the layer that is here. What it works on ends first, unless others wait
-    /// there: these would begin late, and their entry hosts do not take them back any more.
+    /// Orders the engine to load the layer of `expired`. Requests in progress may end first, unless
+    /// others are queued: these would begin too late, and a stalled entry host does not take them
+    /// back.
     ///
     /// # Errors
     ///
-    /// When the engine does not answer; it may have taken the order all the same.
+    /// If the engine does not answer. It may have accepted the order all the same.
     pub(super) async fn retire(&self, expired: &ExpiredWeights) -> SwitchResult<()> {
         let ExpiredWeights {
             incarnation,
