--- a/src/catalog/service_catalog.rs
+++ b/src/catalog/service_catalog.rs
@@ -17,7 +17,7 @@
 
 /// What may be repeated of a request.
 #[apply(key!)]
-pub(crate) enum RepeatRule {
+pub(crate) enum RetryPolicy {
     /// It may run any number of times.
     Idempotent,
     /// It may run at most once for each attempt of a client.
@@ -28,7 +28,7 @@
     SingleStream,
 }
 
-impl RepeatRule {
+impl RetryPolicy {
     /// Whether a second send is allowed when it is not known whether the first one ran.
     pub(crate) const fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
@@ -59,7 +59,7 @@
     /// What the path begins with; begins and ends with a slash.
     pub(crate) prefix: ByteString,
     /// What may be repeated.
-    pub(crate) repeat: RepeatRule,
+    pub(crate) repeat: RetryPolicy,
     /// How long a client is kept waiting at most.
     pub(crate) timeout: Duration,
     /// Within which time an answer, or a stream's first event, is fully useful.
--- a/src/catalog/tests.rs
+++ b/src/catalog/tests.rs
@@ -7,7 +7,7 @@
         name: format!("{host}{prefix}").into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: RepeatRule::Idempotent,
+        repeat: RetryPolicy::Idempotent,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(100),
         pause: Duration::ZERO,
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -7,7 +7,7 @@
 use bytestring::ByteString;
 use http::{HeaderMap, Method, Uri};
 
-use crate::catalog::{EngineFacts, RepeatRule, RouteRule, ServiceCatalog};
+use crate::catalog::{EngineFacts, RetryPolicy, RouteRule, ServiceCatalog};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::fleet::{EngineWork, VersionRequirement, WeightsVersion};
 use crate::overload::is_returned;
@@ -65,7 +65,7 @@
 
 impl RequestJob {
     /// What may be repeated of it.
-    pub(super) fn repeat(&self) -> RepeatRule {
+    pub(super) fn repeat(&self) -> RetryPolicy {
         self.routed.rule.repeat
     }
 
--- a/src/gateway/send_attempt.rs
+++ b/src/gateway/send_attempt.rs
@@ -14,7 +14,7 @@
 use super::gateway_state::GatewayState;
 use super::request_job::RequestJob;
 use super::request_log::log_taken_back;
-use crate::catalog::RepeatRule;
+use crate::catalog::RetryPolicy;
 use crate::errors::ErrorKind;
 use crate::fleet::{BackendTicket, CallOutcome, VersionRequirement};
 use crate::platform::{AnswerFacts, AnswerWord, SendFacts, answer_facts, send_headers};
@@ -223,7 +223,7 @@
     ticket: &BackendTicket,
 ) -> Result<BackendConnection, SendFailure> {
     let now = clock_now();
-    let mut is_fresh = job.repeat() == RepeatRule::AtMostOnce;
+    let mut is_fresh = job.repeat() == RetryPolicy::AtMostOnce;
     ticket.with_record(|record| is_fresh |= record.prefers_fresh_connection(now));
     if !is_fresh && let Some(connection) = gateway.shelf.take(ticket.key, now) {
         return Ok(connection);
--- a/src/gateway/tests/fake_backend.rs
+++ b/src/gateway/tests/fake_backend.rs
@@ -11,8 +11,8 @@
 
 use super::{BOUNDS, gateway_beside};
 use crate::catalog::{
-    AccountRecord, BackendService, CallerLimits, CatalogVersion, RepeatRule, RouteRule, RouteTable,
-    ServiceCatalog, ServiceShare,
+    AccountRecord, BackendService, CallerLimits, CatalogVersion, RetryPolicy, RouteRule,
+    RouteTable, ServiceCatalog, ServiceShare,
 };
 use crate::daemon::DrainState;
 use crate::fleet::{BackendFacts, BackendPhase, EngineHoldings, FleetView};
@@ -369,10 +369,10 @@
 
 pub(super) fn catalog() -> ServiceCatalog {
     let kinds = [
-        ("safe", RepeatRule::Idempotent),
-        ("once", RepeatRule::AtMostOnce),
-        ("resumed", RepeatRule::ResumableStream),
-        ("single", RepeatRule::SingleStream),
+        ("safe", RetryPolicy::Idempotent),
+        ("once", RetryPolicy::AtMostOnce),
+        ("resumed", RetryPolicy::ResumableStream),
+        ("single", RetryPolicy::SingleStream),
     ];
     let rules = kinds.map(|(name, repeat)| RouteRule {
         name: name.into(),
--- a/src/platform/document_row.rs
+++ b/src/platform/document_row.rs
@@ -7,7 +7,7 @@
 use super::json_object::read_object;
 use super::millis::millis;
 use crate::catalog::{
-    AccountRecord, BackendService, CallerLimits, CatalogVersion, EngineFacts, RepeatRule,
+    AccountRecord, BackendService, CallerLimits, CatalogVersion, EngineFacts, RetryPolicy,
     RouteRule, RouteTable, ServiceCatalog, ServiceShare, WeightsOrigin,
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -220,11 +220,11 @@
 
 fn read_route(text: RouteText) -> RouteRule {
     let repeat = match (text.kind.as_str(), text.stream_resume) {
-        ("streaming", true) => RepeatRule::ResumableStream,
-        ("streaming", false) => RepeatRule::SingleStream,
-        ("idempotent", _) => RepeatRule::Idempotent,
+        ("streaming", true) => RetryPolicy::ResumableStream,
+        ("streaming", false) => RetryPolicy::SingleStream,
+        ("idempotent", _) => RetryPolicy::Idempotent,
         // A kind that is not known is taken for the one that allows least.
-        _ => RepeatRule::AtMostOnce,
+        _ => RetryPolicy::AtMostOnce,
     };
     let mut shares: Vec<ServiceShare> = text
         .weighted_services
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -10,7 +10,7 @@
 
 use super::settings_file::parse_settings;
 use super::*;
-use crate::catalog::RepeatRule;
+use crate::catalog::RetryPolicy;
 use crate::fleet::{BackendPhase, WeightsVersion};
 
 fn headers(fields: &[(&'static str, &'static str)]) -> HeaderMap {
@@ -62,10 +62,10 @@
             .find("h.example", path)
             .expect("there is one")
     };
-    assert_eq!(rule("/a/x").repeat, RepeatRule::ResumableStream);
-    assert_eq!(rule("/b/x").repeat, RepeatRule::SingleStream);
-    assert_eq!(rule("/c/x").repeat, RepeatRule::Idempotent);
-    assert_eq!(rule("/d/x").repeat, RepeatRule::AtMostOnce);
+    assert_eq!(rule("/a/x").repeat, RetryPolicy::ResumableStream);
+    assert_eq!(rule("/b/x").repeat, RetryPolicy::SingleStream);
+    assert_eq!(rule("/c/x").repeat, RetryPolicy::Idempotent);
+    assert_eq!(rule("/d/x").repeat, RetryPolicy::AtMostOnce);
     let account = catalog.account_of("k2").expect("the key is held");
     assert_eq!(&*account.name, "t");
     assert!(catalog.account_of("k3").is_none());
