--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,6 +1,6 @@
-//! The document in force: which routes there are, which services they lead to, who may call them.
-//! A catalog is built once from an accepted document and never changes; a newer document makes a
-//! new one.
+//! The document in force: its routes, the services that they lead to, and the client accounts that
+//! may call them. A catalog is built once from an accepted document and never changes; a newer
+//! document creates a new one.
 
 mod route_table;
 mod service_catalog;
--- a/src/catalog/route_table.rs
+++ b/src/catalog/route_table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request by its host and the longest prefix of its path.
+//! Finds the route for a request by its host and the longest matching prefix of its path.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 }
 
 impl RouteTable {
-    /// The table of `rules`, in any order.
+    /// Builds a table of `rules`, which may be in any order.
     pub(crate) fn new(rules: Vec<RouteRule>) -> Self {
         let mut rules: Vec<Arc<RouteRule>> = rules.into_iter().map(Arc::new).collect();
         rules.sort_by(|left, right| compare(left, &right.host, &right.prefix));
         Self { rules }
     }
 
-    /// The route with the longest prefix that begins `path`, among the routes of `host`.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
-        // Every prefix ends with a slash, so only the places behind a slash can end one.
+        // Every prefix ends with a slash, so that only prefixes of `path` up to a slash can match.
         let mut end = path.len();
         while let Some(slash) = path[..end].rfind('/') {
             if let Some(rule) = self.exact(host, &path[..=slash]) {
--- a/src/catalog/service_catalog.rs
+++ b/src/catalog/service_catalog.rs
@@ -1,4 +1,4 @@
-//! The parts of a document, as the product uses them.
+//! The contents of a document in the form in which other modules use them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,42 +10,42 @@
 use crate::derives::{key, plain};
 use crate::overload::EngineSpeed;
 
-/// The version of a document. Versions grow in uneven steps; a higher one replaces a lower one.
+/// Version of a document. Versions may skip numbers; a document replaces those with lower versions.
 #[apply(key!)]
 #[derive(Default, serde::Serialize, serde::Deserialize)]
 pub(crate) struct CatalogVersion(pub(crate) u64);
 
-/// What may be repeated of a request.
+/// Which requests may be sent again after a failure.
 #[apply(key!)]
 pub(crate) enum RetryPolicy {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It may run at most once for each attempt of a client.
+    /// The request may run at most once per attempt of the client.
     AtMostOnce,
-    /// A stream of events that may be resumed behind the last event that arrived.
+    /// An event stream that can be resumed after the last event received.
     ResumableStream,
-    /// A stream of events that may run at most once.
+    /// An event stream that may run at most once.
     SingleStream,
 }
 
 impl RetryPolicy {
-    /// Whether a second send is allowed when it is not known whether the first one ran.
+    /// Whether a request may be sent again if it is unknown whether the first send ran.
     pub(crate) const fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub(crate) const fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::SingleStream)
     }
 }
 
-/// One of the services that a route leads to, with its share of the requests.
+/// A service to which a route leads, with its share of the requests.
 #[apply(plain!)]
 pub(crate) struct ServiceShare {
-    /// The service's name.
+    /// Name of the service.
     pub(crate) service: ByteString,
-    /// Its share, against the sum of all shares of the route.
+    /// Its weight, relative to the sum of the weights of all services of the route.
     pub(crate) weight: u32,
 }
 
@@ -54,63 +54,63 @@
 pub(crate) struct RouteRule {
     /// Its name, for logs.
     pub(crate) name: ByteString,
-    /// The host that requests name, in lower case.
+    /// The host name in requests, in lower case.
     pub(crate) host: ByteString,
-    /// What the path begins with; begins and ends with a slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub(crate) prefix: ByteString,
-    /// What may be repeated.
+    /// Whether a request may be sent again.
     pub(crate) repeat: RetryPolicy,
-    /// How long a client is kept waiting at most.
+    /// Longest time that a client waits for a response.
     pub(crate) timeout: Duration,
-    /// Within which time an answer, or a stream's first event, is fully useful.
+    /// Latency target for a response, or for the first event of a stream.
     pub(crate) target: Duration,
-    /// How long a stream may pause between two events without being late.
+    /// Longest gap between two events of a stream before it counts as late.
     pub(crate) pause: Duration,
-    /// Its rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub(crate) rank: u8,
-    /// Where its requests go.
+    /// The services to which requests are forwarded.
     pub(crate) shares: Vec<ServiceShare>,
-    /// To how many backend servers one attempt of a client may be sent.
+    /// Maximum number of backend servers to which one attempt of a client may be sent.
     pub(crate) attempts_max: u32,
-    /// Whether it needs no key.
+    /// Whether requests need no key.
     pub(crate) is_public: bool,
 }
 
 impl RouteRule {
-    /// The service for a request, spread over the shares by `hash`.
+    /// Chooses the service for a request by its `hash`, in proportion to the weights.
     pub(crate) fn service_for(&self, hash: u64) -> Option<&ByteString> {
         let total: u64 = self
             .shares
             .iter()
             .map(|share| u64::from(share.weight))
             .sum();
-        let mut at = hash % total.max(1);
+        let mut remainder = hash % total.max(1);
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if at < weight {
+            if remainder < weight {
                 return Some(&share.service);
             }
-            at -= weight;
+            remainder -= weight;
         }
         self.shares.first().map(|share| &share.service)
     }
 }
 
-/// The figures that a model service publishes about its engines.
+/// Properties of a model service's engines, as published by the service.
 #[apply(plain!)]
 pub(crate) struct EngineFacts {
-    /// The names of its models.
+    /// Names of its models.
     pub(crate) models: Vec<ByteString>,
-    /// How many layers a model has.
+    /// Number of layers of a model.
     pub(crate) layers: u32,
-    /// How fast they are.
+    /// Speed of the engines.
     pub(crate) speed: EngineSpeed,
 }
 
-/// A service's origin of weights.
+/// The origin from which weights are downloaded.
 #[apply(plain!)]
 pub(crate) struct WeightsOrigin {
-    /// Where it answers.
+    /// Its address.
     pub(crate) address: SocketAddr,
 }
 
@@ -119,9 +119,9 @@
 pub(crate) struct BackendService {
     /// Its name.
     pub(crate) name: ByteString,
-    /// Set for model services.
+    /// Properties of its engines; set for model services.
     pub(crate) engine: Option<EngineFacts>,
-    /// Set for the service that hands out weights.
+    /// The origin of weights; set for the service that provides weights.
     pub(crate) origin: Option<WeightsOrigin>,
 }
 
@@ -130,24 +130,24 @@
 pub(crate) struct AccountRecord {
     /// Its name.
     pub(crate) name: ByteString,
-    /// Its rank, which goes before the route's; 0 is the most urgent.
+    /// Priority of its requests, instead of the route's; 0 is the most urgent.
     pub(crate) rank: Option<u8>,
 }
 
-/// What a client may send.
+/// Limits on the size of requests.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(crate) struct CallerLimits {
-    /// The most bytes of a request's header fields.
+    /// Maximum size of the header fields, in bytes.
     pub(crate) header_bytes: usize,
-    /// The most bytes of a request's body.
+    /// Maximum size of the body, in bytes.
     pub(crate) body_bytes: usize,
 }
 
 /// A document in force.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceCatalog {
-    /// Its version.
+    /// Version of the document.
     pub(crate) version: CatalogVersion,
     /// Its routes.
     pub(crate) routes: RouteTable,
@@ -155,14 +155,14 @@
     pub(crate) services: Vec<BackendService>,
     /// Its client accounts.
     pub(crate) accounts: Vec<AccountRecord>,
-    /// Keys with the place of their account in `accounts`, sorted by key.
+    /// Keys of the client accounts, each with an index into `accounts`, sorted by key.
     pub(crate) keys: Vec<(ByteString, usize)>,
-    /// What clients may send.
+    /// Limits on the size of requests.
     pub(crate) limits: CallerLimits,
 }
 
 impl ServiceCatalog {
-    /// The service called `name`.
+    /// The service named `name`.
     pub(crate) fn service(&self, name: &str) -> Option<&BackendService> {
         let found = self
             .services
@@ -175,13 +175,13 @@
         !self.accounts.is_empty()
     }
 
-    /// The client account that holds `secret`.
+    /// The client account whose key is `secret`.
     pub(crate) fn account_of(&self, secret: &str) -> Option<&AccountRecord> {
         let found = self.keys.binary_search_by(|(key, _)| (**key).cmp(secret));
         found.ok().map(|at| &self.accounts[self.keys[at].1])
     }
 
-    /// Whether every request for `service` may go on elsewhere when it is cut off in the middle.
+    /// Whether every interrupted request for `service` can resume at another backend server.
     pub(crate) fn can_resume_elsewhere(&self, service: &str) -> bool {
         let rules = self.routes.rules().iter();
         let mut rules = rules.filter(|rule| {
@@ -191,7 +191,7 @@
         rules.all(|rule| rule.repeat.is_repeatable() && rule.attempts_max > 1)
     }
 
-    /// The service that hands out weights.
+    /// The origin of weights, if the document has one.
     pub(crate) fn weights_origin(&self) -> Option<&WeightsOrigin> {
         self.services
             .iter()
--- a/src/catalog/tests.rs
+++ b/src/catalog/tests.rs
@@ -1,3 +1,5 @@
+//! Route matching and the choice of a service by weight.
+
 use std::time::Duration;
 
 use super::*;
@@ -51,7 +53,7 @@
 }
 
 #[test]
-fn requests_are_spread_over_a_routes_services_by_weight() {
+fn requests_are_spread_over_the_services_of_a_route_by_weight() {
     let rule = rule("a.example", "/");
     let to_b = (0..1000).filter(|hash| rule.service_for(*hash).is_some_and(|name| *name == "b"));
     assert_eq!(to_b.count(), 100);
--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -376,9 +376,9 @@
         (NOW, NOW + WINDOW * 8 / 10),
         (NOW + WINDOW, NOW + WINDOW * 15 / 10),
     ];
-    for (share, (begun, now)) in shares.iter_mut().zip(times) {
+    for (share, (earned_at, now)) in shares.iter_mut().zip(times) {
         for _ in 0..500 {
-            share.credit(limits, begun);
+            share.credit(limits, earned_at);
         }
         spent += (0..500).filter(|_| share.try_spend(limits, now)).count();
     }
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -64,7 +64,7 @@
     registries: Vec<BackendRegistry>,
     engines: Vec<EngineModel>,
     rng: StdRng,
-    begun: u32,
+    started: u32,
     late: u32,
     refused: u32,
 }
@@ -102,7 +102,7 @@
             registries: registries.collect(),
             engines: (0..ENGINES).map(|_| EngineModel::default()).collect(),
             rng: StdRng::seed_from_u64(seed),
-            begun: 0,
+            started: 0,
             late: 0,
             refused: 0,
         }
@@ -206,7 +206,7 @@
                     record.note_read(930);
                 }
                 if run.sent.since(NOW) > SETTLED {
-                    self.begun += 1;
+                    self.started += 1;
                     self.late += u32::from(now.since(run.sent) > AIM);
                 }
                 let until = now + Duration::from_secs_f64(run.write_ms / 1e3);
@@ -228,18 +228,18 @@
 /// of a second old, and request four fifths of the engines' capacity.
 #[test]
 fn many_entry_hosts_do_not_send_to_the_same_idle_engine() {
-    let (mut begun, mut late, mut refused) = (0, 0, 0);
+    let (mut started, mut late, mut refused) = (0, 0, 0);
     for seed in 1..=3 {
         let mut simulation = EntrySimulation::new(seed);
         simulation.run();
-        begun += simulation.begun;
+        started += simulation.started;
         late += simulation.late;
         refused += simulation.refused;
     }
-    println!("{late} of {begun} late, {refused} refused");
+    println!("{late} of {started} late, {refused} refused");
     // 95 of 100 must be in time.
     assert!(
-        late * 20 <= begun,
-        "{late} of {begun} late, {refused} refused"
+        late * 20 <= started,
+        "{late} of {started} late, {refused} refused"
     );
 }
--- a/src/replication/engine_incarnation.rs
+++ b/src/replication/engine_incarnation.rs
@@ -51,7 +51,7 @@
         self.incarnation
     }
 
-    /// Classifies the next report; `was_unresponsive` tells whether the engine did not answer
+    /// Classifies the next report; `was_unresponsive` is true if the engine did not answer
     /// before it.
     pub(super) fn take(&mut self, report: &EngineReport, was_unresponsive: bool) -> ReportOrigin {
         let origin = match &self.last {
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -204,8 +204,9 @@
         served: Option<WeightsVersion>,
     ) -> ClockTime {
         let complete_at = version.complete_at;
-        let is_newer_target = |wanted: &&TargetWeights| {
-            wanted.target.model == version.target.model && Some(wanted.target.version) > served
+        let is_newer_target = |candidate: &&TargetWeights| {
+            candidate.target.model == version.target.model
+                && Some(candidate.target.version) > served
         };
         let due = snapshot.wanted.iter().find(is_newer_target);
         match (served, due) {
--- a/src/replication/tests/incarnations.rs
+++ b/src/replication/tests/incarnations.rs
@@ -73,7 +73,7 @@
 /// Without a start time, only lost state reveals a restart.
 #[test]
 fn without_a_start_time_lost_counts_and_holdings_reveal_a_restart() {
-    let told = |next: EngineReport, was_unresponsive| {
+    let origin_of = |next: EngineReport, was_unresponsive| {
         tracker_of(&report(None, 2, true)).take(&next, was_unresponsive)
     };
     let busy = EngineReport {
@@ -90,7 +90,7 @@
         (report(None, 3, false), true, ReportOrigin::Restarted),
     ];
     for (next, was_unresponsive, expected) in cases {
-        let origin = told(next.clone(), was_unresponsive);
+        let origin = origin_of(next.clone(), was_unresponsive);
         assert_eq!(
             origin, expected,
             "{next:?}, unresponsive before: {was_unresponsive}"
--- a/src/replication/tests/reports.rs
+++ b/src/replication/tests/reports.rs
@@ -59,7 +59,7 @@
     }
 
     /// Sends requests for reports to `leases` from the first entry hosts of the data centre.
-    async fn ask(&self, leases: SocketAddr) {
+    async fn request_reports(&self, leases: SocketAddr) {
         for (socket, record) in self.sockets.iter().zip(&self.records).take(RELAYS) {
             let lease = LeaseRequest {
                 relay: record.reports,
@@ -93,13 +93,13 @@
     let host = BackendHost::start_among(BirthWord::Told, &sinks.records).await;
     let until = Instant::now() + SETTLE;
     while Instant::now() < until {
-        sinks.ask(host.peers()).await;
+        sinks.request_reports(host.peers()).await;
         sleep(RENEWAL).await;
     }
     sinks.take_all();
     let until = Instant::now() + COUNTED;
     while Instant::now() < until {
-        sinks.ask(host.peers()).await;
+        sinks.request_reports(host.peers()).await;
         let _ = timeout_at(until, sleep(RENEWAL)).await;
     }
     let counts = sinks.take_all();
--- a/src/replication/tests/restarts.rs
+++ b/src/replication/tests/restarts.rs
@@ -154,7 +154,7 @@
 async fn a_wait_for_the_end_of_a_load_ends_with_the_incarnation() {
     let host = BackendHost::start(BirthWord::Told).await;
     host.engine.hold_orders();
-    host.await_that("an order is begun", || host.engine.orders_begun() == 1)
+    host.await_that("an order is accepted", || host.engine.orders_begun() == 1)
         .await;
     sleep(OUTAGE).await;
     host.engine.restart(StagedRest::Kept);
--- a/src/replication/version_fetcher.rs
+++ b/src/replication/version_fetcher.rs
@@ -300,7 +300,7 @@
 /// The version that the engine should serve; version 1 if no target was set.
 pub(super) fn target_version(snapshot: &ControlSnapshot, model: ByteString) -> ModelVersion {
     match snapshot.newest_version(&model) {
-        Some(wanted) => wanted.target.clone(),
+        Some(newest) => newest.target.clone(),
         None => ModelVersion {
             model,
             version: WeightsVersion(1),
--- a/src/replication/view_poller.rs
+++ b/src/replication/view_poller.rs
@@ -146,14 +146,14 @@
             .store
             .read_table(TableName::Operator, STORE_TIMEOUT)
             .await?;
-        let named = NamingTime::guessed(
+        let target_time = NamingTime::guessed(
             operator.told_at - TARGET_SET_BEFORE,
             TargetTimeCertainty::Assumed,
         );
         self.book.change(|book| {
             book.note_told(own.revision, own.told_at, span);
-            book.take_own_rows(OwnRows::of(&own), named);
-            book.read_operator_rows(&operator.rows, named);
+            book.take_own_rows(OwnRows::of(&own), target_time);
+            book.read_operator_rows(&operator.rows, target_time);
         });
         let backends = self
             .store
--- a/src/replication/weights_retirement.rs
+++ b/src/replication/weights_retirement.rs
@@ -78,14 +78,14 @@
             .model_of(&snapshot)
             .and_then(|(model, layers)| {
                 let served = report.holdings.complete_version(&model, layers)?;
-                let newer = snapshot.wanted.iter().filter(|wanted| {
+                let newer = snapshot.wanted.iter().filter(|candidate| {
                     // An assumed time may be earlier than the true one.
-                    wanted.target.model == model
-                        && wanted.target.version > served
-                        && wanted.certainty > TargetTimeCertainty::Assumed
+                    candidate.target.model == model
+                        && candidate.target.version > served
+                        && candidate.certainty > TargetTimeCertainty::Assumed
                 });
                 newer
-                    .map(|wanted| wanted.target_set_at + self.weights_deadline)
+                    .map(|newer| newer.target_set_at + self.weights_deadline)
                     .min()
             });
         until.is_some_and(|until| now + RETIRE_LEAD >= until)
