--- a/src/fleet/events.rs
+++ b/src/fleet/events.rs
@@ -10,7 +10,7 @@
 pub(crate) const BACKEND_REMOVED: LogEvent = LogEvent::info(1002, "backend server removed");
 pub(crate) const BACKEND_PAUSED: LogEvent = LogEvent::warn(
     1003,
-    "circuit breaker opened; no requests are sent to a backend server",
+    "circuit breaker of a backend server opened; no requests are sent there for a while",
 );
 
 pub(crate) const BACKEND_RESTARTED: LogEvent = LogEvent::info(
--- a/src/fleet/retry_budget_share.rs
+++ b/src/fleet/retry_budget_share.rs
@@ -105,9 +105,9 @@
     }
 
     /// Whether the window that begins in slice `begin` has a retry left. It counts the requests of
-    /// the window itself, of the window half a window earlier, or of the time before it, whichever
-    /// are most. The last ones count less the older they are, because clients that have moved to
-    /// another entry host since would be counted by both.
+    /// the window itself, of the window half a window earlier, or of the window before it,
+    /// whichever are most. The last ones count less the older they are, because clients that have
+    /// moved to another entry host since would be counted by both.
     fn allows_one_more_since(&self, begin: u64, limits: RetryShareLimits) -> bool {
         let half = WINDOW_SLICES / 2;
         // Slices that only partly belong to the earlier window are left out.
--- a/src/replication/chunk_fetch.rs
+++ b/src/replication/chunk_fetch.rs
@@ -108,7 +108,7 @@
 }
 
 enum FetchUpdate {
-    Asked(PeerKey, SwitchResult<HaveWord>),
+    Queried(PeerKey, SwitchResult<HaveWord>),
     Pulled(FlightId, SwitchResult<HaveWord>),
     Read(FlightId, SwitchResult<()>),
 }
@@ -120,7 +120,7 @@
     plan: FetchPlan,
     update_sender: mpsc::UnboundedSender<FetchUpdate>,
     updates: mpsc::UnboundedReceiver<FetchUpdate>,
-    under_way: JoinSet<()>,
+    tasks: JoinSet<()>,
     flights: Vec<(FlightId, AbortHandle)>,
     mismatches: u32,
     /// Until when chunks in transit give no new information about the link.
@@ -164,7 +164,7 @@
             plan,
             update_sender,
             updates,
-            under_way: JoinSet::new(),
+            tasks: JoinSet::new(),
             flights: Vec::new(),
             mismatches: 0,
             slow_until: ClockTime(0),
@@ -210,7 +210,7 @@
             while let Ok(updates) = self.updates.try_recv() {
                 self.take(updates);
             }
-            while self.under_way.try_join_next().is_some() {}
+            while self.tasks.try_join_next().is_some() {}
         }
         FetchOutcome::Recheck
     }
@@ -232,8 +232,8 @@
         match step {
             FetchStep::Ask(key) => {
                 let address = self.address(key);
-                self.under_way.spawn(async move {
-                    let _ = updates.send(FetchUpdate::Asked(
+                self.tasks.spawn(async move {
+                    let _ = updates.send(FetchUpdate::Queried(
                         key,
                         query_holdings(&context, address, target).await,
                     ));
@@ -245,7 +245,7 @@
                 source: FlightSource::Peer(key),
             } => {
                 let address = self.address(key);
-                let task = self.under_way.spawn(async move {
+                let task = self.tasks.spawn(async move {
                     let pulled = pull(&context, address, &target, index).await;
                     let _ = updates.send(FetchUpdate::Pulled(flight, pulled));
                 });
@@ -256,7 +256,7 @@
                 index,
                 source: FlightSource::Origin,
             } => {
-                let task = self.under_way.spawn(async move {
+                let task = self.tasks.spawn(async move {
                     let read = read_origin(&context, &target, index).await;
                     let _ = updates.send(FetchUpdate::Read(flight, read));
                 });
@@ -288,7 +288,7 @@
     fn take(&mut self, updates: FetchUpdate) {
         let now = clock_now();
         match updates {
-            FetchUpdate::Asked(key, answer) => {
+            FetchUpdate::Queried(key, answer) => {
                 if let Ok(announcement) = &answer {
                     self.plan.on_word(announcement, now);
                 }
--- a/src/replication/digest_sources.rs
+++ b/src/replication/digest_sources.rs
@@ -15,7 +15,7 @@
 
 /// Hosts that read the origin, and hosts of each data centre that query those; one may be down.
 const LEADERS: usize = 2;
-/// Time allowed for each higher-ranked host of the data centre.
+/// Time to query other hosts, for each higher-ranked host of the data centre and once more.
 const RANK_SPAN: Duration = Duration::from_millis(500);
 /// Longest time to query other hosts.
 const WAIT_MAX: Duration = Duration::from_secs(4);
@@ -36,23 +36,23 @@
             let name = format!("{host}/{}/{}", target.model, target.version.0);
             name_hash(&name)
         };
-        let mine = weight(&me.host);
+        let own_weight = weight(&me.host);
         let others = hosts.iter().filter(|host| host.line.host != me.host);
-        let mut before: Vec<(u64, &PlanHost)> = others
+        let mut higher_ranked: Vec<(u64, &PlanHost)> = others
             .map(|host| (weight(&host.line.host), host))
-            .filter(|(other, _)| *other > mine)
+            .filter(|(other, _)| *other > own_weight)
             .collect();
-        before.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
+        higher_ranked.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
         let is_near = |(_, host): &&(u64, &PlanHost)| host.line.data_centre == me.data_centre;
-        let near: Vec<SocketAddr> = before
+        let near: Vec<SocketAddr> = higher_ranked
             .iter()
             .filter(is_near)
             .map(|(_, host)| host.address)
             .collect();
-        let sources = if before.len() < LEADERS {
+        let sources = if higher_ranked.len() < LEADERS {
             Vec::new()
         } else if near.len() < LEADERS {
-            before[..LEADERS]
+            higher_ranked[..LEADERS]
                 .iter()
                 .map(|(_, host)| host.address)
                 .collect()
@@ -70,13 +70,13 @@
         (RANK_SPAN.saturating_mul(self.rank.saturating_add(1))).min(WAIT_MAX)
     }
 
-    /// The host to query next; `part` is random, from 0 to 1. Half of the queries go to the first
-    /// hosts, which get the digests first.
-    pub(super) fn choose(&self, part: f64) -> Option<SocketAddr> {
-        let (part, count) = if part < 0.5 {
-            (part * 2.0, self.sources.len().min(LEADERS))
+    /// The host to query next; `fraction` is random, from 0 to 1. Half of the queries go to the
+    /// first hosts, which get the digests first.
+    pub(super) fn choose(&self, fraction: f64) -> Option<SocketAddr> {
+        let (fraction, count) = if fraction < 0.5 {
+            (fraction * 2.0, self.sources.len().min(LEADERS))
         } else {
-            (part * 2.0 - 1.0, self.sources.len())
+            (fraction * 2.0 - 1.0, self.sources.len())
         };
         let last = count.checked_sub(1)?;
         #[expect(
@@ -85,7 +85,7 @@
             clippy::cast_precision_loss,
             reason = "a fraction of the number of hosts"
         )]
-        let at = (part * count as f64) as usize;
+        let at = (fraction * count as f64) as usize;
         self.sources.get(at.min(last)).copied()
     }
 }
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -116,7 +116,7 @@
 impl LoadRun<'_> {
     /// The outcome of the load by the engine's `state`, after an order at `ordered_at`; none while
     /// it is in progress.
-    fn end(&self, state: Option<&EngineState>, ordered_at: ClockTime) -> Option<LoadOutcome> {
+    fn outcome(&self, state: Option<&EngineState>, ordered_at: ClockTime) -> Option<LoadOutcome> {
         let Some(state) = state else {
             return Some(LoadOutcome::Unserved);
         };
@@ -139,14 +139,14 @@
 impl EngineUpdater {
     /// Runs for the lifetime of the process.
     pub(super) async fn run(self) {
-        let mut waiting: Option<PendingVersion> = None;
+        let mut pending: Option<PendingVersion> = None;
         loop {
-            self.step(&mut waiting).await;
+            self.step(&mut pending).await;
             sleep(CHECK_INTERVAL).await;
         }
     }
 
-    async fn step(&self, waiting: &mut Option<PendingVersion>) {
+    async fn step(&self, pending: &mut Option<PendingVersion>) {
         let snapshot = self.book.snapshot().load();
         let Some(found) = self.find_complete(&snapshot) else {
             self.waits.set_load(None);
@@ -159,10 +159,10 @@
         };
         let now = clock_now();
         // The load time and the failures of a former incarnation do not apply to this one.
-        let known = waiting
+        let known = pending
             .take()
             .filter(|known| known.target == found.target && known.incarnation == found.incarnation);
-        let version = waiting.insert(known.unwrap_or_else(|| PendingVersion::new(&found, now)));
+        let version = pending.insert(known.unwrap_or_else(|| PendingVersion::new(&found, now)));
         let load_at = self.load_at(&snapshot, version, found.served);
         if now < load_at.max(version.retry_at) {
             self.waits.set_load(Some(HostWait::Schedule));
@@ -283,9 +283,9 @@
         catalog.is_some_and(|catalog| catalog.can_resume_elsewhere(&self.identity.service))
     }
 
-    /// Waits for a good time for the order and returns the engine's state. The time has come when
-    /// few requests are in progress and may be aborted, or when queued requests would begin on
-    /// expired weights. Returns none if the response was outdated.
+    /// Returns the engine's state just before an order; none if the response was outdated. If the
+    /// order may abort requests, this first waits until few are in progress, or until queued
+    /// requests would begin on expired weights.
     async fn state_for_order(&self, may_abort: bool) -> SwitchResult<Option<EngineState>> {
         let until = clock_now() + DRAIN_WAIT_MAX;
         loop {
@@ -306,17 +306,17 @@
     async fn await_version(&self, run: &LoadRun<'_>) -> LoadOutcome {
         let ordered_at = clock_now();
         let mut states = self.monitor.subscribe();
-        let end = |state: &Option<EngineState>| run.end(state.as_ref(), ordered_at);
-        let ended = states.wait_for(|state| end(state).is_some());
+        let outcome = |state: &Option<EngineState>| run.outcome(state.as_ref(), ordered_at);
+        let ended = states.wait_for(|state| outcome(state).is_some());
         let Ok(Ok(state)) = timeout(LOAD_TIMEOUT, ended).await else {
             return LoadOutcome::Unserved;
         };
-        let end = end(&state).unwrap_or(LoadOutcome::Unserved);
-        if end == LoadOutcome::Served {
+        let outcome = outcome(&state).unwrap_or(LoadOutcome::Unserved);
+        if outcome == LoadOutcome::Served {
             log_event!(events::VERSION_SERVED, "version={}", run.target.version.0);
             self.store.note_served(run.target);
             self.waits.end_load();
         }
-        end
+        outcome
     }
 }
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -145,7 +145,7 @@
 }
 
 fn host_identity(settings: &PlatformSettings) -> SwitchResult<HostIdentity> {
-    let missing_chunk = |field: &str| {
+    let missing_setting = |field: &str| {
         let detail = format!("{field} is missing; a backend server's host needs it");
         SwitchError::new(ErrorKind::SettingInvalid, detail)
     };
@@ -153,8 +153,8 @@
     Ok(HostIdentity {
         address: settings
             .backend_address
-            .ok_or_else(|| missing_chunk("app"))?,
-        service: service.ok_or_else(|| missing_chunk("service"))?,
+            .ok_or_else(|| missing_setting("app"))?,
+        service: service.ok_or_else(|| missing_setting("service"))?,
         me: LineHost {
             host: settings.ip.to_string().into(),
             data_centre: settings.data_centre.clone(),
--- a/src/replication/tests/messages.rs
+++ b/src/replication/tests/messages.rs
@@ -18,7 +18,7 @@
         },
         index: Some(u32::MAX),
     };
-    let reply = ChunkResponse {
+    let response = ChunkResponse {
         announcement: HaveWord {
             host: "h".into(),
             held: ChunkMap::full(96),
@@ -27,20 +27,20 @@
         },
         bytes: vec![7; 200],
     };
-    let messages = [encode_message(&query), encode_message(&reply)];
+    let messages = [encode_message(&query), encode_message(&response)];
     let messages = messages.map(|message| message.expect("it encodes"));
     run_cases(CASES, CASE_BYTES, |u| {
         let mut bytes = u.choose(&messages)?.to_vec();
         spoil_bytes(u, &mut bytes)?;
         let _ = decode_message::<ChunkQuery>(&bytes);
-        if let Ok(reply) = decode_message::<ChunkResponse>(&bytes) {
+        if let Ok(response) = decode_message::<ChunkResponse>(&bytes) {
             let _ = (
-                reply.announcement.held.fits(96),
-                reply.announcement.held.contains(95),
+                response.announcement.held.fits(96),
+                response.announcement.held.contains(95),
             );
             let _ = (
-                reply.announcement.claimed.is_full(),
-                reply.announcement.held.len(),
+                response.announcement.claimed.is_full(),
+                response.announcement.held.len(),
             );
         }
         Ok(())
