--- a/src/replication/weights_retirement.rs
+++ b/src/replication/weights_retirement.rs
@@ -131,9 +131,9 @@
             self.engine.order_load(&order, ORDER_TIMEOUT).await
         };
         let outcome = ordered.await;
-        let asked = self.monitor.query(ORDER_TIMEOUT).await;
+        let queried = self.monitor.query(ORDER_TIMEOUT).await;
         self.monitor.announce_load(None);
-        asked?;
+        queried?;
         if outcome? == OrderOutcome::Refused {
             log_event!(
                 events::LOAD_REFUSED,
