--- a/src/platform/backend_headers.rs
+++ b/src/platform/backend_headers.rs
@@ -12,7 +12,7 @@
 
 use super::request_head::{ATTEMPT_ID, DEADLINE, LAST_EVENT, number_value, text_of};
 use crate::derives::{key, plain};
-use crate::fleet::{LoadWord, WeightsVersion, is_rate};
+use crate::fleet::{ResponseLoad, WeightsVersion, is_valid_rate};
 
 const TARGET_ID: HeaderName = HeaderName::from_static("savoryswitch-target-instance");
 /// The backend server that responds, which need not be the addressed one.
@@ -117,7 +117,7 @@
     /// What became of the request.
     pub(crate) outcome: ResponseOutcome,
     /// The reported load of the backend server; none if absent or invalid.
-    pub(crate) load: Option<LoadWord>,
+    pub(crate) load: Option<ResponseLoad>,
     /// The advertised limit in requests per second for all entry hosts together; none if the
     /// backend server advertises none.
     pub(crate) rate_limit: Option<f64>,
@@ -200,9 +200,9 @@
 }
 
 /// Reads `RUNNING,WAITING`.
-fn read_load(text: &str) -> Option<LoadWord> {
+fn read_load(text: &str) -> Option<ResponseLoad> {
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
-    Some(LoadWord {
+    Some(ResponseLoad {
         running: numbers.next()??,
         waiting: numbers.next()??,
     })
@@ -210,7 +210,7 @@
 
 fn read_rate(text: &str) -> Option<f64> {
     let rate = text.trim().parse().ok();
-    rate.filter(|rate| is_rate(*rate))
+    rate.filter(|rate| is_valid_rate(*rate))
 }
 
 /// The value of the parameter `timeout`.
--- a/src/platform/tests/engine_reports.rs
+++ b/src/platform/tests/engine_reports.rs
@@ -28,7 +28,7 @@
         (report.orders_accepted, report.active, report.queued),
         (2, 12, 1)
     );
-    let held = report.holdings.whole_version("m", 16);
+    let held = report.holdings.complete_version("m", 16);
     assert_eq!(held, Some(WeightsVersion(2)));
     let empty = br#"{"models":[],"layers":null,"busy":false,"sequence":0}"#;
     let empty = read_report(empty).expect("a report of an engine without weights is valid");
@@ -45,7 +45,7 @@
         if let Ok(read) = read_report(report.to_string().as_bytes()) {
             let has_models = report.get("models").is_some_and(Value::is_array);
             assert!(has_models || read.holdings.models.is_empty(), "{report}");
-            let _ = read.holdings.whole_version("m", u32::MAX);
+            let _ = read.holdings.complete_version("m", u32::MAX);
         }
         let _ = read_report(u.bytes(u.len())?);
         Ok(())
--- a/src/replication/chunk_staging.rs
+++ b/src/replication/chunk_staging.rs
@@ -1,11 +1,11 @@
-//! Chunks on their way to the engine's staging place and back.
+//! Stages chunks at the engine and reads staged chunks back.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use bytes::Bytes;
 
-use super::chunk_store::{ChunkStore, FoundChunk, missing};
+use super::chunk_store::{ChunkSource, ChunkStore, missing_chunk};
 use super::events;
 use crate::errors::{ErrorKind, SwitchResult};
 use crate::events::log_event;
@@ -14,27 +14,27 @@
 use crate::weights::ChunkMap;
 
 /// The engine is on the same host and answers within a few milliseconds.
-const STAGE_WITHIN: Duration = Duration::from_millis(1500);
-/// How many staged chunks are read to see whether any of the wanted version is staged at all.
-const SAMPLES: usize = 3;
+const STAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Staged chunks to read before concluding that none of the target version is staged.
+const SAMPLED_CHUNKS: usize = 3;
 
 impl ChunkStore {
-    /// Looks what lies staged of `target`, chunk by chunk against its digests, and takes it over: an
-    /// engine that crashed keeps what was staged, but a part of it may have gone bad.
+    /// Checks the chunks staged for `target` against its digests and takes over those that match.
+    /// An engine that crashed keeps its staged chunks, but some of them may be corrupt.
     ///
     /// # Errors
     ///
-    /// When the engine does not answer.
-    pub(super) async fn look(&self, target: &ModelVersion) -> SwitchResult<()> {
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
+    /// If the engine does not answer.
+    pub(super) async fn recover_staged(&self, target: &ModelVersion) -> SwitchResult<()> {
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         let mut found = Vec::new();
         let mut misses = 0;
-        for index in self.engine.staged(&target.model, STAGE_WITHIN).await? {
+        for index in self.engine.staged(&target.model, STAGE_TIMEOUT).await? {
             match self.read_back(target, index, &digests).await? {
                 Some(bytes) => found.push((index, bytes)),
                 None => misses += 1,
             }
-            if misses >= SAMPLES && found.is_empty() {
+            if misses >= SAMPLED_CHUNKS && found.is_empty() {
                 break;
             }
         }
@@ -42,56 +42,56 @@
         Ok(())
     }
 
-    /// The engine serves `target`: its chunks lie staged, other hosts may need them, and memory is
-    /// given back.
+    /// Records that the engine serves `target`. Its chunks stay available to other hosts from
+    /// staging, and their memory is freed.
     ///
     /// # Errors
     ///
-    /// When the engine does not tell what is staged.
+    /// If the engine does not list its staged chunks.
     pub(super) async fn adopt_served(&self, target: &ModelVersion) -> SwitchResult<()> {
         if self.is_at_engine(target) {
             return Ok(());
         }
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         let mut staged = ChunkMap::empty(digests.count());
-        for index in self.engine.staged(&target.model, STAGE_WITHIN).await? {
+        for index in self.engine.staged(&target.model, STAGE_TIMEOUT).await? {
             staged.insert(index);
         }
         self.note_staged(target, staged);
         Ok(())
     }
 
-    /// A chunk, read back and checked if it is staged. One that has gone bad is no longer held.
+    /// Returns a chunk; a staged one is read back and checked. A corrupt one is no longer held.
     ///
     /// # Errors
     ///
-    /// `ChunkMissing` when it is not held or has gone bad.
+    /// `ChunkMissing` if it is not held or is corrupt.
     pub(super) async fn read(&self, target: &ModelVersion, index: u32) -> SwitchResult<Bytes> {
         let digests = match self.find(target, index) {
-            Some(FoundChunk::Memory(bytes)) => return Ok(bytes),
-            Some(FoundChunk::Engine(digests)) => digests,
-            None => return Err(missing(index)),
+            Some(ChunkSource::Memory(bytes)) => return Ok(bytes),
+            Some(ChunkSource::Engine(digests)) => digests,
+            None => return Err(missing_chunk(index)),
         };
         if let Some(bytes) = self.read_back(target, index, &digests).await? {
             return Ok(bytes);
         }
-        log_bad(target, index);
+        log_corrupt(target, index);
         self.drop_chunk(target, index);
-        Err(missing(index))
+        Err(missing_chunk(index))
     }
 
-    /// Stages a whole version at the engine and reads every chunk back: staged bytes go bad, and
-    /// the engine loads whatever is there.
+    /// Stages all chunks of a version at the engine and reads each of them back, because staged
+    /// chunks can become corrupt and the engine loads them unchecked.
     ///
     /// # Errors
     ///
-    /// When the engine does not answer, or a chunk is not held.
+    /// If the engine does not answer, or a chunk is not held.
     pub(super) async fn stage(&self, target: &ModelVersion) -> SwitchResult<()> {
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
         self.stage_range(target, 0..digests.count()).await
     }
 
-    /// The same for the chunks of `range` alone.
+    /// Like [`ChunkStore::stage`], for the chunks of `range`.
     ///
     /// # Errors
     ///
@@ -101,14 +101,14 @@
         target: &ModelVersion,
         range: Range<u32>,
     ) -> SwitchResult<()> {
-        let digests = self.digests(target).ok_or_else(|| missing(0))?;
-        let staged = self.staged(target).ok_or_else(|| missing(0))?;
+        let digests = self.digests(target).ok_or_else(|| missing_chunk(0))?;
+        let staged = self.staged(target).ok_or_else(|| missing_chunk(0))?;
         for index in range.clone().filter(|index| !staged.contains(*index)) {
             self.stage_chunk(target, index).await?;
         }
         for index in range {
             if self.read_back(target, index, &digests).await?.is_none() {
-                log_bad(target, index);
+                log_corrupt(target, index);
                 self.stage_chunk(target, index).await?;
             }
         }
@@ -119,11 +119,11 @@
         let bytes = self.read(target, index).await?;
         let staging = self
             .engine
-            .stage_chunk(&target.model, index, bytes, STAGE_WITHIN);
+            .stage_chunk(&target.model, index, bytes, STAGE_TIMEOUT);
         staging.await
     }
 
-    /// A staged chunk; none if it is not there or does not match its digest.
+    /// Reads a staged chunk; none if it is missing or does not match its digest.
     async fn read_back(
         &self,
         target: &ModelVersion,
@@ -132,7 +132,7 @@
     ) -> SwitchResult<Option<Bytes>> {
         let read = self
             .engine
-            .read_chunk(&target.model, index, STAGE_WITHIN)
+            .read_chunk(&target.model, index, STAGE_TIMEOUT)
             .await;
         match read {
             Ok(bytes) if digests.matches(index, &bytes) => Ok(Some(bytes)),
@@ -143,9 +143,9 @@
     }
 }
 
-fn log_bad(target: &ModelVersion, index: u32) {
+fn log_corrupt(target: &ModelVersion, index: u32) {
     log_event!(
-        events::STAGED_CHUNK_BAD,
+        events::STAGED_CHUNK_CORRUPT,
         "model={} chunk={index}",
         target.model
     );
--- a/src/replication/engine_incarnation.rs
+++ b/src/replication/engine_incarnation.rs
@@ -1,5 +1,5 @@
-//! Which incarnation of the engine a report tells of. An engine may start again under its name; it
-//! then holds and knows nothing of before, and counts its orders anew.
+//! Determines which incarnation of the engine a report describes. A restarted engine keeps its
+//! name, but has no weights and counts its orders from zero.
 
 use macro_rules_attribute::apply;
 
@@ -8,63 +8,64 @@
 use crate::platform::EngineReport;
 use crate::time::WallTime;
 
-/// Reports in a row that tell of an earlier start, after which it is taken for a start with a clock
-/// that was set back. One or two can be late answers of the former incarnation; each question has one
-/// answer, so that late ones do not come in a longer row.
-const EARLIER_MAX: u32 = 3;
+/// Reports in a row with an earlier start time after which the engine counts as restarted with its
+/// clock set back. One or two can be delayed responses of the former incarnation, but not more:
+/// each query has one response.
+const OLDER_REPORTS_MAX: u32 = 3;
 
-/// One start of the engine, as this process counts them.
+/// Number of an engine start, as counted by this process.
 #[apply(key!)]
 #[derive(Default)]
 pub(super) struct EngineIncarnation(u64);
 
-/// What a report is, beside those before it.
+/// The incarnation that a report describes, compared with the known one.
 #[apply(key!)]
 pub(super) enum ReportOrigin {
-    /// The incarnation that is known.
+    /// The known incarnation.
     Known,
-    /// A later one: nothing of before holds.
+    /// A newer incarnation; all former state is obsolete.
     Restarted,
-    /// An earlier one, come late.
-    Former,
+    /// An older incarnation, in a delayed report.
+    Older,
 }
 
 /// What is remembered of the last report.
 #[apply(plain!)]
-struct SeenReport {
+struct LastReport {
     born: Option<WallTime>,
     orders_accepted: u64,
     holds_any: bool,
 }
 
-/// Follows the engine from one incarnation to the next.
+/// Tracks the engine across restarts.
 #[derive(Debug, Default)]
-pub(super) struct IncarnationWatch {
+pub(super) struct IncarnationTracker {
     incarnation: EngineIncarnation,
-    seen: Option<SeenReport>,
-    earlier: u32,
+    last: Option<LastReport>,
+    older_reports: u32,
 }
 
-impl IncarnationWatch {
-    /// The incarnation that is known.
+impl IncarnationTracker {
+    /// The current incarnation.
     pub(super) const fn incarnation(&self) -> EngineIncarnation {
         self.incarnation
     }
 
-    /// Takes in the next report; `was_silent` tells that the engine did not answer before it.
-    pub(super) fn take(&mut self, report: &EngineReport, was_silent: bool) -> ReportOrigin {
-        let origin = match &self.seen {
+    /// Classifies the next report; `was_unresponsive` is true if the engine did not answer
+    /// before it.
+    pub(super) fn take(&mut self, report: &EngineReport, was_unresponsive: bool) -> ReportOrigin {
+        let origin = match &self.last {
             None => ReportOrigin::Known,
-            Some(seen) => seen.origin_of(report, was_silent),
+            Some(last) => last.origin_of(report, was_unresponsive),
         };
-        let origin = self.doubt(origin);
-        if origin == ReportOrigin::Former {
+        let origin = self.confirm_older(origin);
+        if origin == ReportOrigin::Older {
             return origin;
         }
         if origin == ReportOrigin::Restarted {
             self.incarnation = EngineIncarnation(self.incarnation.0 + 1);
         }
-        self.seen = Some(SeenReport {
+        self.last = Some(LastReport {
             born: report.born,
             orders_accepted: report.orders_accepted,
             holds_any: !holds_nothing(report),
@@ -72,40 +73,41 @@
         origin
     }
 
-    /// An engine whose clock was set back says that it started earlier than the one before. Taken for
-    /// a late answer each time, it would never be brought its weights; the host would tell of no load.
-    const fn doubt(&mut self, origin: ReportOrigin) -> ReportOrigin {
-        if !matches!(origin, ReportOrigin::Former) {
-            self.earlier = 0;
+    /// Accepts an older start time once it was reported often enough. An engine whose clock was set
+    /// back reports an earlier start than before its restart. If its reports were ignored as
+    /// delayed, it would get no weights and its load would not be reported.
+    const fn confirm_older(&mut self, origin: ReportOrigin) -> ReportOrigin {
+        if !matches!(origin, ReportOrigin::Older) {
+            self.older_reports = 0;
             return origin;
         }
-        self.earlier += 1;
-        if self.earlier < EARLIER_MAX {
+        self.older_reports += 1;
+        if self.older_reports < OLDER_REPORTS_MAX {
             return origin;
         }
-        self.earlier = 0;
+        self.older_reports = 0;
         ReportOrigin::Restarted
     }
 }
 
-impl SeenReport {
-    fn origin_of(&self, report: &EngineReport, was_silent: bool) -> ReportOrigin {
+impl LastReport {
+    fn origin_of(&self, report: &EngineReport, was_unresponsive: bool) -> ReportOrigin {
         match (self.born, report.born) {
-            (Some(seen), Some(born)) if born > seen => ReportOrigin::Restarted,
-            (Some(seen), Some(born)) if born < seen => ReportOrigin::Former,
+            (Some(last), Some(born)) if born > last => ReportOrigin::Restarted,
+            (Some(last), Some(born)) if born < last => ReportOrigin::Older,
             (Some(_), Some(_)) => ReportOrigin::Known,
-            _ if self.is_forgotten_by(report, was_silent) => ReportOrigin::Restarted,
+            _ if self.has_lost_state(report, was_unresponsive) => ReportOrigin::Restarted,
             _ => ReportOrigin::Known,
         }
     }
 
-    /// Whether an engine that does not say when it started has forgotten what it knew: it took fewer
-    /// orders than before, or holds nothing although no order made it drop what it held.
-    fn is_forgotten_by(&self, report: &EngineReport, was_silent: bool) -> bool {
+    /// Whether an engine that does not report its start time has lost its state: it counts fewer
+    /// orders than before, or holds nothing although no order made it release its weights.
+    fn has_lost_state(&self, report: &EngineReport, was_unresponsive: bool) -> bool {
         let is_idle_and_empty = holds_nothing(report) && !report.is_busy;
         let has_dropped = self.holds_any && report.orders_accepted == self.orders_accepted;
         report.orders_accepted < self.orders_accepted
-            || (is_idle_and_empty && (was_silent || has_dropped))
+            || (is_idle_and_empty && (was_unresponsive || has_dropped))
     }
 }
 
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -1,4 +1,5 @@
-//! The daemon beside an engine on the users' platform: its parts put together.
+//! The daemon colocated with an engine on the users' platform: creates its tasks and their shared
+//! state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,13 +9,13 @@
 
 use super::chunk_routes::chunk_routes;
 use super::chunk_store::ChunkStore;
-use super::engine_watch::EngineWatch;
+use super::engine_monitor::EngineMonitor;
+use super::engine_updater::EngineUpdater;
 use super::events;
-use super::host_wait::WaitBoard;
-use super::load_reports::{ReportEdges, report_load};
-use super::version_load::VersionLoad;
-use super::version_loop::{HostPlace, VersionLoop};
-use super::view_poll::ViewPoll;
+use super::host_wait::WaitPublisher;
+use super::load_reports::{ReportContext, report_load};
+use super::version_fetcher::{HostIdentity, VersionFetcher};
+use super::view_poller::ViewPoller;
 use crate::daemon::DrainState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
@@ -23,12 +24,12 @@
 use crate::transport::{ClientLimits, HttpServer, PeerClient, start_metrics};
 use crate::weights::{HostLocation, LinkPacer};
 
-/// Other hosts find out within one call that this one is gone; nothing waits for it.
+/// Other hosts notice within one call that this one has stopped; nothing has to wait for it.
 const STOP_LINGER: Duration = Duration::from_millis(100);
-/// The part of the link that weights may fill. The rest is for the engine's live answers and for what
-/// goes with each chunk: headers, questions, packets.
-const WEIGHTS_SHARE: f64 = 0.8;
-/// The size of a chunk in use; only estimates of time come from it.
+/// Part of the link that weights may use. The rest is for the engine's responses and for the
+/// overhead of chunks: headers, queries, packets.
+const WEIGHTS_LINK_SHARE: f64 = 0.8;
+/// Size of a chunk in use, for time estimates only.
 const CHUNK_BYTES: f64 = 24_576.0;
 const STOP_LONGEST: Duration = Duration::from_millis(400);
 
@@ -36,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// `SettingInvalid` when a setting is missing or an address cannot be had.
+/// `SettingInvalid` if a setting is missing or an address is not available.
 pub(crate) async fn run_backend_host(settings: PlatformSettings) -> SwitchResult<()> {
     let parts = HostParts::new(&settings)?;
     let leases = SocketAddr::new(settings.ip, settings.peer_port);
@@ -52,7 +53,7 @@
     serve_peers(&settings, parts).await
 }
 
-/// Answers other hosts until the process is told to stop.
+/// Serves other hosts until the process is told to stop.
 async fn serve_peers(settings: &PlatformSettings, parts: HostParts) -> SwitchResult<()> {
     let peers = SocketAddr::new(settings.ip, settings.peer_port);
     let server = HttpServer::bind(peers, chunk_routes(parts.store, parts.pacer)).await?;
@@ -66,47 +67,47 @@
     Ok(())
 }
 
-/// What the daemon's tasks share.
+/// State shared by the daemon's tasks.
 struct HostParts {
-    place: HostPlace,
+    identity: HostIdentity,
     client: Arc<PeerClient>,
     engine: EngineClient,
     book: SharedBook,
     store: ChunkStore,
-    watch: Arc<EngineWatch>,
-    waits: Arc<WaitBoard>,
+    monitor: Arc<EngineMonitor>,
+    waits: Arc<WaitPublisher>,
     pacer: LinkPacer,
 }
 
 impl HostParts {
     fn new(settings: &PlatformSettings) -> SwitchResult<Self> {
-        let place = host_place(settings)?;
+        let identity = host_identity(settings)?;
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
-        let engine = EngineClient::new(place.address, client.clone());
-        let store = ChunkStore::new(place.me.host.clone(), engine.clone());
+        let engine = EngineClient::new(identity.address, client.clone());
+        let store = ChunkStore::new(identity.me.host.clone(), engine.clone());
         Ok(Self {
             client,
             book: SharedBook::default(),
-            watch: Arc::new(EngineWatch::new(engine.clone(), store.clone())),
-            waits: Arc::new(WaitBoard::new(place.service.clone())),
+            monitor: Arc::new(EngineMonitor::new(engine.clone(), store.clone())),
+            waits: Arc::new(WaitPublisher::new(identity.service.clone())),
             pacer: LinkPacer::new(weights_rate(settings.link_bytes_per_s)),
-            place,
+            identity,
             engine,
             store,
         })
     }
 
-    fn reports(&self) -> ReportEdges {
-        ReportEdges {
-            address: self.place.address,
-            data_centre: self.place.me.data_centre.clone(),
+    fn reports(&self) -> ReportContext {
+        ReportContext {
+            address: self.identity.address,
+            data_centre: self.identity.me.data_centre.clone(),
             book: self.book.clone(),
-            watch: self.watch.clone(),
+            monitor: self.monitor.clone(),
         }
     }
 
-    fn poll(&self, settings: &PlatformSettings) -> ViewPoll {
-        ViewPoll {
+    fn poll(&self, settings: &PlatformSettings) -> ViewPoller {
+        ViewPoller {
             client: self.client.clone(),
             store: StoreClient::new(settings.store_address, self.client.clone()),
             book: self.book.clone(),
@@ -116,42 +117,44 @@
         }
     }
 
-    fn loads(&self, settings: &PlatformSettings) -> VersionLoad {
-        VersionLoad {
-            place: self.place.clone(),
+    fn loads(&self, settings: &PlatformSettings) -> EngineUpdater {
+        EngineUpdater {
+            identity: self.identity.clone(),
             book: self.book.clone(),
             engine: self.engine.clone(),
             store: self.store.clone(),
-            watch: self.watch.clone(),
+            monitor: self.monitor.clone(),
             waits: self.waits.clone(),
-            bound: settings.bounds.weights_deadline,
+            weights_deadline: settings.bounds.weights_deadline,
         }
     }
 
-    fn versions(&self, settings: &PlatformSettings) -> VersionLoop {
+    fn versions(&self, settings: &PlatformSettings) -> VersionFetcher {
         let span = CHUNK_BYTES / settings.link_bytes_per_s.max(1.0);
-        VersionLoop {
-            place: self.place.clone(),
+        VersionFetcher {
+            identity: self.identity.clone(),
             chunk_span: Duration::from_secs_f64(span),
             pacer: self.pacer.clone(),
             book: self.book.clone(),
             client: self.client.clone(),
             store: self.store.clone(),
-            watch: self.watch.clone(),
+            monitor: self.monitor.clone(),
             waits: self.waits.clone(),
         }
     }
 }
 
-fn host_place(settings: &PlatformSettings) -> SwitchResult<HostPlace> {
-    let missing = |field: &str| {
+fn host_identity(settings: &PlatformSettings) -> SwitchResult<HostIdentity> {
+    let missing_setting = |field: &str| {
         let detail = format!("{field} is missing; a backend server's host needs it");
         SwitchError::new(ErrorKind::SettingInvalid, detail)
     };
     let service = settings.backend_service.clone();
-    Ok(HostPlace {
-        address: settings.backend_address.ok_or_else(|| missing("app"))?,
-        service: service.ok_or_else(|| missing("service"))?,
+    Ok(HostIdentity {
+        address: settings
+            .backend_address
+            .ok_or_else(|| missing_setting("app"))?,
+        service: service.ok_or_else(|| missing_setting("service"))?,
         me: HostLocation {
             host: settings.ip.to_string().into(),
             data_centre: settings.data_centre.clone(),
@@ -161,12 +164,12 @@
     })
 }
 
-/// The part of the link that weights may fill, in bytes a second.
+/// Part of the link that weights may use, in bytes per second.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a rate is positive and far below 2^53 bytes a second"
 )]
 fn weights_rate(link_bytes_per_s: f64) -> u64 {
-    (link_bytes_per_s * WEIGHTS_SHARE) as u64
+    (link_bytes_per_s * WEIGHTS_LINK_SHARE) as u64
 }
--- a/src/replication/tests/digest_lines.rs
+++ b/src/replication/tests/digest_sources.rs
@@ -1,9 +1,9 @@
-//! Who reads the digests of a version, and who asks whom.
+//! Which hosts read the digests of a version, and from where.
 
 use std::time::Duration;
 
 use crate::fleet::{ModelVersion, WeightsVersion};
-use crate::replication::digest_line::DigestLine;
+use crate::replication::digest_sources::DigestSources;
 use crate::weights::{HostLocation, PeerHost};
 
 const CENTRES: u8 = 5;
@@ -29,33 +29,33 @@
     }
 }
 
-/// Guards against hundreds of hosts that read the digests from the origin at once, over the link and the
-/// connections that the chunks need.
+/// Guards against hundreds of hosts that read the digests from the origin at once, over the link
+/// and the connections that are needed for chunks.
 #[test]
 fn two_hosts_of_hundreds_read_the_origin_at_once() {
     let hosts = hosts();
-    let lines: Vec<DigestLine> = hosts
+    let lines: Vec<DigestSources> = hosts
         .iter()
-        .map(|host| DigestLine::new(&hosts, &host.location, &target()))
+        .map(|host| DigestSources::new(&hosts, &host.location, &target()))
         .collect();
     let read_at_once = lines
         .iter()
         .filter(|location| location.choose(0.0).is_none());
     assert_eq!(read_at_once.count(), 2);
     let soon = lines.iter().filter(|location| {
-        location.choose(0.0).is_some() && location.patience() <= Duration::from_secs(1)
+        location.choose(0.0).is_some() && location.wait_limit() <= Duration::from_secs(1)
     });
     let most = 2 * usize::from(CENTRES);
-    assert!(soon.count() <= most, "others wait for those before them");
+    assert!(soon.count() <= most, "others wait for higher-ranked hosts");
 }
 
-/// Guards against one host that answers all others, over a link that takes two seconds for it.
+/// Guards against one host that answers all others, which takes two seconds of its link.
 #[test]
-fn a_host_is_asked_for_digests_by_a_few_dozen() {
+fn a_host_is_queried_for_digests_by_a_few_dozen() {
     let hosts = hosts();
     let mut asked = vec![0_u32; hosts.len()];
     for host in &hosts {
-        let location = DigestLine::new(&hosts, &host.location, &target());
+        let location = DigestSources::new(&hosts, &host.location, &target());
         if let Some(address) = location.choose(0.25) {
             let at = hosts.iter().position(|host| host.address == address);
             asked[at.expect("it is one of them")] += 1;
--- a/src/replication/tests/messages.rs
+++ b/src/replication/tests/messages.rs
@@ -1,7 +1,7 @@
-//! Messages between hosts of backend servers that came to harm.
+//! Corrupt messages between hosts of backend servers.
 
 use crate::fleet::{ModelVersion, WeightsVersion};
-use crate::replication::chunk_messages::{ChunkAsk, ChunkReply};
+use crate::replication::chunk_messages::{ChunkQuery, ChunkResponse};
 use crate::test_support::{run_cases, spoil_bytes};
 use crate::transport::{decode_message, encode_message};
 use crate::weights::{ChunkAnnouncement, ChunkMap};
@@ -10,16 +10,16 @@
 const CASE_BYTES: u32 = 512;
 
 #[test]
-fn whatever_another_host_sends_about_chunks_ends_no_thread() {
-    let ask = ChunkAsk {
+fn corrupt_chunk_messages_cause_no_panic() {
+    let query = ChunkQuery {
         target: ModelVersion {
             model: "m".into(),
             version: WeightsVersion(2),
         },
         index: Some(u32::MAX),
     };
-    let reply = ChunkReply {
-        word: ChunkAnnouncement {
+    let response = ChunkResponse {
+        announcement: ChunkAnnouncement {
             host: "h".into(),
             held: ChunkMap::full(96),
             claimed: ChunkMap::empty(96),
@@ -27,15 +27,21 @@
         },
         bytes: vec![7; 200],
     };
-    let messages = [encode_message(&ask), encode_message(&reply)];
+    let messages = [encode_message(&query), encode_message(&response)];
     let messages = messages.map(|message| message.expect("it encodes"));
     run_cases(CASES, CASE_BYTES, |u| {
         let mut bytes = u.choose(&messages)?.to_vec();
         spoil_bytes(u, &mut bytes)?;
-        let _ = decode_message::<ChunkAsk>(&bytes);
-        if let Ok(reply) = decode_message::<ChunkReply>(&bytes) {
-            let _ = (reply.word.held.fits(96), reply.word.held.contains(95));
-            let _ = (reply.word.claimed.is_full(), reply.word.held.len());
+        let _ = decode_message::<ChunkQuery>(&bytes);
+        if let Ok(response) = decode_message::<ChunkResponse>(&bytes) {
+            let _ = (
+                response.announcement.held.fits(96),
+                response.announcement.held.contains(95),
+            );
+            let _ = (
+                response.announcement.claimed.is_full(),
+                response.announcement.held.len(),
+            );
         }
         Ok(())
     });
