--- a/src/fleet/backend_desk.rs
+++ b/src/fleet/backend_desk.rs
@@ -16,7 +16,7 @@
 use super::turn_sharers::TurnSharers;
 use crate::derives::key;
 use crate::events::log_event;
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::sync::StoreClock;
 use crate::time::{ClockTime, StoreTime, WallTime};
 
@@ -53,7 +53,7 @@
 /// The desk: one record for each backend server that was ever known to this process.
 #[derive(Debug)]
 pub(crate) struct BackendDesk {
-    pub(super) me: EntryPlace,
+    pub(super) me: EntryHostId,
     /// How many other entry hosts the data centre has.
     pub(super) peers: u32,
     /// Which entry hosts share the backend servers that name a rate.
@@ -75,7 +75,7 @@
 
 impl BackendDesk {
     /// An empty desk of the entry host `me`.
-    pub(crate) fn new(me: EntryPlace) -> Self {
+    pub(crate) fn new(me: EntryHostId) -> Self {
         Self {
             turns: TurnSharers::new(&me, &[]),
             clock: StoreClock::default(),
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -9,7 +9,7 @@
 use super::pick::PickPlace;
 use super::request_limit::{LimitTurn, RequestLimit};
 use crate::derives::{key, plain};
-use crate::overload::{EnginePlace, usual_pace};
+use crate::overload::{EngineCandidate, usual_pace};
 use crate::routing::CircuitBreaker;
 use crate::time::{ClockTime, WallTime};
 
@@ -150,8 +150,8 @@
     }
 
     /// The engine as a request finds it at `now`.
-    pub(super) fn place(&self, place: &PickPlace<'_>, now: ClockTime) -> EnginePlace {
-        EnginePlace {
+    pub(super) fn place(&self, place: &PickPlace<'_>, now: ClockTime) -> EngineCandidate {
+        EngineCandidate {
             slots: self.facts.slots,
             load: self.load(now),
             unread_tokens: self.unread_tokens,
--- a/src/fleet/desk_share.rs
+++ b/src/fleet/desk_share.rs
@@ -4,13 +4,13 @@
 
 use super::backend_desk::BackendDesk;
 use super::turn_sharers::TurnSharers;
-use crate::overload::{EntryPlace, EntryShare};
+use crate::overload::{EngineAssignment, EntryHostId};
 
 impl BackendDesk {
     /// Shares the backend servers out among `entries`, to which this entry host belongs.
-    pub(crate) fn share_among(&mut self, entries: &[EntryPlace]) {
+    pub(crate) fn share_among(&mut self, entries: &[EntryHostId]) {
         let me = self.me.clone();
-        let share = EntryShare::new(&me, entries);
+        let share = EngineAssignment::new(&me, entries);
         self.peers = share.peers();
         self.turns = TurnSharers::new(&me, entries);
         // How many were met so far, by service and data centre.
@@ -31,7 +31,7 @@
             });
             let rank = met[group_at].1;
             met[group_at].1 += 1;
-            record.is_own = share.has(rank);
+            record.is_own = share.is_assigned(rank);
         }
     }
 }
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -12,7 +12,7 @@
 use super::turn_sharers::TurnSharers;
 use crate::derives::{key, plain};
 use crate::errors::ErrorKind;
-use crate::overload::{EnginePlace, EngineSpeed};
+use crate::overload::{EngineCandidate, EngineSpeed};
 use crate::time::{ClockTime, StoreTime};
 
 /// One place in so many stays free for new requests before returned ones.
@@ -229,7 +229,7 @@
 }
 
 /// A place at an engine is as good as the delay that it means; one at a plain service goes by its grade.
-fn rate(place: &EnginePlace, need: &PickNeed<'_>) -> (PlaceGrade, Duration) {
+fn rate(place: &EngineCandidate, need: &PickNeed<'_>) -> (PlaceGrade, Duration) {
     if let Some(work) = &need.work {
         return (PlaceGrade::NearFree, place.delay(&work.speed));
     }
--- a/src/fleet/request_limit.rs
+++ b/src/fleet/request_limit.rs
@@ -6,7 +6,7 @@
 use macro_rules_attribute::apply;
 
 use crate::derives::{message, plain};
-use crate::overload::TurnShare;
+use crate::overload::SendSchedule;
 use crate::time::{StoreTime, WallTime};
 
 /// For how long a limit holds that nobody hears of any more.
@@ -87,13 +87,13 @@
     /// Whether a request may go to it at `now`; `share` tells who shares its turns.
     pub(super) fn turn<'a>(
         &self,
-        share: impl FnOnce() -> TurnShare<'a>,
+        share: impl FnOnce() -> SendSchedule<'a>,
         now: StoreTime,
     ) -> LimitTurn {
         let Some(rate) = self.rate(now) else {
             return LimitTurn::Unlimited;
         };
-        match share().open_turn(rate, self.used, now) {
+        match share().open_interval(rate, self.used, now) {
             Some(begun) => LimitTurn::Open(begun),
             None => LimitTurn::Others,
         }
--- a/src/fleet/tests/herds.rs
+++ b/src/fleet/tests/herds.rs
@@ -1,18 +1,18 @@
 //! Several entry hosts that send to the same engines.
 
 use super::*;
-use crate::overload::{EngineSpeed, EntryPlace};
+use crate::overload::{EngineSpeed, EntryHostId};
 
 const SPEED: EngineSpeed = EngineSpeed {
     step_s: 0.009,
     request_step_s: 0.000_04,
     read_per_s: 19_000.0,
-    usual_prompt: 950.0,
-    usual_answer: 100.0,
+    typical_prompt_tokens: 950.0,
+    typical_answer_tokens: 100.0,
 };
 const SLOTS: u32 = 16;
 
-fn entries() -> Vec<EntryPlace> {
+fn entries() -> Vec<EntryHostId> {
     ["e1", "e2", "e3"]
         .map(|host| entry_place(host, "here"))
         .into()
@@ -140,8 +140,8 @@
                 step_s: figure,
                 request_step_s: figure,
                 read_per_s: figure,
-                usual_prompt: figure,
-                usual_answer: figure,
+                typical_prompt_tokens: figure,
+                typical_answer_tokens: figure,
             },
             prompt_tokens: u32::MAX,
         });
@@ -163,7 +163,7 @@
     let far: Vec<String> = (b'A'..=b'X')
         .map(|letter| format!("f{}", char::from(letter)))
         .collect();
-    let places: Vec<EntryPlace> = (0..ENTRIES)
+    let places: Vec<EntryHostId> = (0..ENTRIES)
         .map(|number| entry_place(&format!("e{number:02}"), "here"))
         .collect();
     let mut tickets = Vec::new();
--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -9,7 +9,7 @@
 use bytestring::ByteString;
 
 use super::*;
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -41,8 +41,8 @@
     }
 }
 
-fn entry_place(host: &str, data_centre: &str) -> EntryPlace {
-    EntryPlace {
+fn entry_place(host: &str, data_centre: &str) -> EntryHostId {
+    EntryHostId {
         data_centre: ByteString::from(data_centre),
         host: ByteString::from(host),
     }
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::*;
-use crate::overload::{EngineSpeed, EntryPlace};
+use crate::overload::{EngineSpeed, EntryHostId};
 
 const ENTRIES: usize = 20;
 const ENGINES: usize = 47;
@@ -31,8 +31,8 @@
     step_s: 0.0101,
     request_step_s: 0.000_033,
     read_per_s: 20_400.0,
-    usual_prompt: 930.0,
-    usual_answer: 91.0,
+    typical_prompt_tokens: 930.0,
+    typical_answer_tokens: 91.0,
 };
 
 struct StreamRun {
@@ -84,7 +84,7 @@
 
 impl TestHall {
     fn new(seed: u64) -> Self {
-        let places: Vec<EntryPlace> = (0..ENTRIES)
+        let places: Vec<EntryHostId> = (0..ENTRIES)
             .map(|number| entry_place(&format!("e{number:02}"), "here"))
             .collect();
         let fleet = FleetView {
@@ -113,8 +113,8 @@
         let clients: Vec<usize> = (0..ENTRIES * 2)
             .map(|_| self.rng.random_range(0..ENTRIES))
             .collect();
-        let stream_ms = TOKEN_MS * SPEED.usual_answer;
-        let read_ms = SPEED.usual_prompt / READ_PER_MS;
+        let stream_ms = TOKEN_MS * SPEED.typical_answer_tokens;
+        let read_ms = SPEED.typical_prompt_tokens / READ_PER_MS;
         let per_engine = f64::from(SLOTS) / (stream_ms + read_ms);
         let rate = per_engine * 47.0 * UTILISATION;
         let mut due = 0.0;
@@ -161,7 +161,7 @@
     }
 
     fn send(&mut self, entry: usize, now: ClockTime) {
-        let prompt = self.rng.random_range(0.2..1.8) * SPEED.usual_prompt;
+        let prompt = self.rng.random_range(0.2..1.8) * SPEED.typical_prompt_tokens;
         let mut need = need(None);
         need.queue_room = 2;
         need.work = Some(EngineWork {
@@ -173,7 +173,7 @@
             Err(_) => self.refused += 1,
             Ok(picked) => {
                 let number: usize = picked.facts.id[1..].parse().expect("a number");
-                let answer = self.rng.random_range(0.3..1.7) * SPEED.usual_answer;
+                let answer = self.rng.random_range(0.3..1.7) * SPEED.typical_answer_tokens;
                 self.engines[number].waiting.push_back(StreamRun {
                     entry,
                     key: picked.key,
--- a/src/fleet/turn_sharers.rs
+++ b/src/fleet/turn_sharers.rs
@@ -3,7 +3,7 @@
 use bytestring::ByteString;
 
 use super::backend_facts::BackendFacts;
-use crate::overload::{EntryPlace, TurnShare};
+use crate::overload::{EntryHostId, SendSchedule};
 use crate::routing::name_hash;
 
 /// The entry hosts by data centre, as hashes of their names.
@@ -17,11 +17,11 @@
 
 impl TurnSharers {
     /// The sharers among `entries`, to which `me` belongs.
-    pub(super) fn new(me: &EntryPlace, entries: &[EntryPlace]) -> Self {
-        let mut places: Vec<&EntryPlace> = entries.iter().chain([me]).collect();
+    pub(super) fn new(me: &EntryHostId, entries: &[EntryHostId]) -> Self {
+        let mut places: Vec<&EntryHostId> = entries.iter().chain([me]).collect();
         places.sort_unstable();
         places.dedup();
-        let hash = |place: &&EntryPlace| name_hash(&place.host);
+        let hash = |place: &&EntryHostId| name_hash(&place.host);
         let groups = places.chunk_by(|left, right| left.data_centre == right.data_centre);
         let near = groups.map(|group| {
             let hashes = group.iter().map(hash);
@@ -35,13 +35,13 @@
     }
 
     /// Who shares the turns of a backend server: the entry hosts of its data centre, or all if it has none.
-    pub(super) fn share(&self, facts: &BackendFacts) -> TurnShare<'_> {
+    pub(super) fn share(&self, facts: &BackendFacts) -> SendSchedule<'_> {
         let found = self
             .near
             .binary_search_by(|(data_centre, _)| data_centre.cmp(&facts.data_centre));
-        TurnShare {
+        SendSchedule {
             backend: name_hash(&facts.id),
-            sharers: found.map_or(&self.all, |at| &self.near[at].1),
+            entry_hosts: found.map_or(&self.all, |at| &self.near[at].1),
             me: self.me,
         }
     }
--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -12,7 +12,7 @@
 use crate::events::log_event;
 use crate::fleet::{BackendFacts, BackendKey};
 use crate::metrics;
-use crate::quarantine::{AnsweredLog, BackendStart, RequestDigest};
+use crate::quarantine::{AnsweredLog, BackendIncarnation, RequestDigest};
 use crate::sync::SharedBook;
 use crate::time::{ClockTime, clock_now};
 
@@ -58,7 +58,7 @@
             is_probed
         };
         if !is_probed {
-            let start = BackendStart::of(&backend.id, backend.born);
+            let start = BackendIncarnation::of(&backend.id, backend.born);
             let (id, address) = (backend.id.clone(), backend.address);
             tokio::spawn(self.clone().probe(cut.key, start, (id, address)));
         }
@@ -68,7 +68,7 @@
     async fn probe(
         self,
         key: BackendKey,
-        start: BackendStart,
+        start: BackendIncarnation,
         (id, address): (ByteString, SocketAddr),
     ) {
         sleep(GATHER_SPAN).await;
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -18,7 +18,7 @@
 use crate::daemon::DrainState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::platform::{PlatformSettings, READY_PATH, TimeBounds};
 use crate::sync::{EntryRecord, SharedBook, SyncSettings, ViewBook, start_sync};
 use crate::time::clock_now;
@@ -57,7 +57,7 @@
     let gateway = Arc::new(GatewayState::new(GatewayParts {
         snapshot: book.snapshot(),
         crashes: CrashWatch::new(book.clone()),
-        me: EntryPlace {
+        me: EntryHostId {
             data_centre: settings.data_centre.clone(),
             host: settings.host.clone(),
         },
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -14,7 +14,7 @@
     BackendDesk, BackendKey, BackendPhase, BackendTicket, LimitWord, LoadReport, PurseLimits,
     RetryPurse, SharedDesk,
 };
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::platform::TimeBounds;
 use crate::sync::{ControlSnapshot, EntryRecord, SharedSnapshot};
 use crate::time::ClockTime;
@@ -55,7 +55,7 @@
     pub(super) snapshot: SharedSnapshot,
     pub(super) crashes: CrashWatch,
     /// This entry host.
-    pub(super) me: EntryPlace,
+    pub(super) me: EntryHostId,
     pub(super) drain: DrainState,
     pub(super) bounds: TimeBounds,
 }
@@ -237,8 +237,8 @@
     }
 }
 
-fn entry_places(snapshot: &ControlSnapshot) -> Vec<EntryPlace> {
-    let place = |entry: &EntryRecord| EntryPlace {
+fn entry_places(snapshot: &ControlSnapshot) -> Vec<EntryHostId> {
+    let place = |entry: &EntryRecord| EntryHostId {
         data_centre: entry.data_centre.clone(),
         host: entry.host.clone(),
     };
--- a/src/gateway/tests/crash_watch.rs
+++ b/src/gateway/tests/crash_watch.rs
@@ -9,8 +9,8 @@
 use crate::fleet::{BackendDesk, BackendFacts, BackendPhase, EngineHoldings, FleetView, PickNeed};
 use crate::fleet::{BackendKey, SharedDesk, VersionNeed};
 use crate::gateway::crash_watch::{CrashWatch, CutRequest};
-use crate::overload::EntryPlace;
-use crate::quarantine::{AnsweredLog, BackendStart};
+use crate::overload::EntryHostId;
+use crate::quarantine::{AnsweredLog, BackendIncarnation};
 use crate::sync::SharedBook;
 use crate::test_support::{digest_of, free_address};
 use crate::time::{ClockTime, clock_now};
@@ -33,7 +33,7 @@
 }
 
 fn key_of(facts: &BackendFacts) -> BackendKey {
-    let mut desk = BackendDesk::new(EntryPlace {
+    let mut desk = BackendDesk::new(EntryHostId {
         data_centre: "here".into(),
         host: "e1".into(),
     });
@@ -90,7 +90,7 @@
     assert!(!book.snapshot().load().crashes.suspects(request));
     // Another entry host, to which no such call had come before.
     for backend in 1..=3 {
-        book.change(|book| book.note_crash(BackendStart(backend), &[request], now));
+        book.change(|book| book.note_crash(BackendIncarnation(backend), &[request], now));
     }
     assert_eq!(watch.quarantine(request, now), None);
     assert!(!book.snapshot().load().crashes.suspects(request));
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -27,7 +27,7 @@
 use crate::gateway::gateway_state::{GatewayParts, GatewayState};
 use crate::gateway::reply::{refusal_reply, status_of};
 use crate::gateway::request_job::{RequestJob, route_request};
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::platform::{RequestHead, TimeBounds};
 use crate::sync::{ControlSnapshot, SharedBook, SharedSnapshot};
 use crate::time::ClockTime;
@@ -107,7 +107,7 @@
 /// The same, which is told by `book` of requests that crash backend servers.
 fn gateway_beside(snapshot: SharedSnapshot, bounds: TimeBounds, book: SharedBook) -> GatewayState {
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
-    let me = EntryPlace {
+    let me = EntryHostId {
         data_centre: "here".into(),
         host: "e1".into(),
     };
--- a/src/gateway/tests/pauses.rs
+++ b/src/gateway/tests/pauses.rs
@@ -6,7 +6,7 @@
 use super::fake_backend::{BackendWay, FakeBackend, FakeEntry};
 use super::sends::{assert_whole_stream, outcome};
 use crate::fleet::{BackendKey, BackendTicket, PickNeed, VersionNeed};
-use crate::quarantine::{BackendStart, RequestDigest, RequestParts};
+use crate::quarantine::{BackendIncarnation, RequestDigest, RequestParts};
 use crate::time::clock_now;
 
 /// Two events, a pause as of a busy engine, and the rest.
@@ -184,7 +184,7 @@
     let crashes = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         for id in ["i-7", "i-8", "i-9"] {
-            let start = BackendStart::of(&id.into(), None);
+            let start = BackendIncarnation::of(&id.into(), None);
             entry
                 .book
                 .change(|book| book.note_crash(start, &[request], clock_now()));
--- a/src/overload/entry_share.rs
+++ b/src/overload/entry_share.rs
@@ -13,7 +13,7 @@
 /// Where an entry host is.
 #[apply(plain!)]
 #[derive(Eq, PartialOrd, Ord)]
-pub(crate) struct EntryPlace {
+pub(crate) struct EntryHostId {
     /// Its data centre.
     pub(crate) data_centre: ByteString,
     /// Its name.
@@ -25,16 +25,16 @@
 /// Each entry host works it out for itself, from what it knows of the others. Where two know different
 /// things, both or neither send to an engine first, which costs no more than before.
 #[derive(Debug)]
-pub(crate) struct EntryShare<'a> {
-    me: &'a EntryPlace,
+pub(crate) struct EngineAssignment<'a> {
+    me: &'a EntryHostId,
     /// Sorted, with this entry host among them.
-    entries: Vec<&'a EntryPlace>,
+    entries: Vec<&'a EntryHostId>,
 }
 
-impl<'a> EntryShare<'a> {
+impl<'a> EngineAssignment<'a> {
     /// The shares of `me` among `entries`, in any order.
-    pub(crate) fn new(me: &'a EntryPlace, entries: &'a [EntryPlace]) -> Self {
-        let mut entries: Vec<&EntryPlace> = entries.iter().collect();
+    pub(crate) fn new(me: &'a EntryHostId, entries: &'a [EntryHostId]) -> Self {
+        let mut entries: Vec<&EntryHostId> = entries.iter().collect();
         entries.push(me);
         entries.sort_unstable();
         entries.dedup();
@@ -43,12 +43,12 @@
 
     /// How many other entry hosts the data centre has.
     pub(crate) fn peers(&self) -> u32 {
-        let others = self.sharers().len().saturating_sub(1);
+        let others = self.local_entry_hosts().len().saturating_sub(1);
         u32::try_from(others).unwrap_or(u32::MAX)
     }
 
     /// The entry hosts of this data centre, this one among them.
-    fn sharers(&self) -> &[&'a EntryPlace] {
+    fn local_entry_hosts(&self) -> &[&'a EntryHostId] {
         let data_centre = &self.me.data_centre;
         let entries = &self.entries;
         let from = entries.partition_point(|entry| entry.data_centre < *data_centre);
@@ -59,8 +59,8 @@
     /// Whether this entry host has the engine that is the `rank`th of its service in a data centre: of
     /// its own, or of another, which the entry hosts of this one share among themselves as well. They
     /// take the engines in turn.
-    pub(crate) fn has(&self, rank: usize) -> bool {
-        let sharers = self.sharers();
-        sharers[rank % sharers.len()] == self.me
+    pub(crate) fn is_assigned(&self, rank: usize) -> bool {
+        let local_entry_hosts = self.local_entry_hosts();
+        local_entry_hosts[rank % local_entry_hosts.len()] == self.me
     }
 }
--- a/src/overload/first_event.rs
+++ b/src/overload/first_event.rs
@@ -46,9 +46,9 @@
     /// Prompt tokens that are read in a second.
     pub(crate) read_per_s: f64,
     /// Tokens of a usual prompt.
-    pub(crate) usual_prompt: f64,
+    pub(crate) typical_prompt_tokens: f64,
     /// Tokens of a usual answer.
-    pub(crate) usual_answer: f64,
+    pub(crate) typical_answer_tokens: f64,
 }
 
 impl EngineSpeed {
@@ -65,14 +65,14 @@
     fn turnover_s(&self, slots: u32) -> f64 {
         let slots = f64::from(slots.max(1));
         let step = self.step_s + self.request_step_s * slots;
-        step * self.usual_answer / slots + self.reading_s(self.usual_prompt)
+        step * self.typical_answer_tokens / slots + self.reading_s(self.typical_prompt_tokens)
     }
 }
 
 /// An engine as an entry host sees it.
 #[apply(plain!)]
 #[derive(Copy)]
-pub(crate) struct EnginePlace {
+pub(crate) struct EngineCandidate {
     /// How many requests it works on at once.
     pub(crate) slots: u32,
     /// The requests that it has, as far as is known.
@@ -89,7 +89,7 @@
     pub(crate) peers: u32,
 }
 
-impl EnginePlace {
+impl EngineCandidate {
     /// What others may have sent there unseen, in times between two beginnings.
     ///
     /// The more entry hosts go by the same reports, the more of them meet at an engine that was free in
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -9,6 +9,6 @@
 mod tests;
 
 pub(crate) use come_back::{come_back_after, is_returned};
-pub(crate) use entry_share::{EntryPlace, EntryShare};
-pub(crate) use first_event::{EnginePlace, EngineSpeed, usual_pace};
-pub(crate) use rate_turns::TurnShare;
+pub(crate) use entry_share::{EngineAssignment, EntryHostId};
+pub(crate) use first_event::{EngineCandidate, EngineSpeed, usual_pace};
+pub(crate) use rate_turns::SendSchedule;
--- a/src/overload/rate_turns.rs
+++ b/src/overload/rate_turns.rs
@@ -18,21 +18,21 @@
 
 /// Who shares the turns at a backend server, each by the hash of its name.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TurnShare<'a> {
+pub(crate) struct SendSchedule<'a> {
     /// The backend server.
     pub(crate) backend: u64,
     /// The entry hosts that send there.
-    pub(crate) sharers: &'a [u64],
+    pub(crate) entry_hosts: &'a [u64],
     /// This entry host.
     pub(crate) me: u64,
 }
 
-impl TurnShare<'_> {
+impl SendSchedule<'_> {
     /// When the first turn began that this entry host may use at `now`, at `rate` turns a second; `used` is
     /// when the last one began that it used.
     ///
     /// Clocks of entry hosts that differ do not matter: a turn is used once, a little earlier or later.
-    pub(crate) fn open_turn(
+    pub(crate) fn open_interval(
         &self,
         rate: f64,
         used: StoreTime,
@@ -50,8 +50,8 @@
 
     fn is_mine(&self, turn: u64) -> bool {
         let subject = self.backend ^ turn;
-        let sharers = self.sharers.iter();
-        sharers.max_by_key(|sharer| rendezvous_weight(subject, **sharer)) == Some(&self.me)
+        let entry_hosts = self.entry_hosts.iter();
+        entry_hosts.max_by_key(|sharer| rendezvous_weight(subject, **sharer)) == Some(&self.me)
     }
 }
 
--- a/src/overload/tests/rate_turns.rs
+++ b/src/overload/tests/rate_turns.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use crate::overload::TurnShare;
+use crate::overload::SendSchedule;
 use crate::routing::name_hash;
 use crate::test_support::run_cases;
 use crate::time::StoreTime;
@@ -20,26 +20,26 @@
     names.collect()
 }
 
-/// When requests are sent at `rate` by `sharers`, whose clocks are `ahead`; `wants` says whether one of them has
+/// When requests are sent at `rate` by `entry_hosts`, whose clocks are `ahead`; `wants` says whether one of them has
 /// a request to send in a step.
 fn sends(
     rate: f64,
-    sharers: &[u64],
+    entry_hosts: &[u64],
     ahead: &[Duration],
     wants: impl Fn(usize, u32) -> bool,
 ) -> Vec<StoreTime> {
-    let mut used = vec![START; sharers.len()];
+    let mut used = vec![START; entry_hosts.len()];
     let mut sent = Vec::new();
     for step in 0..STEPS {
         let now = START + STEP * step;
-        for (at, me) in sharers.iter().enumerate() {
-            let share = TurnShare {
+        for (at, me) in entry_hosts.iter().enumerate() {
+            let share = SendSchedule {
                 backend: 7,
-                sharers,
+                entry_hosts,
                 me: *me,
             };
             if wants(at, step)
-                && let Some(begun) = share.open_turn(rate, used[at], now + ahead[at])
+                && let Some(begun) = share.open_interval(rate, used[at], now + ahead[at])
             {
                 used[at] = begun;
                 sent.push(now);
@@ -67,9 +67,9 @@
 fn no_window_has_more_than_is_allowed() {
     run_cases(60, 4096, |source| {
         let rate = f64::from(source.int_in_range(1_u32..=80)?) / 10.0;
-        let sharers = hosts(source.int_in_range(1..=24)?);
+        let entry_hosts = hosts(source.int_in_range(1..=24)?);
         let mut ahead = Vec::new();
-        for _ in &sharers {
+        for _ in &entry_hosts {
             ahead.push(Duration::from_millis(source.int_in_range(0..=400)?));
         }
         let busy = source.int_in_range(1_u64..=100)?;
@@ -78,7 +78,7 @@
             let lot = name_hash(&format!("{at} {step}")) % 100;
             step >= quiet && lot < busy
         };
-        let most = float_of(most_in_window(&sends(rate, &sharers, &ahead, wants)));
+        let most = float_of(most_in_window(&sends(rate, &entry_hosts, &ahead, wants)));
         let allowed = rate * WINDOW.as_secs_f64() * RATE_PART + REQUESTS_BEYOND;
         assert!(
             most <= allowed,
@@ -92,9 +92,9 @@
 #[test]
 fn the_rate_is_used() {
     for (rate, count) in [(0.5, 2), (1.0, 6), (2.2, 8), (10.0, 2), (30.0, 20)] {
-        let sharers = hosts(count);
-        let ahead = vec![Duration::ZERO; sharers.len()];
-        let sent = float_of(sends(rate, &sharers, &ahead, |_, _| true).len());
+        let entry_hosts = hosts(count);
+        let ahead = vec![Duration::ZERO; entry_hosts.len()];
+        let sent = float_of(sends(rate, &entry_hosts, &ahead, |_, _| true).len());
         let offered = rate * (STEP * STEPS).as_secs_f64();
         assert!(sent >= offered * 0.9, "{sent} of {offered} at {rate}");
     }
--- a/src/platform/document_row.rs
+++ b/src/platform/document_row.rs
@@ -276,8 +276,8 @@
             step_s: text.step_ms / MILLIS_PER_SECOND,
             request_step_s: text.per_seq_ms / MILLIS_PER_SECOND,
             read_per_s: text.read_per_s,
-            usual_prompt: text.usual.prompt,
-            usual_answer: text.usual.answer,
+            typical_prompt_tokens: text.usual.prompt,
+            typical_answer_tokens: text.usual.answer,
         },
     }
 }
--- a/src/quarantine/crash_ledger.rs
+++ b/src/quarantine/crash_ledger.rs
@@ -15,18 +15,18 @@
 use crate::time::{ClockTime, StoreTime, WallTime};
 
 /// Different backend servers that crash under a request before it is quarantined.
-pub(crate) const CRASHES_MAX: usize = 3;
+pub(crate) const QUARANTINE_THRESHOLD: usize = 3;
 /// How long a crash counts. A quarantined request is then tried again, in case it no longer does harm.
-pub(crate) const CRASH_SPAN: Duration = Duration::from_mins(10);
+pub(crate) const CRASH_RETENTION: Duration = Duration::from_mins(10);
 /// Crashes that are remembered, each with one request; of more, the oldest are forgotten.
 const ROWS_MAX: usize = 4096;
 
 /// One start of one backend server.
 #[apply(message!)]
 #[derive(Copy, Eq, PartialOrd, Ord)]
-pub(crate) struct BackendStart(pub(crate) u64);
+pub(crate) struct BackendIncarnation(pub(crate) u64);
 
-impl BackendStart {
+impl BackendIncarnation {
     /// The start at `born` of the backend server called `id`.
     pub(crate) fn of(id: &ByteString, born: Option<WallTime>) -> Self {
         let born = born.map_or(0, |born| born.0);
@@ -52,7 +52,7 @@
     /// The request.
     pub(crate) request: RequestDigest,
     /// The backend server that crashed.
-    pub(crate) backend: BackendStart,
+    pub(crate) backend: BackendIncarnation,
     /// What is held against the request.
     pub(crate) verdict: CrashVerdict,
     /// When the crash was seen.
@@ -60,7 +60,7 @@
 }
 
 impl CrashRecord {
-    const fn key(&self) -> (RequestDigest, BackendStart) {
+    const fn key(&self) -> (RequestDigest, BackendIncarnation) {
         (self.request, self.backend)
     }
 }
@@ -68,7 +68,7 @@
 /// A record as the store keeps it.
 #[apply(message!)]
 #[derive(Copy)]
-pub(crate) struct CrashWord {
+pub(crate) struct StoredCrash {
     /// The record.
     pub(crate) record: CrashRecord,
     /// The store's revision of its row.
@@ -116,7 +116,7 @@
             let row = LedgerRow {
                 record,
                 revision: None,
-                until: now + CRASH_SPAN,
+                until: now + CRASH_RETENTION,
             };
             self.rows.insert(at, row);
             self.trim();
@@ -135,7 +135,7 @@
     }
 
     /// Takes in what the store keeps, which counts until `until`.
-    pub(crate) fn take_word(&mut self, word: CrashWord, until: ClockTime) {
+    pub(crate) fn merge_stored(&mut self, word: StoredCrash, until: ClockTime) {
         let row = LedgerRow {
             record: word.record,
             revision: Some(word.revision),
@@ -158,7 +158,7 @@
     }
 
     /// Takes in all that the store keeps as of `revision`. Rows that it does not have any more are gone.
-    pub(crate) fn keep_listed(&mut self, words: &[CrashWord], revision: u64) {
+    pub(crate) fn keep_listed(&mut self, words: &[StoredCrash], revision: u64) {
         self.rows.retain(|row| {
             let is_listed = || {
                 words
@@ -171,7 +171,7 @@
     }
 
     /// The store keeps `records` since `revision`.
-    pub(crate) fn note_kept(&mut self, records: &[CrashRecord], revision: u64) {
+    pub(crate) fn mark_stored(&mut self, records: &[CrashRecord], revision: u64) {
         for record in records {
             if let Ok(at) = self.find(record)
                 && self.rows[at].record.verdict == record.verdict
@@ -182,18 +182,18 @@
     }
 
     /// What the store does not keep yet.
-    pub(crate) fn unkept(&self) -> Vec<CrashRecord> {
+    pub(crate) fn unstored(&self) -> Vec<CrashRecord> {
         let rows = self.rows.iter().filter(|row| row.revision.is_none());
         rows.map(|row| row.record).collect()
     }
 
     /// What a process does not know that knows all rows up to `revision`.
-    pub(crate) fn words_behind(&self, revision: u64) -> impl Iterator<Item = CrashWord> + '_ {
+    pub(crate) fn stored_after(&self, revision: u64) -> impl Iterator<Item = StoredCrash> + '_ {
         // A row beyond what is completely known would be told again each time.
         let is_meant = move |told: &u64| *told > revision && *told <= self.revision;
         self.rows.iter().filter_map(move |row| {
             let revision = row.revision.filter(is_meant)?;
-            Some(CrashWord {
+            Some(StoredCrash {
                 record: row.record,
                 revision,
             })
@@ -210,14 +210,14 @@
     /// Of the harmless requests that ran beside one that crashes its backend server few are, and only these
     /// need to be told of when they are answered.
     pub(crate) fn is_at_risk(&self, request: RequestDigest, now: ClockTime) -> bool {
-        self.counting(request, now).count() + 1 >= CRASHES_MAX
+        self.counting(request, now).count() + 1 >= QUARANTINE_THRESHOLD
     }
 
     /// How long `request` stays quarantined from `now` on; none if it is not.
     pub(crate) fn quarantine(&self, request: RequestDigest, now: ClockTime) -> Option<Duration> {
         let mut ends: Vec<ClockTime> = self.counting(request, now).map(|row| row.until).collect();
         ends.sort_unstable_by(|left, right| right.cmp(left));
-        let end = ends.get(CRASHES_MAX - 1)?;
+        let end = ends.get(QUARANTINE_THRESHOLD - 1)?;
         Some(end.since(now))
     }
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -9,6 +9,7 @@
 
 pub(crate) use answered_log::AnsweredLog;
 pub(crate) use crash_ledger::{
-    BackendStart, CRASH_SPAN, CRASHES_MAX, CrashLedger, CrashRecord, CrashVerdict, CrashWord,
+    BackendIncarnation, CRASH_RETENTION, CrashLedger, CrashRecord, CrashVerdict,
+    QUARANTINE_THRESHOLD, StoredCrash,
 };
 pub(crate) use request_digest::{RequestDigest, RequestParts};
--- a/src/quarantine/tests/mod.rs
+++ b/src/quarantine/tests/mod.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
 use super::{
-    BackendStart, CRASH_SPAN, CrashLedger, CrashRecord, CrashVerdict, CrashWord, RequestDigest,
-    RequestParts,
+    BackendIncarnation, CRASH_RETENTION, CrashLedger, CrashRecord, CrashVerdict, RequestDigest,
+    RequestParts, StoredCrash,
 };
 use crate::test_support::run_cases;
 use crate::time::{ClockTime, StoreTime};
@@ -56,7 +56,7 @@
 fn record(request: u32, backend: u64) -> CrashRecord {
     CrashRecord {
         request: digest(request),
-        backend: BackendStart(backend),
+        backend: BackendIncarnation(backend),
         verdict: CrashVerdict::Suspected,
         seen: StoreTime(START.0),
     }
@@ -90,7 +90,7 @@
     }
     let now = START + Duration::from_secs(5);
     let left = ledger.quarantine(digest(1), now).expect("three crashes");
-    assert_eq!(left + Duration::from_secs(4), CRASH_SPAN);
+    assert_eq!(left + Duration::from_secs(4), CRASH_RETENTION);
     assert!(!is_quarantined(&ledger, 1, now + left));
 }
 
@@ -116,7 +116,7 @@
     assert!(!ledger.is_at_risk(digest(1), START));
     ledger.note_crash(record(1, 2), START);
     assert!(ledger.is_at_risk(digest(1), START));
-    assert!(!ledger.is_at_risk(digest(1), START + CRASH_SPAN));
+    assert!(!ledger.is_at_risk(digest(1), START + CRASH_RETENTION));
 }
 
 /// Guards against entry hosts that differ for good on what is quarantined, by the order in which words came.
@@ -129,15 +129,15 @@
             if source.ratio(1, 4)? {
                 record.verdict = CrashVerdict::Cleared;
             }
-            words.push(CrashWord { record, revision });
+            words.push(StoredCrash { record, revision });
         }
         let mut ledgers = [CrashLedger::default(), CrashLedger::default()];
         for word in &words {
-            ledgers[0].take_word(*word, START + CRASH_SPAN);
+            ledgers[0].merge_stored(*word, START + CRASH_RETENTION);
         }
         while !words.is_empty() {
             let at = source.int_in_range(0..=words.len() - 1)?;
-            ledgers[1].take_word(words.remove(at), START + CRASH_SPAN);
+            ledgers[1].merge_stored(words.remove(at), START + CRASH_RETENTION);
         }
         for request in 0..3 {
             let [first, second] = ledgers
@@ -153,17 +153,17 @@
 #[test]
 fn what_was_cleared_here_is_told() {
     let mut ledger = CrashLedger::default();
-    let word = CrashWord {
+    let word = StoredCrash {
         record: record(1, 1),
         revision: 7,
     };
-    ledger.take_word(word, START + CRASH_SPAN);
+    ledger.merge_stored(word, START + CRASH_RETENTION);
     ledger.clear(digest(1));
-    ledger.take_word(word, START + CRASH_SPAN);
-    let [unkept] = ledger.unkept().try_into().expect("one record");
-    assert_eq!(unkept.verdict, CrashVerdict::Cleared);
-    ledger.note_kept(&[unkept], 8);
-    assert!(ledger.unkept().is_empty());
+    ledger.merge_stored(word, START + CRASH_RETENTION);
+    let [unstored] = ledger.unstored().try_into().expect("one record");
+    assert_eq!(unstored.verdict, CrashVerdict::Cleared);
+    ledger.mark_stored(&[unstored], 8);
+    assert!(ledger.unstored().is_empty());
 }
 
 /// Guards against neighbours that tell the same rows again and again, at once each time.
@@ -171,27 +171,27 @@
 fn rows_are_told_only_as_far_as_all_are_known() {
     let mut ledger = CrashLedger::default();
     ledger.note_crash(record(1, 1), START);
-    ledger.note_kept(&[record(1, 1)], 9);
+    ledger.mark_stored(&[record(1, 1)], 9);
     ledger.note_revision(8);
-    assert_eq!(ledger.words_behind(0).count(), 0);
+    assert_eq!(ledger.stored_after(0).count(), 0);
     ledger.note_revision(9);
-    assert_eq!(ledger.words_behind(8).count(), 1);
-    assert_eq!(ledger.words_behind(9).count(), 0);
+    assert_eq!(ledger.stored_after(8).count(), 1);
+    assert_eq!(ledger.stored_after(9).count(), 0);
 }
 
 /// Guards against rows that somebody removed from the store and that count on.
 #[test]
 fn a_whole_read_drops_what_the_store_no_longer_has() {
     let mut ledger = CrashLedger::default();
-    let word = CrashWord {
+    let word = StoredCrash {
         record: record(1, 1),
         revision: 7,
     };
-    ledger.take_word(word, START + CRASH_SPAN);
+    ledger.merge_stored(word, START + CRASH_RETENTION);
     ledger.note_crash(record(1, 2), START);
     ledger.keep_listed(&[], 10);
-    assert_eq!(ledger.unkept(), [record(1, 2)]);
-    assert_eq!(ledger.words_behind(0).count(), 0);
+    assert_eq!(ledger.unstored(), [record(1, 2)]);
+    assert_eq!(ledger.stored_after(0).count(), 0);
 }
 
 /// Guards against memory that grows with the crashes of a long life.
@@ -204,5 +204,5 @@
     }
     assert!(!ledger.suspects(digest(0)));
     assert!(ledger.suspects(digest(5999)));
-    assert!(ledger.unkept().len() <= 4096);
+    assert!(ledger.unstored().len() <= 4096);
 }
--- a/src/sync/crash_book.rs
+++ b/src/sync/crash_book.rs
@@ -11,8 +11,8 @@
 use crate::metrics;
 use crate::platform::{TableName, TableView};
 use crate::quarantine::{
-    BackendStart, CRASH_SPAN, CRASHES_MAX, CrashLedger, CrashRecord, CrashVerdict, CrashWord,
-    RequestDigest,
+    BackendIncarnation, CRASH_RETENTION, CrashLedger, CrashRecord, CrashVerdict,
+    QUARANTINE_THRESHOLD, RequestDigest, StoredCrash,
 };
 use crate::time::ClockTime;
 
@@ -25,7 +25,7 @@
     /// This process saw that `backend` crashed with `requests` under way.
     pub(crate) fn note_crash(
         &mut self,
-        backend: BackendStart,
+        backend: BackendIncarnation,
         requests: &[RequestDigest],
         now: ClockTime,
     ) {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn read_crash_rows(&mut self, view: &TableView) -> Vec<CrashWord> {
+    fn read_crash_rows(&mut self, view: &TableView) -> Vec<StoredCrash> {
         let mut words = Vec::new();
         for row in &view.rows {
             let Some(value) = &row.value else {
@@ -83,10 +83,10 @@
         words
     }
 
-    fn take_crash_word(&mut self, word: CrashWord, now: ClockTime) {
-        let until = self.earliest(word.record.seen) + CRASH_SPAN;
+    fn take_crash_word(&mut self, word: StoredCrash, now: ClockTime) {
+        let until = self.earliest(word.record.seen) + CRASH_RETENTION;
         let request = word.record.request;
-        self.change_request(request, now, |ledger| ledger.take_word(word, until));
+        self.change_request(request, now, |ledger| ledger.merge_stored(word, until));
     }
 
     /// Makes a change that may quarantine `request`.
@@ -103,7 +103,7 @@
             metrics::count_event("request_quarantined", 1);
             log_event!(
                 events::REQUEST_QUARANTINED,
-                "request={request} crashes={CRASHES_MAX}"
+                "request={request} crashes={QUARANTINE_THRESHOLD}"
             );
         }
     }
@@ -111,30 +111,35 @@
     /// The records that are to be written to the store; none while it does not answer.
     pub(super) fn unkept_crashes(&self) -> Vec<CrashRecord> {
         match self.store_steady_since {
-            Some(_) => self.crashes.unkept(),
+            Some(_) => self.crashes.unstored(),
             None => Vec::new(),
         }
     }
 
     /// The store keeps `records` since `revision`.
     pub(super) fn note_kept_crashes(&mut self, records: &[CrashRecord], revision: u64) {
-        Arc::make_mut(&mut self.crashes).note_kept(records, revision);
+        Arc::make_mut(&mut self.crashes).mark_stored(records, revision);
     }
 
     /// Whether there are crashes that a process that asks has to know.
     pub(super) fn has_crash_news(&self, ask: &PeerAsk) -> bool {
         let known = ask.crashes_revision;
-        known.is_some_and(|known| self.crashes.words_behind(known).next().is_some())
+        known.is_some_and(|known| self.crashes.stored_after(known).next().is_some())
     }
 
     /// The crashes that a process that asks does not know.
-    pub(super) fn crash_words(&self, ask: &PeerAsk) -> Vec<CrashWord> {
+    pub(super) fn crash_words(&self, ask: &PeerAsk) -> Vec<StoredCrash> {
         let known = ask.crashes_revision;
-        known.map_or_else(Vec::new, |known| self.crashes.words_behind(known).collect())
+        known.map_or_else(Vec::new, |known| self.crashes.stored_after(known).collect())
     }
 
     /// Takes in what a neighbour told, which with these knows all crashes up to `revision`.
-    pub(super) fn take_crash_words(&mut self, words: &[CrashWord], revision: u64, now: ClockTime) {
+    pub(super) fn take_crash_words(
+        &mut self,
+        words: &[StoredCrash],
+        revision: u64,
+        now: ClockTime,
+    ) {
         for word in words {
             self.take_crash_word(*word, now);
         }
--- a/src/sync/crash_follow.rs
+++ b/src/sync/crash_follow.rs
@@ -14,7 +14,7 @@
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::platform::{CHANGED_ROWS_MAX, StoreRow, TableName, TableView, WatchAnswer};
-use crate::quarantine::{CRASH_SPAN, CrashRecord};
+use crate::quarantine::{CRASH_RETENTION, CrashRecord};
 use crate::time::{ClockTime, StoreTime, clock_now};
 
 /// How long the store holds a watch of the table open. A connection that went silent meanwhile shows only
@@ -119,16 +119,16 @@
         let mut changes = self.book.changes();
         let mut pause = FailurePause::default();
         loop {
-            let unkept = self.book.read(ViewBook::unkept_crashes);
-            if unkept.is_empty() {
+            let unstored = self.book.read(ViewBook::unkept_crashes);
+            if unstored.is_empty() {
                 if changes.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
             sleep(GATHER_SPAN).await;
-            let unkept = self.book.read(ViewBook::unkept_crashes);
-            let part = &unkept[..unkept.len().min(CHANGED_ROWS_MAX)];
+            let unstored = self.book.read(ViewBook::unkept_crashes);
+            let part = &unstored[..unstored.len().min(CHANGED_ROWS_MAX)];
             match self.write_crashes(part).await {
                 Ok(()) => pause = FailurePause::default(),
                 Err(error) => {
@@ -157,7 +157,7 @@
 fn is_expired(row: &StoreRow, moment: StoreTime) -> bool {
     let read = row.value.as_ref().map(|value| read_crash(row, value));
     match read {
-        Some(Ok(word)) => moment.since(word.record.seen) >= CRASH_SPAN,
+        Some(Ok(word)) => moment.since(word.record.seen) >= CRASH_RETENTION,
         Some(Err(_)) | None => true,
     }
 }
--- a/src/sync/crash_rows.rs
+++ b/src/sync/crash_rows.rs
@@ -7,7 +7,7 @@
 use crate::derives::plain;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::platform::{StoreRow, read_object};
-use crate::quarantine::{BackendStart, CrashRecord, CrashVerdict, CrashWord};
+use crate::quarantine::{BackendIncarnation, CrashRecord, CrashVerdict, StoredCrash};
 use crate::time::StoreTime;
 
 /// Ends the keys of rows that clear a request.
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// `MessageInvalid` when it does not read.
-pub(super) fn read_crash(row: &StoreRow, value: &[u8]) -> SwitchResult<CrashWord> {
+pub(super) fn read_crash(row: &StoreRow, value: &[u8]) -> SwitchResult<StoredCrash> {
     let invalid = |fault: String| {
         let detail = format!("the crash row {}: {fault}", row.key);
         SwitchError::new(ErrorKind::MessageInvalid, detail)
@@ -67,14 +67,14 @@
     let backend = u64::from_str_radix(backend, 16);
     let record = CrashRecord {
         request: request.map_err(|fault| invalid(format!("{fault}")))?,
-        backend: BackendStart(backend.map_err(|fault| invalid(fault.to_string()))?),
+        backend: BackendIncarnation(backend.map_err(|fault| invalid(fault.to_string()))?),
         verdict: text.verdict,
         seen: StoreTime::from_millis(text.seen_ms),
     };
     if crash_key(&record) != row.key {
         return Err(invalid("its key is not the one of what it says".into()));
     }
-    Ok(CrashWord {
+    Ok(StoredCrash {
         record,
         revision: row.revision,
     })
--- a/src/sync/peer_messages.rs
+++ b/src/sync/peer_messages.rs
@@ -13,7 +13,7 @@
 use crate::catalog::CatalogVersion;
 use crate::derives::message;
 use crate::fleet::{BackendFacts, ModelVersion};
-use crate::quarantine::CrashWord;
+use crate::quarantine::StoredCrash;
 use crate::time::StoreTime;
 
 /// The path of the call.
@@ -130,7 +130,7 @@
     pub(crate) backend_changes: Option<BackendChanges>,
     /// Which requests were under way at backend servers that crashed, behind what is known.
     #[serde(default)]
-    pub(crate) crashes: Vec<CrashWord>,
+    pub(crate) crashes: Vec<StoredCrash>,
     /// The store's revision up to which, with these, all are known; 0 for who need not know.
     #[serde(default)]
     pub(crate) crashes_revision: u64,
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -10,7 +10,7 @@
 use super::store_gate::{GateHarm, StoreGate};
 use crate::platform::samples::{backend_sample, document_sample};
 use crate::platform::{FakeStore, TableName};
-use crate::quarantine::BackendStart;
+use crate::quarantine::BackendIncarnation;
 use crate::sync::crash_rows::{crash_key, crash_text};
 use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::{digest_of, free_address};
@@ -72,7 +72,7 @@
 }
 
 fn see_crash(process: &EntryProcess, backend: u64, body: &[u8]) {
-    let (backend, now) = (BackendStart(backend), clock_now());
+    let (backend, now) = (BackendIncarnation(backend), clock_now());
     process
         .book
         .change(|book| book.note_crash(backend, &[digest_of(body)], now));
@@ -207,7 +207,7 @@
     for backend in 1..=3 {
         see_crash(&first, backend, b"body");
     }
-    let records = first.book.read(|book| book.crashes.unkept());
+    let records = first.book.read(|book| book.crashes.unstored());
     let second = start_entry("e2", &store).await;
     learns(&second, b"body").await;
     second
@@ -230,7 +230,7 @@
     let store = store_in_use().await;
     let process = start_entry("e1", &store).await;
     see_crash(&process, 0xab, b"body");
-    let record = process.book.read(|book| book.crashes.unkept()[0]);
+    let record = process.book.read(|book| book.crashes.unstored()[0]);
     let expected = crash_text(&record).expect("it encodes");
     let key = crash_key(&record);
     assert!(key.ends_with("/00000000000000ab"), "{key}");
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -11,7 +11,7 @@
 use crate::fleet::{
     BackendDesk, BackendPhase, LoadReport, PickNeed, SharedDesk, VersionNeed, WeightsVersion,
 };
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::own_rows::VersionRecord;
 use crate::sync::{ControlSnapshot, OwnRows, SharedBook, ViewBook};
@@ -53,7 +53,7 @@
     fn start(now: ClockTime) -> Self {
         Self {
             book: new_book(),
-            desk: SharedDesk::new(BackendDesk::new(EntryPlace {
+            desk: SharedDesk::new(BackendDesk::new(EntryHostId {
                 data_centre: "z".into(),
                 host: "e1".into(),
             })),
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -10,7 +10,7 @@
     BackendDesk, EngineHoldings, HeldLayers, LoadReport, LoadWord, ModelVersion, PickNeed,
     SharedDesk, VersionNeed,
 };
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::sync::ViewBook;
 use crate::sync::peer_messages::{PeerAsk, WantedWord};
 use crate::test_support::{run_cases, spoil_bytes};
@@ -69,7 +69,7 @@
 }
 
 fn desk() -> SharedDesk {
-    let mut desk = BackendDesk::new(EntryPlace {
+    let mut desk = BackendDesk::new(EntryHostId {
         data_centre: "z".into(),
         host: "e1".into(),
     });
