--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -204,7 +204,7 @@
             queue_room: queue_room(&need),
             version: need,
             tried: forwarder.tried(),
-            is_returned: job.is_returned(),
+            is_returned: job.is_retry(),
             work: job.engine_work(&snapshot),
         };
         let refusal = match gateway.desk.pick(&need, now) {
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -11,7 +11,7 @@
 use super::send_attempt::{HeadWait, SendFailure};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError};
 use crate::fleet::{BackendKey, CallEnd, PickRefusal};
-use crate::overload::come_back_after;
+use crate::overload::retry_delay;
 use crate::time::{ClockTime, clock_now};
 
 /// Sends that never left this host are tried elsewhere this many times; they cost no budget.
@@ -234,7 +234,7 @@
         };
         SwitchError::new(kind, detail)
             .with_outcome(RunOutcome::NotRun)
-            .come_back_in(come_back_after(rand::random()))
+            .come_back_in(retry_delay(rand::random()))
     }
 
     /// Until when the head of the next answer may take, if the request is taken back at `taken_back`.
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -10,7 +10,7 @@
 use crate::catalog::{EngineFacts, RepeatRule, RouteRule, ServiceCatalog};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::fleet::{EngineWork, VersionNeed, WeightsVersion};
-use crate::overload::is_returned;
+use crate::overload::is_retry;
 use crate::platform::{PRIORITY_MAX, RequestHead};
 use crate::quarantine::{RequestDigest, RequestParts};
 use crate::routing::name_hash;
@@ -107,10 +107,10 @@
     }
 
     /// Whether the client was refused before and came back.
-    pub(super) fn is_returned(&self) -> bool {
+    pub(super) fn is_retry(&self) -> bool {
         let timeout = self.routed.rule.timeout;
         let asked = self.head.deadline.unwrap_or(timeout);
-        is_returned(asked, timeout)
+        is_retry(asked, timeout)
     }
 
     /// How urgent it is to a model engine's own queue; `is_resumed` when its client has seen a part of
@@ -118,7 +118,7 @@
     pub(super) fn engine_priority(&self, is_resumed: bool) -> u8 {
         if is_resumed {
             PRIORITY_RESUMED
-        } else if self.is_returned() {
+        } else if self.is_retry() {
             PRIORITY_MAX
         } else {
             self.routed
--- a/src/overload/entry_share.rs
+++ b/src/overload/engine_assignment.rs
@@ -1,38 +1,39 @@
-//! Which engines an entry host sends to first.
+//! Which engines an entry host prefers.
 //!
-//! Load pattern: several entry hosts each see the same engine as the least loaded one and send to it in
-//! the same moment; reports tell them of one another some 200 ms later. So engines are shared out: at
-//! its own ones an entry host knows nearly all that happens without being told, and it goes to others'
-//! when these are much better.
+//! Load pattern: several entry hosts see the same engine as the least loaded one and send to it at
+//! the same moment; load reports show them each other's requests only about 200 ms later. Engines
+//! are therefore assigned to entry hosts. An entry host knows nearly all requests at its assigned
+//! engines without waiting for reports, and uses other engines when they are much better.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
 use crate::derives::plain;
 
-/// Where an entry host is.
+/// Identifies an entry host by its data centre and name.
 #[apply(plain!)]
 #[derive(Eq, PartialOrd, Ord)]
 pub(crate) struct EntryHostId {
-    /// Its data centre.
+    /// Data centre of the entry host.
     pub(crate) data_centre: ByteString,
-    /// Its name.
+    /// Host name.
     pub(crate) host: ByteString,
 }
 
-/// Shares engines out among entry hosts.
+/// Assigns engines to entry hosts.
 ///
-/// Each entry host works it out for itself, from what it knows of the others. Where two know different
-/// things, both or neither send to an engine first, which costs no more than before.
+/// Each entry host computes the assignment from the entry hosts that it knows. Where two of them
+/// know different ones, both or neither prefer an engine; that is no worse than having no
+/// assignment.
 #[derive(Debug)]
 pub(crate) struct EngineAssignment<'a> {
     me: &'a EntryHostId,
-    /// Sorted, with this entry host among them.
+    /// Sorted; includes this entry host.
     entries: Vec<&'a EntryHostId>,
 }
 
 impl<'a> EngineAssignment<'a> {
-    /// The shares of `me` among `entries`, in any order.
+    /// Creates the assignment of `me` among `entries`, which may be in any order.
     pub(crate) fn new(me: &'a EntryHostId, entries: &'a [EntryHostId]) -> Self {
         let mut entries: Vec<&EntryHostId> = entries.iter().collect();
         entries.push(me);
@@ -41,13 +42,13 @@
         Self { me, entries }
     }
 
-    /// How many other entry hosts the data centre has.
+    /// Returns the number of other entry hosts in this data centre.
     pub(crate) fn peers(&self) -> u32 {
         let others = self.local_entry_hosts().len().saturating_sub(1);
         u32::try_from(others).unwrap_or(u32::MAX)
     }
 
-    /// The entry hosts of this data centre, this one among them.
+    /// Returns the entry hosts of this data centre, including this one.
     fn local_entry_hosts(&self) -> &[&'a EntryHostId] {
         let data_centre = &self.me.data_centre;
         let entries = &self.entries;
@@ -56,9 +57,11 @@
         &entries[from..to]
     }
 
-    /// Whether this entry host has the engine that is the `rank`th of its service in a data centre: of
-    /// its own, or of another, which the entry hosts of this one share among themselves as well. They
-    /// take the engines in turn.
+    /// Returns whether an engine is assigned to this entry host. `rank` is the position of the
+    /// engine among those of its service and data centre.
+    ///
+    /// The entry hosts of this data centre take the engines in turn. They divide the engines of
+    /// every other data centre among themselves in the same way.
     pub(crate) fn is_assigned(&self, rank: usize) -> bool {
         let local_entry_hosts = self.local_entry_hosts();
         local_entry_hosts[rank % local_entry_hosts.len()] == self.me
--- /dev/null
+++ b/src/overload/engine_candidate.rs
@@ -0,0 +1,124 @@
+//! Estimates the delay of a stream's first event, as far as it depends on the chosen engine.
+//!
+//! Load pattern: engines are nearly full. Two or three prompts that reach an engine together are
+//! read one after the other, which delays each of them and everything that the engine generates.
+//!
+//! Several constants are in start intervals: the time between two request starts at an engine whose
+//! slots are all taken.
+
+use std::time::Duration;
+
+use macro_rules_attribute::apply;
+
+use crate::derives::plain;
+
+/// Start intervals by which each running request delays a new one's first event. Passes over a
+/// larger batch take longer, mainly because more prompts are read between them.
+const RUNNING_REQUEST_DELAY: f64 = 0.05;
+/// Start intervals that are counted per other entry host for requests sent since the last load
+/// report. Reports arrive five times a second; an engine starts two requests in between.
+const UNREPORTED_DELAY: f64 = 0.5;
+/// Largest number of other entry hosts that is counted. A higher one would keep all other entry
+/// hosts away from an engine whose own entry host keeps it full.
+const PEERS_MAX: u32 = 8;
+/// Start intervals by which an engine in another data centre has to be faster to be chosen. The way
+/// of an answer between regions takes 2 ms and its bytes cost a fiftieth of its value; a late
+/// answer loses three quarters of it.
+const REMOTE_DELAY: f64 = 1.0;
+/// Start intervals that are added for an engine in another data centre that is assigned to another
+/// entry host of this one. Where the local engines are full, all entry hosts look elsewhere, and
+/// load reports from other data centres are older.
+const REMOTE_UNASSIGNED_DELAY: f64 = 1.0;
+/// Upper limit of the estimate, in seconds: longer than any client waits for a first event. It also
+/// keeps the result of wrong figures in a document within the range of `Duration`.
+const DELAY_MAX_S: f64 = 60.0;
+
+/// Returns the pace of an engine that is as fast as published, or reports no pace.
+pub(crate) const fn usual_pace() -> f64 {
+    1.0
+}
+
+/// Published speed of the engines of a service, from the service document.
+#[apply(plain!)]
+#[derive(Copy)]
+pub(crate) struct EngineSpeed {
+    /// Seconds per token step for a batch of one.
+    pub(crate) step_s: f64,
+    /// Seconds that each further request in the batch adds to a step.
+    pub(crate) request_step_s: f64,
+    /// Prompt tokens read per second.
+    pub(crate) read_per_s: f64,
+    /// Tokens of a typical prompt.
+    pub(crate) typical_prompt_tokens: f64,
+    /// Tokens of a typical answer.
+    pub(crate) typical_answer_tokens: f64,
+}
+
+impl EngineSpeed {
+    /// Returns the seconds that reading `tokens` of a prompt takes.
+    fn prompt_read_s(&self, tokens: f64) -> f64 {
+        if self.read_per_s > 0.0 {
+            tokens / self.read_per_s
+        } else {
+            0.0
+        }
+    }
+
+    /// Returns the start interval, in seconds, of an engine with `slots` slots.
+    fn start_interval_s(&self, slots: u32) -> f64 {
+        let slots = f64::from(slots.max(1));
+        let step = self.step_s + self.request_step_s * slots;
+        step * self.typical_answer_tokens / slots + self.prompt_read_s(self.typical_prompt_tokens)
+    }
+}
+
+/// An engine that an entry host considers for a request.
+#[apply(plain!)]
+#[derive(Copy)]
+pub(crate) struct EngineCandidate {
+    /// Number of requests that the engine runs at once.
+    pub(crate) slots: u32,
+    /// Known requests at the engine, running or waiting.
+    pub(crate) load: u32,
+    /// Prompt tokens of requests that this entry host has sent there and that have not started.
+    pub(crate) unread_tokens: u32,
+    /// Slowdown factor compared with the published speed.
+    pub(crate) pace: f64,
+    /// Whether the engine is in this data centre.
+    pub(crate) is_near: bool,
+    /// Whether the engine is assigned to this entry host among those of its data centre.
+    pub(crate) is_own: bool,
+    /// Number of other entry hosts in this data centre.
+    pub(crate) peers: u32,
+}
+
+impl EngineCandidate {
+    /// Returns the delay, in start intervals, by requests that other entry hosts may have sent
+    /// since the last load report.
+    ///
+    /// The more entry hosts rely on the same reports, the more of them meet at an engine that had
+    /// free slots. At its assigned engines an entry host knows nearly all requests.
+    fn unreported_intervals(&self) -> f64 {
+        UNREPORTED_DELAY * f64::from(self.peers.clamp(1, PEERS_MAX))
+    }
+
+    /// Returns how much later the first event comes than from an idle engine of this data centre.
+    pub(crate) fn delay(&self, speed: &EngineSpeed) -> Duration {
+        let start_interval = speed.start_interval_s(self.slots);
+        let waiting = (self.load + 1).saturating_sub(self.slots);
+        let mut intervals = RUNNING_REQUEST_DELAY * f64::from(self.load) + f64::from(waiting);
+        intervals += match (self.is_near, self.is_own) {
+            (true, true) => 0.0,
+            // An engine elsewhere is preferred by an entry host of its own data centre, too.
+            (true, false) | (false, true) => self.unreported_intervals(),
+            (false, false) => self.unreported_intervals() + REMOTE_UNASSIGNED_DELAY,
+        };
+        let mut delay = speed.prompt_read_s(self.unread_tokens.into()) + start_interval * intervals;
+        // A slow engine takes longer for its current requests and for the new one.
+        delay += (delay + start_interval) * (self.pace - usual_pace()).max(0.0);
+        if !self.is_near {
+            delay += start_interval * REMOTE_DELAY;
+        }
+        Duration::try_from_secs_f64(delay.min(DELAY_MAX_S)).unwrap_or_default()
+    }
+}
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -1,14 +1,15 @@
-//! What is decided when there is more work than places: pure functions of facts and the present time,
-//! without input and output. Each module names the load pattern that it answers.
+//! Decisions under overload, when there are more requests than slots. They are pure functions of
+//! known facts and the current time, without I/O. Each module documents the load pattern that it
+//! handles.
 
-mod come_back;
-mod entry_share;
-mod first_event;
-mod rate_turns;
+mod engine_assignment;
+mod engine_candidate;
+mod retry_delay;
+mod send_schedule;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use come_back::{come_back_after, is_returned};
-pub(crate) use entry_share::{EngineAssignment, EntryHostId};
-pub(crate) use first_event::{EngineCandidate, EngineSpeed, usual_pace};
-pub(crate) use rate_turns::SendSchedule;
+pub(crate) use engine_assignment::{EngineAssignment, EntryHostId};
+pub(crate) use engine_candidate::{EngineCandidate, EngineSpeed, usual_pace};
+pub(crate) use retry_delay::{is_retry, retry_delay};
+pub(crate) use send_schedule::SendSchedule;
--- /dev/null
+++ b/src/overload/send_schedule.rs
@@ -0,0 +1,80 @@
+//! Which entry host may send to a rate-limited backend server at a given time.
+//!
+//! Load pattern: an overloaded backend server accepts a few requests per second from all entry
+//! hosts together, and each of them has more than that to send. If each entry host saved up its
+//! part of the rate, they would still send at the same moment, and the more entry hosts there are,
+//! the larger the burst. Time is therefore divided into send intervals, one request each, and every
+//! entry host computes which intervals are its own.
+
+use std::time::Duration;
+
+use crate::routing::rendezvous_weight;
+use crate::time::StoreTime;
+
+/// How long an interval can be used after its start, if intervals are shorter than this.
+const CARRY_SPAN: Duration = Duration::from_secs(1);
+/// Largest number of past intervals that are searched for an unused one.
+const CARRY_INTERVALS_MAX: u64 = 256;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// The send intervals of a backend server and the entry hosts that share them, identified by the
+/// hashes of their names.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SendSchedule<'a> {
+    /// The rate-limited backend server.
+    pub(crate) backend: u64,
+    /// The entry hosts that send to it, including this one.
+    pub(crate) entry_hosts: &'a [u64],
+    /// This entry host.
+    pub(crate) me: u64,
+}
+
+impl SendSchedule<'_> {
+    /// Returns the start of the earliest interval that this entry host may use at `now`, or `None`.
+    /// `rate` is in intervals per second; `used` is the start of the last interval that it used.
+    ///
+    /// Clock differences between entry hosts do no harm: each interval is still used once, slightly
+    /// earlier or later.
+    pub(crate) fn open_interval(
+        &self,
+        rate: f64,
+        used: StoreTime,
+        now: StoreTime,
+    ) -> Option<StoreTime> {
+        let newest = interval_at(rate, now);
+        let carried = interval_at(rate, now - CARRY_SPAN) + 1;
+        let oldest = carried
+            .min(newest)
+            .max(newest.saturating_sub(CARRY_INTERVALS_MAX));
+        let mut intervals =
+            (oldest..=newest).map(|interval| (interval, interval_start(rate, interval)));
+        let open = intervals.find(|(interval, start)| *start > used && self.is_mine(*interval))?;
+        Some(open.1)
+    }
+
+    fn is_mine(&self, interval: u64) -> bool {
+        let subject = self.backend ^ interval;
+        let entry_hosts = self.entry_hosts.iter();
+        entry_hosts.max_by_key(|host| rendezvous_weight(subject, **host)) == Some(&self.me)
+    }
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    clippy::cast_precision_loss,
+    reason = "the number of an interval is not negative, and far below 2^52"
+)]
+fn interval_at(rate: f64, now: StoreTime) -> u64 {
+    (now.0 as f64 / MICROS_PER_SECOND * rate) as u64
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    clippy::cast_precision_loss,
+    reason = "the start of an interval is not negative, and far below 2^52 microseconds"
+)]
+fn interval_start(rate: f64, interval: u64) -> StoreTime {
+    StoreTime((interval as f64 / rate * MICROS_PER_SECOND) as u64)
+}
--- a/src/overload/tests/mod.rs
+++ b/src/overload/tests/mod.rs
@@ -1,4 +1,4 @@
-mod rate_turns;
+mod send_schedule;
 
 use std::time::Duration;
 
@@ -6,32 +6,28 @@
 
 const TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Symptom: new requests were refused while two places of sixteen were free at every engine. Events:
-/// clients wait between five and six seconds, each as it likes; a request that said less than the
-/// route's six counted as one that was refused before, and had to leave the last places to new ones.
-/// Cause: the limit between the two was 20 ms.
+/// Guards against refusing new requests while two of sixteen slots are free at every engine, which
+/// are reserved for new requests. Clients wait between five and six seconds. Any request that
+/// stated more than 20 ms less than the six seconds of its route counted as a retry.
 #[test]
-fn an_impatient_client_is_no_returned_one() {
+fn a_client_with_a_short_wait_is_not_taken_for_a_retry() {
     for asked in [5100, 5500, 5900, 5990, 6000, 7000] {
-        assert!(
-            !is_returned(Duration::from_millis(asked), TIMEOUT),
-            "{asked}"
-        );
+        assert!(!is_retry(Duration::from_millis(asked), TIMEOUT), "{asked}");
     }
-    assert!(!is_returned(
+    assert!(!is_retry(
         Duration::from_millis(510),
         Duration::from_millis(600)
     ));
 }
 
 #[test]
-fn whoever_comes_back_as_it_was_told_is_known_again() {
+fn a_client_that_waits_for_the_retry_delay_is_recognised() {
     for part in [0.0, 0.5, 1.0] {
-        let asked = TIMEOUT.saturating_sub(come_back_after(part));
-        assert!(is_returned(asked, TIMEOUT), "{part}");
+        let asked = TIMEOUT.saturating_sub(retry_delay(part));
+        assert!(is_retry(asked, TIMEOUT), "{part}");
     }
-    // A client stays away for a third of its time at most.
-    assert!(is_returned(
+    // Clients wait for at most a third of their time before a retry.
+    assert!(is_retry(
         Duration::from_millis(400),
         Duration::from_millis(600)
     ));
--- a/src/overload/tests/rate_turns.rs
+++ b/src/overload/tests/send_schedule.rs
@@ -5,11 +5,11 @@
 use crate::test_support::run_cases;
 use crate::time::StoreTime;
 
-/// A window, and what a backend server that names a rate gets in it at most: one and a half times the rate, and
-/// five requests.
+/// In any window of this length a backend server gets at most the advertised rate times
+/// `RATE_FACTOR`, and `EXTRA_REQUESTS` requests.
 const WINDOW: Duration = Duration::from_secs(4);
-const RATE_PART: f64 = 1.5;
-const REQUESTS_BEYOND: f64 = 5.0;
+const RATE_FACTOR: f64 = 1.5;
+const EXTRA_REQUESTS: f64 = 5.0;
 
 const STEP: Duration = Duration::from_millis(10);
 const STEPS: u32 = 3000;
@@ -20,8 +20,8 @@
     names.collect()
 }
 
-/// When requests are sent at `rate` by `entry_hosts`, whose clocks are `ahead`; `wants` says whether one of them has
-/// a request to send in a step.
+/// Returns when `entry_hosts`, whose clocks are `ahead`, send requests at `rate`. `wants` tells
+/// whether an entry host has a request to send in a step.
 fn sends(
     rate: f64,
     entry_hosts: &[u64],
@@ -33,15 +33,15 @@
     for step in 0..STEPS {
         let now = START + STEP * step;
         for (at, me) in entry_hosts.iter().enumerate() {
-            let share = SendSchedule {
+            let schedule = SendSchedule {
                 backend: 7,
                 entry_hosts,
                 me: *me,
             };
             if wants(at, step)
-                && let Some(begun) = share.open_interval(rate, used[at], now + ahead[at])
+                && let Some(start) = schedule.open_interval(rate, used[at], now + ahead[at])
             {
-                used[at] = begun;
+                used[at] = start;
                 sent.push(now);
             }
         }
@@ -61,10 +61,10 @@
     f64::from(u32::try_from(count).expect("few"))
 }
 
-/// Guards against entry hosts that saved up their parts of a rate and meet at the backend server, however many
-/// there are, however their clocks differ, and whenever each has something to send.
+/// Guards against bursts above the allowance when entry hosts save up their parts of a rate,
+/// whatever their number, their clock differences and the times at which they have requests.
 #[test]
-fn no_window_has_more_than_is_allowed() {
+fn no_window_exceeds_the_allowance() {
     run_cases(60, 4096, |source| {
         let rate = f64::from(source.int_in_range(1_u32..=80)?) / 10.0;
         let entry_hosts = hosts(source.int_in_range(1..=24)?);
@@ -79,18 +79,18 @@
             step >= quiet && lot < busy
         };
         let most = float_of(most_in_window(&sends(rate, &entry_hosts, &ahead, wants)));
-        let allowed = rate * WINDOW.as_secs_f64() * RATE_PART + REQUESTS_BEYOND;
+        let allowed = rate * WINDOW.as_secs_f64() * RATE_FACTOR + EXTRA_REQUESTS;
         assert!(
             most <= allowed,
-            "{most} at {rate} a second, {allowed} allowed"
+            "{most} at {rate} per second, {allowed} allowed"
         );
         Ok(())
     });
 }
 
-/// Guards against a rate that is kept to and not used, where every entry host has more to send.
+/// Guards against leaving part of the rate unused while every entry host has requests to send.
 #[test]
-fn the_rate_is_used() {
+fn the_full_rate_is_used() {
     for (rate, count) in [(0.5, 2), (1.0, 6), (2.2, 8), (10.0, 2), (30.0, 20)] {
         let entry_hosts = hosts(count);
         let ahead = vec![Duration::ZERO; entry_hosts.len()];
@@ -100,9 +100,9 @@
     }
 }
 
-/// Guards against a backend server that takes nothing and gets something.
+/// Guards against sending to a backend server that accepts no requests.
 #[test]
-fn a_rate_of_zero_has_no_turns() {
+fn a_rate_of_zero_has_no_intervals() {
     let sent = sends(0.0, &hosts(2), &[Duration::ZERO; 2], |_, _| true);
     assert!(sent.is_empty());
 }
