--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -12,7 +12,7 @@
 use crate::events::log_event;
 use crate::fleet::{BackendFacts, BackendKey};
 use crate::metrics;
-use crate::quarantine::{AnsweredLog, BackendIncarnation, RequestDigest};
+use crate::quarantine::{BackendIncarnation, RecentAnswers, RequestDigest};
 use crate::sync::SharedBook;
 use crate::time::{ClockTime, clock_now};
 
@@ -36,7 +36,7 @@
     book: SharedBook,
     /// The requests that were cut at backend servers that are probed now.
     cut: Arc<Mutex<Vec<CutRequest>>>,
-    answered: Arc<Mutex<AnsweredLog>>,
+    answered: Arc<Mutex<RecentAnswers>>,
 }
 
 impl CrashWatch {
@@ -130,10 +130,10 @@
     }
 
     fn was_answered(&self, request: RequestDigest, now: ClockTime) -> bool {
-        self.lock_answered().has(request, now)
+        self.lock_answered().contains(request, now)
     }
 
-    fn lock_answered(&self) -> MutexGuard<'_, AnsweredLog> {
+    fn lock_answered(&self) -> MutexGuard<'_, RecentAnswers> {
         self.answered.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/gateway/tests/crash_watch.rs
+++ b/src/gateway/tests/crash_watch.rs
@@ -10,7 +10,7 @@
 use crate::fleet::{BackendKey, SharedDesk, VersionNeed};
 use crate::gateway::crash_watch::{CrashWatch, CutRequest};
 use crate::overload::EntryHostId;
-use crate::quarantine::{AnsweredLog, BackendIncarnation};
+use crate::quarantine::{BackendIncarnation, RecentAnswers};
 use crate::sync::SharedBook;
 use crate::test_support::{digest_of, free_address};
 use crate::time::{ClockTime, clock_now};
@@ -99,7 +99,7 @@
 /// Guards against a request that is held harmless for good because it once was.
 #[test]
 fn an_answer_speaks_for_a_request_for_a_while_only() {
-    let mut log = AnsweredLog::default();
+    let mut log = RecentAnswers::default();
     let now = clock_now();
     log.push(digest_of(b"one"), now);
     for number in 0..3000_u32 {
@@ -108,15 +108,15 @@
             now + Duration::from_secs(1),
         );
     }
-    assert!(log.has(digest_of(b"one"), now + Duration::from_secs(29)));
-    assert!(!log.has(digest_of(b"one"), now + Duration::from_secs(30)));
+    assert!(log.contains(digest_of(b"one"), now + Duration::from_secs(29)));
+    assert!(!log.contains(digest_of(b"one"), now + Duration::from_secs(30)));
     for number in 0..3000_u32 {
         log.push(
             digest_of(&number.to_be_bytes()),
             now + Duration::from_secs(2),
         );
     }
-    assert!(!log.has(digest_of(b"one"), now + Duration::from_secs(2)));
+    assert!(!log.contains(digest_of(b"one"), now + Duration::from_secs(2)));
 }
 
 /// Guards against requests that are held responsible for connections that were reset on their way.
--- a/src/quarantine/crash_ledger.rs
+++ b/src/quarantine/crash_ledger.rs
@@ -1,7 +1,9 @@
-//! Which requests were under way at backend servers that crashed, from all entry hosts together.
+//! Ledger of the requests that were in progress when a backend server crashed, as observed by all
+//! entry hosts.
 //!
-//! Requests that ran beside one that crashes its backend server are suspected as well. They are told apart
-//! by what follows: a harmless one is soon answered whole, and is not there at the next crashes.
+//! When a request crashes its backend server, all other requests that run there are suspected as
+//! well. Later events distinguish them: a harmless request is soon answered in full and does not
+//! occur at the next crashes.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -14,48 +16,50 @@
 use crate::routing::name_hash;
 use crate::time::{ClockTime, StoreTime, WallTime};
 
-/// Different backend servers that crash under a request before it is quarantined.
+/// Number of different backend servers that have to crash while running a request before the
+/// request is quarantined.
 pub(crate) const QUARANTINE_THRESHOLD: usize = 3;
-/// How long a crash counts. A quarantined request is then tried again, in case it no longer does harm.
+/// How long a crash counts. A quarantined request is allowed again after that, because it may no
+/// longer be harmful.
 pub(crate) const CRASH_RETENTION: Duration = Duration::from_mins(10);
-/// Crashes that are remembered, each with one request; of more, the oldest are forgotten.
+/// Largest number of rows in the ledger; the oldest ones are evicted first.
 const ROWS_MAX: usize = 4096;
 
-/// One start of one backend server.
+/// Hash that identifies one run of a backend server, from one start to the next.
 #[apply(message!)]
 #[derive(Copy, Eq, PartialOrd, Ord)]
 pub(crate) struct BackendIncarnation(pub(crate) u64);
 
 impl BackendIncarnation {
-    /// The start at `born` of the backend server called `id`.
+    /// Returns the incarnation of the backend server `id` that started at `born`, if that is known.
     pub(crate) fn of(id: &ByteString, born: Option<WallTime>) -> Self {
         let born = born.map_or(0, |born| born.0);
         Self(name_hash(&format!("{id}/{born}")))
     }
 }
 
-/// What a crash says of a request that was under way.
+/// Whether a request may have caused a crash.
 #[apply(key!)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum CrashVerdict {
-    /// The request may have caused it.
+    /// The request may have caused the crash.
     Suspected,
-    /// The same request was answered whole since.
+    /// The same request was answered in full after the crash.
     Cleared,
 }
 
-/// A request that was under way at a backend server that crashed.
+/// A request that was in progress when a backend server crashed.
 #[apply(message!)]
 #[derive(Copy)]
 pub(crate) struct CrashRecord {
-    /// The request.
+    /// Digest of the request.
     pub(crate) request: RequestDigest,
-    /// The backend server that crashed.
+    /// The incarnation that crashed.
     pub(crate) backend: BackendIncarnation,
-    /// What is held against the request.
+    /// Whether the request is still suspected.
     pub(crate) verdict: CrashVerdict,
-    /// When the crash was seen.
+    /// When the crash was observed.
     pub(crate) seen: StoreTime,
 }
 
@@ -65,13 +69,13 @@
     }
 }
 
-/// A record as the store keeps it.
+/// A crash record with the revision of its row in the store.
 #[apply(message!)]
 #[derive(Copy)]
 pub(crate) struct StoredCrash {
-    /// The record.
+    /// Content of the row.
     pub(crate) record: CrashRecord,
-    /// The store's revision of its row.
+    /// Store revision of the row.
     pub(crate) revision: u64,
 }
 
@@ -79,38 +83,38 @@
 #[derive(Copy)]
 struct LedgerRow {
     record: CrashRecord,
-    /// The store's revision of it; none while the store does not keep it as it is.
+    /// Store revision of the row; `None` while the store does not hold the record in this form.
     revision: Option<u64>,
-    /// Until when it counts.
+    /// When the record expires.
     until: ClockTime,
 }
 
-/// The ledger.
+/// The crash records that this entry host knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashLedger {
     /// Sorted by request and backend server.
     rows: Vec<LedgerRow>,
-    /// The store's revision up to which all of its rows are known.
+    /// Store revision up to which all rows of the store are known.
     revision: u64,
 }
 
 impl CrashLedger {
-    /// Whether nothing is held against any request.
+    /// Returns whether the ledger has no records.
     pub(crate) const fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The store's revision up to which all of its rows are known.
+    /// Returns the store revision up to which all rows of the store are known.
     pub(crate) const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All rows of the store up to `revision` are known.
+    /// Records that all rows of the store up to `revision` are known.
     pub(crate) fn note_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// This process saw the crash that `record` tells of, at `now`.
+    /// Records a crash that this process observed at `now`.
     pub(crate) fn note_crash(&mut self, record: CrashRecord, now: ClockTime) {
         if let Err(at) = self.find(&record) {
             let row = LedgerRow {
@@ -119,11 +123,11 @@
                 until: now + CRASH_RETENTION,
             };
             self.rows.insert(at, row);
-            self.trim();
+            self.evict_oldest();
         }
     }
 
-    /// `request` was answered whole: the crashes so far were not its own.
+    /// Clears `request` of the crashes so far, because it was answered in full.
     pub(crate) fn clear(&mut self, request: RequestDigest) {
         let range = self.range(request);
         for row in &mut self.rows[range] {
@@ -134,43 +138,44 @@
         }
     }
 
-    /// Takes in what the store keeps, which counts until `until`.
-    pub(crate) fn merge_stored(&mut self, word: StoredCrash, until: ClockTime) {
+    /// Merges a row of the store, which expires at `until`.
+    pub(crate) fn merge_stored(&mut self, stored: StoredCrash, until: ClockTime) {
         let row = LedgerRow {
-            record: word.record,
-            revision: Some(word.revision),
+            record: stored.record,
+            revision: Some(stored.revision),
             until,
         };
-        match self.find(&word.record) {
+        match self.find(&stored.record) {
             Ok(at) => {
                 let known = &mut self.rows[at];
-                // What was cleared here is still to be told.
-                if word.record.verdict >= known.record.verdict {
+                // A request cleared here stays cleared until the store has that row, too.
+                if stored.record.verdict >= known.record.verdict {
                     known.revision = known.revision.max(row.revision);
-                    known.record.verdict = word.record.verdict;
+                    known.record.verdict = stored.record.verdict;
                 }
             }
             Err(at) => {
                 self.rows.insert(at, row);
-                self.trim();
+                self.evict_oldest();
             }
         }
     }
 
-    /// Takes in all that the store keeps as of `revision`. Rows that it does not have any more are gone.
-    pub(crate) fn keep_listed(&mut self, words: &[StoredCrash], revision: u64) {
+    /// Removes the rows that the store no longer has; `listed` are all rows of the store as of
+    /// `revision`. Rows that are newer or not stored yet remain.
+    pub(crate) fn keep_listed(&mut self, listed: &[StoredCrash], revision: u64) {
         self.rows.retain(|row| {
             let is_listed = || {
-                words
+                listed
                     .iter()
-                    .any(|word| word.record.key() == row.record.key())
+                    .any(|stored| stored.record.key() == row.record.key())
             };
             row.revision.is_none_or(|known| known > revision) || is_listed()
         });
         self.note_revision(revision);
     }
 
-    /// The store keeps `records` since `revision`.
+    /// Records that the store holds `records` as of `revision`.
     pub(crate) fn mark_stored(&mut self, records: &[CrashRecord], revision: u64) {
         for record in records {
             if let Ok(at) = self.find(record)
@@ -181,18 +186,18 @@
         }
     }
 
-    /// What the store does not keep yet.
+    /// Returns the records that the store does not hold yet.
     pub(crate) fn unstored(&self) -> Vec<CrashRecord> {
         let rows = self.rows.iter().filter(|row| row.revision.is_none());
         rows.map(|row| row.record).collect()
     }
 
-    /// What a process does not know that knows all rows up to `revision`.
+    /// Returns the rows that are missing in a process that knows all rows up to `revision`.
     pub(crate) fn stored_after(&self, revision: u64) -> impl Iterator<Item = StoredCrash> + '_ {
-        // A row beyond what is completely known would be told again each time.
-        let is_meant = move |told: &u64| *told > revision && *told <= self.revision;
+        // A row newer than the completely known revision would be sent again in every response.
+        let is_missing = move |stored: &u64| *stored > revision && *stored <= self.revision;
         self.rows.iter().filter_map(move |row| {
-            let revision = row.revision.filter(is_meant)?;
+            let revision = row.revision.filter(is_missing)?;
             Some(StoredCrash {
                 record: row.record,
                 revision,
@@ -200,35 +205,38 @@
         })
     }
 
-    /// Crashes that no longer count at `now`.
+    /// Removes the records that have expired at `now`.
     pub(crate) fn drop_expired(&mut self, now: ClockTime) {
         self.rows.retain(|row| row.until > now);
     }
 
-    /// Whether `request` would be quarantined by one crash more after `now`, or is.
+    /// Returns whether `request` is quarantined or would be after one more crash.
     ///
-    /// Of the harmless requests that ran beside one that crashes its backend server few are, and only these
-    /// need to be told of when they are answered.
+    /// Few of the harmless requests that run next to a harmful one are at risk. Only for these does
+    /// a complete answer have to be announced.
     pub(crate) fn is_at_risk(&self, request: RequestDigest, now: ClockTime) -> bool {
-        self.counting(request, now).count() + 1 >= QUARANTINE_THRESHOLD
+        self.active_suspicions(request, now).count() + 1 >= QUARANTINE_THRESHOLD
     }
 
-    /// How long `request` stays quarantined from `now` on; none if it is not.
+    /// Returns how long `request` stays quarantined after `now`, or `None` if it is not.
     pub(crate) fn quarantine(&self, request: RequestDigest, now: ClockTime) -> Option<Duration> {
-        let mut ends: Vec<ClockTime> = self.counting(request, now).map(|row| row.until).collect();
+        let mut ends: Vec<ClockTime> = self
+            .active_suspicions(request, now)
+            .map(|row| row.until)
+            .collect();
         ends.sort_unstable_by(|left, right| right.cmp(left));
         let end = ends.get(QUARANTINE_THRESHOLD - 1)?;
         Some(end.since(now))
     }
 
-    /// Whether anything is held against `request`.
+    /// Returns whether `request` is suspected of any crash.
     #[cfg(test)]
     pub(crate) fn suspects(&self, request: RequestDigest) -> bool {
         let mut rows = self.rows[self.range(request)].iter();
         rows.any(|row| row.record.verdict == CrashVerdict::Suspected)
     }
 
-    fn counting(
+    fn active_suspicions(
         &self,
         request: RequestDigest,
         now: ClockTime,
@@ -252,7 +260,7 @@
             .binary_search_by_key(&record.key(), |row| row.record.key())
     }
 
-    fn trim(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.rows.len() > ROWS_MAX
             && let Some(oldest) = self.rows.iter().map(|row| row.until).min()
         {
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,15 +1,16 @@
-//! Requests under which backend servers crash: how they are known again, and when they are no longer
-//! sent to any backend server. Decisions only; evidence is gathered and spread elsewhere.
+//! Quarantine of requests that crash backend servers: how such a request is identified, and when it
+//! is no longer sent to any backend server. Pure decisions; the gateway observes crashes, and sync
+//! distributes the records.
 
-mod answered_log;
 mod crash_ledger;
+mod recent_answers;
 mod request_digest;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use answered_log::AnsweredLog;
 pub(crate) use crash_ledger::{
     BackendIncarnation, CRASH_RETENTION, CrashLedger, CrashRecord, CrashVerdict,
     QUARANTINE_THRESHOLD, StoredCrash,
 };
+pub(crate) use recent_answers::RecentAnswers;
 pub(crate) use request_digest::{RequestDigest, RequestParts};
--- a/src/quarantine/request_digest.rs
+++ b/src/quarantine/request_digest.rs
@@ -1,4 +1,4 @@
-//! The digest under which a request is known again, whichever attempt and entry host it comes by.
+//! Digest that identifies the same request across attempts and entry hosts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,34 +8,34 @@
 
 use crate::derives::key;
 
-/// The digest's length in bytes.
+/// Length of the digest.
 const DIGEST_BYTES: usize = 16;
 
-/// Names all requests with the same host, path, client account and body.
+/// Identifies all requests with the same host, path, client account and body.
 #[apply(key!)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct RequestDigest([u8; DIGEST_BYTES]);
 
-/// What a request is known by.
+/// The parts of a request that the digest covers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestParts<'a> {
-    /// The host that it names.
+    /// Host from the request, without the port.
     pub(crate) host: &'a str,
-    /// Its path, without the query.
+    /// Path without the query.
     pub(crate) path: &'a str,
-    /// The client account, where requests need one.
+    /// Client account, if the route requires one.
     pub(crate) account: Option<&'a str>,
-    /// Its whole body.
+    /// Complete body.
     pub(crate) body: &'a [u8],
 }
 
 impl RequestDigest {
-    /// The digest of a request.
+    /// Computes the digest of a request.
     pub(crate) fn of(parts: RequestParts<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
         let account = parts.account.unwrap_or_default();
         for text in [parts.host, parts.path, account] {
-            // With its length, no two different rows of texts are the same bytes.
+            // The length prefix prevents different texts from hashing the same bytes.
             hasher.update(&text.len().to_be_bytes());
             hasher.update(text.as_bytes());
         }
@@ -50,10 +50,10 @@
     type Err = blake3::HexError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        // The library reads digests of twice the length.
-        let whole = blake3::Hash::from_hex(format!("{text:0<64}"))?;
+        // The library parses digests of twice the length only.
+        let padded = blake3::Hash::from_hex(format!("{text:0<64}"))?;
         let mut bytes = [0; DIGEST_BYTES];
-        bytes.copy_from_slice(&whole.as_bytes()[..DIGEST_BYTES]);
+        bytes.copy_from_slice(&padded.as_bytes()[..DIGEST_BYTES]);
         Ok(Self(bytes))
     }
 }
--- a/src/quarantine/tests/mod.rs
+++ b/src/quarantine/tests/mod.rs
@@ -14,9 +14,9 @@
     body: b"body",
 };
 
-/// Guards against two different requests that are taken for the same one.
+/// Guards against treating two different requests as the same one.
 #[test]
-fn requests_that_differ_have_digests_that_differ() {
+fn different_requests_have_different_digests() {
     let same = RequestDigest::of(PARTS);
     assert_eq!(same, RequestDigest::of(PARTS));
     let others = [
@@ -66,9 +66,9 @@
     ledger.quarantine(digest(request), now).is_some()
 }
 
-/// Guards against a request that is refused because one backend server crashed and many told of it.
+/// Guards against quarantining a request because many entry hosts reported the same crash.
 #[test]
-fn a_crash_counts_once_whoever_saw_it() {
+fn a_crash_that_is_reported_several_times_counts_once() {
     let mut ledger = CrashLedger::default();
     for _ in 0..5 {
         ledger.note_crash(record(1, 1), START);
@@ -80,9 +80,9 @@
     assert!(!is_quarantined(&ledger, 2, START));
 }
 
-/// Guards against a request that is refused for good, though nobody knows whether it still does harm.
+/// Guards against refusing a request permanently although it may no longer be harmful.
 #[test]
-fn a_quarantine_ends() {
+fn a_quarantine_expires() {
     let mut ledger = CrashLedger::default();
     for backend in 1..=3 {
         let at = START + Duration::from_secs(backend);
@@ -94,10 +94,10 @@
     assert!(!is_quarantined(&ledger, 1, now + left));
 }
 
-/// Guards against a request that recurs all day, as a call without a body does, and is refused because it was
-/// under way at three unrelated crashes.
+/// Guards against quarantining a request that recurs all day, such as a call without a body,
+/// because it was in progress at three unrelated crashes.
 #[test]
-fn a_request_that_was_answered_whole_is_not_held_responsible() {
+fn a_complete_answer_clears_a_request() {
     let mut ledger = CrashLedger::default();
     for backend in 1..10 {
         ledger.note_crash(record(1, backend), START);
@@ -107,9 +107,9 @@
     assert!(!ledger.suspects(digest(1)));
 }
 
-/// Guards against a call to the store for each harmless request that was under way at a crash.
+/// Guards against a store write for each harmless request that was in progress at a crash.
 #[test]
-fn only_requests_at_risk_are_told_of_when_they_are_answered() {
+fn only_requests_close_to_quarantine_are_at_risk() {
     let mut ledger = CrashLedger::default();
     assert!(!ledger.is_at_risk(digest(1), START));
     ledger.note_crash(record(1, 1), START);
@@ -119,25 +119,26 @@
     assert!(!ledger.is_at_risk(digest(1), START + CRASH_RETENTION));
 }
 
-/// Guards against entry hosts that differ for good on what is quarantined, by the order in which words came.
+/// Guards against entry hosts that permanently disagree on what is quarantined, because stored
+/// crashes arrived in a different order.
 #[test]
-fn the_order_of_words_does_not_matter() {
+fn the_order_of_stored_crashes_does_not_matter() {
     run_cases(200, 4096, |source| {
-        let mut words = Vec::new();
+        let mut rows = Vec::new();
         for revision in 1..20 {
             let mut record = record(source.int_in_range(0..=2)?, source.int_in_range(0..=4)?);
             if source.ratio(1, 4)? {
                 record.verdict = CrashVerdict::Cleared;
             }
-            words.push(StoredCrash { record, revision });
+            rows.push(StoredCrash { record, revision });
         }
         let mut ledgers = [CrashLedger::default(), CrashLedger::default()];
-        for word in &words {
-            ledgers[0].merge_stored(*word, START + CRASH_RETENTION);
+        for row in &rows {
+            ledgers[0].merge_stored(*row, START + CRASH_RETENTION);
         }
-        while !words.is_empty() {
-            let at = source.int_in_range(0..=words.len() - 1)?;
-            ledgers[1].merge_stored(words.remove(at), START + CRASH_RETENTION);
+        while !rows.is_empty() {
+            let at = source.int_in_range(0..=rows.len() - 1)?;
+            ledgers[1].merge_stored(rows.remove(at), START + CRASH_RETENTION);
         }
         for request in 0..3 {
             let [first, second] = ledgers
@@ -149,26 +150,27 @@
     });
 }
 
-/// Guards against a clearing that is lost because the store's older row was told again before it was written.
+/// Guards against losing a cleared verdict when the older row of the store arrives again before the
+/// verdict is written.
 #[test]
-fn what_was_cleared_here_is_told() {
+fn a_local_cleared_verdict_survives_an_older_row() {
     let mut ledger = CrashLedger::default();
-    let word = StoredCrash {
+    let stored = StoredCrash {
         record: record(1, 1),
         revision: 7,
     };
-    ledger.merge_stored(word, START + CRASH_RETENTION);
+    ledger.merge_stored(stored, START + CRASH_RETENTION);
     ledger.clear(digest(1));
-    ledger.merge_stored(word, START + CRASH_RETENTION);
+    ledger.merge_stored(stored, START + CRASH_RETENTION);
     let [unstored] = ledger.unstored().try_into().expect("one record");
     assert_eq!(unstored.verdict, CrashVerdict::Cleared);
     ledger.mark_stored(&[unstored], 8);
     assert!(ledger.unstored().is_empty());
 }
 
-/// Guards against neighbours that tell the same rows again and again, at once each time.
+/// Guards against sending the same rows to neighbours in an endless series of immediate responses.
 #[test]
-fn rows_are_told_only_as_far_as_all_are_known() {
+fn rows_are_sent_only_up_to_the_completely_known_revision() {
     let mut ledger = CrashLedger::default();
     ledger.note_crash(record(1, 1), START);
     ledger.mark_stored(&[record(1, 1)], 9);
@@ -179,24 +181,24 @@
     assert_eq!(ledger.stored_after(9).count(), 0);
 }
 
-/// Guards against rows that somebody removed from the store and that count on.
+/// Guards against counting rows that were removed from the store.
 #[test]
-fn a_whole_read_drops_what_the_store_no_longer_has() {
+fn a_full_read_drops_rows_that_the_store_no_longer_has() {
     let mut ledger = CrashLedger::default();
-    let word = StoredCrash {
+    let stored = StoredCrash {
         record: record(1, 1),
         revision: 7,
     };
-    ledger.merge_stored(word, START + CRASH_RETENTION);
+    ledger.merge_stored(stored, START + CRASH_RETENTION);
     ledger.note_crash(record(1, 2), START);
     ledger.keep_listed(&[], 10);
     assert_eq!(ledger.unstored(), [record(1, 2)]);
     assert_eq!(ledger.stored_after(0).count(), 0);
 }
 
-/// Guards against memory that grows with the crashes of a long life.
+/// Guards against unbounded memory use in a long-running process.
 #[test]
-fn the_oldest_crashes_are_forgotten_first() {
+fn the_oldest_crashes_are_evicted_first() {
     let mut ledger = CrashLedger::default();
     for number in 0..6000 {
         let at = START + Duration::from_millis(number.into());
