--- a/src/gateway/tests/stream_pauses.rs
+++ b/src/gateway/tests/stream_pauses.rs
@@ -1,4 +1,5 @@
-//! Backend servers that pause or stop in the middle of a stream: who gets the rest to the client.
+//! Backend servers that pause or stop in the middle of a stream, and which one completes the
+//! stream.
 
 use std::time::Duration;
 
@@ -9,43 +10,44 @@
 use crate::quarantine::{BackendIncarnation, RequestDigest, RequestParts};
 use crate::time::clock_now;
 
-/// Two events, a pause as of a busy engine, and the rest.
+/// Two events, a pause as of a busy engine, and the other events.
 const PAUSED: BackendBehaviour = BackendBehaviour::EventsPaused {
     after: 2,
     pause: Duration::from_millis(1300),
     to: 5,
 };
-const WHOLE: BackendBehaviour = BackendBehaviour::Events { to: 5 };
+const COMPLETE: BackendBehaviour = BackendBehaviour::Events { to: 5 };
 
-/// Guards against a stream that may not run again and is ended because its backend server pauses.
+/// Guards against ending an unrepeatable stream because its backend server pauses.
 #[tokio::test]
-async fn a_stream_that_may_run_once_outlasts_a_pause() {
-    let (status, response, arrivals) = outcome([PAUSED, WHOLE], "single").await;
+async fn an_unrepeatable_stream_survives_a_pause() {
+    let (status, response, arrivals) = outcome([PAUSED, COMPLETE], "single").await;
     assert_eq!((status, arrivals), (200, [1, 0]));
     assert_complete_stream(&response);
 }
 
-/// Guards against a stream that is ended because its backend server pauses while no retry is left.
+/// Guards against ending a stream because its backend server pauses while the retry budget is
+/// empty.
 #[tokio::test]
-async fn a_stream_outlasts_a_pause_without_a_retry_to_spend() {
+async fn a_stream_survives_a_pause_without_retry_budget() {
     let first = FakeBackend::start(PAUSED).await;
-    let second = FakeBackend::start(WHOLE).await;
+    let second = FakeBackend::start(COMPLETE).await;
     let entry = EntryFixture::start_with(&[&first, &second], NO_RETRIES).await;
     let response = entry.call("resumed").await;
     assert_eq!((first.arrivals(), second.arrivals()), (1, 0));
     assert_complete_stream(&response);
 }
 
-/// Guards against a stream that is ended in a pause because no other backend server goes on with it.
+/// Guards against ending a stream during a pause because no other backend server resumes it.
 #[tokio::test]
-async fn a_stream_outlasts_a_pause_when_no_other_backend_server_takes_it() {
+async fn a_stream_survives_a_pause_when_no_other_backend_server_resumes_it() {
     for other in [
         BackendBehaviour::NotRun,
         BackendBehaviour::Fail,
         BackendBehaviour::CloseUnanswered,
-        BackendBehaviour::Silent,
-        BackendBehaviour::EventsSilent { to: 2 },
-        // Its answer ends without an event.
+        BackendBehaviour::Unresponsive,
+        BackendBehaviour::EventsThenUnresponsive { to: 2 },
+        // Its response ends without an event.
         BackendBehaviour::Events { to: 2 },
     ] {
         let (status, response, arrivals) = outcome([PAUSED, other], "resumed").await;
@@ -58,20 +60,21 @@
     assert_eq!(only.arrivals(), 1);
 }
 
-/// Guards against a stream that waits for a silent backend server while another one would go on.
+/// Guards against waiting for an unresponsive backend server while another one could resume the
+/// stream.
 #[tokio::test]
-async fn a_stream_goes_on_elsewhere_when_its_backend_server_is_silent() {
-    let behaviours = [BackendBehaviour::EventsSilent { to: 2 }, WHOLE];
+async fn a_stream_is_resumed_elsewhere_when_its_backend_server_is_unresponsive() {
+    let behaviours = [BackendBehaviour::EventsThenUnresponsive { to: 2 }, COMPLETE];
     let (status, response, arrivals) = outcome(behaviours, "resumed").await;
     assert_eq!((status, arrivals), (200, [1, 1]));
     assert_complete_stream(&response);
 }
 
-/// Guards against events that come twice where another backend server begins earlier than it was asked to.
+/// Guards against duplicate events when another backend server begins earlier than requested.
 #[tokio::test]
-async fn events_that_the_client_has_are_left_out_when_another_backend_server_goes_on() {
+async fn events_that_the_client_has_are_skipped_when_a_stream_is_resumed() {
     for first in [
-        BackendBehaviour::EventsSilent { to: 2 },
+        BackendBehaviour::EventsThenUnresponsive { to: 2 },
         BackendBehaviour::EventsTruncated { to: 2 },
     ] {
         let again = BackendBehaviour::EventsFromStart { to: 5 };
@@ -81,7 +84,7 @@
     }
 }
 
-/// Takes a place at any backend server but `tried`, if one is free.
+/// Takes a slot at any backend server except `tried`, if one is free.
 fn take_slot(entry: &EntryFixture, tried: &[BackendKey]) -> Option<BackendTicket> {
     let need = PickNeed {
         service: "desk",
@@ -94,19 +97,19 @@
     entry.gateway.desk.pick(&need, clock_now()).ok()
 }
 
-/// Guards against a stream that is broken off because no place is free in the moment in which it is cut.
+/// Guards against aborting a stream because no slot is free at the moment of the interruption.
 #[tokio::test]
-async fn a_stream_that_was_cut_waits_for_a_place() {
+async fn an_interrupted_stream_waits_for_a_slot() {
     let first = FakeBackend::start(BackendBehaviour::EventsTruncated { to: 2 }).await;
-    let second = FakeBackend::start(WHOLE).await;
+    let second = FakeBackend::start(COMPLETE).await;
     let entry = EntryFixture::start(&[&first, &second]).await;
     entry.gateway.snapshot();
-    let near = take_slot(&entry, &[]).expect("all are free").key;
-    let taken: Vec<_> = std::iter::from_fn(|| take_slot(&entry, &[near])).collect();
-    assert!(!taken.is_empty());
+    let near = take_slot(&entry, &[]).expect("all slots are free").key;
+    let tickets: Vec<_> = std::iter::from_fn(|| take_slot(&entry, &[near])).collect();
+    assert!(!tickets.is_empty());
     let freeing = async {
         tokio::time::sleep(Duration::from_millis(600)).await;
-        drop(taken);
+        drop(tickets);
         entry.gateway.freed.notify_waiters();
     };
     let (response, ()) = tokio::join!(entry.call("resumed"), freeing);
@@ -114,11 +117,11 @@
     assert_complete_stream(&response);
 }
 
-/// Guards against a stream that is ended because its silent backend server dies while another one is about to
-/// go on with it.
+/// Guards against ending a stream because its unresponsive backend server fails while another one
+/// is about to resume the stream.
 #[tokio::test]
-async fn a_stream_goes_on_elsewhere_when_its_backend_server_dies_in_a_pause() {
-    let silent = BackendBehaviour::EventsSilentClose {
+async fn a_stream_is_resumed_elsewhere_when_its_backend_server_fails_during_a_pause() {
+    let unresponsive = BackendBehaviour::EventsThenDelayedClose {
         to: 2,
         pause: Duration::from_millis(1100),
     };
@@ -126,22 +129,22 @@
         pause: Duration::from_millis(400),
         to: 5,
     };
-    let (status, response, arrivals) = outcome([silent, late], "resumed").await;
+    let (status, response, arrivals) = outcome([unresponsive, late], "resumed").await;
     assert_eq!((status, arrivals), (200, [1, 1]));
     assert_complete_stream(&response);
 }
 
-/// Guards against a request that is given up because its answer begins late, while no other backend server
-/// may be asked.
+/// Guards against abandoning a request whose response begins late while no other backend server may
+/// be tried.
 #[tokio::test]
-async fn a_late_answer_is_waited_for_without_a_retry_to_spend() {
+async fn a_late_response_is_awaited_without_retry_budget() {
     for kind in ["resumed", "safe"] {
         let late = BackendBehaviour::EventsLate {
             pause: Duration::from_millis(1300),
             to: 5,
         };
         let first = FakeBackend::start(late).await;
-        let second = FakeBackend::start(WHOLE).await;
+        let second = FakeBackend::start(COMPLETE).await;
         let entry = EntryFixture::start_with(&[&first, &second], NO_RETRIES).await;
         let response = entry.call(kind).await;
         assert_eq!((first.arrivals(), second.arrivals()), (1, 0));
@@ -149,10 +152,10 @@
     }
 }
 
-/// Guards against a request that is given up because its answer begins late, while no other backend server
-/// takes it.
+/// Guards against abandoning a request whose response begins late while no other backend server
+/// accepts it.
 #[tokio::test]
-async fn a_late_answer_is_waited_for_when_no_other_backend_server_takes_the_request() {
+async fn a_late_response_is_awaited_when_no_other_backend_server_accepts_the_request() {
     for kind in ["resumed", "safe"] {
         for other in [BackendBehaviour::NotRun, BackendBehaviour::CloseUnanswered] {
             let late = BackendBehaviour::EventsLate {
@@ -165,15 +168,15 @@
     }
 }
 
-/// Guards against a request that is refused as not run while a backend server works on it.
+/// Guards against refusing a request as not run while a backend server works on it.
 #[tokio::test]
-async fn a_request_that_is_quarantined_while_it_is_sent_is_not_refused_as_not_run() {
+async fn a_request_quarantined_in_progress_is_not_refused_as_not_run() {
     let late = BackendBehaviour::EventsLate {
         pause: Duration::from_millis(1300),
         to: 5,
     };
     let first = FakeBackend::start(late).await;
-    let second = FakeBackend::start(WHOLE).await;
+    let second = FakeBackend::start(COMPLETE).await;
     let entry = EntryFixture::start(&[&first, &second]).await;
     let request = RequestDigest::of(RequestParts {
         host: "desk.example",
@@ -196,6 +199,6 @@
     let later = entry.call("safe").await;
     assert!(
         later.starts_with("HTTP/1.1 200"),
-        "it was answered: {later}"
+        "the request was answered: {later}"
     );
 }
--- a/src/gateway/tests/uninterrupted_responses.rs
+++ b/src/gateway/tests/uninterrupted_responses.rs
@@ -1,4 +1,5 @@
-//! Answers under way while the entry host stands still, takes in a document, or is sent more than it reads.
+//! Responses in progress while the entry host is paused, applies a document, or receives more than
+//! it reads.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener as StdListener, TcpStream as StdStream};
@@ -24,14 +25,15 @@
 const EVENTS: u64 = 40;
 const EVENT_PAUSE: Duration = Duration::from_millis(50);
 const ROUTE_TIMEOUT: Duration = Duration::from_secs(20);
-const ANSWER_WITHIN: Duration = Duration::from_secs(15);
-/// Time for a stream's first events to have been passed on.
-const BEGUN_SPAN: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time for the first events of a stream to be passed on.
+const STREAM_START_SPAN: Duration = Duration::from_millis(400);
 
-/// A backend server on threads of its own, which write on while the test's thread stands still.
+/// Starts a backend server on its own threads, which keep writing while the test's thread is
+/// blocked.
 fn start_stream_backend() -> SocketAddr {
     let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the socket is bound");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             thread::spawn(move || write_events(stream));
@@ -66,7 +68,7 @@
     }
 }
 
-/// The test's document with a longer time limit, changed by `change`.
+/// Returns the catalog of the test with a longer time limit, changed by `change`.
 fn changed_catalog(change: impl Fn(&mut RouteRule)) -> ServiceCatalog {
     let base = catalog();
     let rules = base.routes.rules().iter().map(|rule| {
@@ -101,13 +103,13 @@
 }
 
 /// An entry host whose control state the test changes.
-struct ChangingEntry {
+struct MutableEntry {
     address: SocketAddr,
     snapshot: SharedSnapshot,
     gateway: Arc<GatewayState>,
 }
 
-impl ChangingEntry {
+impl MutableEntry {
     async fn start(backends: &[SocketAddr]) -> Self {
         let snapshot = SharedSnapshot::default();
         snapshot.store(ControlSnapshot {
@@ -118,7 +120,7 @@
         let gateway = Arc::new(new_gateway(snapshot.clone(), NO_RETRIES));
         let local = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = bind_listener(local).await.expect("a free port");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
         tokio::spawn(HttpServer::on(listener, caller_routes(gateway.clone())).run(drain));
         Self {
@@ -128,10 +130,16 @@
         }
     }
 
-    /// All that comes back for `text` on one connection, until nothing is missing or it closes.
+    /// Sends `text` on one connection and returns everything received until `count` responses are
+    /// complete or the connection closes.
     async fn responses(&self, text: String, count: usize) -> String {
-        let mut stream = TcpStream::connect(self.address).await.expect("it listens");
-        stream.write_all(text.as_bytes()).await.expect("it reads");
+        let mut stream = TcpStream::connect(self.address)
+            .await
+            .expect("the socket is listening");
+        stream
+            .write_all(text.as_bytes())
+            .await
+            .expect("the other end reads");
         let mut response = String::new();
         let mut buffer = [0; 4096];
         let reading = async {
@@ -146,8 +154,8 @@
                 }
             }
         };
-        // What is missing shows in the answer.
-        let _ = timeout(ANSWER_WITHIN, reading).await;
+        // The caller checks the response and finds missing parts.
+        let _ = timeout(RESPONSE_TIMEOUT, reading).await;
         response
     }
 }
@@ -167,17 +175,17 @@
     assert!(response.ends_with("0\r\n\r\n"), "{response}");
 }
 
-/// Guards against streams that are all cut at once when the process gets no processor time, though their
+/// Guards against cutting all streams when the process gets no processor time, although their
 /// events wait in its sockets.
 #[tokio::test]
-async fn events_that_came_while_the_process_stood_still_are_passed_on() {
+async fn events_received_while_the_process_was_paused_are_passed_on() {
     let backends = [start_stream_backend(), start_stream_backend()];
-    let entry = ChangingEntry::start(&backends).await;
+    let entry = MutableEntry::start(&backends).await;
     let kinds = ["resumed", "single"].into_iter().cycle().take(24);
     let streams = futures::future::join_all(kinds.map(|kind| entry.responses(request(kind), 1)));
     let stall = async {
-        sleep(BEGUN_SPAN).await;
-        // Longer than a backend server may be silent.
+        sleep(STREAM_START_SPAN).await;
+        // Longer than a backend server may be unresponsive.
         thread::sleep(Duration::from_millis(1300));
     };
     let (responses, ()) = tokio::join!(streams, stall);
@@ -186,10 +194,10 @@
     }
 }
 
-/// Guards against streams that are cut by what a document or the list of backend servers takes away while
-/// they run.
+/// Guards against cutting streams in progress when a new document or list of backend servers
+/// removes what they use.
 #[tokio::test]
-async fn a_stream_goes_on_whatever_the_next_document_says() {
+async fn a_stream_continues_after_any_change_of_the_document() {
     let backend = [start_stream_backend()];
     let next = |catalog: ServiceCatalog, fleet: Arc<FleetView>| ControlSnapshot {
         catalog: Some(Arc::new(ServiceCatalog {
@@ -223,9 +231,9 @@
         next(same(), fleet_of(&[], BackendPhase::Serving)),
     ];
     let runs = changes.into_iter().map(|change| async {
-        let entry = ChangingEntry::start(&backend).await;
+        let entry = MutableEntry::start(&backend).await;
         let changing = async {
-            sleep(BEGUN_SPAN).await;
+            sleep(STREAM_START_SPAN).await;
             entry.snapshot.store(change);
             entry.gateway.snapshot();
         };
@@ -238,11 +246,11 @@
     }
 }
 
-/// Guards against a stream that ends, or an answer that is lost, where a client sends its next request
-/// before the stream's end.
+/// Guards against ending a stream early, or losing a response, when a client sends its next request
+/// before the end of the stream.
 #[tokio::test]
-async fn a_request_that_comes_early_does_not_end_the_stream_before_it() {
-    let entry = ChangingEntry::start(&[start_stream_backend()]).await;
+async fn a_pipelined_request_does_not_end_the_stream_before_it() {
+    let entry = MutableEntry::start(&[start_stream_backend()]).await;
     let text = format!("{}{}", request("resumed"), request("safe"));
     let response = entry.responses(text, 2).await;
     assert_eq!(response.matches("HTTP/1.1 200").count(), 2, "{response}");
@@ -255,8 +263,8 @@
     assert_eq!(response.matches(&last).count(), 2, "{response}");
 }
 
-/// Guards against a refusal that is lost with its connection because the body of the request was still on
-/// its way.
+/// Guards against losing a refusal together with its connection because the request body is still
+/// in transit.
 #[tokio::test]
 async fn a_refusal_reaches_a_client_that_still_sends_its_body() {
     let backend = FakeBackend::start(BackendBehaviour::Complete).await;
@@ -271,11 +279,13 @@
         ),
     ];
     for text in texts {
-        let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
+        let mut stream = TcpStream::connect(entry.address)
+            .await
+            .expect("the socket is listening");
         let (mut reader, mut writer) = stream.split();
         let mut response = Vec::new();
         let writing = async {
-            // The entry host may close before it has read all.
+            // The entry host may close the connection before it has read everything.
             let _ = writer.write_all(text.as_bytes()).await;
         };
         let reading = async {
@@ -294,37 +304,54 @@
     }
 }
 
-/// Guards against a planned stop that ends while an answer is still on its way to a client that reads
+/// Guards against ending a planned stop while a response is in transit to a client that reads
 /// slowly.
 #[tokio::test]
-async fn an_answer_is_under_way_until_its_last_byte_has_left() {
+async fn a_response_is_in_progress_until_its_last_byte_is_sent() {
     let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the socket is bound");
     let length = 8 * 1024 * 1024;
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the entry host connects");
         let mut buffer = [0; 4096];
-        let read = stream.read(&mut buffer).expect("it is sent a request");
-        let attempt = field(&String::from_utf8_lossy(&buffer[..read]), ATTEMPT).expect("a name");
+        let read = stream.read(&mut buffer).expect("a request arrives");
+        let attempt =
+            field(&String::from_utf8_lossy(&buffer[..read]), ATTEMPT).expect("an attempt id");
         let head = format!(
             "HTTP/1.1 200 OK\r\n{ATTEMPT}: {attempt}\r\n{SEAL}: seal\r\n\
              content-length: {length}\r\n\r\n"
         );
-        stream.write_all(head.as_bytes()).expect("it reads");
-        stream.write_all(&vec![b'x'; length]).expect("it reads");
-        // The connection stays open until the entry host has given it up.
+        stream
+            .write_all(head.as_bytes())
+            .expect("the other end reads");
+        stream
+            .write_all(&vec![b'x'; length])
+            .expect("the other end reads");
+        // Keeps the connection open until the entry host closes it.
         let _ = stream.read(&mut buffer);
     });
-    let entry = ChangingEntry::start(&[address]).await;
-    let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
+    let entry = MutableEntry::start(&[address]).await;
+    let mut stream = TcpStream::connect(entry.address)
+        .await
+        .expect("the socket is listening");
     let text = request("once");
-    stream.write_all(text.as_bytes()).await.expect("it reads");
+    stream
+        .write_all(text.as_bytes())
+        .await
+        .expect("the other end reads");
     let mut buffer = vec![0; 4096];
-    let mut read = stream.read(&mut buffer).await.expect("the answer begins");
+    let mut read = stream.read(&mut buffer).await.expect("the response begins");
     sleep(Duration::from_millis(300)).await;
-    assert_eq!(entry.gateway.drain.live_count(), 1, "most has not left");
+    assert_eq!(
+        entry.gateway.drain.live_count(),
+        1,
+        "most bytes are not sent yet"
+    );
     while read < length {
-        read += stream.read(&mut buffer).await.expect("the answer goes on");
+        read += stream
+            .read(&mut buffer)
+            .await
+            .expect("the response continues");
     }
     sleep(Duration::from_millis(100)).await;
     assert_eq!(entry.gateway.drain.live_count(), 0);
--- a/src/overload/retry_delay.rs
+++ b/src/overload/retry_delay.rs
@@ -20,12 +20,12 @@
     RETRY_DELAY_MIN + RETRY_JITTER.mul_f64(part)
 }
 
-/// Returns whether a client that will wait `asked` for its answer was refused before. `timeout` is
-/// the longest time that clients of its route wait.
+/// Returns whether a client that will wait `client_wait` for its answer was refused before.
+/// `timeout` is the longest time that clients of its route wait.
 ///
 /// Each request states how long its client will wait from now on, so a retry states less than the
 /// first attempt. The waiting times of clients differ by a tenth and more, so that a small
 /// difference does not indicate a retry.
-pub(crate) fn is_retry(asked: Duration, timeout: Duration) -> bool {
-    asked + RETRY_DELAY_MIN.min(timeout / TIMEOUT_DIVISOR) <= timeout
+pub(crate) fn is_retry(client_wait: Duration, timeout: Duration) -> bool {
+    client_wait + RETRY_DELAY_MIN.min(timeout / TIMEOUT_DIVISOR) <= timeout
 }
--- a/src/overload/tests/mod.rs
+++ b/src/overload/tests/mod.rs
@@ -11,8 +11,11 @@
 /// stated more than 20 ms less than the six seconds of its route counted as a retry.
 #[test]
 fn a_client_with_a_short_wait_is_not_taken_for_a_retry() {
-    for asked in [5100, 5500, 5900, 5990, 6000, 7000] {
-        assert!(!is_retry(Duration::from_millis(asked), TIMEOUT), "{asked}");
+    for client_wait in [5100, 5500, 5900, 5990, 6000, 7000] {
+        assert!(
+            !is_retry(Duration::from_millis(client_wait), TIMEOUT),
+            "{client_wait}"
+        );
     }
     assert!(!is_retry(
         Duration::from_millis(510),
@@ -23,8 +26,8 @@
 #[test]
 fn a_client_that_waits_for_the_retry_delay_is_recognised() {
     for part in [0.0, 0.5, 1.0] {
-        let asked = TIMEOUT.saturating_sub(retry_delay(part));
-        assert!(is_retry(asked, TIMEOUT), "{part}");
+        let client_wait = TIMEOUT.saturating_sub(retry_delay(part));
+        assert!(is_retry(client_wait, TIMEOUT), "{part}");
     }
     // Clients wait for at most a third of their time before a retry.
     assert!(is_retry(
