--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -9,7 +9,7 @@
 use super::pick::PickContext;
 use super::request_limit::{RequestLimit, SendPermission};
 use crate::derives::{key, plain};
-use crate::overload::{EnginePlace, usual_pace};
+use crate::overload::{EngineCandidate, usual_pace};
 use crate::routing::CircuitBreaker;
 use crate::time::{ClockTime, WallTime};
 
@@ -151,8 +151,12 @@
     }
 
     /// State of the engine as a request would find it at `now`.
-    pub(super) fn engine_state(&self, context: &PickContext<'_>, now: ClockTime) -> EnginePlace {
-        EnginePlace {
+    pub(super) fn engine_state(
+        &self,
+        context: &PickContext<'_>,
+        now: ClockTime,
+    ) -> EngineCandidate {
+        EngineCandidate {
             slots: self.facts.slots,
             load: self.load(now),
             unread_tokens: self.unread_tokens,
--- a/src/fleet/backend_registry.rs
+++ b/src/fleet/backend_registry.rs
@@ -18,7 +18,7 @@
 use super::request_limit::SendPermission;
 use crate::derives::key;
 use crate::events::log_event;
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::sync::StoreClock;
 use crate::time::{ClockTime, StoreTime, WallTime};
 
@@ -55,7 +55,7 @@
 /// Records of all backend servers that are listed or still have requests in flight.
 #[derive(Debug)]
 pub(crate) struct BackendRegistry {
-    pub(super) me: EntryPlace,
+    pub(super) me: EntryHostId,
     /// Number of other entry hosts in this data centre.
     pub(super) peers: u32,
     /// The entry hosts that share the rates advertised by backend servers.
@@ -78,7 +78,7 @@
 
 impl BackendRegistry {
     /// Creates an empty registry for the entry host `me`.
-    pub(crate) fn new(me: EntryPlace) -> Self {
+    pub(crate) fn new(me: EntryHostId) -> Self {
         Self {
             rate_sharers: RateSharers::new(&me, &[]),
             clock: StoreClock::default(),
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -12,7 +12,7 @@
 use super::request_limit::SendPermission;
 use crate::derives::{key, plain};
 use crate::errors::ErrorKind;
-use crate::overload::{EnginePlace, EngineSpeed};
+use crate::overload::{EngineCandidate, EngineSpeed};
 use crate::time::{ClockTime, StoreTime};
 
 /// One slot in this many is reserved for new requests, which returning ones may not use.
@@ -234,7 +234,7 @@
 }
 
 /// Engines are rated by the expected delay alone, plain backend servers by grade alone.
-fn grade_and_delay(engine: &EnginePlace, need: &PickRequirements<'_>) -> (SlotGrade, Duration) {
+fn grade_and_delay(engine: &EngineCandidate, need: &PickRequirements<'_>) -> (SlotGrade, Duration) {
     if let Some(work) = &need.work {
         return (SlotGrade::NearFree, engine.delay(&work.speed));
     }
--- a/src/fleet/registry_shares.rs
+++ b/src/fleet/registry_shares.rs
@@ -4,13 +4,13 @@
 
 use super::backend_registry::BackendRegistry;
 use super::rate_sharers::RateSharers;
-use crate::overload::{EntryPlace, EntryShare};
+use crate::overload::{EngineAssignment, EntryHostId};
 
 impl BackendRegistry {
     /// Assigns the backend servers among `entries`, which include this entry host.
-    pub(crate) fn assign_shares(&mut self, entries: &[EntryPlace]) {
+    pub(crate) fn assign_shares(&mut self, entries: &[EntryHostId]) {
         let me = self.me.clone();
-        let share = EntryShare::new(&me, entries);
+        let share = EngineAssignment::new(&me, entries);
         self.peers = share.peers();
         self.rate_sharers = RateSharers::new(&me, entries);
         // Backend servers seen so far, by service and data centre.
@@ -31,7 +31,7 @@
             });
             let rank = met[group_at].1;
             met[group_at].1 += 1;
-            record.is_own = share.has(rank);
+            record.is_own = share.is_assigned(rank);
         }
     }
 }
--- a/src/fleet/request_limit.rs
+++ b/src/fleet/request_limit.rs
@@ -6,7 +6,7 @@
 use macro_rules_attribute::apply;
 
 use crate::derives::{message, plain};
-use crate::overload::TurnShare;
+use crate::overload::SendSchedule;
 use crate::time::{StoreTime, WallTime};
 
 /// How long a limit applies after it was last confirmed.
@@ -90,13 +90,13 @@
     /// Whether a request may be sent there at `now`; `share` returns who shares the rate.
     pub(super) fn send_permission<'a>(
         &self,
-        share: impl FnOnce() -> TurnShare<'a>,
+        share: impl FnOnce() -> SendSchedule<'a>,
         now: StoreTime,
     ) -> SendPermission {
         let Some(rate) = self.rate(now) else {
             return SendPermission::Unlimited;
         };
-        match share().open_turn(rate, self.used_interval, now) {
+        match share().open_interval(rate, self.used_interval, now) {
             Some(start) => SendPermission::Interval(start),
             None => SendPermission::Denied,
         }
--- a/src/fleet/tests/thundering_herds.rs
+++ b/src/fleet/tests/thundering_herds.rs
@@ -1,18 +1,18 @@
 //! Several entry hosts that send to the same engines.
 
 use super::*;
-use crate::overload::{EngineSpeed, EntryPlace};
+use crate::overload::{EngineSpeed, EntryHostId};
 
 const SPEED: EngineSpeed = EngineSpeed {
     step_s: 0.009,
     request_step_s: 0.000_04,
     read_per_s: 19_000.0,
-    usual_prompt: 950.0,
-    usual_answer: 100.0,
+    typical_prompt_tokens: 950.0,
+    typical_answer_tokens: 100.0,
 };
 const SLOTS: u32 = 16;
 
-fn entries() -> Vec<EntryPlace> {
+fn entries() -> Vec<EntryHostId> {
     ["e1", "e2", "e3"]
         .map(|host| entry_place(host, "here"))
         .into()
@@ -144,8 +144,8 @@
                 step_s: figure,
                 request_step_s: figure,
                 read_per_s: figure,
-                usual_prompt: figure,
-                usual_answer: figure,
+                typical_prompt_tokens: figure,
+                typical_answer_tokens: figure,
             },
             prompt_tokens: u32::MAX,
         });
@@ -167,7 +167,7 @@
     let far: Vec<String> = (b'A'..=b'X')
         .map(|letter| format!("f{}", char::from(letter)))
         .collect();
-    let places: Vec<EntryPlace> = (0..ENTRIES)
+    let places: Vec<EntryHostId> = (0..ENTRIES)
         .map(|number| entry_place(&format!("e{number:02}"), "here"))
         .collect();
     let mut tickets = Vec::new();
--- /dev/null
+++ b/src/gateway/forward_state.rs
@@ -0,0 +1,273 @@
+//! State of forwarding one request: what is known of its sends, and whether it may be sent again.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use super::gateway_state::GatewayState;
+use super::reply::outcome_unknown;
+use super::request_job::RequestJob;
+use super::request_log::log_client_left;
+use super::retry_denial::RetryDenial;
+use super::send_attempt::{HeadWait, SendFailure};
+use crate::errors::{ErrorKind, RunOutcome, SwitchError};
+use crate::fleet::{BackendKey, CallOutcome, PickRefusal};
+use crate::overload::retry_delay;
+use crate::time::{ClockTime, clock_now};
+
+/// How often a send that never left this host may be repeated elsewhere. Such sends do not use the
+/// retry budget.
+const UNSENT_MAX: u32 = 3;
+/// How long before its own timeout a client is told that there will be no response. The way to the
+/// client takes 1 to 3 ms, and this process may be busy.
+const CLIENT_NOTICE_MARGIN: Duration = Duration::from_millis(100);
+
+/// State of one request while it is forwarded.
+pub(super) struct ForwardState {
+    pub(super) gateway: Arc<GatewayState>,
+    pub(super) job: Arc<RequestJob>,
+    tried: Vec<BackendKey>,
+    /// Sends that never left this host.
+    unsent: u32,
+    /// Whether the request may have run in any of its sends.
+    may_have_run: bool,
+    last_failure: Option<SendFailure>,
+    /// When the client is told that there will be no response, unless something has arrived by
+    /// then.
+    response_due: ClockTime,
+    /// Whether a backend server has started a stream.
+    has_started: bool,
+    /// Whether the end of the request has been logged.
+    is_end_logged: bool,
+}
+
+impl Drop for ForwardState {
+    /// Logs that the client closed its connection: the future of the request was dropped before its
+    /// end. Without this line the log would not show what happened to the request.
+    fn drop(&mut self) {
+        if !self.is_end_logged {
+            log_client_left(&self.job, self.tried.len(), clock_now());
+        }
+    }
+}
+
+impl ForwardState {
+    /// Records that the end of the request is logged elsewhere.
+    pub(super) const fn mark_end_logged(&mut self) {
+        self.is_end_logged = true;
+    }
+
+    pub(super) fn new(gateway: Arc<GatewayState>, job: RequestJob) -> Self {
+        gateway.earn_retry(&job.routed.service, job.arrived);
+        let response_due = client_notice_at(&job, job.arrived);
+        Self {
+            gateway,
+            job: Arc::new(job),
+            tried: Vec::new(),
+            unsent: 0,
+            may_have_run: false,
+            last_failure: None,
+            response_due,
+            has_started: false,
+            is_end_logged: false,
+        }
+    }
+
+    /// Records that a backend server started a stream.
+    pub(super) const fn note_stream_start(&mut self) {
+        self.has_started = true;
+    }
+
+    /// Returns until when the request waits for a slot. A new request waits for `queue_time`; a
+    /// stream that has started and is resumed elsewhere waits as long as its client does.
+    pub(super) fn queue_until(&self, queue_time: Duration) -> ClockTime {
+        if self.has_started {
+            self.response_due.min(self.job.deadline)
+        } else {
+            self.job.arrived + queue_time
+        }
+    }
+
+    /// Records that the client of a stream got its last event at `since`.
+    pub(super) fn note_event(&mut self, since: ClockTime) {
+        self.response_due = client_notice_at(&self.job, since);
+    }
+
+    /// Returns the backend servers that the request was sent to.
+    pub(super) fn tried(&self) -> &[BackendKey] {
+        &self.tried
+    }
+
+    /// Records that the request is about to be sent to `key`.
+    pub(super) fn note_send(&mut self, key: BackendKey) {
+        self.tried.push(key);
+    }
+
+    /// Returns the number of sends that reached a backend server or are in transit.
+    fn delivered_sends(&self) -> u32 {
+        let sends = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
+        sends.saturating_sub(self.unsent)
+    }
+
+    /// Returns how long the client will still wait for the response or the next event.
+    pub(super) fn client_wait_left(&self, now: ClockTime) -> Duration {
+        self.response_due.since(now).min(self.job.time_left(now))
+    }
+
+    /// Returns whether the request may be sent again after a send that may have run.
+    fn may_resend(&self, now: ClockTime) -> bool {
+        self.retry_denial(now).is_none()
+    }
+
+    /// Returns why the request may not be sent again after a send that may have run. Ignores the
+    /// retry budget.
+    fn retry_denial(&self, now: ClockTime) -> Option<RetryDenial> {
+        if !self.job.repeat().is_repeatable() {
+            Some(RetryDenial::Route)
+        } else if self.client_wait_left(now).is_zero() {
+            Some(RetryDenial::Time)
+        } else if self.has_attempts_left(now) {
+            None
+        } else {
+            Some(RetryDenial::Attempts)
+        }
+    }
+
+    /// Claims another send after one that may have run, and takes it from the retry budget.
+    ///
+    /// # Errors
+    ///
+    /// Why another send is not allowed.
+    pub(super) fn claim_resend(&self, now: ClockTime) -> Result<(), RetryDenial> {
+        match self.retry_denial(now) {
+            Some(denial) => Err(denial),
+            None if self.gateway.spend_retry(&self.job.routed.service, now) => Ok(()),
+            None => Err(RetryDenial::Budget),
+        }
+    }
+
+    /// Like `claim_resend`, for callers that do not need the reason.
+    fn try_claim_resend(&self, now: ClockTime) -> bool {
+        self.claim_resend(now).is_ok()
+    }
+
+    /// Refunds the retry that was claimed last, because it was not needed.
+    pub(super) fn refund_retry(&self, now: ClockTime) {
+        self.gateway.refund_retry(&self.job.routed.service, now);
+    }
+
+    fn has_attempts_left(&self, now: ClockTime) -> bool {
+        let is_within = self.delivered_sends() < self.job.routed.rule.attempts_max;
+        is_within && !self.client_wait_left(now).is_zero()
+    }
+
+    /// Returns whether the request may be sent again after `failure`, a send without a response.
+    /// Takes the send from the retry budget if necessary.
+    pub(super) fn may_resend_after(&mut self, failure: SendFailure, now: ClockTime) -> bool {
+        let (has_arrived, may_have_run) = (failure.has_arrived, failure.may_have_run);
+        self.record_failure(failure);
+        self.allows_resend(has_arrived, may_have_run, now)
+    }
+
+    /// Records a send that ended without a response.
+    pub(super) fn record_failure(&mut self, failure: SendFailure) {
+        if !failure.has_arrived {
+            self.unsent += 1;
+        }
+        self.may_have_run |= failure.may_have_run;
+        self.last_failure = Some(failure);
+    }
+
+    /// Like `may_resend_after`, for a response that was truncated before any of it was passed on.
+    pub(super) fn may_resend_after_truncation(
+        &mut self,
+        failure: SendFailure,
+        now: ClockTime,
+    ) -> bool {
+        self.may_have_run = true;
+        self.last_failure = Some(failure);
+        self.try_claim_resend(now)
+    }
+
+    /// Returns whether the request may be sent again after an error response of a backend server,
+    /// and takes the send from the retry budget.
+    ///
+    /// A request that failed at one backend server fails at the next one no more often than any
+    /// other. Where one stock check in seven failed and the error was passed on, clients repeated
+    /// the call one round trip later, and one call in fifty was lost.
+    pub(super) fn may_resend_after_error(&mut self, now: ClockTime) -> bool {
+        self.may_have_run = true;
+        self.try_claim_resend(now)
+    }
+
+    fn allows_resend(&self, has_arrived: bool, may_have_run: bool, now: ClockTime) -> bool {
+        if !has_arrived {
+            let is_open = !self.may_have_run || self.may_resend(now);
+            return self.unsent < UNSENT_MAX && is_open && !self.client_wait_left(now).is_zero();
+        }
+        let is_allowed = if may_have_run {
+            self.may_resend(now)
+        } else {
+            self.has_attempts_left(now)
+        };
+        is_allowed && self.gateway.spend_retry(&self.job.routed.service, now)
+    }
+
+    /// Returns the error for a quarantined request, or `None` if the request is not quarantined.
+    pub(super) fn quarantine_error(&self, now: ClockTime) -> Option<SwitchError> {
+        let left = self.gateway.quarantine(&self.job, now)?;
+        let detail = format!("request={}", self.job.digest());
+        Some(if self.may_have_run {
+            outcome_unknown(detail)
+        } else {
+            SwitchError::new(ErrorKind::RequestQuarantined, detail).come_back_in(left)
+        })
+    }
+
+    /// Returns the error for a request that no backend server answered.
+    pub(super) fn final_error(&self, refusal: Option<PickRefusal>) -> SwitchError {
+        let now = clock_now();
+        let detail = match &self.last_failure {
+            Some(failure) => failure.detail.clone(),
+            None => format!("{refusal:?}"),
+        };
+        if self.may_have_run {
+            if self.job.time_left(now).is_zero() {
+                return SwitchError::new(ErrorKind::DeadlinePassed, detail);
+            }
+            return outcome_unknown(detail);
+        }
+        let kind = match (refusal, &self.last_failure) {
+            (Some(refusal), _) => refusal.kind(),
+            (None, Some(failure)) => failure.kind,
+            (None, None) => ErrorKind::NoBackend,
+        };
+        SwitchError::new(kind, detail)
+            .with_outcome(RunOutcome::NotRun)
+            .come_back_in(retry_delay(rand::random()))
+    }
+
+    /// Returns how long to wait for the next response head, if the request is cancelled at
+    /// `cancel_at`.
+    pub(super) fn head_wait(&self, cancel_at: Option<ClockTime>, now: ClockTime) -> HeadWait {
+        let wait = HeadWait {
+            until: now + self.client_wait_left(now),
+            timeout_end: CallOutcome::Failed,
+        };
+        wait.cancelled_by(cancel_at)
+    }
+}
+
+/// Returns when to tell a client that there will be no further event, if it got the last one at
+/// `since`. For a request without a stream this is its deadline.
+///
+/// Clients close their connection if a stream brings no event for too long. Backend servers would
+/// then still work on the request for no client, and the client would get no explanation. A symptom
+/// is clients that leave after the same time while hosts are paused. They are told slightly
+/// earlier, and can retry.
+fn client_notice_at(job: &RequestJob, since: ClockTime) -> ClockTime {
+    if job.repeat().is_stream() {
+        job.client_timeout_at(since) - CLIENT_NOTICE_MARGIN
+    } else {
+        job.deadline
+    }
+}
--- a/src/gateway/report_relay.rs
+++ b/src/gateway/report_relay.rs
@@ -1,4 +1,4 @@
-//! Takes load reports and digests of them, and passes them on while this entry host is a relay.
+//! Receives load reports and load digests, and forwards them while this entry host is a relay.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,48 +22,52 @@
 use crate::transport::{decode_message, encode_datagram};
 
 const DATAGRAM_BYTES_MAX: usize = 8 * 1024;
-/// Limits in a datagram at most; with some 40 bytes each it fits into one packet of 1,500 bytes.
+/// Largest number of limits in a datagram. At about 40 bytes each they fit into one packet of 1,500
+/// bytes.
 const LIMITS_MAX: usize = 32;
 
-/// What the relay works with.
+/// Receives and forwards load reports and rate limits over UDP.
 pub(super) struct ReportRelay {
     gateway: Arc<GatewayState>,
-    book: SharedBook,
+    control_state: SharedBook,
     me: EntryRecord,
-    /// The port at which hosts of backend servers take leases.
+    /// Port at which the hosts of backend servers receive leases.
     host_port: u16,
     socket: UdpSocket,
     queue: DigestQueue,
-    relays: bool,
+    is_relay: bool,
 }
 
 impl ReportRelay {
-    /// A relay that listens where `me` says.
+    /// Binds a relay to the report address of `me`.
     ///
     /// # Errors
     ///
-    /// `SettingInvalid` when the address cannot be had.
+    /// `SettingInvalid` if the address cannot be bound.
     pub(super) async fn bind(
         gateway: Arc<GatewayState>,
-        book: SharedBook,
+        control_state: SharedBook,
         me: EntryRecord,
     ) -> SwitchResult<Self> {
         let socket = UdpSocket::bind(me.reports).await.map_err(|fault| {
-            let detail = format!("cannot listen on {}: {fault}; free the port", me.reports);
+            let detail = format!(
+                "cannot bind the load report address {}: {fault}; free the port",
+                me.reports
+            );
             SwitchError::new(ErrorKind::SettingInvalid, detail)
         })?;
         Ok(Self {
             gateway,
-            book,
+            control_state,
             host_port: me.reports.port(),
             me,
             socket,
             queue: DigestQueue::default(),
-            relays: false,
+            is_relay: false,
         })
     }
 
-    /// Runs for as long as the process lives.
+    /// Runs until the process ends.
     pub(super) async fn run(mut self) {
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         let mut renewal = clock_now();
@@ -71,7 +75,7 @@
             let wake = self.queue.due_at().map_or(renewal, |due| due.min(renewal));
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
-                    Ok((length, peer)) => self.take(&buffer[..length], peer).await,
+                    Ok((length, peer)) => self.handle_datagram(&buffer[..length], peer).await,
                     Err(fault) => log_event!(events::REPORT_UNREADABLE, "{fault}"),
                 },
                 () = sleep(wake.since(clock_now())) => {}
@@ -80,17 +84,17 @@
             if now >= renewal {
                 renewal = now + LEASE_RENEWAL;
                 self.renew_leases().await;
-                self.tell_limits(now).await;
+                self.announce_limits(now).await;
             }
             self.send_due(now).await;
         }
     }
 
-    async fn take(&mut self, bytes: &[u8], peer: SocketAddr) {
+    async fn handle_datagram(&mut self, bytes: &[u8], peer: SocketAddr) {
         let now = clock_now();
         match decode_message::<ReportDatagram>(bytes) {
             Ok(ReportDatagram::Report(report)) => {
-                if self.relays {
+                if self.is_relay {
                     self.queue.push(report.clone(), now);
                 }
                 self.gateway.note_reports([report], now);
@@ -99,57 +103,62 @@
                 self.gateway.note_reports(digest.unpack(), now);
                 if digest.reach == DigestReach::DataCentre {
                     let digest = digest.for_receivers();
-                    self.send_near(&ReportDatagram::Digest(digest)).await;
+                    self.send_locally(&ReportDatagram::Digest(digest)).await;
                 }
             }
             Ok(ReportDatagram::Limits(digest)) => {
-                self.gateway.take_limits(&digest.words);
+                self.gateway.apply_limits(&digest.words);
                 if digest.reach == DigestReach::DataCentre {
-                    self.send_limits_near(digest.words).await;
+                    self.send_limits_locally(digest.words).await;
                 }
             }
             Err(error) => log_event!(events::REPORT_UNREADABLE, "from {peer}: {error}"),
         }
     }
 
-    /// Tells the other entry hosts which limits were heard of since the last time.
+    /// Announces the limits received since the last call to the other entry hosts.
     ///
-    /// One that sends elsewhere hears of no limit, nor of its end.
-    async fn tell_limits(&self, now: ClockTime) {
-        for words in self.gateway.take_pending_limits(now).chunks(LIMITS_MAX) {
-            self.send_limits_near(words.to_vec()).await;
+    /// An entry host that does not send to a backend server receives neither its limit nor the end
+    /// of that limit from it.
+    async fn announce_limits(&self, now: ClockTime) {
+        for limits in self.gateway.take_pending_limits(now).chunks(LIMITS_MAX) {
+            self.send_limits_locally(limits.to_vec()).await;
             let digest = LimitDigest {
                 reach: DigestReach::DataCentre,
-                words: words.to_vec(),
+                words: limits.to_vec(),
             };
-            let snapshot = self.gateway.newest();
-            let receivers = one_of_each(&snapshot.entries, &self.me.data_centre);
+            let snapshot = self.gateway.newest_snapshot();
+            let receivers = one_per_data_centre(&snapshot.entries, &self.me.data_centre);
             self.send_to_all(&ReportDatagram::Limits(digest), &receivers)
                 .await;
         }
     }
 
-    async fn send_limits_near(&self, words: Vec<LimitAnnouncement>) {
+    async fn send_limits_locally(&self, limits: Vec<LimitAnnouncement>) {
         let reach = DigestReach::Receiver;
-        let digest = LimitDigest { reach, words };
-        self.send_near(&ReportDatagram::Limits(digest)).await;
+        let digest = LimitDigest {
+            reach,
+            words: limits,
+        };
+        self.send_locally(&ReportDatagram::Limits(digest)).await;
     }
 
-    /// Entry hosts that read the store are relays as well: the same order among them, and the same
-    /// neighbours take their place.
+    /// Renews the leases of the local hosts while this entry host is a relay. The entry hosts that
+    /// read the store are the relays: both use the same order of entry hosts, and the same
+    /// neighbours replace a failed one.
     async fn renew_leases(&mut self) {
-        let relays = self.book.read(ViewBook::reads_store);
-        if std::mem::replace(&mut self.relays, relays) != relays {
-            log_event!(events::RELAY_CHANGED, "relays={relays}");
+        let is_relay = self.control_state.read(ViewBook::reads_store);
+        if std::mem::replace(&mut self.is_relay, is_relay) != is_relay {
+            log_event!(events::RELAY_CHANGED, "relays={is_relay}");
             self.queue = DigestQueue::default();
         }
-        if !relays {
+        if !is_relay {
             return;
         }
         let lease = ReportLease {
             relay: self.me.reports,
         };
-        let snapshot = self.gateway.newest();
+        let snapshot = self.gateway.newest_snapshot();
         let hosts = engine_hosts(&snapshot, &self.me.data_centre, self.host_port);
         self.send_to_all(&lease, &hosts).await;
     }
@@ -157,15 +166,15 @@
     async fn send_due(&mut self, now: ClockTime) {
         for digest in self.queue.take_due(now) {
             match digest.reach {
-                DigestReach::Receiver => self.send_near(&ReportDatagram::Digest(digest)).await,
-                DigestReach::DataCentre => self.send_far(digest).await,
+                DigestReach::Receiver => self.send_locally(&ReportDatagram::Digest(digest)).await,
+                DigestReach::DataCentre => self.send_remotely(digest).await,
             }
         }
     }
 
-    /// To the other entry hosts of this data centre.
-    async fn send_near(&self, datagram: &ReportDatagram) {
-        let snapshot = self.gateway.newest();
+    /// Sends to the other entry hosts of this data centre.
+    async fn send_locally(&self, datagram: &ReportDatagram) {
+        let snapshot = self.gateway.newest_snapshot();
         let others = snapshot.entries.iter().filter(|entry| {
             entry.data_centre == self.me.data_centre && entry.reports != self.me.reports
         });
@@ -173,10 +182,11 @@
         self.send_to_all(datagram, &others).await;
     }
 
-    /// To one entry host of each other data centre. Another one each time, as any of them may be gone.
-    async fn send_far(&self, digest: LoadDigest) {
-        let snapshot = self.gateway.newest();
-        let receivers = one_of_each(&snapshot.entries, &self.me.data_centre);
+    /// Sends to one entry host in each other data centre. It is chosen at random each time, because
+    /// any of them may have failed.
+    async fn send_remotely(&self, digest: LoadDigest) {
+        let snapshot = self.gateway.newest_snapshot();
+        let receivers = one_per_data_centre(&snapshot.entries, &self.me.data_centre);
         self.send_to_all(&ReportDatagram::Digest(digest), &receivers)
             .await;
     }
@@ -190,13 +200,13 @@
             }
         };
         for receiver in receivers {
-            // One that is lost is followed by the next.
+            // The next datagram makes up for a lost one.
             let _ = self.socket.send_to(&datagram, receiver).await;
         }
     }
 }
 
-/// Where the hosts beside the engines of `data_centre` take leases.
+/// Returns the lease addresses of the hosts that run engines in `data_centre`.
 fn engine_hosts(snapshot: &ControlSnapshot, data_centre: &str, port: u16) -> Vec<SocketAddr> {
     let has_engine = |service: &ByteString| {
         let catalog = snapshot.catalog.as_ref();
@@ -214,16 +224,17 @@
     hosts
 }
 
-/// One of the `entries` of each data centre but `data_centre`; `entries` are in any order.
-fn one_of_each(entries: &[EntryRecord], data_centre: &str) -> Vec<SocketAddr> {
+/// Returns a random entry host of each data centre except `data_centre`; `entries` may be in any
+/// order.
+fn one_per_data_centre(entries: &[EntryRecord], data_centre: &str) -> Vec<SocketAddr> {
     let others = entries
         .iter()
         .filter(|entry| *entry.data_centre != *data_centre);
-    let mut places: Vec<(&ByteString, SocketAddr)> = others
+    let mut addresses: Vec<(&ByteString, SocketAddr)> = others
         .map(|entry| (&entry.data_centre, entry.reports))
         .collect();
-    places.sort_unstable();
-    let groups = places.chunk_by(|(left, _), (right, _)| left == right);
+    addresses.sort_unstable();
+    let groups = addresses.chunk_by(|(left, _), (right, _)| left == right);
     let mut rng = rand::rng();
     groups
         .map(|group| group[rng.random_range(0..group.len())].1)
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -1,4 +1,4 @@
-//! The log lines of a request.
+//! Log lines and metrics of a request.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 use super::events;
 use super::request_job::RequestJob;
-use super::stream_relay::StreamPace;
+use super::stream_relay::StreamTiming;
 use crate::errors::{ErrorKind, SwitchError, answer_for};
 use crate::events::log_event;
 use crate::fleet::WeightsVersion;
 use crate::metrics;
 use crate::time::ClockTime;
 
-/// The request got a backend server's answer.
+/// Logs a request that a backend server answered.
 pub(super) fn log_end(job: &RequestJob, backend: &str, status: StatusCode, now: ClockTime) {
     let spent = now.since(job.arrived);
     metrics::record_seconds("request", spent.as_secs_f64());
@@ -27,18 +27,18 @@
     );
 }
 
-/// The request got a stream to its end.
+/// Logs a stream that was passed on to its end.
 pub(super) fn log_stream_end(
     job: &RequestJob,
     backend: &str,
     (status, version): (StatusCode, Option<WeightsVersion>),
-    pace: StreamPace,
+    timing: StreamTiming,
     now: ClockTime,
 ) {
-    let first = pace.first_at.unwrap_or(now).since(job.arrived);
+    let first = timing.first_at.unwrap_or(now).since(job.arrived);
     let weights = version.map_or(0, |version| version.0);
     metrics::record_seconds("first_event", first.as_secs_f64());
-    metrics::record_seconds("longest_pause", pace.longest_pause.as_secs_f64());
+    metrics::record_seconds("longest_pause", timing.longest_pause.as_secs_f64());
     log_event!(
         events::REQUEST_ENDED,
         "id={} route={} backend={backend} status={} weights={weights} first_ms={} pause_ms={} ms={}",
@@ -46,12 +46,12 @@
         job.routed.rule.name,
         status.as_u16(),
         first.as_millis(),
-        pace.longest_pause.as_millis(),
+        timing.longest_pause.as_millis(),
         now.since(job.arrived).as_millis()
     );
 }
 
-/// The request was refused or failed.
+/// Logs a request that was refused or failed.
 pub(super) fn log_refusal(
     job: &RequestJob,
     error: &SwitchError,
@@ -71,11 +71,11 @@
     );
 }
 
-/// A send brought no answer that counts.
-pub(super) fn log_send_failed(job: &RequestJob, backend: &str, why: ErrorKind, detail: &str) {
-    metrics::count_retry(why);
-    let (attempt, code) = (attempt_of(job), answer_for(why).code);
-    if why == ErrorKind::AnswerCut {
+/// Logs a send without a valid response.
+pub(super) fn log_send_failed(job: &RequestJob, backend: &str, kind: ErrorKind, detail: &str) {
+    metrics::count_retry(kind);
+    let (attempt, code) = (attempt_of(job), answer_for(kind).code);
+    if kind == ErrorKind::AnswerCut {
         log_event!(
             events::SEND_FAILED,
             "id={attempt} request={} backend={backend} reason={code} detail=\"{detail}\"",
@@ -89,12 +89,12 @@
     }
 }
 
-/// The heads of a request's answers are late, and another backend server is asked as well.
-pub(super) fn log_head_late(job: &RequestJob, sends: usize, now: ClockTime) {
+/// Logs that a response is late and that the request is also sent to another backend server.
+pub(super) fn log_response_late(job: &RequestJob, sends: usize, now: ClockTime) {
     metrics::count_retry(ErrorKind::PeerSilent);
     let waited = now.since(job.arrived);
     log_event!(
-        events::HEAD_LATE,
+        events::RESPONSE_LATE,
         "id={} route={} sends={sends} ms={}",
         attempt_of(job),
         job.routed.rule.name,
@@ -102,18 +102,24 @@
     );
 }
 
-/// A request that waited at a backend server of older weights is taken back before their bound.
-pub(super) fn log_taken_back(job: &RequestJob, backend: &str) {
+/// Logs a request that is cancelled at a backend server with a previous version, before the
+/// deadline of the target version.
+pub(super) fn log_cancelled(job: &RequestJob, backend: &str) {
     metrics::count_event("taken_back", 1);
     log_event!(
-        events::TAKEN_BACK,
+        events::REQUEST_CANCELLED,
         "id={} backend={backend}",
         attempt_of(job)
     );
 }
 
-/// A stream goes on at another backend server.
-pub(super) fn log_resumed(job: &RequestJob, backend: &str, event: Option<u64>, after: Duration) {
+/// Logs a stream that was resumed at another backend server.
+pub(super) fn log_stream_resumed(
+    job: &RequestJob,
+    backend: &str,
+    event: Option<u64>,
+    after: Duration,
+) {
     log_event!(
         events::STREAM_RESUMED,
         "id={} backend={backend} after_event={event:?} gap_ms={}",
@@ -122,23 +128,28 @@
     );
 }
 
-/// A backend server stopped in the middle of a stream.
-pub(super) fn log_stream_cut(job: &RequestJob, backend: &str, event: Option<u64>, why: &str) {
+/// Logs a backend server that stopped in the middle of a stream.
+pub(super) fn log_stream_cut(job: &RequestJob, backend: &str, event: Option<u64>, reason: &str) {
     metrics::count_event("stream_cut", 1);
     log_event!(
         events::STREAM_CUT,
-        "id={} request={} backend={backend} last_event={event:?} reason=\"{why}\"",
+        "id={} request={} backend={backend} last_event={event:?} reason=\"{reason}\"",
         attempt_of(job),
         job.digest()
     );
 }
 
-/// A stream ended before its end.
-pub(super) fn log_broken(job: &RequestJob, event: Option<u64>, why: &str, now: ClockTime) {
+/// Logs a stream that was aborted before its end.
+pub(super) fn log_stream_broken(
+    job: &RequestJob,
+    event: Option<u64>,
+    reason: &str,
+    now: ClockTime,
+) {
     metrics::count_event("stream_broken", 1);
     log_event!(
         events::STREAM_BROKEN,
-        "id={} route={} last_event={event:?} ms={} limit_ms={} reason=\"{why}\"",
+        "id={} route={} last_event={event:?} ms={} limit_ms={} reason=\"{reason}\"",
         attempt_of(job),
         job.routed.rule.name,
         now.since(job.arrived).as_millis(),
@@ -146,11 +157,11 @@
     );
 }
 
-/// The client closed its connection before the request's end.
-pub(super) fn log_client_gone(job: &RequestJob, sends: usize, now: ClockTime) {
+/// Logs a client that closed its connection before the end of its request.
+pub(super) fn log_client_left(job: &RequestJob, sends: usize, now: ClockTime) {
     metrics::count_event("client_gone", 1);
     log_event!(
-        events::CLIENT_GONE,
+        events::CLIENT_LEFT,
         "id={} route={} sends={sends} ms={}",
         attempt_of(job),
         job.routed.rule.name,
@@ -158,7 +169,7 @@
     );
 }
 
-/// The name of the client's attempt.
+/// Returns the id of the client's attempt, or `-`.
 pub(super) fn attempt_of(job: &RequestJob) -> &str {
     job.head.attempt.as_deref().unwrap_or("-")
 }
--- a/src/gateway/send_attempt.rs
+++ b/src/gateway/send_attempt.rs
@@ -1,5 +1,5 @@
-//! One send of a request to one backend server, up to the head of the answer, and what is known
-//! after it.
+//! One send of a request to a backend server, up to the response head, and what is known
+//! afterwards.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use super::backend_connection::{BackendConnection, SendFault};
 use super::gateway_state::GatewayState;
 use super::request_job::RequestJob;
-use super::request_log::log_taken_back;
+use super::request_log::log_cancelled;
 use crate::catalog::RetryPolicy;
 use crate::errors::ErrorKind;
 use crate::fleet::{BackendTicket, CallOutcome, VersionRequirement};
@@ -23,60 +23,61 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::timeout_awake;
 
-/// How long a connection to a backend server may take to open. Data centres are 1 to 3 ms apart; a
-/// lost first packet is sent again after a second, which is later than another backend server.
-const CONNECT_WITHIN: Duration = Duration::from_millis(150);
+/// How long a connection to a backend server may take to open. Data centres are 1 to 3 ms apart. A
+/// lost first packet is retransmitted only after a second; another backend server is faster.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How often it is looked whether a request that waits is to be taken back earlier than was known. Most
-/// heads come within it.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
+/// How often to check whether a waiting request has to be cancelled earlier than known before. Most
+/// response heads arrive sooner.
+const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// An answer whose head has arrived.
-pub(super) struct OpenAnswer {
+/// A response whose head has arrived.
+pub(super) struct OpenResponse {
     pub(super) ticket: BackendTicket,
     pub(super) connection: BackendConnection,
     pub(super) facts: ResponseHead,
     pub(super) body: Incoming,
 }
 
-/// How long a send waits for the head of its answer.
+/// How long a send waits for the response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HeadWait {
     pub(super) until: ClockTime,
-    /// What it says of the backend server when none comes.
-    pub(super) silence: CallOutcome,
+    /// How the call ends for the backend server if there is no response head in time.
+    pub(super) timeout_end: CallOutcome,
 }
 
 impl HeadWait {
-    /// The same, but for a request that is taken back at `taken_back` at the latest.
-    pub(super) fn taken_back_by(self, taken_back: Option<ClockTime>) -> Self {
-        match taken_back {
+    /// Returns the same wait, or a shorter one if the request is cancelled at `cancel_at`.
+    pub(super) fn cancelled_by(self, cancel_at: Option<ClockTime>) -> Self {
+        match cancel_at {
             Some(until) if until < self.until => Self {
                 until,
-                silence: CallOutcome::Inconclusive,
+                timeout_end: CallOutcome::Inconclusive,
             },
             _ => self,
         }
     }
 
-    /// Whether nothing is sent any more at `now`. A request that would be taken back from older weights sooner
-    /// than the way to them may take would only be overtaken by their bound.
-    fn is_over(self, now: ClockTime) -> bool {
-        let way = if self.silence == CallOutcome::Inconclusive {
-            CONNECT_WITHIN
+    /// Returns whether it is too late to send the request at `now`. A request that would be
+    /// cancelled at a previous version before it can get there would only arrive after the deadline
+    /// of the target version.
+    fn is_too_late(self, now: ClockTime) -> bool {
+        let connect_time = if self.timeout_end == CallOutcome::Inconclusive {
+            CONNECT_TIMEOUT
         } else {
             Duration::ZERO
         };
-        self.until <= now + way
+        self.until <= now + connect_time
     }
 }
 
-/// What is known after a send that brought no answer.
+/// What is known after a send without a response.
 #[derive(Debug)]
 pub(super) struct SendFailure {
     /// Whether the request may have run.
     pub(super) may_have_run: bool,
-    /// Whether the backend server got to see it.
+    /// Whether the backend server received the request.
     pub(super) has_arrived: bool,
     pub(super) kind: ErrorKind,
     pub(super) detail: String,
@@ -102,15 +103,15 @@
     }
 }
 
-/// Sends `job` to the backend server of `ticket` and waits for the answer's head as long as `wait`
-/// says.
+/// Sends `job` to the backend server of `ticket` and waits for the response head as long as `wait`
+/// allows.
 pub(super) async fn send_attempt(
     gateway: &Arc<GatewayState>,
     job: &RequestJob,
     ticket: BackendTicket,
     (need, last_event): (&VersionRequirement, Option<u64>),
     wait: HeadWait,
-) -> Result<OpenAnswer, SendFailure> {
+) -> Result<OpenResponse, SendFailure> {
     let mut connection = match connect(gateway, job, &ticket).await {
         Ok(connection) => connection,
         Err(failure) => {
@@ -125,45 +126,52 @@
             return Err(SendFailure::not_sent(fault.to_string()));
         }
     };
-    if wait.is_over(clock_now()) {
-        // The connection took as long to open. Counted from there, a request was taken back up to that much
-        // too late, and began on older weights behind their bound.
+    if wait.is_too_late(clock_now()) {
+        // Opening the connection takes up to `CONNECT_TIMEOUT`. If the wait were counted from here,
+        // a request would be cancelled that much too late and start on a previous version after its
+        // deadline.
         ticket.end(CallOutcome::Inconclusive, clock_now());
-        return Err(SendFailure::not_sent("its time was over".to_owned()));
+        return Err(SendFailure::not_sent(
+            "not sent: the request would arrive too late".to_owned(),
+        ));
     }
     let sent = await_head(gateway, job, &ticket, wait, connection.send(request)).await;
     let (parts, body) = match sent {
-        Ok(Ok(answer)) => answer.into_parts(),
+        Ok(Ok(response)) => response.into_parts(),
         Ok(Err(SendFault::NotSent(detail))) => {
-            // A kept connection that the other end has closed says nothing about the backend server.
+            // A pooled connection that the other end has closed indicates nothing about the backend
+            // server.
             ticket.end(CallOutcome::Inconclusive, clock_now());
             return Err(SendFailure::not_sent(detail));
         }
         Ok(Err(SendFault::Unknown(detail))) => {
-            gateway.note_cut(job, &ticket);
+            gateway.note_interrupted(job, &ticket);
             ticket.end(CallOutcome::Failed, clock_now());
             return Err(SendFailure::unknown(ErrorKind::AnswerCut, detail));
         }
-        Err(HeadEnd { wait, is_told }) => {
-            if wait.silence == CallOutcome::Inconclusive {
-                log_taken_back(job, &ticket.facts.id);
+        Err(HeadTimeout { wait, is_reported }) => {
+            if wait.timeout_end == CallOutcome::Inconclusive {
+                log_cancelled(job, &ticket.facts.id);
             }
-            gateway.shelf.drop_all(ticket.key);
-            let end = if is_told {
+            gateway.pool.remove_all(ticket.key);
+            let end = if is_reported {
                 CallOutcome::Inconclusive
             } else {
-                wait.silence
+                wait.timeout_end
             };
             ticket.end(end, clock_now());
-            let detail = format!("no head {:?} after it came", wait.until.since(job.arrived));
+            let detail = format!(
+                "no response head {:?} after the request arrived",
+                wait.until.since(job.arrived)
+            );
             return Err(SendFailure::unknown(ErrorKind::PeerSilent, detail));
         }
     };
-    let asked = (job.head.attempt.as_ref(), &ticket.facts.id);
-    let facts = read_response_head(parts.status, &parts.headers, asked);
-    judge(
+    let expected = (job.head.attempt.as_ref(), &ticket.facts.id);
+    let facts = read_response_head(parts.status, &parts.headers, expected);
+    check_response(
         gateway,
-        OpenAnswer {
+        OpenResponse {
             ticket,
             connection,
             facts,
@@ -172,53 +180,59 @@
     )
 }
 
-/// How a wait for a head ended that brought none.
-struct HeadEnd {
-    /// The wait that is over.
+/// A wait for a response head that timed out.
+struct HeadTimeout {
+    /// The wait that ended.
     wait: HeadWait,
-    /// Whether the backend server was reported as silent.
-    is_told: bool,
+    /// Whether the backend server has been recorded as unresponsive.
+    is_reported: bool,
 }
 
-/// Waits for the head of an answer.
+/// Waits for a response head.
 ///
-/// A newer version, or a better word of when it was named, may be heard of while a request waits at an
-/// engine of older weights: by what was known when it was sent it would begin behind their bound.
+/// While a request waits at an engine with a previous version, this entry host may be notified of a
+/// newer target version, or of an earlier time of the target update. With the knowledge at the time
+/// of the send, the request could start after the deadline.
 async fn await_head<T>(
     gateway: &GatewayState,
     job: &RequestJob,
     ticket: &BackendTicket,
     wait: HeadWait,
     sending: impl Future<Output = T>,
-) -> Result<T, HeadEnd> {
+) -> Result<T, HeadTimeout> {
     let mut sending = pin!(sending);
-    let bound = gateway.take_back_after();
-    let begun = clock_now();
-    let mut silent_at = job.head_patience().map(|patience| begun + patience);
-    let mut is_told = false;
+    let cancel_after = gateway.cancel_after();
+    let started = clock_now();
+    let mut slow_at = job
+        .head_timeout()
+        .map(|head_timeout| started + head_timeout);
+    let mut is_reported = false;
     loop {
-        let taken_back = job.taken_back_at(&gateway.newest(), ticket.version, bound);
-        let wait = wait.taken_back_by(taken_back);
+        let cancel_at = job.cancel_at(&gateway.newest_snapshot(), ticket.version, cancel_after);
+        let wait = wait.cancelled_by(cancel_at);
         let now = clock_now();
-        ticket.with_record(|record| record.note_head_wait(now.since(begun), now));
-        if silent_at.take_if(|at| *at <= now).is_some() {
-            // Others are preferred for a while.
+        ticket.with_record(|record| record.note_head_wait(now.since(started), now));
+        if slow_at.take_if(|at| *at <= now).is_some() {
+            // Other backend servers are preferred for a while.
             ticket.note_unresponsive(now);
-            gateway.shelf.drop_all(ticket.key);
-            is_told = true;
+            gateway.pool.remove_all(ticket.key);
+            is_reported = true;
         }
         let left = wait.until.since(now);
-        let look = silent_at.map_or(LOOK_PAUSE, |at| at.since(now).min(LOOK_PAUSE));
-        match timeout_awake(left.min(look), &mut sending).await {
+        let check_after = slow_at.map_or(CANCEL_CHECK_INTERVAL, |at| {
+            at.since(now).min(CANCEL_CHECK_INTERVAL)
+        });
+        match timeout_awake(left.min(check_after), &mut sending).await {
             Ok(sent) => return Ok(sent),
-            Err(_) if left <= look => return Err(HeadEnd { wait, is_told }),
+            Err(_) if left <= check_after => return Err(HeadTimeout { wait, is_reported }),
             Err(_) => {}
         }
     }
 }
 
-/// A connection that was kept, or a new one. An unrepeatable request gets a new one: on a kept one
-/// it may cross the backend server's close, and nobody would know whether it ran.
+/// Takes a connection from the pool or opens a new one. An unrepeatable request gets a new
+/// connection: on a pooled one it may cross the close by the backend server, and its outcome would
+/// be unknown.
 async fn connect(
     gateway: &Arc<GatewayState>,
     job: &RequestJob,
@@ -227,10 +241,10 @@
     let now = clock_now();
     let mut is_fresh = job.repeat() == RetryPolicy::AtMostOnce;
     ticket.with_record(|record| is_fresh |= record.prefers_fresh_connection(now));
-    if !is_fresh && let Some(connection) = gateway.shelf.take(ticket.key, now) {
+    if !is_fresh && let Some(connection) = gateway.pool.take(ticket.key, now) {
         return Ok(connection);
     }
-    let within = CONNECT_WITHIN.min(job.time_left(now));
+    let within = CONNECT_TIMEOUT.min(job.time_left(now));
     let opened = BackendConnection::open(ticket.facts.address, within).await;
     opened.map_err(|error| SendFailure::not_sent(error.detail))
 }
@@ -243,7 +257,7 @@
 ) -> http::Result<Request<Full<Bytes>>> {
     let (priority, version) = match need {
         VersionRequirement::None => (None, None),
-        // While any version may answer, one that changes on the way is no reason to be refused.
+        // If any version may answer, a version change in transit is no reason for a refusal.
         VersionRequirement::Model { minimum, .. } => (
             Some(job.engine_priority(last_event.is_some())),
             minimum.and(ticket.version),
@@ -272,47 +286,50 @@
     Ok(request)
 }
 
-/// What the answer says of the requests that its backend server takes.
-fn note_limit(answer: &OpenAnswer, now: ClockTime) {
-    let rate = answer.facts.rate_limit;
-    let says_so = match answer.facts.outcome {
+/// Records the rate limit that the response advertises, or the absence of one.
+fn note_limit(response: &OpenResponse, now: ClockTime) {
+    let rate = response.facts.rate_limit;
+    let is_conclusive = match response.facts.outcome {
         ResponseOutcome::Run => true,
-        // A refusal need not name the limit.
+        // A refusal need not advertise the limit.
         ResponseOutcome::NotRun | ResponseOutcome::Misdirected => rate.is_some(),
         ResponseOutcome::Replaced | ResponseOutcome::AttemptMismatch => false,
     };
-    if says_so {
-        answer.ticket.note_limit(rate, now);
+    if is_conclusive {
+        response.ticket.note_limit(rate, now);
     }
 }
 
-/// Whether an answer counts as the request's own.
-fn judge(gateway: &Arc<GatewayState>, mut answer: OpenAnswer) -> Result<OpenAnswer, SendFailure> {
+/// Checks whether the response is a valid one to the request.
+fn check_response(
+    gateway: &Arc<GatewayState>,
+    mut response: OpenResponse,
+) -> Result<OpenResponse, SendFailure> {
     let now = clock_now();
-    answer.ticket.note_response_started();
-    if let Some(load) = answer.facts.load {
-        answer
+    response.ticket.note_response_started();
+    if let Some(load) = response.facts.load {
+        response
             .ticket
             .with_record(|record| record.note_load(load, now));
     }
-    note_limit(&answer, now);
-    let (kind, end) = match answer.facts.outcome {
-        ResponseOutcome::Run => return Ok(answer),
+    note_limit(&response, now);
+    let (kind, end) = match response.facts.outcome {
+        ResponseOutcome::Run => return Ok(response),
         ResponseOutcome::NotRun => (ErrorKind::BackendBusy, CallOutcome::Refused),
         ResponseOutcome::Misdirected => (ErrorKind::VersionMismatch, CallOutcome::Refused),
         ResponseOutcome::Replaced => (ErrorKind::BackendLeaving, CallOutcome::Replaced),
         ResponseOutcome::AttemptMismatch => {
-            answer
+            response
                 .ticket
                 .with_record(|record| record.note_stray_bytes(now));
-            gateway.shelf.drop_all(answer.ticket.key);
-            answer.ticket.end(CallOutcome::Inconclusive, now);
-            let detail = "the answer belongs to another request".to_owned();
+            gateway.pool.remove_all(response.ticket.key);
+            response.ticket.end(CallOutcome::Inconclusive, now);
+            let detail = "the response belongs to another request".to_owned();
             return Err(SendFailure::unknown(ErrorKind::AnswerForeign, detail));
         }
     };
-    let status = answer.facts.status;
-    answer.ticket.end(end, now);
+    let status = response.facts.status;
+    response.ticket.end(end, now);
     Err(SendFailure {
         may_have_run: false,
         has_arrived: true,
--- a/src/gateway/tests/crash_watch.rs
+++ b/src/gateway/tests/crash_detector.rs
@@ -1,4 +1,4 @@
-//! Which cut connections count as a crash.
+//! Which interrupted connections count as a crash.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,9 +10,9 @@
     BackendFacts, BackendPhase, BackendRegistry, EngineHoldings, FleetView, PickRequirements,
 };
 use crate::fleet::{BackendKey, SharedRegistry, VersionRequirement};
-use crate::gateway::crash_watch::{CrashWatch, CutRequest};
-use crate::overload::EntryPlace;
-use crate::quarantine::{AnsweredLog, BackendStart};
+use crate::gateway::crash_detector::{CrashDetector, InterruptedRequest};
+use crate::overload::EntryHostId;
+use crate::quarantine::{BackendIncarnation, RecentAnswers};
 use crate::sync::SharedBook;
 use crate::test_support::{digest_of, free_address};
 use crate::time::{ClockTime, clock_now};
@@ -35,7 +35,7 @@
 }
 
 fn key_of(facts: &BackendFacts) -> BackendKey {
-    let mut desk = BackendRegistry::new(EntryPlace {
+    let mut desk = BackendRegistry::new(EntryHostId {
         data_centre: "here".into(),
         host: "e1".into(),
     });
@@ -51,21 +51,22 @@
         work: None,
     };
     let picked = SharedRegistry::new(desk).pick(&need, ClockTime(0));
-    picked.expect("it is free").key
+    picked.expect("a slot is free").key
 }
 
-/// How many of two requests are held responsible that were cut at a backend server at `address`.
+/// Returns how many of two requests are suspected that are interrupted at a backend server at
+/// `address`.
 async fn suspects_at(address: SocketAddr) -> usize {
-    let book = SharedBook::default();
-    let watch = CrashWatch::new(book.clone());
+    let control_state = SharedBook::default();
+    let watch = CrashDetector::new(control_state.clone());
     let backend = facts(address);
     let key = key_of(&backend);
     let requests = [digest_of(b"one"), digest_of(b"two")];
     for request in requests {
-        watch.note_cut(CutRequest { key, request }, &backend);
+        watch.note_interrupted(InterruptedRequest { key, request }, &backend);
     }
     sleep(PROBE_SPAN).await;
-    let crashes = book.snapshot().load().crashes.clone();
+    let crashes = control_state.snapshot().load().crashes.clone();
     assert_eq!(crashes.quarantine(requests[0], clock_now()), None);
     let suspects = requests
         .iter()
@@ -73,35 +74,36 @@
     suspects.count()
 }
 
-/// Guards against a call that recurs all day and is refused because all backend servers of its service failed at
-/// once.
+/// Guards against refusing a call that recurs all day because all backend servers of its service
+/// failed at once.
 #[tokio::test]
-async fn a_request_that_was_answered_lately_is_not_suspected() {
-    let book = SharedBook::default();
-    let watch = CrashWatch::new(book.clone());
+async fn a_recently_answered_request_is_not_suspected() {
+    let control_state = SharedBook::default();
+    let watch = CrashDetector::new(control_state.clone());
     let request = digest_of(b"");
     let now = clock_now();
     watch.note_answered(request, now);
     let backend = facts(free_address().await);
-    let cut = CutRequest {
+    let interrupted = InterruptedRequest {
         key: key_of(&backend),
         request,
     };
-    watch.note_cut(cut, &backend);
+    watch.note_interrupted(interrupted, &backend);
     sleep(PROBE_SPAN).await;
-    assert!(!book.snapshot().load().crashes.suspects(request));
-    // Another entry host, to which no such call had come before.
+    assert!(!control_state.snapshot().load().crashes.suspects(request));
+    // The crashes were observed by another entry host, which has received no such call before.
     for backend in 1..=3 {
-        book.change(|book| book.note_crash(BackendStart(backend), &[request], now));
+        control_state
+            .change(|state| state.note_crash(BackendIncarnation(backend), &[request], now));
     }
     assert_eq!(watch.quarantine(request, now), None);
-    assert!(!book.snapshot().load().crashes.suspects(request));
+    assert!(!control_state.snapshot().load().crashes.suspects(request));
 }
 
-/// Guards against a request that is held harmless for good because it once was.
+/// Guards against treating a request as harmless forever because it once was.
 #[test]
-fn an_answer_speaks_for_a_request_for_a_while_only() {
-    let mut log = AnsweredLog::default();
+fn an_answer_clears_a_request_for_a_limited_time() {
+    let mut log = RecentAnswers::default();
     let now = clock_now();
     log.push(digest_of(b"one"), now);
     for number in 0..3000_u32 {
@@ -110,28 +112,28 @@
             now + Duration::from_secs(1),
         );
     }
-    assert!(log.has(digest_of(b"one"), now + Duration::from_secs(29)));
-    assert!(!log.has(digest_of(b"one"), now + Duration::from_secs(30)));
+    assert!(log.contains(digest_of(b"one"), now + Duration::from_secs(29)));
+    assert!(!log.contains(digest_of(b"one"), now + Duration::from_secs(30)));
     for number in 0..3000_u32 {
         log.push(
             digest_of(&number.to_be_bytes()),
             now + Duration::from_secs(2),
         );
     }
-    assert!(!log.has(digest_of(b"one"), now + Duration::from_secs(2)));
+    assert!(!log.contains(digest_of(b"one"), now + Duration::from_secs(2)));
 }
 
-/// Guards against requests that are held responsible for connections that were reset on their way.
+/// Guards against suspecting requests whose connections were reset by the network.
 #[tokio::test]
-async fn a_reset_connection_is_no_crash() {
+async fn a_reset_connection_is_not_a_crash() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await;
     let listener = listener.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the socket is bound");
     assert_eq!(suspects_at(address).await, 0);
 }
 
-/// Guards against a crash that only one of several requests is held responsible for.
+/// Guards against suspecting only one of several requests that were in progress at a crash.
 #[tokio::test]
-async fn all_requests_that_were_cut_by_a_crash_are_suspected() {
+async fn all_requests_interrupted_by_a_crash_are_suspected() {
     assert_eq!(suspects_at(free_address().await).await, 2);
 }
--- a/src/gateway/tests/unbroken_answers.rs
+++ b/src/gateway/tests/uninterrupted_responses.rs
@@ -1,4 +1,5 @@
-//! Answers under way while the entry host stands still, takes in a document, or is sent more than it reads.
+//! Responses in progress while the entry host is paused, applies a document, or receives more than
+//! it reads.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener as StdListener, TcpStream as StdStream};
@@ -10,8 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use super::fake_backend::{BackendWay, FakeBackend, FakeEntry, catalog, field};
-use super::{NO_RETRIES, gateway_on};
+use super::fake_backend::{BackendBehaviour, EntryFixture, FakeBackend, catalog, field};
+use super::{NO_RETRIES, new_gateway};
 use crate::catalog::{CatalogVersion, RouteRule, RouteTable, ServiceCatalog};
 use crate::daemon::DrainState;
 use crate::fleet::{BackendFacts, BackendPhase, EngineHoldings, FleetView};
@@ -24,14 +25,15 @@
 const EVENTS: u64 = 40;
 const EVENT_PAUSE: Duration = Duration::from_millis(50);
 const ROUTE_TIMEOUT: Duration = Duration::from_secs(20);
-const ANSWER_WITHIN: Duration = Duration::from_secs(15);
-/// Time for a stream's first events to have been passed on.
-const BEGUN_SPAN: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time for the first events of a stream to be passed on.
+const STREAM_START_SPAN: Duration = Duration::from_millis(400);
 
-/// A backend server on threads of its own, which write on while the test's thread stands still.
+/// Starts a backend server on its own threads, which keep writing while the test's thread is
+/// blocked.
 fn start_stream_backend() -> SocketAddr {
     let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the socket is bound");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             thread::spawn(move || write_events(stream));
@@ -66,7 +68,7 @@
     }
 }
 
-/// The test's document with a longer time limit, changed by `change`.
+/// Returns the catalog of the test with a longer time limit, changed by `change`.
 fn changed_catalog(change: impl Fn(&mut RouteRule)) -> ServiceCatalog {
     let base = catalog();
     let rules = base.routes.rules().iter().map(|rule| {
@@ -101,13 +103,13 @@
 }
 
 /// An entry host whose control state the test changes.
-struct ChangingEntry {
+struct MutableEntry {
     address: SocketAddr,
     snapshot: SharedSnapshot,
     gateway: Arc<GatewayState>,
 }
 
-impl ChangingEntry {
+impl MutableEntry {
     async fn start(backends: &[SocketAddr]) -> Self {
         let snapshot = SharedSnapshot::default();
         snapshot.store(ControlSnapshot {
@@ -115,10 +117,10 @@
             fleet: fleet_of(backends, BackendPhase::Serving),
             ..ControlSnapshot::default()
         });
-        let gateway = Arc::new(gateway_on(snapshot.clone(), NO_RETRIES));
+        let gateway = Arc::new(new_gateway(snapshot.clone(), NO_RETRIES));
         let local = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = bind_listener(local).await.expect("a free port");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
         tokio::spawn(HttpServer::on(listener, caller_routes(gateway.clone())).run(drain));
         Self {
@@ -128,27 +130,33 @@
         }
     }
 
-    /// All that comes back for `text` on one connection, until nothing is missing or it closes.
-    async fn answers(&self, text: String, count: usize) -> String {
-        let mut stream = TcpStream::connect(self.address).await.expect("it listens");
-        stream.write_all(text.as_bytes()).await.expect("it reads");
-        let mut answer = String::new();
+    /// Sends `text` on one connection and returns everything received until `count` responses are
+    /// complete or the connection closes.
+    async fn responses(&self, text: String, count: usize) -> String {
+        let mut stream = TcpStream::connect(self.address)
+            .await
+            .expect("the socket is listening");
+        stream
+            .write_all(text.as_bytes())
+            .await
+            .expect("the other end reads");
+        let mut response = String::new();
         let mut buffer = [0; 4096];
         let reading = async {
-            while answer.matches("\r\n0\r\n\r\n").count() + answer.matches("-length:").count()
+            while response.matches("\r\n0\r\n\r\n").count() + response.matches("-length:").count()
                 < count
             {
                 match stream.read(&mut buffer).await {
                     Ok(read) if read > 0 => {
-                        answer.push_str(&String::from_utf8_lossy(&buffer[..read]));
+                        response.push_str(&String::from_utf8_lossy(&buffer[..read]));
                     }
                     _ => break,
                 }
             }
         };
-        // What is missing shows in the answer.
-        let _ = timeout(ANSWER_WITHIN, reading).await;
-        answer
+        // The caller checks the response and finds missing parts.
+        let _ = timeout(RESPONSE_TIMEOUT, reading).await;
+        response
     }
 }
 
@@ -159,37 +167,37 @@
     )
 }
 
-fn assert_all_events(answer: &str, times: usize) {
+fn assert_all_events(response: &str, times: usize) {
     for id in 1..=EVENTS {
-        let count = answer.matches(&format!("data: part {id}\n\n")).count();
-        assert_eq!(count, times, "event {id} in {answer}");
+        let count = response.matches(&format!("data: part {id}\n\n")).count();
+        assert_eq!(count, times, "event {id} in {response}");
     }
-    assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
+    assert!(response.ends_with("0\r\n\r\n"), "{response}");
 }
 
-/// Guards against streams that are all cut at once when the process gets no processor time, though their
+/// Guards against cutting all streams when the process gets no processor time, although their
 /// events wait in its sockets.
 #[tokio::test]
-async fn events_that_came_while_the_process_stood_still_are_passed_on() {
+async fn events_received_while_the_process_was_paused_are_passed_on() {
     let backends = [start_stream_backend(), start_stream_backend()];
-    let entry = ChangingEntry::start(&backends).await;
+    let entry = MutableEntry::start(&backends).await;
     let kinds = ["resumed", "single"].into_iter().cycle().take(24);
-    let streams = futures::future::join_all(kinds.map(|kind| entry.answers(request(kind), 1)));
+    let streams = futures::future::join_all(kinds.map(|kind| entry.responses(request(kind), 1)));
     let stall = async {
-        sleep(BEGUN_SPAN).await;
-        // Longer than a backend server may be silent.
+        sleep(STREAM_START_SPAN).await;
+        // Longer than a backend server may be unresponsive.
         thread::sleep(Duration::from_millis(1300));
     };
-    let (answers, ()) = tokio::join!(streams, stall);
-    for answer in answers {
-        assert_all_events(&answer, 1);
+    let (responses, ()) = tokio::join!(streams, stall);
+    for response in responses {
+        assert_all_events(&response, 1);
     }
 }
 
-/// Guards against streams that are cut by what a document or the list of backend servers takes away while
-/// they run.
+/// Guards against cutting streams in progress when a new document or list of backend servers
+/// removes what they use.
 #[tokio::test]
-async fn a_stream_goes_on_whatever_the_next_document_says() {
+async fn a_stream_continues_after_any_change_of_the_document() {
     let backend = [start_stream_backend()];
     let next = |catalog: ServiceCatalog, fleet: Arc<FleetView>| ControlSnapshot {
         catalog: Some(Arc::new(ServiceCatalog {
@@ -223,40 +231,44 @@
         next(same(), fleet_of(&[], BackendPhase::Serving)),
     ];
     let runs = changes.into_iter().map(|change| async {
-        let entry = ChangingEntry::start(&backend).await;
+        let entry = MutableEntry::start(&backend).await;
         let changing = async {
-            sleep(BEGUN_SPAN).await;
+            sleep(STREAM_START_SPAN).await;
             entry.snapshot.store(change);
             entry.gateway.snapshot();
         };
-        let streams = ["resumed", "single"].map(|kind| entry.answers(request(kind), 1));
-        let (answers, ()) = tokio::join!(futures::future::join_all(streams), changing);
-        answers
+        let streams = ["resumed", "single"].map(|kind| entry.responses(request(kind), 1));
+        let (responses, ()) = tokio::join!(futures::future::join_all(streams), changing);
+        responses
     });
-    for answer in futures::future::join_all(runs).await.concat() {
-        assert_all_events(&answer, 1);
+    for response in futures::future::join_all(runs).await.concat() {
+        assert_all_events(&response, 1);
     }
 }
 
-/// Guards against a stream that ends, or an answer that is lost, where a client sends its next request
-/// before the stream's end.
+/// Guards against ending a stream early, or losing a response, when a client sends its next request
+/// before the end of the stream.
 #[tokio::test]
-async fn a_request_that_comes_early_does_not_end_the_stream_before_it() {
-    let entry = ChangingEntry::start(&[start_stream_backend()]).await;
+async fn a_pipelined_request_does_not_end_the_stream_before_it() {
+    let entry = MutableEntry::start(&[start_stream_backend()]).await;
     let text = format!("{}{}", request("resumed"), request("safe"));
-    let answer = entry.answers(text, 2).await;
-    assert_eq!(answer.matches("HTTP/1.1 200").count(), 2, "{answer}");
-    assert_eq!(answer.matches("data: part 1\n\n").count(), 2, "{answer}");
+    let response = entry.responses(text, 2).await;
+    assert_eq!(response.matches("HTTP/1.1 200").count(), 2, "{response}");
+    assert_eq!(
+        response.matches("data: part 1\n\n").count(),
+        2,
+        "{response}"
+    );
     let last = format!("data: part {EVENTS}\n\n");
-    assert_eq!(answer.matches(&last).count(), 2, "{answer}");
+    assert_eq!(response.matches(&last).count(), 2, "{response}");
 }
 
-/// Guards against a refusal that is lost with its connection because the body of the request was still on
-/// its way.
+/// Guards against losing a refusal together with its connection because the request body is still
+/// in transit.
 #[tokio::test]
 async fn a_refusal_reaches_a_client_that_still_sends_its_body() {
-    let backend = FakeBackend::start(BackendWay::Whole).await;
-    let entry = FakeEntry::start(&[&backend]).await;
+    let backend = FakeBackend::start(BackendBehaviour::Complete).await;
+    let entry = EntryFixture::start(&[&backend]).await;
     let body = "x".repeat(512 * 1024);
     let head = format!("POST /nowhere/x HTTP/1.1\r\nhost: desk.example\r\n{ATTEMPT}: a1\r\n");
     let texts = [
@@ -267,11 +279,13 @@
         ),
     ];
     for text in texts {
-        let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
+        let mut stream = TcpStream::connect(entry.address)
+            .await
+            .expect("the socket is listening");
         let (mut reader, mut writer) = stream.split();
-        let mut answer = Vec::new();
+        let mut response = Vec::new();
         let writing = async {
-            // The entry host may close before it has read all.
+            // The entry host may close the connection before it has read everything.
             let _ = writer.write_all(text.as_bytes()).await;
         };
         let reading = async {
@@ -281,46 +295,63 @@
                 if read == 0 {
                     break;
                 }
-                answer.extend_from_slice(&buffer[..read]);
+                response.extend_from_slice(&buffer[..read]);
             }
         };
         tokio::join!(writing, reading);
-        let answer = String::from_utf8_lossy(&answer);
-        assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
+        let response = String::from_utf8_lossy(&response);
+        assert!(response.starts_with("HTTP/1.1 404"), "{response}");
     }
 }
 
-/// Guards against a planned stop that ends while an answer is still on its way to a client that reads
+/// Guards against ending a planned stop while a response is in transit to a client that reads
 /// slowly.
 #[tokio::test]
-async fn an_answer_is_under_way_until_its_last_byte_has_left() {
+async fn a_response_is_in_progress_until_its_last_byte_is_sent() {
     let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the socket is bound");
     let length = 8 * 1024 * 1024;
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the entry host connects");
         let mut buffer = [0; 4096];
-        let read = stream.read(&mut buffer).expect("it is sent a request");
-        let attempt = field(&String::from_utf8_lossy(&buffer[..read]), ATTEMPT).expect("a name");
+        let read = stream.read(&mut buffer).expect("a request arrives");
+        let attempt =
+            field(&String::from_utf8_lossy(&buffer[..read]), ATTEMPT).expect("an attempt id");
         let head = format!(
             "HTTP/1.1 200 OK\r\n{ATTEMPT}: {attempt}\r\n{SEAL}: seal\r\n\
              content-length: {length}\r\n\r\n"
         );
-        stream.write_all(head.as_bytes()).expect("it reads");
-        stream.write_all(&vec![b'x'; length]).expect("it reads");
-        // The connection stays open until the entry host has given it up.
+        stream
+            .write_all(head.as_bytes())
+            .expect("the other end reads");
+        stream
+            .write_all(&vec![b'x'; length])
+            .expect("the other end reads");
+        // Keeps the connection open until the entry host closes it.
         let _ = stream.read(&mut buffer);
     });
-    let entry = ChangingEntry::start(&[address]).await;
-    let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
+    let entry = MutableEntry::start(&[address]).await;
+    let mut stream = TcpStream::connect(entry.address)
+        .await
+        .expect("the socket is listening");
     let text = request("once");
-    stream.write_all(text.as_bytes()).await.expect("it reads");
+    stream
+        .write_all(text.as_bytes())
+        .await
+        .expect("the other end reads");
     let mut buffer = vec![0; 4096];
-    let mut read = stream.read(&mut buffer).await.expect("the answer begins");
+    let mut read = stream.read(&mut buffer).await.expect("the response begins");
     sleep(Duration::from_millis(300)).await;
-    assert_eq!(entry.gateway.drain.live_count(), 1, "most has not left");
+    assert_eq!(
+        entry.gateway.drain.live_count(),
+        1,
+        "most bytes are not sent yet"
+    );
     while read < length {
-        read += stream.read(&mut buffer).await.expect("the answer goes on");
+        read += stream
+            .read(&mut buffer)
+            .await
+            .expect("the response continues");
     }
     sleep(Duration::from_millis(100)).await;
     assert_eq!(entry.gateway.drain.live_count(), 0);
--- a/src/overload/tests/rate_turns.rs
+++ b/src/overload/tests/send_schedule.rs
@@ -1,15 +1,15 @@
 use std::time::Duration;
 
-use crate::overload::TurnShare;
+use crate::overload::SendSchedule;
 use crate::routing::name_hash;
 use crate::test_support::run_cases;
 use crate::time::StoreTime;
 
-/// A window, and what a backend server that names a rate gets in it at most: one and a half times the rate, and
-/// five requests.
+/// In any window of this length a backend server gets at most the advertised rate times
+/// `RATE_FACTOR`, and `EXTRA_REQUESTS` requests.
 const WINDOW: Duration = Duration::from_secs(4);
-const RATE_PART: f64 = 1.5;
-const REQUESTS_BEYOND: f64 = 5.0;
+const RATE_FACTOR: f64 = 1.5;
+const EXTRA_REQUESTS: f64 = 5.0;
 
 const STEP: Duration = Duration::from_millis(10);
 const STEPS: u32 = 3000;
@@ -20,28 +20,28 @@
     names.collect()
 }
 
-/// When requests are sent at `rate` by `sharers`, whose clocks are `ahead`; `wants` says whether one of them has
-/// a request to send in a step.
+/// Returns when `entry_hosts`, whose clocks are `ahead`, send requests at `rate`. `wants` tells
+/// whether an entry host has a request to send in a step.
 fn sends(
     rate: f64,
-    sharers: &[u64],
+    entry_hosts: &[u64],
     ahead: &[Duration],
     wants: impl Fn(usize, u32) -> bool,
 ) -> Vec<StoreTime> {
-    let mut used = vec![START; sharers.len()];
+    let mut used = vec![START; entry_hosts.len()];
     let mut sent = Vec::new();
     for step in 0..STEPS {
         let now = START + STEP * step;
-        for (at, me) in sharers.iter().enumerate() {
-            let share = TurnShare {
+        for (at, me) in entry_hosts.iter().enumerate() {
+            let schedule = SendSchedule {
                 backend: 7,
-                sharers,
+                entry_hosts,
                 me: *me,
             };
             if wants(at, step)
-                && let Some(begun) = share.open_turn(rate, used[at], now + ahead[at])
+                && let Some(start) = schedule.open_interval(rate, used[at], now + ahead[at])
             {
-                used[at] = begun;
+                used[at] = start;
                 sent.push(now);
             }
         }
@@ -61,15 +61,15 @@
     f64::from(u32::try_from(count).expect("few"))
 }
 
-/// Guards against entry hosts that saved up their parts of a rate and meet at the backend server, however many
-/// there are, however their clocks differ, and whenever each has something to send.
+/// Guards against bursts above the allowance when entry hosts save up their parts of a rate,
+/// whatever their number, their clock differences and the times at which they have requests.
 #[test]
-fn no_window_has_more_than_is_allowed() {
+fn no_window_exceeds_the_allowance() {
     run_cases(60, 4096, |source| {
         let rate = f64::from(source.int_in_range(1_u32..=80)?) / 10.0;
-        let sharers = hosts(source.int_in_range(1..=24)?);
+        let entry_hosts = hosts(source.int_in_range(1..=24)?);
         let mut ahead = Vec::new();
-        for _ in &sharers {
+        for _ in &entry_hosts {
             ahead.push(Duration::from_millis(source.int_in_range(0..=400)?));
         }
         let busy = source.int_in_range(1_u64..=100)?;
@@ -78,31 +78,31 @@
             let lot = name_hash(&format!("{at} {step}")) % 100;
             step >= quiet && lot < busy
         };
-        let most = float_of(most_in_window(&sends(rate, &sharers, &ahead, wants)));
-        let allowed = rate * WINDOW.as_secs_f64() * RATE_PART + REQUESTS_BEYOND;
+        let most = float_of(most_in_window(&sends(rate, &entry_hosts, &ahead, wants)));
+        let allowed = rate * WINDOW.as_secs_f64() * RATE_FACTOR + EXTRA_REQUESTS;
         assert!(
             most <= allowed,
-            "{most} at {rate} a second, {allowed} allowed"
+            "{most} at {rate} per second, {allowed} allowed"
         );
         Ok(())
     });
 }
 
-/// Guards against a rate that is kept to and not used, where every entry host has more to send.
+/// Guards against leaving part of the rate unused while every entry host has requests to send.
 #[test]
-fn the_rate_is_used() {
+fn the_full_rate_is_used() {
     for (rate, count) in [(0.5, 2), (1.0, 6), (2.2, 8), (10.0, 2), (30.0, 20)] {
-        let sharers = hosts(count);
-        let ahead = vec![Duration::ZERO; sharers.len()];
-        let sent = float_of(sends(rate, &sharers, &ahead, |_, _| true).len());
+        let entry_hosts = hosts(count);
+        let ahead = vec![Duration::ZERO; entry_hosts.len()];
+        let sent = float_of(sends(rate, &entry_hosts, &ahead, |_, _| true).len());
         let offered = rate * (STEP * STEPS).as_secs_f64();
         assert!(sent >= offered * 0.9, "{sent} of {offered} at {rate}");
     }
 }
 
-/// Guards against a backend server that takes nothing and gets something.
+/// Guards against sending to a backend server that accepts no requests.
 #[test]
-fn a_rate_of_zero_has_no_turns() {
+fn a_rate_of_zero_has_no_intervals() {
     let sent = sends(0.0, &hosts(2), &[Duration::ZERO; 2], |_, _| true);
     assert!(sent.is_empty());
 }
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -12,7 +12,7 @@
     BackendPhase, BackendRegistry, LoadReport, PickRequirements, SharedRegistry,
     VersionRequirement, WeightsVersion,
 };
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::own_rows::VersionRecord;
 use crate::sync::{ControlSnapshot, OwnRows, SharedBook, ViewBook};
@@ -54,7 +54,7 @@
     fn start(now: ClockTime) -> Self {
         Self {
             book: new_book(),
-            desk: SharedRegistry::new(BackendRegistry::new(EntryPlace {
+            desk: SharedRegistry::new(BackendRegistry::new(EntryHostId {
                 data_centre: "z".into(),
                 host: "e1".into(),
             })),
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -10,7 +10,7 @@
     BackendRegistry, EngineHoldings, HeldLayers, LoadReport, ModelVersion, PickRequirements,
     ResponseLoad, SharedRegistry, VersionRequirement,
 };
-use crate::overload::EntryPlace;
+use crate::overload::EntryHostId;
 use crate::sync::ViewBook;
 use crate::sync::peer_messages::{PeerAsk, WantedWord};
 use crate::test_support::{run_cases, spoil_bytes};
@@ -69,7 +69,7 @@
 }
 
 fn desk() -> SharedRegistry {
-    let mut desk = BackendRegistry::new(EntryPlace {
+    let mut desk = BackendRegistry::new(EntryHostId {
         data_centre: "z".into(),
         host: "e1".into(),
     });
