--- a/src/gateway/crash_watch.rs
+++ b/src/gateway/crash_watch.rs
@@ -13,7 +13,7 @@
 use crate::fleet::{BackendFacts, BackendKey};
 use crate::metrics;
 use crate::quarantine::{AnsweredLog, BackendStart, RequestDigest};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::time::{ClockTime, clock_now};
 
 /// For how long requests are gathered that were cut with the first one.
@@ -33,7 +33,7 @@
 /// The watch. Clones share it.
 #[derive(Clone, Debug)]
 pub(super) struct CrashWatch {
-    book: SharedBook,
+    book: SharedControlState,
     /// The requests that were cut at backend servers that are probed now.
     cut: Arc<Mutex<Vec<CutRequest>>>,
     answered: Arc<Mutex<AnsweredLog>>,
@@ -41,7 +41,7 @@
 
 impl CrashWatch {
     /// A watch that tells `book` of crashes.
-    pub(super) fn new(book: SharedBook) -> Self {
+    pub(super) fn new(book: SharedControlState) -> Self {
         Self {
             book,
             cut: Arc::default(),
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -20,7 +20,7 @@
 use crate::events::log_event;
 use crate::overload::EntryPlace;
 use crate::platform::{PlatformSettings, READY_PATH, TimeBounds};
-use crate::sync::{EntryRecord, SharedBook, SyncSettings, ViewBook, start_sync};
+use crate::sync::{ControlState, EntryRecord, SharedControlState, SyncSettings, start_sync};
 use crate::time::clock_now;
 use crate::transport::{HttpServer, bind_listener, start_metrics};
 
@@ -115,10 +115,10 @@
     Router::new().fallback(move |request: Request| answer_request(gateway.clone(), request))
 }
 
-fn ready_routes(book: SharedBook, drain: DrainState) -> Router {
+fn ready_routes(book: SharedControlState, drain: DrainState) -> Router {
     let was_ready = Arc::new(AtomicBool::new(false));
     let readiness = move || {
-        let is_ready = book.read(ViewBook::is_usable) && !drain.is_draining();
+        let is_ready = book.read(ControlState::is_usable) && !drain.is_draining();
         if was_ready.swap(is_ready, Ordering::Relaxed) != is_ready {
             log_event!(events::READY_CHANGED, "ready={is_ready}");
         }
--- a/src/gateway/report_relay.rs
+++ b/src/gateway/report_relay.rs
@@ -17,7 +17,7 @@
 use crate::load_reports::{
     DigestQueue, DigestReach, LEASE_RENEWAL, LimitDigest, LoadDigest, ReportDatagram, ReportLease,
 };
-use crate::sync::{ControlSnapshot, EntryRecord, SharedBook, ViewBook};
+use crate::sync::{ControlSnapshot, ControlState, EntryRecord, SharedControlState};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{decode_message, encode_datagram};
 
@@ -28,7 +28,7 @@
 /// What the relay works with.
 pub(super) struct ReportRelay {
     gateway: Arc<GatewayState>,
-    book: SharedBook,
+    book: SharedControlState,
     me: EntryRecord,
     /// The port at which hosts of backend servers take leases.
     host_port: u16,
@@ -45,7 +45,7 @@
     /// `SettingInvalid` when the address cannot be had.
     pub(super) async fn bind(
         gateway: Arc<GatewayState>,
-        book: SharedBook,
+        book: SharedControlState,
         me: EntryRecord,
     ) -> SwitchResult<Self> {
         let socket = UdpSocket::bind(me.reports).await.map_err(|fault| {
@@ -98,14 +98,14 @@
             Ok(ReportDatagram::Digest(digest)) => {
                 self.gateway.note_reports(digest.unpack(), now);
                 if digest.reach == DigestReach::DataCentre {
-                    let digest = digest.for_receivers();
+                    let digest = digest.into_receiver_only();
                     self.send_near(&ReportDatagram::Digest(digest)).await;
                 }
             }
             Ok(ReportDatagram::Limits(digest)) => {
-                self.gateway.take_limits(&digest.words);
+                self.gateway.take_limits(&digest.limits);
                 if digest.reach == DigestReach::DataCentre {
-                    self.send_limits_near(digest.words).await;
+                    self.send_limits_near(digest.limits).await;
                 }
             }
             Err(error) => log_event!(events::REPORT_UNREADABLE, "from {peer}: {error}"),
@@ -116,11 +116,11 @@
     ///
     /// One that sends elsewhere hears of no limit, nor of its end.
     async fn tell_limits(&self, now: ClockTime) {
-        for words in self.gateway.take_untold_limits(now).chunks(LIMITS_MAX) {
-            self.send_limits_near(words.to_vec()).await;
+        for limits in self.gateway.take_untold_limits(now).chunks(LIMITS_MAX) {
+            self.send_limits_near(limits.to_vec()).await;
             let digest = LimitDigest {
                 reach: DigestReach::DataCentre,
-                words: words.to_vec(),
+                limits: limits.to_vec(),
             };
             let snapshot = self.gateway.newest();
             let receivers = one_of_each(&snapshot.entries, &self.me.data_centre);
@@ -129,16 +129,16 @@
         }
     }
 
-    async fn send_limits_near(&self, words: Vec<LimitWord>) {
+    async fn send_limits_near(&self, limits: Vec<LimitWord>) {
         let reach = DigestReach::Receiver;
-        let digest = LimitDigest { reach, words };
+        let digest = LimitDigest { reach, limits };
         self.send_near(&ReportDatagram::Limits(digest)).await;
     }
 
     /// Entry hosts that read the store are relays as well: the same order among them, and the same
     /// neighbours take their place.
     async fn renew_leases(&mut self) {
-        let relays = self.book.read(ViewBook::reads_store);
+        let relays = self.book.read(ControlState::reads_store);
         if std::mem::replace(&mut self.relays, relays) != relays {
             log_event!(events::RELAY_CHANGED, "relays={relays}");
             self.queue = DigestQueue::default();
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -156,8 +156,8 @@
         VersionNeed::Model {
             model: model.clone(),
             layers: engine.layers,
-            least: snapshot.least_version(model, older_for, now),
-            least_to_wait: snapshot.least_version(model, wait_for, now),
+            least: snapshot.oldest_allowed_version(model, older_for, now),
+            least_to_wait: snapshot.oldest_allowed_version(model, wait_for, now),
         }
     }
 
@@ -175,7 +175,7 @@
         bound: Duration,
     ) -> Option<ClockTime> {
         let model = self.head.model.as_ref()?;
-        held.and_then(|held| snapshot.held_until(model, Some(held), bound))
+        held.and_then(|held| snapshot.usable_until(model, Some(held), bound))
     }
 }
 
--- a/src/gateway/tests/crash_watch.rs
+++ b/src/gateway/tests/crash_watch.rs
@@ -11,7 +11,7 @@
 use crate::gateway::crash_watch::{CrashWatch, CutRequest};
 use crate::overload::EntryPlace;
 use crate::quarantine::{AnsweredLog, BackendStart};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::test_support::{digest_of, free_address};
 use crate::time::{ClockTime, clock_now};
 
@@ -54,7 +54,7 @@
 
 /// How many of two requests are held responsible that were cut at a backend server at `address`.
 async fn suspects_at(address: SocketAddr) -> usize {
-    let book = SharedBook::default();
+    let book = SharedControlState::default();
     let watch = CrashWatch::new(book.clone());
     let backend = facts(address);
     let key = key_of(&backend);
@@ -75,7 +75,7 @@
 /// once.
 #[tokio::test]
 async fn a_request_that_was_answered_lately_is_not_suspected() {
-    let book = SharedBook::default();
+    let book = SharedControlState::default();
     let watch = CrashWatch::new(book.clone());
     let request = digest_of(b"");
     let now = clock_now();
--- a/src/gateway/tests/fake_backend.rs
+++ b/src/gateway/tests/fake_backend.rs
@@ -20,7 +20,7 @@
 use crate::gateway::gateway_state::GatewayState;
 use crate::platform::TimeBounds;
 use crate::platform::samples::{ATTEMPT, BACKEND_ID, DEADLINE, NOT_RUN, SEAL};
-use crate::sync::{ControlSnapshot, SharedBook, SharedSnapshot};
+use crate::sync::{ControlSnapshot, SharedControlState, SharedSnapshot};
 use crate::transport::{HttpServer, bind_listener};
 
 /// What a fake does with a request.
@@ -284,7 +284,7 @@
     pub(super) address: SocketAddr,
     pub(super) gateway: Arc<GatewayState>,
     /// Where it hears of requests that crash backend servers.
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
 }
 
 impl FakeEntry {
@@ -321,7 +321,7 @@
             }),
             ..ControlSnapshot::default()
         });
-        let book = SharedBook::default();
+        let book = SharedControlState::default();
         let gateway = Arc::new(gateway_beside(snapshot, bounds, book.clone()));
         let listener = bind_listener(([127, 0, 0, 1], 0).into())
             .await
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -29,7 +29,7 @@
 use crate::gateway::request_job::{RequestJob, route_request};
 use crate::overload::EntryPlace;
 use crate::platform::{RequestHead, TimeBounds};
-use crate::sync::{ControlSnapshot, SharedBook, SharedSnapshot};
+use crate::sync::{ControlSnapshot, SharedControlState, SharedSnapshot};
 use crate::time::ClockTime;
 
 fn taken(reader: &mut EventReader) -> Vec<(Option<u64>, String)> {
@@ -101,11 +101,15 @@
 };
 
 fn gateway_on(snapshot: SharedSnapshot, bounds: TimeBounds) -> GatewayState {
-    gateway_beside(snapshot, bounds, SharedBook::default())
+    gateway_beside(snapshot, bounds, SharedControlState::default())
 }
 
 /// The same, which is told by `book` of requests that crash backend servers.
-fn gateway_beside(snapshot: SharedSnapshot, bounds: TimeBounds, book: SharedBook) -> GatewayState {
+fn gateway_beside(
+    snapshot: SharedSnapshot,
+    bounds: TimeBounds,
+    book: SharedControlState,
+) -> GatewayState {
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
     let me = EntryPlace {
         data_centre: "here".into(),
@@ -202,7 +206,7 @@
         version: WeightsVersion(2),
     };
     let snapshot = ControlSnapshot {
-        wanted: Arc::new(vec![WantedWeights {
+        targets: Arc::new(vec![WantedWeights {
             target,
             named_at,
             certainty: NamingCertainty::Witnessed,
--- a/src/gateway/tests/take_back.rs
+++ b/src/gateway/tests/take_back.rs
@@ -134,7 +134,7 @@
         certainty: NamingCertainty::Witnessed,
     };
     snapshot.store(ControlSnapshot {
-        wanted: Arc::new(vec![second]),
+        targets: Arc::new(vec![second]),
         ..known
     });
     let sent = timeout(Duration::from_secs(1), sending).await;
--- a/src/load_reports/messages.rs
+++ b/src/load_reports/messages.rs
@@ -47,7 +47,7 @@
     /// How far it goes.
     pub(crate) reach: DigestReach,
     /// What was heard of each.
-    pub(crate) words: Vec<LimitWord>,
+    pub(crate) limits: Vec<LimitWord>,
 }
 
 /// The loads of several backend servers.
@@ -120,7 +120,7 @@
     }
 
     /// The same digest for receivers that keep it to themselves.
-    pub(crate) fn for_receivers(self) -> Self {
+    pub(crate) fn into_receiver_only(self) -> Self {
         Self {
             reach: DigestReach::Receiver,
             ..self
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -19,7 +19,7 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::platform::{EngineClient, PlatformSettings, StoreClient};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::transport::{ClientLimits, HttpServer, PeerClient, start_metrics};
 use crate::weights::{LineHost, LinkPacer};
 
@@ -71,7 +71,7 @@
     place: HostPlace,
     client: Arc<PeerClient>,
     engine: EngineClient,
-    book: SharedBook,
+    book: SharedControlState,
     store: ChunkStore,
     watch: Arc<EngineWatch>,
     waits: Arc<WaitBoard>,
@@ -86,7 +86,7 @@
         let store = ChunkStore::new(place.me.host.clone(), engine.clone());
         Ok(Self {
             client,
-            book: SharedBook::default(),
+            book: SharedControlState::default(),
             watch: Arc::new(EngineWatch::new(engine.clone(), store.clone())),
             waits: Arc::new(WaitBoard::new(place.service.clone())),
             pacer: LinkPacer::new(weights_rate(settings.link_bytes_per_s)),
--- a/src/replication/load_reports.rs
+++ b/src/replication/load_reports.rs
@@ -12,7 +12,7 @@
 use crate::events::log_event;
 use crate::fleet::LoadReport;
 use crate::load_reports::{ReportDatagram, ReportLease, ReportLeases};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::time::clock_now;
 use crate::transport::{decode_message, encode_datagram};
 
@@ -26,7 +26,7 @@
 pub(super) struct ReportEdges {
     pub(super) address: SocketAddr,
     pub(super) data_centre: ByteString,
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
     pub(super) watch: Arc<EngineWatch>,
 }
 
--- a/src/replication/version_load.rs
+++ b/src/replication/version_load.rs
@@ -18,7 +18,7 @@
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, WantedWeights, WeightsVersion};
 use crate::platform::{EngineClient, EngineReport, LoadOrder, OrderOutcome};
-use crate::sync::{ControlSnapshot, SharedBook};
+use crate::sync::{ControlSnapshot, SharedControlState};
 use crate::time::{ClockTime, clock_now};
 
 const LOOK_PAUSE: Duration = Duration::from_millis(50);
@@ -45,7 +45,7 @@
 /// What the changes work with.
 pub(super) struct VersionLoad {
     pub(super) place: HostPlace,
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
     pub(super) engine: EngineClient,
     pub(super) store: ChunkStore,
     pub(super) watch: Arc<EngineWatch>,
@@ -202,10 +202,10 @@
         served: Option<WeightsVersion>,
     ) -> ClockTime {
         let whole_at = version.whole_at;
-        let is_behind = |wanted: &&WantedWeights| {
-            wanted.target.model == version.target.model && Some(wanted.target.version) > served
+        let is_behind = |targets: &&WantedWeights| {
+            targets.target.model == version.target.model && Some(targets.target.version) > served
         };
-        let due = snapshot.wanted.iter().find(is_behind);
+        let due = snapshot.targets.iter().find(is_behind);
         match (served, due) {
             (Some(_), Some(due)) => {
                 let others = plan_hosts(snapshot, &self.place);
--- a/src/replication/version_loop.rs
+++ b/src/replication/version_loop.rs
@@ -20,7 +20,7 @@
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::platform::{ChunkDigests, OriginClient};
-use crate::sync::{ControlSnapshot, SharedBook};
+use crate::sync::{ControlSnapshot, SharedControlState};
 use crate::time::clock_now;
 use crate::transport::PeerClient;
 use crate::weights::{LineHost, LinkPacer, PlanHost};
@@ -82,7 +82,7 @@
     /// How long a chunk takes on this host's idle link.
     pub(super) chunk_span: Duration,
     pub(super) pacer: LinkPacer,
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
     pub(super) client: Arc<PeerClient>,
     pub(super) store: ChunkStore,
     pub(super) watch: Arc<EngineWatch>,
@@ -120,7 +120,7 @@
             self.waits.set_fetch(HostWait::Engine);
             return Ok(None);
         };
-        let target = wanted(&snapshot, model);
+        let target = targets(&snapshot, model);
         let served = state.report.holdings.whole_version(&target.model, layers);
         if !self.store.knows(&target) {
             self.waits.set_fetch(HostWait::Digests);
@@ -247,7 +247,7 @@
     async fn fetch_with(&self, fetch: &mut ChunkFetch, target: &ModelVersion) -> SwitchResult<()> {
         loop {
             let snapshot = self.book.snapshot().load();
-            let is_wanted = wanted(&snapshot, target.model.clone()) == *target;
+            let is_wanted = targets(&snapshot, target.model.clone()) == *target;
             if !is_wanted && fetch.known_part() < FINISH_PART {
                 log_event!(events::VERSION_GIVEN_UP, "version={}", target.version.0);
                 self.store.forget(target);
@@ -288,9 +288,9 @@
 }
 
 /// The version that the engine should serve; the first, where none was named yet.
-pub(super) fn wanted(snapshot: &ControlSnapshot, model: ByteString) -> ModelVersion {
+pub(super) fn targets(snapshot: &ControlSnapshot, model: ByteString) -> ModelVersion {
     match snapshot.newest_version(&model) {
-        Some(wanted) => wanted.target.clone(),
+        Some(targets) => targets.target.clone(),
         None => ModelVersion {
             model,
             version: WeightsVersion(1),
--- a/src/replication/version_retire.rs
+++ b/src/replication/version_retire.rs
@@ -11,7 +11,7 @@
 use super::engine_incarnation::EngineIncarnation;
 use super::events;
 use super::version_load::{ORDER_WITHIN, VersionLoad};
-use super::version_loop::wanted;
+use super::version_loop::targets;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, NamingCertainty};
@@ -57,7 +57,7 @@
         if state.report.is_busy || !self.is_overdue(&state.report, now) {
             return None;
         }
-        let target = wanted(snapshot, model);
+        let target = targets(snapshot, model);
         let held = self.store.held(&target)?;
         let (layer, chunks) = first_layer(&held, layers)?;
         Some(OverdueWeights {
@@ -73,13 +73,13 @@
         let snapshot = self.book.snapshot().load();
         let until = self.place.model_of(&snapshot).and_then(|(model, layers)| {
             let served = report.holdings.whole_version(&model, layers)?;
-            let newer = snapshot.wanted.iter().filter(|wanted| {
+            let newer = snapshot.targets.iter().filter(|targets| {
                 // An assumed time is earlier than the true one.
-                wanted.target.model == model
-                    && wanted.target.version > served
-                    && wanted.certainty > NamingCertainty::Assumed
+                targets.target.model == model
+                    && targets.target.version > served
+                    && targets.certainty > NamingCertainty::Assumed
             });
-            newer.map(|wanted| wanted.named_at + self.bound).min()
+            newer.map(|targets| targets.named_at + self.bound).min()
         });
         until.is_some_and(|until| now + RETIRE_BEFORE >= until)
     }
--- a/src/replication/view_poll.rs
+++ b/src/replication/view_poll.rs
@@ -15,7 +15,8 @@
 use crate::fleet::NamingCertainty;
 use crate::platform::{StoreClient, TableName};
 use crate::sync::{
-    AskSpan, EntryRecord, NamingTime, OwnRows, PeerView, SharedBook, VIEW_PATH, ViewBook,
+    ControlState, EntryRecord, OwnRows, PeerView, QuerySpan, SharedControlState, TargetUpdateTime,
+    VIEW_PATH,
 };
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{AnswerPace, PeerClient};
@@ -46,7 +47,7 @@
 pub(super) struct ViewPoll {
     pub(super) client: Arc<PeerClient>,
     pub(super) store: StoreClient,
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) data_centre: ByteString,
     /// When a document last came from an entry host.
@@ -81,21 +82,24 @@
         let Some((address, is_near)) = self.choose_entry() else {
             return false;
         };
-        let mut ask = self.book.read(ViewBook::ask);
-        ask.wait_ms = u64::try_from(POLL_WAIT.as_millis()).unwrap_or(0);
-        let asked = clock_now();
+        let mut query = self.book.read(ControlState::query);
+        query.wait_ms = u64::try_from(POLL_WAIT.as_millis()).unwrap_or(0);
+        let sent_at = clock_now();
         // A document need not cross the link between two regions for a host that has one.
         let is_far_and_known = !is_near && self.document_at.is_some();
-        ask.can_wait_for_document = is_far_and_known || self.can_wait_for_document(asked);
+        query.can_wait_for_document = is_far_and_known || self.can_wait_for_document(sent_at);
         let called = self
             .client
-            .call_arriving::<_, PeerView>(address, VIEW_PATH, &ask, POLL_PACE);
+            .call_arriving::<_, PeerView>(address, VIEW_PATH, &query, POLL_PACE);
         if let Ok(view) = called.await {
-            let heard = clock_now();
+            let received_at = clock_now();
             if view.document.is_some() {
-                self.document_at = Some(heard);
+                self.document_at = Some(received_at);
             }
-            let span = AskSpan { asked, heard };
+            let span = QuerySpan {
+                sent_at,
+                received_at,
+            };
             self.book.change(|book| book.merge(view, span));
             return true;
         }
@@ -134,21 +138,22 @@
     }
 
     async fn read_store(&self) -> SwitchResult<()> {
-        let asked = clock_now();
+        let sent_at = clock_now();
         let own = self.store.read_table(TableName::Own, STORE_WITHIN).await?;
-        let span = AskSpan {
-            asked,
-            heard: clock_now(),
+        let span = QuerySpan {
+            sent_at,
+            received_at: clock_now(),
         };
         let operator = self
             .store
             .read_table(TableName::Operator, STORE_WITHIN)
             .await?;
-        let named = NamingTime::guessed(operator.told_at - NAMED_BEFORE, NamingCertainty::Assumed);
+        let named =
+            TargetUpdateTime::guessed(operator.told_at - NAMED_BEFORE, NamingCertainty::Assumed);
         self.book.change(|book| {
-            book.note_told(own.revision, own.told_at, span);
+            book.note_store_answer(own.revision, own.told_at, span);
             book.take_own_rows(OwnRows::of(&own), named);
-            book.read_operator_rows(&operator.rows, named);
+            book.set_operator_rows(&operator.rows, named);
         });
         let backends = self
             .store
--- a/src/sync/backend_follow.rs
+++ b/src/sync/backend_follow.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-use super::peer_messages::{BackendChanges, PeerAsk};
-use super::view_book::ViewBook;
+use super::peer_messages::{BackendChanges, PeerQuery};
+use super::view_book::ControlState;
 use crate::time::{ClockTime, StoreTime};
 
 /// How old the list becomes while a reader tells it: a watch of the store that is held open for a second, the
@@ -47,16 +47,16 @@
         }
     }
 
-    /// Completes `ask`.
-    pub(super) fn complete(self, ask: &mut PeerAsk, digest: u64) {
+    /// Completes `query`.
+    pub(super) fn complete(self, query: &mut PeerQuery, digest: u64) {
         if self.is_whole_due {
-            ask.backends_revision = 0;
+            query.backends_revision = 0;
         }
-        ask.backends_digest = (!self.is_odd).then_some(digest);
+        query.backends_digest = (!self.is_odd).then_some(digest);
     }
 }
 
-impl ViewBook {
+impl ControlState {
     /// The store told of the list at `told_at`.
     pub(super) fn note_backends(&mut self, told_at: StoreTime) {
         self.backends_told = self.backends_told.max(Some(told_at));
@@ -69,9 +69,13 @@
     }
 
     /// What changed behind what a process knows that follows the list by the answers.
-    pub(super) fn backend_changes(&self, ask: &PeerAsk, now: ClockTime) -> Option<BackendChanges> {
+    pub(super) fn backend_changes(
+        &self,
+        query: &PeerQuery,
+        now: ClockTime,
+    ) -> Option<BackendChanges> {
         let told_at = self.backends_told?;
-        let since = ask.backends_revision;
+        let since = query.backends_revision;
         Some(BackendChanges {
             revision: self.backends_revision(),
             is_whole: since == 0,
@@ -84,10 +88,10 @@
 
     /// Whether a backend server came, went, or changed whether it takes requests, behind what a process
     /// knows that follows the list by the answers.
-    pub(super) fn has_backend_news(&self, ask: &PeerAsk) -> bool {
+    pub(super) fn has_backend_news(&self, query: &PeerQuery) -> bool {
         let is_other = |digest: u64| digest != self.backends.digest();
-        ask.backends_digest.is_some_and(is_other)
-            && self.backends_revision() > ask.backends_revision
+        query.backends_digest.is_some_and(is_other)
+            && self.backends_revision() > query.backends_revision
     }
 
     /// The digest of the list.
--- a/src/sync/crash_book.rs
+++ b/src/sync/crash_book.rs
@@ -4,9 +4,9 @@
 
 use super::crash_rows::read_crash;
 use super::events;
-use super::peer_messages::PeerAsk;
+use super::peer_messages::PeerQuery;
 use super::unreadable_rows::RowReading;
-use super::view_book::ViewBook;
+use super::view_book::ControlState;
 use crate::events::log_event;
 use crate::metrics;
 use crate::platform::{TableName, TableView};
@@ -16,7 +16,7 @@
 };
 use crate::time::ClockTime;
 
-impl ViewBook {
+impl ControlState {
     /// Whether the store's rows were read or told.
     pub(super) fn knows_crashes(&self) -> bool {
         self.crashes.revision() > 0
@@ -122,14 +122,14 @@
     }
 
     /// Whether there are crashes that a process that asks has to know.
-    pub(super) fn has_crash_news(&self, ask: &PeerAsk) -> bool {
-        let known = ask.crashes_revision;
+    pub(super) fn has_crash_news(&self, query: &PeerQuery) -> bool {
+        let known = query.crashes_revision;
         known.is_some_and(|known| self.crashes.words_behind(known).next().is_some())
     }
 
     /// The crashes that a process that asks does not know.
-    pub(super) fn crash_words(&self, ask: &PeerAsk) -> Vec<CrashWord> {
-        let known = ask.crashes_revision;
+    pub(super) fn crash_words(&self, query: &PeerQuery) -> Vec<CrashWord> {
+        let known = query.crashes_revision;
         known.map_or_else(Vec::new, |known| self.crashes.words_behind(known).collect())
     }
 
--- a/src/sync/crash_follow.rs
+++ b/src/sync/crash_follow.rs
@@ -10,7 +10,7 @@
 use super::crash_rows::{crash_key, crash_text, read_crash};
 use super::events;
 use super::store_watch::{FailurePause, STORE_WITHIN, StoreWatch};
-use super::view_book::ViewBook;
+use super::view_book::ControlState;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::platform::{CHANGED_ROWS_MAX, StoreRow, TableName, TableView, WatchAnswer};
@@ -36,7 +36,7 @@
         let mut pause = FailurePause::default();
         let mut remove_at = clock_now() + REMOVE_PAUSE;
         loop {
-            if !self.book.read(ViewBook::reads_store) {
+            if !self.book.read(ControlState::reads_store) {
                 sleep(TURN_PAUSE).await;
                 continue;
             }
@@ -63,13 +63,13 @@
             return self.read_crashes().await;
         }
         let table = TableName::Crashes;
-        let asked = clock_now();
+        let sent_at = clock_now();
         let watched = self
             .store
             .watch_table(table, since, CRASHES_WAIT, STORE_WITHIN);
         match watched.await? {
             WatchAnswer::Changed(view) => {
-                self.note_told(&view, asked);
+                self.note_store_answer(&view, sent_at);
                 self.take_crash_changes(&view);
                 if !view.rows.is_empty() {
                     sleep(CHANGES_PAUSE).await;
@@ -119,7 +119,7 @@
         let mut changes = self.book.changes();
         let mut pause = FailurePause::default();
         loop {
-            let unkept = self.book.read(ViewBook::unkept_crashes);
+            let unkept = self.book.read(ControlState::unkept_crashes);
             if unkept.is_empty() {
                 if changes.changed().await.is_err() {
                     return;
@@ -127,7 +127,7 @@
                 continue;
             }
             sleep(GATHER_SPAN).await;
-            let unkept = self.book.read(ViewBook::unkept_crashes);
+            let unkept = self.book.read(ControlState::unkept_crashes);
             let part = &unkept[..unkept.len().min(CHANGED_ROWS_MAX)];
             match self.write_crashes(part).await {
                 Ok(()) => pause = FailurePause::default(),
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -31,11 +31,11 @@
 mod view_book;
 mod wanted_versions;
 
-pub(crate) use naming_time::NamingTime;
+pub(crate) use naming_time::TargetUpdateTime;
 pub(crate) use own_rows::OwnRows;
 pub(crate) use peer_messages::{EntryRecord, PeerView, VIEW_PATH};
-pub(crate) use shared_book::SharedBook;
+pub(crate) use shared_book::SharedControlState;
 pub(crate) use snapshot::{ControlSnapshot, SharedSnapshot};
-pub(crate) use store_clock::{AskSpan, StoreClock};
+pub(crate) use store_clock::{QuerySpan, StoreClock};
 pub(crate) use sync_thread::{SyncSettings, start_sync};
-pub(crate) use view_book::ViewBook;
+pub(crate) use view_book::ControlState;
--- a/src/sync/naming_time.rs
+++ b/src/sync/naming_time.rs
@@ -20,7 +20,7 @@
 /// When a version of weights was named.
 #[apply(message!)]
 #[derive(Copy)]
-pub(crate) struct NamingTime {
+pub(crate) struct TargetUpdateTime {
     /// The moment, or an earlier one; a guess where nobody saw it.
     pub(crate) at: StoreTime,
     /// One that is surely later, where somebody saw it; else the same.
@@ -29,7 +29,7 @@
     pub(crate) certainty: NamingCertainty,
 }
 
-impl NamingTime {
+impl TargetUpdateTime {
     /// A moment that nobody saw.
     pub(crate) const fn guessed(at: StoreTime, certainty: NamingCertainty) -> Self {
         Self {
@@ -97,22 +97,22 @@
     }
 
     /// When what the store tells at `told_at`, asked at `asked_by` at the latest, was named.
-    pub(super) fn naming_time(self, asked_by: StoreTime, told_at: StoreTime) -> NamingTime {
+    pub(super) fn naming_time(self, asked_by: StoreTime, told_at: StoreTime) -> TargetUpdateTime {
         match self {
             Self::Started => {
-                NamingTime::guessed(told_at - NAMED_BEFORE_START, NamingCertainty::Assumed)
+                TargetUpdateTime::guessed(told_at - NAMED_BEFORE_START, NamingCertainty::Assumed)
             }
             Self::Followed(answered_before) => {
                 // A question that waits at the store is answered at the change.
                 let waited = told_at.since(asked_by + QUESTION_ON_WAY);
-                NamingTime {
+                TargetUpdateTime {
                     at: (answered_before + waited).min(told_at),
                     by: told_at,
                     certainty: NamingCertainty::Witnessed,
                 }
             }
             Self::Interrupted => {
-                NamingTime::guessed(told_at - NAMED_BEFORE_FOUND, NamingCertainty::Resumed)
+                TargetUpdateTime::guessed(told_at - NAMED_BEFORE_FOUND, NamingCertainty::Resumed)
             }
         }
     }
--- a/src/sync/neighbour_asks.rs
+++ b/src/sync/neighbour_asks.rs
@@ -8,9 +8,9 @@
 
 use super::events;
 use super::peer_messages::{EntryRecord, PeerView, VIEW_PATH};
-use super::store_clock::AskSpan;
+use super::store_clock::QuerySpan;
 use super::store_watch::StoreWatch;
-use super::view_book::ViewBook;
+use super::view_book::ControlState;
 use crate::events::log_event;
 use crate::time::{ClockTime, clock_now};
 use crate::transport::AnswerPace;
@@ -47,7 +47,7 @@
     pub(crate) async fn ask_neighbours(self) {
         loop {
             if let Some((address, place)) = self.choose_neighbour() {
-                self.ask(address, place).await;
+                self.query(address, place).await;
             }
             let now = clock_now();
             let pause = if self.is_cut_off(now) {
@@ -74,13 +74,13 @@
     /// store.
     fn choose_neighbour(&self) -> Option<(SocketAddr, NeighbourPlace)> {
         let is_near_meant = rand::rng().random_bool(NEAR_PART);
-        let near = self.neighbours(|entry| entry.data_centre == self.me.data_centre);
+        let near = self.neighbours(|entry| entry.data_centre == self.own_entry.data_centre);
         let mut others = if is_near_meant && !near.is_empty() {
             near.clone()
         } else {
             let mut others = self.neighbours(|_| true);
             let seeds = self.seeds.iter().copied();
-            others.extend(seeds.filter(|address| *address != self.me.control));
+            others.extend(seeds.filter(|address| *address != self.own_entry.control));
             others
         };
         others.sort_unstable();
@@ -116,22 +116,26 @@
     fn neighbours(&self, is_meant: impl Fn(&EntryRecord) -> bool) -> Vec<SocketAddr> {
         self.book.read(|book| {
             let entries = book.entries().iter();
-            let meant = entries.filter(|entry| entry.control != self.me.control && is_meant(entry));
+            let meant =
+                entries.filter(|entry| entry.control != self.own_entry.control && is_meant(entry));
             meant.map(|entry| entry.control).collect()
         })
     }
 
-    async fn ask(&self, address: SocketAddr, place: NeighbourPlace) {
-        let mut ask = self.book.read(ViewBook::entry_ask);
-        let asked = clock_now();
-        ask.can_wait_for_document = !self.wants_document(place, asked);
+    async fn query(&self, address: SocketAddr, place: NeighbourPlace) {
+        let mut query = self.book.read(ControlState::entry_ask);
+        let sent_at = clock_now();
+        query.can_wait_for_document = !self.wants_document(place, sent_at);
         let called =
             self.client
-                .call_arriving::<_, PeerView>(address, VIEW_PATH, &ask, NEIGHBOUR_PACE);
+                .call_arriving::<_, PeerView>(address, VIEW_PATH, &query, NEIGHBOUR_PACE);
         match called.await {
             Ok(view) => {
-                let heard = clock_now();
-                let span = AskSpan { asked, heard };
+                let received_at = clock_now();
+                let span = QuerySpan {
+                    sent_at,
+                    received_at,
+                };
                 self.book.change(|book| book.merge(view, span));
             }
             Err(error) => {
--- a/src/sync/neighbour_words.rs
+++ b/src/sync/neighbour_words.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 use super::events;
-use super::peer_messages::{PeerAsk, PeerView, WantedWord};
-use super::store_clock::{AskSpan, ClockSource};
-use super::view_book::{DocumentHeld, ViewBook, note_document_fault};
+use super::peer_messages::{PeerQuery, PeerView, TargetAnnouncement};
+use super::store_clock::{ClockSource, QuerySpan};
+use super::view_book::{ControlState, DocumentHeld, note_document_fault};
 use super::wanted_versions::WordSource;
 use crate::events::log_event;
 use crate::fleet::BackendFacts;
 use crate::time::ClockTime;
 
-impl ViewBook {
+impl ControlState {
     /// What this process knows already, for a neighbour.
-    pub(crate) fn ask(&self) -> PeerAsk {
-        PeerAsk {
+    pub(crate) fn query(&self) -> PeerQuery {
+        PeerQuery {
             document: self.document_version(),
             can_wait_for_document: false,
-            wanted: self.versions.all().to_vec(),
+            targets: self.versions.all().to_vec(),
             backends_revision: self.backends_revision,
             entries: self.entries().len(),
             wait_ms: 0,
@@ -28,35 +28,42 @@
     }
 
     /// The same for an entry host, which also has to know which requests crash backend servers.
-    pub(super) fn entry_ask(&self) -> PeerAsk {
-        PeerAsk {
+    pub(super) fn entry_ask(&self) -> PeerQuery {
+        PeerQuery {
             crashes_revision: Some(self.crashes.revision()),
-            ..self.ask()
+            ..self.query()
         }
     }
 
     /// Whether there is something that a process that asks has to know at once.
-    pub(crate) fn has_urgent_news(&self, ask: &PeerAsk) -> bool {
+    pub(crate) fn has_urgent_news(&self, query: &PeerQuery) -> bool {
         let mut wanted = self.versions.all().iter();
-        self.newer_document(ask).is_some()
-            || (ask.follows && (self.operator.is_cut_off() || self.has_backend_news(ask)))
-            || self.has_crash_news(ask)
-            || wanted.any(|wanted| ask.wanted.iter().all(|word| word.target != wanted.target))
+        self.newer_document(query).is_some()
+            || (query.follows && (self.operator.is_cut_off() || self.has_backend_news(query)))
+            || self.has_crash_news(query)
+            || wanted.any(|wanted| {
+                query
+                    .targets
+                    .iter()
+                    .all(|word| word.target != wanted.target)
+            })
     }
 
     /// The document, if it is newer than that of the process that asks, which does not wait for it.
-    fn newer_document(&self, ask: &PeerAsk) -> Option<&DocumentHeld> {
+    fn newer_document(&self, query: &PeerQuery) -> Option<&DocumentHeld> {
         let held = self.document.as_ref();
-        held.filter(|held| ask.document < Some(held.catalog.version) && !ask.can_wait_for_document)
+        held.filter(|held| {
+            query.document < Some(held.catalog.version) && !query.can_wait_for_document
+        })
     }
 
     /// Whether `words` tell more of what versions were named, and when, than is known.
-    pub(crate) fn learns_from(&self, words: &[WantedWord]) -> bool {
+    pub(crate) fn learns_from(&self, words: &[TargetAnnouncement]) -> bool {
         self.clock.is_known() && self.versions.learns_from(words)
     }
 
     /// Takes in the versions that another process knows to be wanted.
-    pub(crate) fn take_words(&mut self, words: &[WantedWord], now: ClockTime) {
+    pub(crate) fn take_words(&mut self, words: &[TargetAnnouncement], now: ClockTime) {
         // Without the store's clock nobody can tell when these were named; they are told again.
         if let Some(word) = self.clock.word(now) {
             self.versions.take_words(words, word.most);
@@ -65,53 +72,55 @@
 
     /// What a neighbour that asks does not know yet, said at `now` after its question was held open for
     /// `held`.
-    pub(crate) fn answer(&self, ask: &PeerAsk, held: Duration, now: ClockTime) -> PeerView {
-        let document = self.newer_document(ask);
-        let has_newer_backends = !ask.follows && self.backends_revision > ask.backends_revision;
-        let changes = ask
+    pub(crate) fn answer(&self, query: &PeerQuery, held: Duration, now: ClockTime) -> PeerView {
+        let document = self.newer_document(query);
+        let has_newer_backends = !query.follows && self.backends_revision > query.backends_revision;
+        let changes = query
             .follows
-            .then(|| self.backend_changes(ask, now))
+            .then(|| self.backend_changes(query, now))
             .flatten();
         PeerView {
             document: document.map(|held| held.text.to_vec()),
             clock: self.clock.word(now),
             held_ms: u64::try_from(held.as_millis()).unwrap_or(u64::MAX),
-            wanted: self.versions.all().to_vec(),
+            targets: self.versions.all().to_vec(),
             backends: has_newer_backends.then(|| {
                 let facts = self.backends.listed().map(|facts| (**facts).clone());
                 (self.backends_revision, facts.collect())
             }),
-            entries: if self.entries().len() > ask.entries {
+            entries: if self.entries().len() > query.entries {
                 self.entries().to_vec()
             } else {
                 Vec::new()
             },
             operator: self.operator.word(),
             backend_changes: changes,
-            crashes: self.crash_words(ask),
-            crashes_revision: ask.crashes_revision.map_or(0, |_| self.crashes.revision()),
+            crashes: self.crash_words(query),
+            crashes_revision: query
+                .crashes_revision
+                .map_or(0, |_| self.crashes.revision()),
         }
     }
 
     /// Takes in what a neighbour knew beyond this process, asked and told within `span`.
-    pub(crate) fn merge(&mut self, view: PeerView, span: AskSpan) {
+    pub(crate) fn merge(&mut self, view: PeerView, span: QuerySpan) {
         if let Some(word) = view.clock {
-            let asked = span.asked + Duration::from_millis(view.held_ms);
-            let span = AskSpan { asked, ..span };
+            let sent_at = span.sent_at + Duration::from_millis(view.held_ms);
+            let span = QuerySpan { sent_at, ..span };
             self.clock.note(word, span, ClockSource::Neighbour);
         }
         if let Some(text) = view.document {
             let read = self.take_document(text.into(), WordSource::Neighbour);
             note_document_fault(&read);
         }
-        self.take_words(&view.wanted, span.heard);
+        self.take_words(&view.targets, span.received_at);
         if let Some((revision, backends)) = view.backends
             && revision > self.backends_revision
         {
-            self.replace_backends(revision, backends, span.heard);
+            self.replace_backends(revision, backends, span.received_at);
         }
         self.add_entries(view.entries);
-        self.take_crash_words(&view.crashes, view.crashes_revision, span.heard);
+        self.take_crash_words(&view.crashes, view.crashes_revision, span.received_at);
     }
 
     fn replace_backends(&mut self, revision: u64, backends: Vec<BackendFacts>, now: ClockTime) {
--- a/src/sync/operator_follow.rs
+++ b/src/sync/operator_follow.rs
@@ -11,9 +11,9 @@
 use super::operator_reading::judge_reader;
 use super::peer_messages::{EntryRecord, PeerView, VIEW_PATH};
 use super::read_order::{ReadOrder, ReadTurn, ReaderAnswer};
-use super::store_clock::AskSpan;
+use super::store_clock::QuerySpan;
 use super::store_watch::{FailurePause, OperatorStep, StoreWatch};
-use super::view_book::ViewBook;
+use super::view_book::ControlState;
 use crate::events::log_event;
 use crate::time::clock_now;
 use crate::transport::AnswerPace;
@@ -51,7 +51,7 @@
         if let Err(error) = self.read_own_rows().await {
             log_event!(events::ENTRIES_UNREAD, "{error}");
         }
-        let mut order = ReadOrder::of(&self.me);
+        let mut order = ReadOrder::of(&self.own_entry);
         let mut asking = ListAsking::default();
         let mut following = OwnFollowing {
             since: None,
@@ -93,7 +93,7 @@
     async fn read_turn(&self, following: &mut OwnFollowing) {
         if !following.has_looked_back {
             following.has_looked_back = true;
-            if self.book.read(ViewBook::document_version).is_none() {
+            if self.book.read(ControlState::document_version).is_none() {
                 self.read_past_namings_first().await;
             } else {
                 tokio::spawn(self.clone().read_past_namings_later());
@@ -108,11 +108,11 @@
             following.step = OperatorStep::behind_answer(word.told_at);
         }
         let step = following.step;
-        let asked = clock_now();
+        let sent_at = clock_now();
         let followed = self.operator_step(&mut following.since, step).await;
         following.step = match &followed {
             Ok(told_at) => OperatorStep::behind_answer(*told_at),
-            Err(_) => self.behind_failure(step, asked),
+            Err(_) => self.behind_failure(step, sent_at),
         };
         let followed_by = following.step.knowledge.followed();
         self.book.note(|book| book.note_followed(followed_by));
@@ -131,23 +131,30 @@
 
     /// Asks an entry host that reads.
     async fn ask_reader(&self, entry: &EntryRecord, asking: &mut ListAsking) -> ReaderAnswer {
-        let mut ask = self.book.read(ViewBook::entry_ask);
-        ask.follows = true;
-        ask.wait_ms = u64::try_from(FOLLOW_WAIT.as_millis()).unwrap_or(0);
-        let digest = self.book.read(ViewBook::backends_digest);
-        asking.complete(&mut ask, digest);
+        let mut query = self.book.read(ControlState::entry_ask);
+        query.follows = true;
+        query.wait_ms = u64::try_from(FOLLOW_WAIT.as_millis()).unwrap_or(0);
+        let digest = self.book.read(ControlState::backends_digest);
+        asking.complete(&mut query, digest);
         let pace = AnswerPace {
             head: FOLLOW_WAIT + FOLLOW_PACE.head,
             ..FOLLOW_PACE
         };
-        let asked = clock_now();
-        let called = self
-            .client
-            .call_arriving::<_, PeerView>(entry.control, VIEW_PATH, &ask, pace);
+        let sent_at = clock_now();
+        let called =
+            self.client
+                .call_arriving::<_, PeerView>(entry.control, VIEW_PATH, &query, pace);
         match called.await {
             Ok(view) => {
-                let heard = clock_now();
-                self.take_reader_view(view, AskSpan { asked, heard }, asking)
+                let received_at = clock_now();
+                self.take_reader_view(
+                    view,
+                    QuerySpan {
+                        sent_at,
+                        received_at,
+                    },
+                    asking,
+                )
             }
             Err(error) => {
                 log_event!(events::NEIGHBOUR_SILENT, "{error}");
@@ -160,7 +167,7 @@
     fn take_reader_view(
         &self,
         mut view: PeerView,
-        span: AskSpan,
+        span: QuerySpan,
         asking: &mut ListAsking,
     ) -> ReaderAnswer {
         let (word, changes) = (view.operator, view.backend_changes.take());
@@ -168,13 +175,13 @@
         self.book.change(|book| {
             book.merge(view, span);
             if let Some(changes) = changes {
-                asking.note(book.take_backend_changes(changes, span.heard));
+                asking.note(book.take_backend_changes(changes, span.received_at));
             }
             if let Some(word) = word {
                 let known_at = book.earliest(word.told_at);
                 book.operator_mut().take_word(word, known_at);
                 book.note_followed(Some(word.told_at));
-                answer = judge_reader(&word, known_at, span.heard);
+                answer = judge_reader(&word, known_at, span.received_at);
             }
         });
         answer
--- a/src/sync/operator_reading.rs
+++ b/src/sync/operator_reading.rs
@@ -4,7 +4,7 @@
 
 use macro_rules_attribute::apply;
 
-use super::peer_messages::OperatorWord;
+use super::peer_messages::OperatorAnnouncement;
 use super::read_order::ReaderAnswer;
 use crate::derives::plain;
 use crate::time::{ClockTime, StoreTime};
@@ -52,7 +52,7 @@
     }
 
     /// A neighbour told all that it knows, and this of it.
-    pub(super) fn take_word(&mut self, word: OperatorWord, known_at: ClockTime) {
+    pub(super) fn take_word(&mut self, word: OperatorAnnouncement, known_at: ClockTime) {
         self.take(word.revision, word.told_at, known_at);
         self.is_own = false;
     }
@@ -72,8 +72,8 @@
     }
 
     /// What this process tells of it; none before it knew the table.
-    pub(super) fn word(&self) -> Option<OperatorWord> {
-        self.word.map(|word| OperatorWord {
+    pub(super) fn word(&self) -> Option<OperatorAnnouncement> {
+        self.word.map(|word| OperatorAnnouncement {
             told_at: word.told_at,
             revision: word.revision,
             is_cut_off: self.is_cut_off,
@@ -104,7 +104,7 @@
 
 /// What the word of a neighbour says of it at `now`, if it was true at `known_at` at the earliest.
 pub(super) fn judge_reader(
-    word: &OperatorWord,
+    word: &OperatorAnnouncement,
     known_at: ClockTime,
     now: ClockTime,
 ) -> ReaderAnswer {
--- a/src/sync/past_namings.rs
+++ b/src/sync/past_namings.rs
@@ -8,7 +8,7 @@
 use super::events;
 use super::naming_time::NamingKnowledge;
 use super::store_watch::{STORE_WITHIN, StoreWatch};
-use super::view_book::ViewBook;
+use super::view_book::ControlState;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::platform::{TableName, WatchAnswer};
@@ -45,10 +45,10 @@
     /// then done late over it, every process that started brought the older weights back. One would
     /// notice `[1102]` with an older version behind the starts.
     async fn read_past_namings(&self) -> SwitchResult<()> {
-        if !self.book.read(ViewBook::has_own_rows) {
+        if !self.book.read(ControlState::has_own_rows) {
             self.read_own_rows().await?;
         }
-        let newest = self.book.read(ViewBook::own_revision);
+        let newest = self.book.read(ControlState::own_revision);
         let mut bytes = 0;
         for revisions in PAST_REVISIONS {
             let since = newest.saturating_sub(revisions);
@@ -91,14 +91,14 @@
     /// no longer has that history.
     async fn look_back(&self, since: u64) -> SwitchResult<Option<usize>> {
         let table = TableName::Operator;
-        let asked = clock_now();
+        let sent_at = clock_now();
         let watched = self
             .store
             .watch_table(table, since, Duration::ZERO, STORE_WITHIN);
         let WatchAnswer::Changed(view) = watched.await? else {
             return Ok(None);
         };
-        self.note_told(&view, asked);
+        self.note_store_answer(&view, sent_at);
         let named = NamingKnowledge::Started.naming_time(view.told_at, view.told_at);
         self.book
             .change(|book| book.take_past_namings(&view.rows, named));
--- a/src/sync/peer_messages.rs
+++ b/src/sync/peer_messages.rs
@@ -1,6 +1,6 @@
 //! What entry hosts tell their neighbours and the hosts of backend servers.
 //!
-//! `POST /peer/view` takes a [`PeerAsk`] and answers with what is newer than it in a [`PeerView`]. The
+//! `POST /peer/view` takes a [`PeerQuery`] and answers with what is newer than it in a [`PeerView`]. The
 //! answer may wait until there is a newer document or a newer version of weights.
 
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::naming_time::NamingTime;
-use super::store_clock::ClockWord;
+use super::naming_time::TargetUpdateTime;
+use super::store_clock::ClockBounds;
 use crate::catalog::CatalogVersion;
 use crate::derives::message;
 use crate::fleet::{BackendFacts, ModelVersion};
@@ -36,7 +36,7 @@
 /// What the asking process knows already.
 #[apply(message!)]
 #[derive(Default)]
-pub(crate) struct PeerAsk {
+pub(crate) struct PeerQuery {
     /// The version of its document.
     pub(crate) document: Option<CatalogVersion>,
     /// Whether a newer one can wait for a later question. A host of a backend server needs little of it,
@@ -45,7 +45,8 @@
     #[serde(default)]
     pub(crate) can_wait_for_document: bool,
     /// The versions of weights that it knows to be wanted.
-    pub(crate) wanted: Vec<WantedWord>,
+    #[serde(rename = "wanted")]
+    pub(crate) targets: Vec<TargetAnnouncement>,
     /// The store's revision of its list of backend servers.
     pub(crate) backends_revision: u64,
     /// How many entry hosts it knows.
@@ -84,7 +85,7 @@
 /// How well the answering process knows the operator's table.
 #[apply(message!)]
 #[derive(Copy)]
-pub(crate) struct OperatorWord {
+pub(crate) struct OperatorAnnouncement {
     /// When the store last told of it.
     pub(crate) told_at: StoreTime,
     /// The store's revision as of which it is known.
@@ -95,12 +96,12 @@
 
 /// A version of weights with when it was named.
 #[apply(message!)]
-pub(crate) struct WantedWord {
+pub(crate) struct TargetAnnouncement {
     /// What is wanted.
     pub(crate) target: ModelVersion,
     /// When it was named, on the store's clock: told from process to process, it stays the same however long
     /// a word is on its way.
-    pub(crate) named: NamingTime,
+    pub(crate) named: TargetUpdateTime,
 }
 
 /// What the answering process knows beyond that.
@@ -112,19 +113,20 @@
     pub(crate) document: Option<Vec<u8>>,
     /// What the store's clock shows as this is said, if that is known.
     #[serde(default)]
-    pub(crate) clock: Option<ClockWord>,
+    pub(crate) clock: Option<ClockBounds>,
     /// For how many milliseconds the question was held open before.
     #[serde(default)]
     pub(crate) held_ms: u64,
     /// The versions of weights; also those that are known, since when they were named may not be.
-    pub(crate) wanted: Vec<WantedWord>,
+    #[serde(rename = "wanted")]
+    pub(crate) targets: Vec<TargetAnnouncement>,
     /// The list of backend servers with its revision, if that is newer.
     pub(crate) backends: Option<(u64, Vec<BackendFacts>)>,
     /// All entry hosts, if there are more.
     pub(crate) entries: Vec<EntryRecord>,
     /// How well the operator's table is known; the rest of the answer is as of that revision.
     #[serde(default)]
-    pub(crate) operator: Option<OperatorWord>,
+    pub(crate) operator: Option<OperatorAnnouncement>,
     /// What changed in the list of backend servers, for who follows it by the answers.
     #[serde(default)]
     pub(crate) backend_changes: Option<BackendChanges>,
--- a/src/sync/peer_routes.rs
+++ b/src/sync/peer_routes.rs
@@ -8,8 +8,8 @@
 use volo_http::response::Response;
 use volo_http::server::route::{Router, post};
 
-use super::peer_messages::{PeerAsk, VIEW_PATH};
-use super::shared_book::SharedBook;
+use super::peer_messages::{PeerQuery, VIEW_PATH};
+use super::shared_book::SharedControlState;
 use crate::time::clock_now;
 use crate::transport::{error_reply, message_reply, read_message};
 
@@ -18,7 +18,7 @@
 const WAIT_MAX: Duration = Duration::from_secs(2);
 
 /// The routes.
-pub(super) fn peer_routes(book: &SharedBook) -> Router {
+pub(super) fn peer_routes(book: &SharedControlState) -> Router {
     let book = book.clone();
     let handler = move |request: Request| answer_view(book.clone(), request);
     Router::new()
@@ -27,37 +27,37 @@
 }
 
 /// Waits until there is something that whoever asks has to know at once, as long as it allows.
-async fn await_news(book: &SharedBook, ask: &PeerAsk) {
+async fn await_news(book: &SharedControlState, query: &PeerQuery) {
     let mut changes = book.changes();
     let news = async {
-        while !book.read(|book| book.has_urgent_news(ask)) {
+        while !book.read(|book| book.has_urgent_news(query)) {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     };
-    let wait = Duration::from_millis(ask.wait_ms).min(WAIT_MAX);
+    let wait = Duration::from_millis(query.wait_ms).min(WAIT_MAX);
     // Without news the answer tells what is less urgent.
     let _ = timeout(wait, news).await;
 }
 
 /// Whoever asks may know a version that this process does not: entry hosts that have all started
 /// again, beside hosts of backend servers that lived on.
-fn take_words(book: &SharedBook, ask: &PeerAsk) {
+fn take_words(book: &SharedControlState, query: &PeerQuery) {
     let now = clock_now();
-    if book.read(|book| book.learns_from(&ask.wanted)) {
-        book.change(|book| book.take_words(&ask.wanted, now));
+    if book.read(|book| book.learns_from(&query.targets)) {
+        book.change(|book| book.take_words(&query.targets, now));
     }
 }
 
-async fn answer_view(book: SharedBook, request: Request) -> Response {
-    match read_message::<PeerAsk>(request.into_body(), ASK_BYTES_MAX).await {
-        Ok(ask) => {
-            let asked = clock_now();
-            take_words(&book, &ask);
-            await_news(&book, &ask).await;
+async fn answer_view(book: SharedControlState, request: Request) -> Response {
+    match read_message::<PeerQuery>(request.into_body(), ASK_BYTES_MAX).await {
+        Ok(query) => {
+            let sent_at = clock_now();
+            take_words(&book, &query);
+            await_news(&book, &query).await;
             let now = clock_now();
-            let view = book.read(|book| book.answer(&ask, now.since(asked), now));
+            let view = book.read(|book| book.answer(&query, now.since(sent_at), now));
             message_reply(&view)
         }
         Err(error) => error_reply(&error),
--- a/src/sync/shared_book.rs
+++ b/src/sync/shared_book.rs
@@ -5,30 +5,30 @@
 use tokio::sync::watch;
 
 use super::snapshot::SharedSnapshot;
-use super::view_book::ViewBook;
+use super::view_book::ControlState;
 
 /// The control state with the snapshot that is made of it. Clones share both.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SharedBook {
-    book: Arc<Mutex<ViewBook>>,
+pub(crate) struct SharedControlState {
+    book: Arc<Mutex<ControlState>>,
     snapshot: SharedSnapshot,
     /// Counts changes.
     changes: Arc<watch::Sender<u64>>,
 }
 
-impl SharedBook {
+impl SharedControlState {
     /// Where the traffic finds the newest snapshot.
     pub(crate) fn snapshot(&self) -> SharedSnapshot {
         self.snapshot.clone()
     }
 
     /// Reads the control state.
-    pub(crate) fn read<T>(&self, reader: impl FnOnce(&ViewBook) -> T) -> T {
+    pub(crate) fn read<T>(&self, reader: impl FnOnce(&ControlState) -> T) -> T {
         reader(&self.book.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Changes the control state and shows the traffic what came of it.
-    pub(crate) fn change(&self, change: impl FnOnce(&mut ViewBook)) {
+    pub(crate) fn change(&self, change: impl FnOnce(&mut ControlState)) {
         let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut book);
         self.snapshot.store(book.snapshot());
@@ -37,7 +37,7 @@
     }
 
     /// Changes what neither the traffic nor anybody that follows the changes sees.
-    pub(crate) fn note(&self, note: impl FnOnce(&mut ViewBook)) {
+    pub(crate) fn note(&self, note: impl FnOnce(&mut ControlState)) {
         note(&mut self.book.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -20,7 +20,7 @@
     /// The backend servers.
     pub(crate) fleet: Arc<FleetView>,
     /// The versions of weights that were named lately, sorted by model and version.
-    pub(crate) wanted: Arc<Vec<WantedWeights>>,
+    pub(crate) targets: Arc<Vec<WantedWeights>>,
     /// The entry hosts, sorted.
     pub(crate) entries: Arc<Vec<EntryRecord>>,
     /// Which requests were under way at backend servers that crashed.
@@ -32,39 +32,38 @@
 impl ControlSnapshot {
     /// The newest version of `model`.
     pub(crate) fn newest_version(&self, model: &str) -> Option<&WantedWeights> {
-        let mut named = self.wanted.iter().rev();
-        named.find(|wanted| *wanted.target.model == *model)
+        let mut named = self.targets.iter().rev();
+        named.find(|weights| *weights.target.model == *model)
     }
 
     /// The oldest version of `model` on which requests may begin at `now`, if they may begin on an
     /// older one for `grace` after a version was named. Each version counts from its own naming: one
     /// that a newer one follows soon must still have replaced those before it in time.
-    pub(crate) fn least_version(
+    pub(crate) fn oldest_allowed_version(
         &self,
         model: &str,
         grace: Duration,
         now: ClockTime,
     ) -> Option<WeightsVersion> {
-        let mut named = self.wanted.iter().rev();
-        let is_due = |wanted: &&WantedWeights| {
-            *wanted.target.model == *model && !wanted.allows_older(grace, now)
+        let mut named = self.targets.iter().rev();
+        let is_due = |weights: &&WantedWeights| {
+            *weights.target.model == *model && !weights.allows_older(grace, now)
         };
-        named.find(is_due).map(|wanted| wanted.target.version)
+        named.find(is_due).map(|weights| weights.target.version)
     }
 
     /// Until when requests may begin on version `held` of `model`, if a newer one must have replaced
     /// it `bound` after it was named; none while nothing newer was named.
-    pub(crate) fn held_until(
+    pub(crate) fn usable_until(
         &self,
         model: &str,
         held: Option<WeightsVersion>,
         bound: Duration,
     ) -> Option<ClockTime> {
-        let newer = self
-            .wanted
-            .iter()
-            .filter(|wanted| *wanted.target.model == *model && Some(wanted.target.version) > held);
-        newer.map(|wanted| wanted.named_at + bound).min()
+        let newer = self.targets.iter().filter(|weights| {
+            *weights.target.model == *model && Some(weights.target.version) > held
+        });
+        newer.map(|weights| weights.named_at + bound).min()
     }
 }
 
--- a/src/sync/store_clock.rs
+++ b/src/sync/store_clock.rs
@@ -16,24 +16,24 @@
 /// The moments around a word, on this process's clock.
 #[apply(plain!)]
 #[derive(Copy)]
-pub(crate) struct AskSpan {
+pub(crate) struct QuerySpan {
     /// The word was not said before.
-    pub(crate) asked: ClockTime,
+    pub(crate) sent_at: ClockTime,
     /// It was not said after.
-    pub(crate) heard: ClockTime,
+    pub(crate) received_at: ClockTime,
 }
 
 /// What the store's clock shows at the moment of the word, as far as whoever says it knows.
 #[apply(message!)]
 #[derive(Copy)]
-pub(crate) struct ClockWord {
+pub(crate) struct ClockBounds {
     /// At least this.
     pub(crate) least: StoreTime,
     /// At most this.
     pub(crate) most: StoreTime,
 }
 
-impl ClockWord {
+impl ClockBounds {
     /// The store's own word, told in whole milliseconds.
     pub(super) fn of_store(told_at: StoreTime) -> Self {
         Self {
@@ -63,11 +63,11 @@
 }
 
 impl ClockOffset {
-    fn of(word: ClockWord, span: AskSpan) -> Self {
+    fn of(word: ClockBounds, span: QuerySpan) -> Self {
         Self {
-            least: signed(word.least.0).saturating_sub(signed(span.heard.0)),
-            most: signed(word.most.0).saturating_sub(signed(span.asked.0)),
-            at: span.heard,
+            least: signed(word.least.0).saturating_sub(signed(span.received_at.0)),
+            most: signed(word.most.0).saturating_sub(signed(span.sent_at.0)),
+            at: span.received_at,
         }
     }
 
@@ -102,12 +102,12 @@
 
 impl StoreClock {
     /// `source` said `word` within `span`.
-    pub(super) fn note(&mut self, word: ClockWord, span: AskSpan, source: ClockSource) {
+    pub(super) fn note(&mut self, word: ClockBounds, span: QuerySpan, source: ClockSource) {
         let told = ClockOffset::of(word, span);
         if told.least > told.most {
             return;
         }
-        let Some(known) = self.known.map(|known| known.at(span.heard)) else {
+        let Some(known) = self.known.map(|known| known.at(span.received_at)) else {
             self.known = Some(told);
             return;
         };
@@ -125,10 +125,10 @@
     }
 
     /// What it shows at `now`, for another process.
-    pub(super) fn word(&self, now: ClockTime) -> Option<ClockWord> {
+    pub(super) fn word(&self, now: ClockTime) -> Option<ClockBounds> {
         let known = self.known?.at(now);
         let shown = |ahead: i64| StoreTime(unsigned(signed(now.0).saturating_add(ahead)));
-        Some(ClockWord {
+        Some(ClockBounds {
             least: shown(known.least),
             most: shown(known.most),
         })
--- a/src/sync/store_contact.rs
+++ b/src/sync/store_contact.rs
@@ -1,13 +1,13 @@
 //! What the store's answers tell beside their rows: its clock, and how long there has been contact.
 
-use super::store_clock::{AskSpan, ClockSource, ClockWord};
-use super::view_book::ViewBook;
+use super::store_clock::{ClockBounds, ClockSource, QuerySpan};
+use super::view_book::ControlState;
 use crate::time::{ClockTime, StoreTime};
 
-impl ViewBook {
+impl ControlState {
     /// The store said within `span` what its clock showed and that `revision` was its newest.
-    pub(crate) fn note_told(&mut self, revision: u64, told_at: StoreTime, span: AskSpan) {
-        let word = ClockWord::of_store(told_at);
+    pub(crate) fn note_store_answer(&mut self, revision: u64, told_at: StoreTime, span: QuerySpan) {
+        let word = ClockBounds::of_store(told_at);
         self.clock.note(word, span, ClockSource::Store);
         self.marks.note(revision, told_at);
     }
--- a/src/sync/store_marks.rs
+++ b/src/sync/store_marks.rs
@@ -7,7 +7,7 @@
 
 use macro_rules_attribute::apply;
 
-use super::naming_time::NamingTime;
+use super::naming_time::TargetUpdateTime;
 use crate::derives::plain;
 use crate::time::StoreTime;
 
@@ -65,12 +65,12 @@
 
     /// What `named` is, if the row that names the version has at least `revision`: it may have been written
     /// again since.
-    pub(super) fn cap(&self, named: NamingTime, revision: u64) -> NamingTime {
+    pub(super) fn cap(&self, named: TargetUpdateTime, revision: u64) -> TargetUpdateTime {
         let at = self.marks.partition_point(|mark| mark.revision < revision);
         let Some(after) = self.marks.get(at) else {
             return named;
         };
-        NamingTime {
+        TargetUpdateTime {
             at: named.at.min(after.told_at),
             by: named.by.min(after.told_at),
             ..named
@@ -82,12 +82,12 @@
     /// An answer that is seconds on its way, over a link full of documents, tells of a change as if it were
     /// new; so does the one behind it, of what was changed meanwhile. Taken for new, requests began on
     /// older weights behind the bound.
-    pub(super) fn narrow(&self, named: NamingTime, revision: u64) -> NamingTime {
+    pub(super) fn narrow(&self, named: TargetUpdateTime, revision: u64) -> TargetUpdateTime {
         let at = self.marks.partition_point(|mark| mark.revision < revision);
         let (Some(before), Some(after)) = (self.marks[..at].last(), self.marks.get(at)) else {
             return named;
         };
-        NamingTime {
+        TargetUpdateTime {
             at: named.at.max(before.told_at).min(after.told_at),
             by: named.by.min(after.told_at),
             ..named
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -11,9 +11,9 @@
 use super::naming_time::NamingKnowledge;
 use super::own_rows::OwnRows;
 use super::peer_messages::EntryRecord;
-use super::shared_book::SharedBook;
-use super::store_clock::AskSpan;
-use super::view_book::ViewBook;
+use super::shared_book::SharedControlState;
+use super::store_clock::QuerySpan;
+use super::view_book::ControlState;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::platform::{StoreClient, TableName, TableView, WatchAnswer};
@@ -57,9 +57,9 @@
     /// The way to neighbours.
     pub(crate) client: Arc<PeerClient>,
     /// The control state.
-    pub(crate) book: SharedBook,
+    pub(crate) book: SharedControlState,
     /// What this entry host enters of itself.
-    pub(crate) me: EntryRecord,
+    pub(crate) own_entry: EntryRecord,
     /// Where some entry hosts listen; may be stale.
     pub(crate) seeds: Vec<SocketAddr>,
 }
@@ -97,9 +97,9 @@
 }
 
 impl StoreWatch {
-    /// The step behind `step`, which failed and began at `asked`.
-    pub(super) fn behind_failure(&self, step: OperatorStep, asked: ClockTime) -> OperatorStep {
-        if self.has_answered_since(asked) {
+    /// The step behind `step`, which failed and began at `sent_at`.
+    pub(super) fn behind_failure(&self, step: OperatorStep, sent_at: ClockTime) -> OperatorStep {
+        if self.has_answered_since(sent_at) {
             step.behind_failure(self.contact_since(step))
         } else {
             step.behind_failure(None)
@@ -108,14 +108,14 @@
 
     /// Since when the store has answered without telling of the operator's table.
     fn contact_since(&self, step: OperatorStep) -> Option<StoreTime> {
-        let since = self.book.read(ViewBook::contact_since);
+        let since = self.book.read(ControlState::contact_since);
         since.max(step.told_at)
     }
 
-    /// Whether the store has answered any question since `asked`.
-    fn has_answered_since(&self, asked: ClockTime) -> bool {
-        let answered = self.book.read(ViewBook::store_answered);
-        answered.is_some_and(|at| at >= asked)
+    /// Whether the store has answered any question since `sent_at`.
+    fn has_answered_since(&self, sent_at: ClockTime) -> bool {
+        let answered = self.book.read(ControlState::store_answered);
+        answered.is_some_and(|at| at >= sent_at)
     }
 
     /// Reads the system's own rows.
@@ -133,20 +133,23 @@
 
     /// Reads a whole table.
     pub(super) async fn read_table(&self, table: TableName) -> SwitchResult<TableView> {
-        let asked = clock_now();
+        let sent_at = clock_now();
         let view = self.store.read_table(table, STORE_WITHIN).await?;
-        self.note_told(&view, asked);
+        self.note_store_answer(&view, sent_at);
         Ok(view)
     }
 
-    /// The store was asked at `asked` and has just answered with `view`. Returns what its clock showed at
+    /// The store was asked at `sent_at` and has just answered with `view`. Returns what its clock showed at
     /// the question, at the latest.
-    pub(super) fn note_told(&self, view: &TableView, asked: ClockTime) -> StoreTime {
-        let heard = clock_now();
-        let span = AskSpan { asked, heard };
+    pub(super) fn note_store_answer(&self, view: &TableView, sent_at: ClockTime) -> StoreTime {
+        let received_at = clock_now();
+        let span = QuerySpan {
+            sent_at,
+            received_at,
+        };
         self.book
-            .note(|book| book.note_told(view.revision, view.told_at, span));
-        self.book.read(|book| book.store_time(asked))
+            .note(|book| book.note_store_answer(view.revision, view.told_at, span));
+        self.book.read(|book| book.store_time(sent_at))
     }
 
     /// Follows the operator's table by one answer of the store, behind revision `since`; returns when the
@@ -166,7 +169,7 @@
             self.read_own_rows().await?;
         }
         let table = TableName::Operator;
-        let asked = clock_now();
+        let sent_at = clock_now();
         let watched = self
             .store
             .watch_table(table, known, OPERATOR_WAIT, STORE_WITHIN)
@@ -180,11 +183,11 @@
         }
         let (revision, told_at) = match watched? {
             WatchAnswer::Changed(view) => {
-                let asked_by = self.note_told(&view, asked);
+                let asked_by = self.note_store_answer(&view, sent_at);
                 if !view.rows.is_empty() {
                     let named = step.knowledge.naming_time(asked_by, view.told_at);
                     self.book
-                        .change(|book| book.take_operator_rows(&view.rows, named));
+                        .change(|book| book.change_operator_rows(&view.rows, named));
                 }
                 (view.revision, view.told_at)
             }
@@ -203,17 +206,17 @@
     /// A process reads the system's own rows first: with a document it is ready, and would otherwise
     /// believe an operator's row that has gone back.
     async fn read_operator(&self, step: OperatorStep) -> SwitchResult<(u64, StoreTime)> {
-        if !self.book.read(ViewBook::knows_crashes) {
+        if !self.book.read(ControlState::knows_crashes) {
             self.read_crashes().await?;
         }
-        if step.is_behind_failure || !self.book.read(ViewBook::has_own_rows) {
+        if step.is_behind_failure || !self.book.read(ControlState::has_own_rows) {
             self.read_own_rows().await?;
         }
         let view = self.read_table(TableName::Operator).await?;
         // A read does not wait for a change.
         let named = step.knowledge.naming_time(view.told_at, view.told_at);
         self.book
-            .change(|book| book.read_operator_rows(&view.rows, named));
+            .change(|book| book.set_operator_rows(&view.rows, named));
         Ok((view.revision, view.told_at))
     }
 
@@ -240,22 +243,23 @@
     /// A start need not read the list if a neighbour tells it.
     async fn await_told_backends(&self) {
         let begun = clock_now();
-        let is_settled = |book: &ViewBook| book.operator().is_own() || book.backends_revision() > 0;
+        let is_settled =
+            |book: &ControlState| book.operator().is_own() || book.backends_revision() > 0;
         while !self.book.read(is_settled) && clock_now().since(begun) < START_WITHIN {
             sleep(START_PAUSE).await;
         }
     }
 
     async fn backends_step(&self, is_whole: &mut bool) -> SwitchResult<()> {
-        let since = self.book.read(ViewBook::backends_revision);
+        let since = self.book.read(ControlState::backends_revision);
         if *is_whole {
-            let asked = clock_now();
+            let sent_at = clock_now();
             let watched =
                 self.store
                     .watch_table(TableName::Backends, since, BACKENDS_WAIT, STORE_WITHIN);
             match watched.await? {
                 WatchAnswer::Changed(view) => {
-                    self.note_told(&view, asked);
+                    self.note_store_answer(&view, sent_at);
                     self.change_backends(&view);
                     return Ok(());
                 }
@@ -301,10 +305,10 @@
 
     async fn entries_step(&self, is_entered: &mut bool) -> SwitchResult<()> {
         if !*is_entered {
-            let text = serde_json::to_vec(&self.me).unwrap_or_default();
-            let written = self
-                .store
-                .write_row(TableName::Own, &self.me.host, &text, STORE_WITHIN);
+            let text = serde_json::to_vec(&self.own_entry).unwrap_or_default();
+            let written =
+                self.store
+                    .write_row(TableName::Own, &self.own_entry.host, &text, STORE_WITHIN);
             written.await?;
             *is_entered = true;
         }
@@ -313,10 +317,10 @@
 
     /// What is known of when versions were named that the system's own rows record.
     fn own_knowledge(&self) -> NamingKnowledge {
-        if let Some(told_at) = self.book.read(ViewBook::followed) {
+        if let Some(told_at) = self.book.read(ControlState::followed) {
             // A host near the store records a version before the watch tells it here.
             NamingKnowledge::Followed(told_at)
-        } else if self.book.read(ViewBook::has_own_rows) {
+        } else if self.book.read(ControlState::has_own_rows) {
             // What is new to a process that has lived was named while it was cut off.
             NamingKnowledge::Interrupted
         } else {
--- a/src/sync/sync_thread.rs
+++ b/src/sync/sync_thread.rs
@@ -6,7 +6,7 @@
 use super::events;
 use super::peer_messages::EntryRecord;
 use super::peer_routes::peer_routes;
-use super::shared_book::SharedBook;
+use super::shared_book::SharedControlState;
 use super::store_watch::StoreWatch;
 use crate::daemon::DrainState;
 use crate::events::log_event;
@@ -25,8 +25,8 @@
 }
 
 /// Starts the control thread, which follows the store and answers other processes.
-pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedBook {
-    let book = SharedBook::default();
+pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedControlState {
+    let book = SharedControlState::default();
     let shared = book.clone();
     let thread = std::thread::Builder::new().name("control".to_owned());
     let started = thread.spawn(move || {
@@ -44,13 +44,13 @@
     book
 }
 
-pub(super) async fn run_sync(settings: SyncSettings, book: SharedBook, drain: DrainState) {
+pub(super) async fn run_sync(settings: SyncSettings, book: SharedControlState, drain: DrainState) {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let watch = StoreWatch {
         store: StoreClient::new(settings.store_address, client.clone()),
         client,
         book: book.clone(),
-        me: settings.me.clone(),
+        own_entry: settings.me.clone(),
         seeds: settings.seeds,
     };
     tokio::spawn(watch.clone().follow_operator());
--- a/src/sync/tests/clock.rs
+++ b/src/sync/tests/clock.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 
-use crate::sync::store_clock::{AskSpan, ClockSource, ClockWord, StoreClock};
+use crate::sync::store_clock::{ClockBounds, ClockSource, QuerySpan, StoreClock};
 use crate::test_support::run_cases;
 use crate::time::{ClockTime, StoreTime};
 
@@ -28,8 +28,8 @@
     }
 
     /// The store's word of `now`, in whole milliseconds.
-    fn word(self, now: ClockTime) -> ClockWord {
-        ClockWord::of_store(StoreTime(self.at(now).0 / 1000 * 1000))
+    fn word(self, now: ClockTime) -> ClockBounds {
+        ClockBounds::of_store(StoreTime(self.at(now).0 / 1000 * 1000))
     }
 }
 
@@ -48,7 +48,7 @@
     let mut now = ClockTime::from_millis(u.int_in_range(0..=100_000_000)?);
     for _ in 0..STEPS {
         let asks = usize::from(u.arbitrary::<bool>()?);
-        let asked = now;
+        let sent_at = now;
         now = now + millis(u, ON_WAY_MOST_MS)?;
         let (word, source) = if u.arbitrary()? {
             (Some(real.word(now)), ClockSource::Store)
@@ -56,7 +56,10 @@
             (clocks[1 - asks].word(now), ClockSource::Neighbour)
         };
         now = now + millis(u, ON_WAY_MOST_MS)?;
-        let span = AskSpan { asked, heard: now };
+        let span = QuerySpan {
+            sent_at,
+            received_at: now,
+        };
         if let Some(word) = word {
             clocks[asks].note(word, span, source);
         }
@@ -71,7 +74,7 @@
             }
         }
         // What is not heard anew is looked at within a second or so.
-        let before = asked;
+        let before = sent_at;
         let believed = clocks[asks].earliest(real.at(before));
         assert!(believed <= before, "{believed:?} is behind {before:?}");
     }
@@ -95,8 +98,11 @@
     let mut now = ClockTime::from_millis(1_000_000);
     for _ in 0..9_000 {
         let answered = now + Duration::from_millis(1);
-        let heard = now + Duration::from_millis(61);
-        let span = AskSpan { asked: now, heard };
+        let received_at = now + Duration::from_millis(61);
+        let span = QuerySpan {
+            sent_at: now,
+            received_at,
+        };
         clock.note(real.word(answered), span, ClockSource::Store);
         now = now + Duration::from_millis(400);
         let late = clock.earliest(real.at(now)).since(now);
@@ -109,10 +115,10 @@
 #[test]
 fn who_stood_still_is_put_right_and_not_believed() {
     let at = |millis| ClockTime::from_millis(millis);
-    let shows = |millis| ClockWord::of_store(StoreTime::from_millis(millis));
-    let within = |asked, heard| AskSpan {
-        asked: at(asked),
-        heard: at(heard),
+    let shows = |millis| ClockBounds::of_store(StoreTime::from_millis(millis));
+    let within = |sent_at, received_at| QuerySpan {
+        sent_at: at(sent_at),
+        received_at: at(received_at),
     };
     let mut clock = StoreClock::default();
     clock.note(shows(5_000), within(1_000, 1_010), ClockSource::Store);
--- a/src/sync/tests/delayed_process.rs
+++ b/src/sync/tests/delayed_process.rs
@@ -5,7 +5,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 
 use super::delayed_words::{StoreWord, take_store_word};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::sync::naming_time::NamingKnowledge;
 use crate::time::{ClockTime, StoreTime};
 
@@ -19,7 +19,7 @@
 
 /// One process, an entry host or a host of an engine.
 pub(super) struct Process {
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
     /// What its clock shows beyond the real time.
     pub(super) ahead: Duration,
     /// Counts its starts; words to a former one find nobody.
@@ -72,7 +72,7 @@
     pub(super) life: u32,
     pub(super) number: u32,
     /// On its own clock.
-    pub(super) asked: ClockTime,
+    pub(super) sent_at: ClockTime,
     /// When the call fails, by the real time.
     pub(super) fails: ClockTime,
 }
@@ -89,7 +89,7 @@
             *u.choose(&[NEAR_MAX, 200, 1000, STORE_ANSWER_MAX])?
         };
         Ok(Self {
-            book: SharedBook::default(),
+            book: SharedControlState::default(),
             ahead: millis(u.int_in_range(0..=60_000)?),
             life: 0,
             started: now,
@@ -115,7 +115,7 @@
             at,
             life: self.life,
             number: call.number,
-            asked: self.clock(now),
+            sent_at: self.clock(now),
             fails: call.due,
         }
     }
--- a/src/sync/tests/delayed_words.rs
+++ b/src/sync/tests/delayed_words.rs
@@ -10,9 +10,9 @@
 use crate::fleet::{NamingCertainty, WantedWeights};
 use crate::platform::StoreRow;
 use crate::sync::naming_time::NamingKnowledge;
-use crate::sync::peer_messages::{PeerAsk, PeerView};
-use crate::sync::store_clock::AskSpan;
-use crate::sync::{OwnRows, SharedBook, ViewBook};
+use crate::sync::peer_messages::{PeerQuery, PeerView};
+use crate::sync::store_clock::QuerySpan;
+use crate::sync::{ControlState, OwnRows, SharedControlState};
 use crate::test_support::run_cases;
 use crate::time::{ClockTime, StoreTime};
 
@@ -28,81 +28,89 @@
     /// What the store's steady clock showed when it answered.
     pub(super) now_ms: u64,
     /// When it was asked, on the clock of whoever did.
-    pub(super) asked: ClockTime,
+    pub(super) sent_at: ClockTime,
 }
 
 /// A process takes in what the store answered, at `now` on its own clock.
 pub(super) fn take_store_word(
-    book: &SharedBook,
+    book: &SharedControlState,
     word: &StoreWord,
     knowledge: NamingKnowledge,
     now: ClockTime,
 ) {
     take_store_mark(book, word, now);
-    let asked_by = book.read(|book| book.store_time(word.asked));
+    let asked_by = book.read(|book| book.store_time(word.sent_at));
     let named = knowledge.naming_time(asked_by, StoreTime::from_millis(word.now_ms));
     book.change(|book| {
         if word.is_whole {
             book.take_own_rows(OwnRows::default(), named);
-            book.read_operator_rows(&word.rows, named);
+            book.set_operator_rows(&word.rows, named);
         } else {
-            book.take_operator_rows(&word.rows, named);
+            book.change_operator_rows(&word.rows, named);
         }
     });
 }
 
 /// A process takes in an answer of the store about another table, which tells the store's clock and its
 /// revision then, at `now` on its own clock.
-pub(super) fn take_store_mark(book: &SharedBook, mark: &StoreWord, now: ClockTime) {
+pub(super) fn take_store_mark(book: &SharedControlState, mark: &StoreWord, now: ClockTime) {
     let told_at = StoreTime::from_millis(mark.now_ms);
-    let span = AskSpan {
-        asked: mark.asked,
-        heard: now,
+    let span = QuerySpan {
+        sent_at: mark.sent_at,
+        received_at: now,
     };
     book.change(|book| {
         book.note_store(now);
-        book.note_told(mark.revision, told_at, span);
+        book.note_store_answer(mark.revision, told_at, span);
     });
 }
 
 /// The question to a neighbour, which may hold the answer back for `wait`.
-pub(super) fn make_ask(book: &SharedBook, wait: Duration) -> PeerAsk {
-    let mut ask = book.read(ViewBook::ask);
-    ask.wait_ms = u64::try_from(wait.as_millis()).unwrap_or(0);
-    ask
+pub(super) fn make_ask(book: &SharedControlState, wait: Duration) -> PeerQuery {
+    let mut query = book.read(ControlState::query);
+    query.wait_ms = u64::try_from(wait.as_millis()).unwrap_or(0);
+    query
 }
 
 /// A neighbour takes in what it can learn from a question that came at `now`.
-pub(super) fn take_ask(book: &SharedBook, ask: &PeerAsk, now: ClockTime) {
-    if book.read(|book| book.learns_from(&ask.wanted)) {
-        book.change(|book| book.take_words(&ask.wanted, now));
+pub(super) fn take_ask(book: &SharedControlState, query: &PeerQuery, now: ClockTime) {
+    if book.read(|book| book.learns_from(&query.targets)) {
+        book.change(|book| book.take_words(&query.targets, now));
     }
 }
 
-/// Whether the neighbour answers `ask` at once.
-pub(super) fn has_news(book: &SharedBook, ask: &PeerAsk) -> bool {
-    book.read(|book| book.has_urgent_news(ask))
+/// Whether the neighbour answers `query` at once.
+pub(super) fn has_news(book: &SharedControlState, query: &PeerQuery) -> bool {
+    book.read(|book| book.has_urgent_news(query))
 }
 
 /// The neighbour's answer to a question that came at `came`.
 pub(super) fn make_answer(
-    book: &SharedBook,
-    ask: &PeerAsk,
+    book: &SharedControlState,
+    query: &PeerQuery,
     came: ClockTime,
     now: ClockTime,
 ) -> PeerView {
-    book.read(|book| book.answer(ask, now.since(came), now))
+    book.read(|book| book.answer(query, now.since(came), now))
 }
 
-/// A process takes in a neighbour's answer, at `now`, to a question of `asked`.
-pub(super) fn take_answer(book: &SharedBook, view: PeerView, asked: ClockTime, now: ClockTime) {
-    let span = AskSpan { asked, heard: now };
+/// A process takes in a neighbour's answer, at `now`, to a question of `sent_at`.
+pub(super) fn take_answer(
+    book: &SharedControlState,
+    view: PeerView,
+    sent_at: ClockTime,
+    now: ClockTime,
+) {
+    let span = QuerySpan {
+        sent_at,
+        received_at: now,
+    };
     book.change(|book| book.merge(view, span));
 }
 
 /// What a process believes at present of the versions that were named, on its own clock.
-fn beliefs(book: &SharedBook) -> Vec<WantedWeights> {
-    book.snapshot().load().wanted.to_vec()
+fn beliefs(book: &SharedControlState) -> Vec<WantedWeights> {
+    book.snapshot().load().targets.to_vec()
 }
 
 // ---- What is held against what.
@@ -155,7 +163,7 @@
     ) -> String {
         let process = &self.processes[at];
         let told = process.told.as_ref();
-        let told = told.map(|told| (told.asked - process.ahead, told.now_ms, told.revision));
+        let told = told.map(|told| (told.sent_at - process.ahead, told.now_ms, told.revision));
         format!(
             "process {at} (entry host: {}, way {} ms) takes {:?} for named {:?} late, {:?} early, \
              {:?}, at {:?}; the store last told it {told:?}",
--- a/src/sync/tests/delayed_world.rs
+++ b/src/sync/tests/delayed_world.rs
@@ -11,7 +11,7 @@
 };
 use super::{document, named};
 use crate::sync::naming_time::NamingKnowledge;
-use crate::sync::peer_messages::{PeerAsk, PeerView};
+use crate::sync::peer_messages::{PeerQuery, PeerView};
 use crate::time::ClockTime;
 
 /// How long words are delayed, and how long all is calm behind it.
@@ -41,8 +41,8 @@
     /// The other tables, whose answers are short.
     MarkToStore(Caller),
     MarkFromStore(Caller, StoreWord),
-    ToPeer(Caller, usize, PeerAsk),
-    HeldByPeer(Caller, (usize, u32, ClockTime), PeerAsk),
+    ToPeer(Caller, usize, PeerQuery),
+    HeldByPeer(Caller, (usize, u32, ClockTime), PeerQuery),
     FromPeer(Caller, PeerView),
 }
 
@@ -118,7 +118,7 @@
             is_whole: since.is_none(),
             revision: self.revision(),
             now_ms,
-            asked: caller.asked,
+            sent_at: caller.sent_at,
         }
     }
 
@@ -143,7 +143,7 @@
     fn is_ripe(&self, (due, word): &(ClockTime, Word)) -> bool {
         let is_news = match word {
             Word::HeldByStore(_, since) => self.revision() > *since,
-            Word::HeldByPeer(_, (at, _, _), ask) => has_news(&self.processes[*at].book, ask),
+            Word::HeldByPeer(_, (at, _, _), query) => has_news(&self.processes[*at].book, query),
             _ => false,
         };
         *due <= self.now || is_news
@@ -207,8 +207,8 @@
         };
         let call = process.peer_call.begin(now, within);
         let caller = process.caller(at, call, now);
-        let ask = make_ask(&process.book, wait);
-        let word = Word::ToPeer(caller, *u.choose(&entries)?, ask);
+        let query = make_ask(&process.book, wait);
+        let word = Word::ToPeer(caller, *u.choose(&entries)?, query);
         let way = self.way(u, QUESTION_MAX)?;
         if !self.is_lost(u)? {
             self.words.push((now + way, word));
@@ -257,17 +257,20 @@
                     check(self, caller.at);
                 }
             }
-            Word::ToPeer(caller, at, ask) => {
+            Word::ToPeer(caller, at, query) => {
                 let process = &self.processes[at];
-                take_ask(&process.book, &ask, process.clock(now));
-                let held =
-                    Word::HeldByPeer(caller, (at, process.life, process.clock(now)), ask.clone());
-                self.words.push((now + millis(ask.wait_ms), held));
+                take_ask(&process.book, &query, process.clock(now));
+                let held = Word::HeldByPeer(
+                    caller,
+                    (at, process.life, process.clock(now)),
+                    query.clone(),
+                );
+                self.words.push((now + millis(query.wait_ms), held));
                 check(self, at);
             }
-            Word::HeldByPeer(caller, (at, life, came), ask) => {
+            Word::HeldByPeer(caller, (at, life, came), query) => {
                 let process = &self.processes[at];
-                let view = make_answer(&process.book, &ask, came, process.clock(now));
+                let view = make_answer(&process.book, &query, came, process.clock(now));
                 let lives = process.life == life;
                 let way = self.way(u, QUESTION_MAX)?;
                 if lives && !self.is_lost(u)? {
@@ -277,7 +280,7 @@
             Word::FromPeer(caller, view) => {
                 let process = &mut self.processes[caller.at];
                 if process.expects(caller, process.peer_call) {
-                    take_answer(&process.book, view, caller.asked, process.clock(now));
+                    take_answer(&process.book, view, caller.sent_at, process.clock(now));
                     process.rest(now, u)?;
                     check(self, caller.at);
                 }
@@ -315,11 +318,11 @@
                 .iter()
                 .filter(|process| process.follows_store)
             {
-                let ask = make_ask(&asks.book, Duration::ZERO);
-                take_ask(&answers.book, &ask, answers.clock(self.now));
+                let query = make_ask(&asks.book, Duration::ZERO);
+                take_ask(&answers.book, &query, answers.clock(self.now));
                 let view = make_answer(
                     &answers.book,
-                    &ask,
+                    &query,
                     answers.clock(self.now),
                     answers.clock(self.now),
                 );
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -14,7 +14,7 @@
 use crate::overload::EntryPlace;
 use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::own_rows::VersionRecord;
-use crate::sync::{ControlSnapshot, OwnRows, SharedBook, ViewBook};
+use crate::sync::{ControlSnapshot, ControlState, OwnRows, SharedControlState};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -37,7 +37,7 @@
 
 /// One entry host.
 struct EntryHost {
-    book: SharedBook,
+    book: SharedControlState,
     desk: SharedDesk,
     /// How far it has followed the operator's table; none before it was read.
     operator_seen: Option<u64>,
@@ -46,7 +46,7 @@
     knowledge: NamingKnowledge,
     reaches_store: bool,
     started: ClockTime,
-    heard: [HeardServer; SERVERS],
+    received_at: [HeardServer; SERVERS],
 }
 
 impl EntryHost {
@@ -62,7 +62,7 @@
             knowledge: NamingKnowledge::Started,
             reaches_store: true,
             started: now,
-            heard: [HeardServer::default(); SERVERS],
+            received_at: [HeardServer::default(); SERVERS],
         }
     }
 
@@ -82,9 +82,9 @@
         let is_whole = self.operator_seen.is_none();
         self.book.change(|book| {
             if is_whole {
-                book.read_operator_rows(&view.rows, named);
+                book.set_operator_rows(&view.rows, named);
             } else {
-                book.take_operator_rows(&view.rows, named);
+                book.change_operator_rows(&view.rows, named);
             }
         });
         self.operator_seen = Some(view.revision);
@@ -103,7 +103,7 @@
             Some(record) => OwnRows::with_record(record.clone()),
             None => OwnRows::default(),
         };
-        let has_read = self.book.read(ViewBook::has_own_rows);
+        let has_read = self.book.read(ControlState::has_own_rows);
         let knowledge = if has_read {
             NamingKnowledge::Interrupted
         } else {
@@ -149,27 +149,27 @@
     fn hear_entries(&mut self) {
         let snapshot = self.snapshot();
         for facts in &snapshot.fleet.backends {
-            let Some(heard) = self.heard_of(&facts.id) else {
+            let Some(received_at) = self.heard_of(&facts.id) else {
                 continue;
             };
             let born = facts.born.map_or(0, |born| born.0);
-            if born > heard.born {
-                heard.born = born;
-                heard.leaves = false;
+            if born > received_at.born {
+                received_at.born = born;
+                received_at.leaves = false;
             }
             // An entry behind the report of a newer incarnation is passed over at the desk.
-            if born == heard.born {
+            if born == received_at.born {
                 let leaves = facts.phase == BackendPhase::Leaving;
-                let is_back = heard.leaves && !leaves;
+                let is_back = received_at.leaves && !leaves;
                 assert!(!is_back, "a leaving backend server is back: {facts:?}");
-                heard.leaves = leaves;
+                received_at.leaves = leaves;
             }
         }
     }
 
     fn heard_of(&mut self, id: &str) -> Option<&mut HeardServer> {
         let number: usize = id.strip_prefix("i-")?.parse().ok()?;
-        self.heard.get_mut(number.checked_sub(1)?)
+        self.received_at.get_mut(number.checked_sub(1)?)
     }
 
     fn take_report(&mut self, report: LoadReport, now: ClockTime) {
@@ -189,11 +189,11 @@
         };
         let born = report.born.map_or(0, |born| born.0);
         if is_listed
-            && let Some(heard) = self.heard_of(&id)
-            && born > heard.born
+            && let Some(received_at) = self.heard_of(&id)
+            && born > received_at.born
         {
-            heard.born = born;
-            heard.leaves = false;
+            received_at.born = born;
+            received_at.leaves = false;
         }
         self.show();
         self.desk.lock().note_report(report, now);
@@ -265,7 +265,7 @@
             10 | 11 => self.entries[entry].follow_operator(&self.world),
             12 | 13 => self.entries[entry].follow_backends(&self.world),
             14 => self.record(entry, u.arbitrary()?),
-            15 => self.ask(entry),
+            15 => self.query(entry),
             16 => self.report(server),
             17 if !self.world.reports.is_empty() => {
                 let last = self.world.reports.len() - 1;
@@ -315,7 +315,7 @@
         if !host.reaches_store {
             return;
         }
-        for record in host.book.read(ViewBook::unrecorded) {
+        for record in host.book.read(ControlState::unrecorded) {
             if is_late {
                 let late = (self.world.now, LateWrite::Record(record));
                 self.world.store.late.push(late);
@@ -332,15 +332,15 @@
     }
 
     /// One entry host asks another, which may learn from the question.
-    fn ask(&mut self, asks: usize) {
+    fn query(&mut self, asks: usize) {
         let now = self.world.now;
         let answers = (asks + 1) % ENTRIES;
-        let ask = self.entries[asks].book.read(ViewBook::ask);
+        let query = self.entries[asks].book.read(ControlState::query);
         let told = &self.entries[answers].book;
-        if told.read(|book| book.learns_from(&ask.wanted)) {
-            told.change(|book| book.take_words(&ask.wanted, now));
+        if told.read(|book| book.learns_from(&query.targets)) {
+            told.change(|book| book.take_words(&query.targets, now));
         }
-        let view = told.read(|book| book.answer(&ask, Duration::ZERO, now));
+        let view = told.read(|book| book.answer(&query, Duration::ZERO, now));
         self.entries[asks]
             .book
             .change(|book| book.merge(view, at_once(now)));
@@ -401,9 +401,9 @@
             }
             let since = (*acknowledged).max(world.disturbed);
             if world.now.since(since) >= BOUND {
-                let least = snapshot.least_version("m", OLDER_FOR, world.now);
+                let least = snapshot.oldest_allowed_version("m", OLDER_FOR, world.now);
                 let is_bound = least >= Some(WeightsVersion(number));
-                let named = &snapshot.wanted;
+                let named = &snapshot.targets;
                 assert!(
                     is_bound,
                     "version {number} of {acknowledged:?} is due at {:?}, {least:?} binds, \
@@ -424,9 +424,12 @@
             let real = real.expect("only real ones are picked");
             let was_so = real.held.contains(&(born, version));
             assert!(was_so, "{id} of {born} never held version {version}");
-            let heard = self.entries[at].heard_of(&id).copied().unwrap_or_default();
-            assert!(born >= heard.born, "{id}: a former incarnation is used");
-            assert!(!heard.leaves, "{id} leaves and is used");
+            let received_at = self.entries[at].heard_of(&id).copied().unwrap_or_default();
+            assert!(
+                born >= received_at.born,
+                "{id}: a former incarnation is used"
+            );
+            assert!(!received_at.leaves, "{id} leaves and is used");
         }
     }
 
--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -10,9 +10,9 @@
 use super::{START, at_once, document, named, new_book, set_clock, store_time};
 use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
 use crate::platform::{FakeStore, StoreRow, TableName};
-use crate::sync::naming_time::{NamingKnowledge, NamingTime};
-use crate::sync::peer_messages::WantedWord;
-use crate::sync::{SharedBook, ViewBook};
+use crate::sync::naming_time::{NamingKnowledge, TargetUpdateTime};
+use crate::sync::peer_messages::TargetAnnouncement;
+use crate::sync::{ControlState, SharedControlState};
 use crate::time::{ClockTime, StoreTime};
 
 /// How long a watch's answer with rows takes that does not come in time.
@@ -86,8 +86,8 @@
 }
 
 /// The store tells at `now` that `revision` is its newest.
-fn mark(book: &SharedBook, revision: u64, now: ClockTime) {
-    book.change(|book| book.note_told(revision, store_time(now), at_once(now)));
+fn mark(book: &SharedControlState, revision: u64, now: ClockTime) {
+    book.change(|book| book.note_store_answer(revision, store_time(now), at_once(now)));
 }
 
 /// A version counted as named 2.5 s later than it was: its naming was repeated, and the row that a whole read
@@ -106,7 +106,7 @@
         .behind_failure(Some(store_time(at(0))))
         .naming_time(told, told);
     let rows = [document(2), naming_row(2, 30)];
-    book.change(|book| book.read_operator_rows(&rows, time));
+    book.change(|book| book.set_operator_rows(&rows, time));
     let snapshot = book.snapshot().load();
     let wanted = second(&snapshot).expect("it was read");
     assert!(wanted.named_at <= at(500), "{:?}", wanted.named_at);
@@ -123,20 +123,20 @@
     mark(&book, 20, at(7000));
     let told = store_time(at(7000));
     let time = NamingKnowledge::Interrupted.naming_time(told, told);
-    book.change(|book| book.take_operator_rows(&[naming_row(2, 11)], time));
+    book.change(|book| book.change_operator_rows(&[naming_row(2, 11)], time));
     let snapshot = book.snapshot().load();
     let wanted = second(&snapshot).expect("it was told");
     assert!(wanted.named_at <= at(3000), "{:?}", wanted.named_at);
     assert!(wanted.named_at >= at(2800), "it is taken for new");
 }
 
-fn word(version: u64, at: u64, by: u64) -> WantedWord {
-    WantedWord {
+fn word(version: u64, at: u64, by: u64) -> TargetAnnouncement {
+    TargetAnnouncement {
         target: ModelVersion {
             model: "m".into(),
             version: WeightsVersion(version),
         },
-        named: NamingTime {
+        named: TargetUpdateTime {
             at: StoreTime::from_millis(at),
             by: StoreTime::from_millis(by),
             certainty: NamingCertainty::Witnessed,
@@ -151,12 +151,12 @@
 fn a_forgotten_naming_binds_on_whoever_tells_the_next() {
     let named_ms = |version: u64| START.0 / 1000 + version * 1000;
     let words = (2..=10).map(|version| word(version, named_ms(version), named_ms(version) + 5));
-    let words: Vec<WantedWord> = words.collect();
+    let words: Vec<TargetAnnouncement> = words.collect();
     let book = new_book();
     let later = at(12_000);
     book.change(|book| book.take_words(&words, later));
     book.change(|book| book.take_words(&words[..8], later));
-    let oldest = &book.read(ViewBook::ask).wanted[0];
+    let oldest = &book.read(ControlState::query).targets[0];
     assert_eq!(oldest.named.at, StoreTime::from_millis(named_ms(2)));
 }
 
@@ -166,7 +166,7 @@
 fn words_wait_until_the_stores_clock_is_known() {
     let named_ms = START.0 / 1000;
     for told in [named_ms, named_ms + 900_000_000] {
-        let book = SharedBook::default();
+        let book = SharedControlState::default();
         let words = [word(2, told, told)];
         assert!(!book.read(|book| book.learns_from(&words)));
         book.change(|book| book.take_words(&words, START));
--- a/src/sync/tests/incarnations.rs
+++ b/src/sync/tests/incarnations.rs
@@ -6,7 +6,7 @@
 use crate::fleet::BackendPhase;
 use crate::platform::samples::entry_sample;
 use crate::platform::{StoreRow, TableView};
-use crate::sync::{SharedBook, ViewBook};
+use crate::sync::{ControlState, SharedControlState};
 
 const SERVING: BackendPhase = BackendPhase::Serving;
 const LEAVING: BackendPhase = BackendPhase::Leaving;
@@ -15,7 +15,7 @@
     row("a", revision, Some(&entry_sample(born, told, phase)))
 }
 
-fn book_of(first: StoreRow) -> SharedBook {
+fn book_of(first: StoreRow) -> SharedControlState {
     let book = new_book();
     let revision = first.revision;
     book.change(|book| {
@@ -25,14 +25,14 @@
     book
 }
 
-fn take(book: &SharedBook, later: StoreRow) {
+fn take(book: &SharedControlState, later: StoreRow) {
     let revision = later.revision;
     let now = START + Duration::from_secs(10);
     let changed: TableView = view(vec![later], revision);
     book.change(|book| book.change_backends(&changed, now));
 }
 
-fn known(book: &SharedBook) -> (Option<u64>, BackendPhase) {
+fn known(book: &SharedControlState) -> (Option<u64>, BackendPhase) {
     let snapshot = book.snapshot().load();
     let facts = snapshot.fleet.backends.first().expect("it is listed");
     (facts.born.map(|born| born.0), facts.phase)
@@ -88,8 +88,8 @@
 fn a_neighbour_that_knows_a_former_incarnation_changes_nothing() {
     let book = book_of(entry(Some(9), 1, SERVING, 20));
     let behind = book_of(entry(Some(7), 500, LEAVING, 30));
-    let ask = book.read(ViewBook::ask);
-    let told = behind.read(|behind| behind.answer(&ask, Duration::ZERO, START));
+    let query = book.read(ControlState::query);
+    let told = behind.read(|behind| behind.answer(&query, Duration::ZERO, START));
     book.change(|book| book.merge(told, at_once(START)));
     assert_eq!(known(&book), (Some(9), BackendPhase::Serving));
 }
--- a/src/sync/tests/late_words.rs
+++ b/src/sync/tests/late_words.rs
@@ -13,10 +13,10 @@
 use crate::fleet::{ModelVersion, NamingCertainty, WantedWeights, WeightsVersion};
 use crate::platform::samples::{document_sample, naming_sample};
 use crate::platform::{FakeStore, TableName};
-use crate::sync::naming_time::NamingTime;
-use crate::sync::peer_messages::WantedWord;
+use crate::sync::naming_time::TargetUpdateTime;
+use crate::sync::peer_messages::TargetAnnouncement;
 use crate::sync::peer_routes::peer_routes;
-use crate::sync::{ControlSnapshot, ViewBook};
+use crate::sync::{ControlSnapshot, ControlState};
 use crate::time::{ClockTime, StoreTime, clock_now};
 use crate::transport::{HttpServer, bind_listener};
 
@@ -39,7 +39,7 @@
 }
 
 pub(super) fn second(snapshot: &ControlSnapshot) -> Option<&WantedWeights> {
-    let mut wanted = snapshot.wanted.iter();
+    let mut wanted = snapshot.targets.iter();
     wanted.find(|wanted| wanted.target.version == WeightsVersion(2))
 }
 
@@ -181,12 +181,12 @@
 /// had been named earlier than it took it for: of words that are equally certain the first one stayed.
 #[test]
 fn what_two_have_seen_they_know_better_together() {
-    let witnessed = |at, by| NamingTime {
+    let witnessed = |at, by| TargetUpdateTime {
         at: StoreTime::from_millis(at),
         by: StoreTime::from_millis(by),
         certainty: NamingCertainty::Witnessed,
     };
-    let word = |named| WantedWord {
+    let word = |named| TargetAnnouncement {
         target: ModelVersion {
             model: "m".into(),
             version: WeightsVersion(2),
@@ -203,11 +203,11 @@
     // One that surely errs does not put the moment behind what another saw.
     let wrong = [word(witnessed(80_000, 95_000))];
     entry.change(|book| book.take_words(&wrong, now));
-    let known = entry.read(ViewBook::ask).wanted;
+    let known = entry.read(ControlState::query).targets;
     assert_eq!(known[0].named, witnessed(70_000, 70_000));
     let first = [word(witnessed(50_000, 70_000))];
     let other = new_book();
     other.change(|book| book.take_words(&better, now));
     other.change(|book| book.take_words(&[word(witnessed(50_000, 90_000))], now));
-    assert_eq!(other.read(ViewBook::ask).wanted, first);
+    assert_eq!(other.read(ControlState::query).targets, first);
 }
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -11,8 +11,8 @@
     SharedDesk, VersionNeed,
 };
 use crate::overload::EntryPlace;
-use crate::sync::ViewBook;
-use crate::sync::peer_messages::{PeerAsk, WantedWord};
+use crate::sync::ControlState;
+use crate::sync::peer_messages::{PeerQuery, TargetAnnouncement};
 use crate::test_support::{run_cases, spoil_bytes};
 use crate::time::WallTime;
 use crate::transport::{decode_message, encode_message};
@@ -28,12 +28,12 @@
     }
 }
 
-fn lived_book() -> SharedBook {
+fn lived_book() -> SharedControlState {
     let book = new_book();
     book.change(|book| {
         book.note_store(START);
         book.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
-        book.take_operator_rows(&[document(7), named(2)], told_at(START));
+        book.change_operator_rows(&[document(7), named(2)], told_at(START));
     });
     book
 }
@@ -105,9 +105,9 @@
     let book = lived_book();
     let later = START + Duration::from_secs(20);
     let ages = [0, 1, u64::MAX / 1000, u64::MAX].map(Duration::from_millis);
-    let words = ages.map(|age| WantedWord {
+    let words = ages.map(|age| TargetAnnouncement {
         target: target(3),
-        named: NamingTime::guessed(store_time(later) - age, NamingCertainty::Assumed),
+        named: TargetUpdateTime::guessed(store_time(later) - age, NamingCertainty::Assumed),
     });
     let alone = new_book();
     alone.change(|book| book.take_words(&words, later));
@@ -122,13 +122,13 @@
         "not before version 2, whose naming was told"
     );
     assert_eq!(
-        snapshot.least_version("m", GRACE, later),
+        snapshot.oldest_allowed_version("m", GRACE, later),
         Some(WeightsVersion(3))
     );
-    let ask = PeerAsk {
+    let query = PeerQuery {
         document: Some(CatalogVersion(u64::MAX)),
         can_wait_for_document: false,
-        wanted: words.to_vec(),
+        targets: words.to_vec(),
         backends_revision: u64::MAX,
         entries: usize::MAX,
         wait_ms: u64::MAX,
@@ -136,15 +136,15 @@
         backends_digest: Some(u64::MAX),
         crashes_revision: Some(u64::MAX),
     };
-    let answer = book.read(|book| book.answer(&ask, Duration::MAX, later));
+    let answer = book.read(|book| book.answer(&query, Duration::MAX, later));
     assert!(answer.document.is_none() && answer.backends.is_none());
 }
 
 /// The bytes of one message of each kind.
 fn messages() -> [Bytes; 4] {
     let book = lived_book();
-    let ask = book.read(ViewBook::ask);
-    let answer = book.read(|book| book.answer(&PeerAsk::default(), Duration::ZERO, START));
+    let query = book.read(ControlState::query);
+    let answer = book.read(|book| book.answer(&PeerQuery::default(), Duration::ZERO, START));
     let word = HaveWord {
         host: "h".into(),
         held: ChunkMap::full(20),
@@ -152,7 +152,7 @@
         backlog_ms: u64::MAX,
     };
     let messages = [
-        encode_message(&ask),
+        encode_message(&query),
         encode_message(&answer),
         encode_message(&report()),
         encode_message(&word),
@@ -164,19 +164,19 @@
 fn take_in(bytes: &[u8]) {
     let book = lived_book();
     let later = START + Duration::from_secs(20);
-    if let Ok(ask) = decode_message::<PeerAsk>(bytes) {
-        book.change(|book| book.take_words(&ask.wanted, later));
+    if let Ok(query) = decode_message::<PeerQuery>(bytes) {
+        book.change(|book| book.take_words(&query.targets, later));
         let _ = book.read(|book| {
             (
-                book.has_urgent_news(&ask),
-                book.answer(&ask, Duration::MAX, later),
+                book.has_urgent_news(&query),
+                book.answer(&query, Duration::MAX, later),
             )
         });
     }
     if let Ok(view) = decode_message::<PeerView>(bytes) {
         book.change(|book| book.merge(view, at_once(later)));
         assert!(version_of(&book) >= 7);
-        let _ = book.read(ViewBook::ask);
+        let _ = book.read(ControlState::query);
     }
     if let Ok(report) = decode_message::<LoadReport>(bytes) {
         let desk = desk();
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -25,26 +25,26 @@
 use crate::fleet::{NamingCertainty, WeightsVersion};
 use crate::platform::samples::{backend_sample, document_sample, naming_sample};
 use crate::platform::{StoreRow, TableView};
-use crate::sync::naming_time::{NamingKnowledge, NamingTime};
-use crate::sync::store_clock::{AskSpan, ClockWord};
-use crate::sync::{PeerView, SharedBook, ViewBook};
+use crate::sync::naming_time::{NamingKnowledge, TargetUpdateTime};
+use crate::sync::store_clock::{ClockBounds, QuerySpan};
+use crate::sync::{ControlState, PeerView, SharedControlState};
 use crate::time::{ClockTime, StoreTime};
 
 const START: ClockTime = ClockTime::from_millis(100_000);
 const GRACE: Duration = Duration::from_secs(8);
 
 /// A process whose clock shows the same as the store's.
-fn new_book() -> SharedBook {
-    let book = SharedBook::default();
+fn new_book() -> SharedControlState {
+    let book = SharedControlState::default();
     set_clock(&book, START);
     book
 }
 
 /// `book` hears at `now` what the store's clock shows.
-fn set_clock(book: &SharedBook, now: ClockTime) {
+fn set_clock(book: &SharedControlState, now: ClockTime) {
     let moment = store_time(now);
     let view = PeerView {
-        clock: Some(ClockWord {
+        clock: Some(ClockBounds {
             least: moment,
             most: moment,
         }),
@@ -59,19 +59,19 @@
 }
 
 /// A question that is answered as it is asked.
-const fn at_once(now: ClockTime) -> AskSpan {
-    AskSpan {
-        asked: now,
-        heard: now,
+const fn at_once(now: ClockTime) -> QuerySpan {
+    QuerySpan {
+        sent_at: now,
+        received_at: now,
     }
 }
 
-fn told_at(at: ClockTime) -> NamingTime {
-    NamingTime::guessed(store_time(at), NamingCertainty::Witnessed)
+fn told_at(at: ClockTime) -> TargetUpdateTime {
+    TargetUpdateTime::guessed(store_time(at), NamingCertainty::Witnessed)
 }
 
 /// What is taken for the naming of a version that the store tells of at `now`.
-fn found_at(knowledge: NamingKnowledge, now: ClockTime) -> NamingTime {
+fn found_at(knowledge: NamingKnowledge, now: ClockTime) -> TargetUpdateTime {
     knowledge.naming_time(store_time(now), store_time(now))
 }
 
@@ -105,13 +105,13 @@
     }
 }
 
-fn ids(book: &SharedBook) -> Vec<String> {
+fn ids(book: &SharedControlState) -> Vec<String> {
     let snapshot = book.snapshot().load();
     let backends = snapshot.fleet.backends.iter();
     backends.map(|facts| facts.id.to_string()).collect()
 }
 
-fn version_of(book: &SharedBook) -> u64 {
+fn version_of(book: &SharedControlState) -> u64 {
     let catalog = book.snapshot().load().catalog.clone();
     catalog.map_or(0, |catalog| catalog.version.0)
 }
@@ -122,19 +122,19 @@
 #[test]
 fn a_document_never_goes_back_whoever_brings_it() {
     let book = new_book();
-    let take = |book: &SharedBook, rows: &[StoreRow]| {
-        book.change(|book| book.take_operator_rows(rows, told_at(START)));
+    let take = |book: &SharedControlState, rows: &[StoreRow]| {
+        book.change(|book| book.change_operator_rows(rows, told_at(START)));
     };
     take(&book, &[document(7)]);
     take(&book, &[document(5)]);
     assert_eq!(version_of(&book), 7);
     let neighbour = new_book();
     take(&neighbour, &[document(6)]);
-    let ask = book.read(ViewBook::ask);
-    let older = neighbour.read(|neighbour| neighbour.answer(&ask, Duration::ZERO, START));
+    let query = book.read(ControlState::query);
+    let older = neighbour.read(|neighbour| neighbour.answer(&query, Duration::ZERO, START));
     assert!(older.document.is_none());
     take(&neighbour, &[document(9)]);
-    let newer = neighbour.read(|neighbour| neighbour.answer(&ask, Duration::ZERO, START));
+    let newer = neighbour.read(|neighbour| neighbour.answer(&query, Duration::ZERO, START));
     book.change(|book| book.merge(newer, at_once(START)));
     assert_eq!(version_of(&book), 9);
 }
@@ -146,19 +146,19 @@
     let book = new_book();
     let name = |version: u64, at: ClockTime| {
         let rows = [named(version)];
-        book.change(|book| book.take_operator_rows(&rows, told_at(at)));
+        book.change(|book| book.change_operator_rows(&rows, told_at(at)));
     };
     name(2, START);
     name(3, START + Duration::from_secs(4));
     let snapshot = book.snapshot().load();
     let least = |seconds: u64| {
         let now = START + Duration::from_secs(seconds);
-        snapshot.least_version("m", GRACE, now)
+        snapshot.oldest_allowed_version("m", GRACE, now)
     };
     assert_eq!(least(7), None);
     assert_eq!(least(9), Some(WeightsVersion(2)));
     assert_eq!(least(12), Some(WeightsVersion(3)));
-    let until = |held: u64| snapshot.held_until("m", Some(WeightsVersion(held)), GRACE);
+    let until = |held: u64| snapshot.usable_until("m", Some(WeightsVersion(held)), GRACE);
     assert_eq!(until(1), Some(START + GRACE), "the second ends the first");
     assert_eq!(until(2), Some(START + Duration::from_secs(12)));
     assert_eq!(until(3), None);
@@ -196,14 +196,14 @@
     let back = START + Duration::from_secs(20);
     let resumed = new_book();
     let found = found_at(NamingKnowledge::Interrupted, back);
-    resumed.change(|book| book.take_operator_rows(&[named(2)], found));
+    resumed.change(|book| book.change_operator_rows(&[named(2)], found));
     let started = new_book();
     let assumed = found_at(NamingKnowledge::Started, back);
-    started.change(|book| book.take_operator_rows(&[named(2)], assumed));
-    let exchange = |asks: &SharedBook, answers: &SharedBook| {
+    started.change(|book| book.change_operator_rows(&[named(2)], assumed));
+    let exchange = |asks: &SharedControlState, answers: &SharedControlState| {
         set_clock(answers, back);
-        let ask = asks.read(ViewBook::ask);
-        let view = answers.read(|book| book.answer(&ask, Duration::ZERO, back));
+        let query = asks.read(ControlState::query);
+        let view = answers.read(|book| book.answer(&query, Duration::ZERO, back));
         asks.change(|book| book.merge(view, at_once(back)));
     };
     exchange(&resumed, &started);
@@ -227,18 +227,18 @@
 #[test]
 fn a_process_that_starts_learns_from_a_neighbour_when_a_version_was_named() {
     let witness = new_book();
-    witness.change(|book| book.take_operator_rows(&[named(2)], told_at(START)));
+    witness.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
     let started_at = START + Duration::from_secs(7);
     set_clock(&witness, started_at);
     for assumed in [1, 6, 30] {
         let book = new_book();
-        let named_at = NamingTime::guessed(
+        let named_at = TargetUpdateTime::guessed(
             store_time(started_at - Duration::from_secs(assumed)),
             NamingCertainty::Assumed,
         );
-        book.change(|book| book.take_operator_rows(&[named(2)], named_at));
-        let ask = book.read(ViewBook::ask);
-        let view = witness.read(|witness| witness.answer(&ask, Duration::ZERO, started_at));
+        book.change(|book| book.change_operator_rows(&[named(2)], named_at));
+        let query = book.read(ControlState::query);
+        let view = witness.read(|witness| witness.answer(&query, Duration::ZERO, started_at));
         book.change(|book| book.merge(view, at_once(started_at)));
         let snapshot = book.snapshot().load();
         let wanted = snapshot.newest_version("m").expect("it was named");
--- a/src/sync/tests/read_orders.rs
+++ b/src/sync/tests/read_orders.rs
@@ -30,7 +30,7 @@
 }
 
 /// Whom `order` asks in its next turns, sorted; none where it reads.
-fn asked(
+fn sent_at(
     order: &mut ReadOrder,
     entries: &[EntryRecord],
     now: ClockTime,
@@ -57,11 +57,11 @@
     entries.sort_unstable();
     for (place, me) in of_place.iter().enumerate() {
         let mut order = ReadOrder::of(me);
-        let asked = asked(&mut order, &entries, START);
+        let sent_at = sent_at(&mut order, &entries, START);
         if place < 2 {
-            assert_eq!(asked, None, "{place} reads");
+            assert_eq!(sent_at, None, "{place} reads");
         } else {
-            assert_eq!(asked.as_ref(), Some(&readers), "{place} asks both");
+            assert_eq!(sent_at.as_ref(), Some(&readers), "{place} asks both");
         }
     }
 }
@@ -81,7 +81,7 @@
     let mut order = ReadOrder::of(&entries[4]);
     order.note(&entries[0].host, ReaderAnswer::Silent, START);
     assert_eq!(
-        asked(&mut order, &entries, START),
+        sent_at(&mut order, &entries, START),
         Some(entries[1..3].to_vec())
     );
     // The next in the order sees the same, and reads.
@@ -90,7 +90,7 @@
     assert_eq!(next.next(&entries, START), ReadTurn::Read);
     let later = START + Duration::from_secs(2);
     assert_eq!(
-        asked(&mut order, &entries, later),
+        sent_at(&mut order, &entries, later),
         Some(entries[..2].to_vec())
     );
     order.note(&entries[1].host, ReaderAnswer::Current, later);
@@ -98,12 +98,12 @@
     order.note(&entries[0].host, ReaderAnswer::Silent, later);
     let soon = later + Duration::from_secs(3);
     assert_eq!(
-        asked(&mut order, &entries, soon),
+        sent_at(&mut order, &entries, soon),
         Some(entries[1..3].to_vec())
     );
     order.note(&entries[0].host, ReaderAnswer::Current, soon);
     assert_eq!(
-        asked(&mut order, &entries, soon),
+        sent_at(&mut order, &entries, soon),
         Some(entries[..2].to_vec())
     );
 }
@@ -117,7 +117,7 @@
     order.note(&entries[1].host, ReaderAnswer::Silent, START);
     assert_eq!(order.next(&entries, START), ReadTurn::Read);
     assert_eq!(
-        asked(&mut order, &entries, START),
+        sent_at(&mut order, &entries, START),
         Some(entries[2..4].to_vec())
     );
 }
@@ -135,7 +135,7 @@
     let mut order = ReadOrder::of(&entries[4]);
     order.note(&entries[1].host, answer, START);
     let replaced = vec![entries[0].clone(), entries[2].clone()];
-    assert_eq!(asked(&mut order, &entries, START), Some(replaced));
+    assert_eq!(sent_at(&mut order, &entries, START), Some(replaced));
 }
 
 /// A reader's connection to the store went silent, or its answers came late: it answered at once and
@@ -161,7 +161,7 @@
         order.note(&reader.host, ReaderAnswer::Behind, START);
     }
     assert_eq!(
-        asked(&mut order, &entries, START),
+        sent_at(&mut order, &entries, START),
         Some(entries[4..6].to_vec())
     );
 }
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -14,10 +14,11 @@
 use crate::platform::{FakeStore, StoreClient, TableName, WriteOutcome};
 use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::own_rows::VersionRecord;
-use crate::sync::peer_messages::PeerAsk;
+use crate::sync::peer_messages::PeerQuery;
 use crate::sync::sync_thread::run_sync;
 use crate::sync::{
-    ControlSnapshot, EntryRecord, NamingTime, OwnRows, SharedBook, SyncSettings, ViewBook,
+    ControlSnapshot, ControlState, EntryRecord, OwnRows, SharedControlState, SyncSettings,
+    TargetUpdateTime,
 };
 use crate::time::ClockTime;
 use crate::transport::{ClientLimits, PeerClient};
@@ -27,7 +28,7 @@
 /// An entry host's control thread, which can lose power.
 pub(super) struct EntryProcess {
     runtime: Runtime,
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
 }
 
 impl EntryProcess {
@@ -61,7 +62,7 @@
             .enable_all()
             .build()
             .expect("a thread can be had");
-        let book = SharedBook::default();
+        let book = SharedControlState::default();
         let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
         runtime.spawn(run_sync(settings, book.clone(), drain));
         Self { runtime, book }
@@ -191,9 +192,9 @@
 #[test]
 fn an_entry_host_learns_a_version_from_whoever_asks_it() {
     let lived = new_book();
-    lived.change(|book| book.take_operator_rows(&[named(3)], told_at(START)));
+    lived.change(|book| book.change_operator_rows(&[named(3)], told_at(START)));
     let later = START + Duration::from_secs(20);
-    let words = lived.read(ViewBook::ask).wanted;
+    let words = lived.read(ControlState::query).targets;
     let started = new_book();
     assert!(started.read(|book| book.learns_from(&words)));
     started.change(|book| book.take_words(&words, later));
@@ -242,7 +243,7 @@
     let process = EntryProcess::start("first", &store);
     let is_there = |snapshot: &ControlSnapshot| snapshot.catalog.is_some();
     process.believes(is_there).await;
-    let named = |process: &EntryProcess| process.book.read(ViewBook::ask).wanted;
+    let named = |process: &EntryProcess| process.book.read(ControlState::query).targets;
     let found = named(&process);
     store.forget_history();
     put_document(&store, 2);
@@ -260,12 +261,12 @@
 #[test]
 fn an_entry_host_learns_from_whoever_asks_it_when_a_version_was_named() {
     let lived = new_book();
-    lived.change(|book| book.take_operator_rows(&[named(2)], told_at(START)));
+    lived.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
     let later = START + Duration::from_secs(20);
     let started = new_book();
-    let resumed = NamingTime::guessed(store_time(later), NamingCertainty::Resumed);
-    started.change(|book| book.take_operator_rows(&[named(2)], resumed));
-    let words = lived.read(ViewBook::ask).wanted;
+    let resumed = TargetUpdateTime::guessed(store_time(later), NamingCertainty::Resumed);
+    started.change(|book| book.change_operator_rows(&[named(2)], resumed));
+    let words = lived.read(ControlState::query).targets;
     assert!(started.read(|book| book.learns_from(&words)));
     started.change(|book| book.take_words(&words, later));
     assert!(!started.read(|book| book.learns_from(&words)));
@@ -307,17 +308,17 @@
 #[test]
 fn a_version_is_not_taken_for_older_than_the_one_before_it() {
     let lived = new_book();
-    lived.change(|book| book.take_operator_rows(&[named(2)], told_at(START)));
+    lived.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
     let now = START + Duration::from_secs(2);
     let found = found_at(NamingKnowledge::Started, now);
     let started = new_book();
     set_clock(&started, now);
-    started.change(|book| book.read_operator_rows(&[named(3)], found));
-    let words = lived.read(ViewBook::ask).wanted;
+    started.change(|book| book.set_operator_rows(&[named(3)], found));
+    let words = lived.read(ControlState::query).targets;
     assert!(started.read(|book| book.learns_from(&words)));
     started.change(|book| book.take_words(&words, now));
     assert_eq!(named_at(&started.snapshot().load()), START);
-    let view = started.read(|book| book.answer(&PeerAsk::default(), Duration::ZERO, now));
+    let view = started.read(|book| book.answer(&PeerQuery::default(), Duration::ZERO, now));
     lived.change(|book| book.merge(view, at_once(now)));
     assert_eq!(named_at(&lived.snapshot().load()), START);
 }
@@ -350,8 +351,8 @@
     let back = START + Duration::from_secs(20);
     let started = new_book();
     let assumed = found_at(NamingKnowledge::Started, back);
-    started.change(|book| book.read_operator_rows(&[named(2)], assumed));
-    let words = started.read(ViewBook::ask).wanted;
+    started.change(|book| book.set_operator_rows(&[named(2)], assumed));
+    let words = started.read(ControlState::query).targets;
     let cut = new_book();
     cut.change(|book| book.take_words(&words, back));
     let found = found_at(NamingKnowledge::Interrupted, back);
@@ -361,12 +362,12 @@
         revision: 8,
     });
     cut.change(|book| book.take_own_rows(record, found));
-    cut.change(|book| book.take_operator_rows(&[named(2)], found));
+    cut.change(|book| book.change_operator_rows(&[named(2)], found));
     assert_eq!(store_time(named_at(&cut.snapshot().load())), found.at);
     // The same row once more tells nothing.
     let later = back + Duration::from_secs(5);
     let followed = NamingKnowledge::Followed(store_time(back));
     let later = found_at(followed, later);
-    cut.change(|book| book.take_operator_rows(&[named(2)], later));
+    cut.change(|book| book.change_operator_rows(&[named(2)], later));
     assert_eq!(store_time(named_at(&cut.snapshot().load())), found.at);
 }
--- a/src/sync/tests/store_gate.rs
+++ b/src/sync/tests/store_gate.rs
@@ -61,7 +61,7 @@
     let far = TcpStream::connect(target).await;
     let (mut far_reader, mut far_writer) = far.expect("the target listens").into_split();
     let (mut near_reader, mut near_writer) = near.into_split();
-    let mut asked = vec![0; BUFFER_BYTES];
+    let mut sent_at = vec![0; BUFFER_BYTES];
     let mut answered = vec![0; BUFFER_BYTES];
     loop {
         let now = *harm.borrow_and_update();
@@ -69,12 +69,12 @@
             return;
         }
         tokio::select! {
-            read = near_reader.read(&mut asked) => {
+            read = near_reader.read(&mut sent_at) => {
                 let Ok(read @ 1..) = read else { return };
                 let passed = match now {
                     GateHarm::Refused => near_writer.write_all(REFUSAL).await,
                     GateHarm::Silent => Ok(()),
-                    _ => far_writer.write_all(&asked[..read]).await,
+                    _ => far_writer.write_all(&sent_at[..read]).await,
                 };
                 if passed.is_err() {
                     return;
--- a/src/sync/tests/storms.rs
+++ b/src/sync/tests/storms.rs
@@ -11,8 +11,8 @@
 use crate::platform::samples::{document_sample, naming_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::past_namings::is_last_look;
-use crate::sync::peer_messages::{PeerAsk, WantedWord};
-use crate::sync::{ControlSnapshot, NamingTime, ViewBook};
+use crate::sync::peer_messages::{PeerQuery, TargetAnnouncement};
+use crate::sync::{ControlSnapshot, ControlState, TargetUpdateTime};
 use crate::time::clock_now;
 
 /// Versions of the document in one storm.
@@ -103,20 +103,23 @@
     let (key, text) = naming_sample(2);
     store.put(TableName::Operator, key, &text);
     let now = clock_now();
-    let answer = |book: &ViewBook| book.answer(&PeerAsk::default(), Duration::ZERO, now);
+    let answer = |book: &ControlState| book.answer(&PeerQuery::default(), Duration::ZERO, now);
     let clock = process.book.read(answer).clock;
     let known_at = clock.expect("the store has answered").most;
-    let word = WantedWord {
+    let word = TargetAnnouncement {
         target: ModelVersion {
             model: "m".into(),
             version: WeightsVersion(2),
         },
-        named: NamingTime::guessed(known_at - Duration::from_secs(6), NamingCertainty::Assumed),
+        named: TargetUpdateTime::guessed(
+            known_at - Duration::from_secs(6),
+            NamingCertainty::Assumed,
+        ),
     };
     process.book.change(|book| book.take_words(&[word], now));
     store.set_down(false);
     let is_resumed = |snapshot: &ControlSnapshot| {
-        let mut wanted = snapshot.wanted.iter();
+        let mut wanted = snapshot.targets.iter();
         wanted.any(|wanted| {
             wanted.certainty == NamingCertainty::Resumed && wanted.named_at >= now - ROW_DELAY
         })
@@ -132,19 +135,19 @@
 #[test]
 fn a_host_that_has_a_document_is_not_woken_for_each_newer_one() {
     let book = new_book();
-    let mut ask = book.read(ViewBook::ask);
-    book.change(|book| book.take_operator_rows(&[document(7)], told_at(START)));
-    assert!(book.read(|book| book.has_urgent_news(&ask)));
-    ask.can_wait_for_document = true;
-    assert!(!book.read(|book| book.has_urgent_news(&ask)));
+    let mut query = book.read(ControlState::query);
+    book.change(|book| book.change_operator_rows(&[document(7)], told_at(START)));
+    assert!(book.read(|book| book.has_urgent_news(&query)));
+    query.can_wait_for_document = true;
+    assert!(!book.read(|book| book.has_urgent_news(&query)));
     assert!(
-        book.read(|book| book.answer(&ask, Duration::ZERO, START))
+        book.read(|book| book.answer(&query, Duration::ZERO, START))
             .document
             .is_none()
     );
-    book.change(|book| book.take_operator_rows(&[named(2)], told_at(START)));
+    book.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
     assert!(
-        book.read(|book| book.has_urgent_news(&ask)),
+        book.read(|book| book.has_urgent_news(&query)),
         "a version is told at once"
     );
 }
--- a/src/sync/tests/told_lists.rs
+++ b/src/sync/tests/told_lists.rs
@@ -9,7 +9,7 @@
 use crate::platform::StoreRow;
 use crate::platform::samples::entry_sample;
 use crate::sync::backend_follow::{ListAsking, ListMatch};
-use crate::sync::{SharedBook, ViewBook};
+use crate::sync::{ControlState, SharedControlState};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -24,16 +24,16 @@
 }
 
 /// One question of `follower` at `reader`, and what it led to.
-fn ask(
-    follower: &SharedBook,
-    reader: &SharedBook,
+fn query(
+    follower: &SharedControlState,
+    reader: &SharedControlState,
     asking: &mut ListAsking,
     now: ClockTime,
 ) -> ListMatch {
-    let mut ask = follower.read(ViewBook::ask);
-    ask.follows = true;
-    asking.complete(&mut ask, follower.read(ViewBook::backends_digest));
-    let answer = reader.read(|book| book.answer(&ask, Duration::ZERO, now));
+    let mut query = follower.read(ControlState::query);
+    query.follows = true;
+    asking.complete(&mut query, follower.read(ControlState::backends_digest));
+    let answer = reader.read(|book| book.answer(&query, Duration::ZERO, now));
     assert!(answer.backends.is_none());
     let changes = answer.backend_changes.expect("the reader has a list");
     let mut found = ListMatch::Older;
@@ -42,7 +42,7 @@
     found
 }
 
-fn reader_with(rows: Vec<StoreRow>, revision: u64) -> SharedBook {
+fn reader_with(rows: Vec<StoreRow>, revision: u64) -> SharedControlState {
     let reader = new_book();
     reader.change(|book| {
         book.note_store(START);
@@ -58,13 +58,16 @@
     let reader = reader_with(rows.to_vec(), 9);
     let follower = new_book();
     let mut asking = ListAsking::default();
-    assert_eq!(ask(&follower, &reader, &mut asking, START), ListMatch::Same);
+    assert_eq!(
+        query(&follower, &reader, &mut asking, START),
+        ListMatch::Same
+    );
     assert_eq!(ids(&follower), ["a", "b", "c"]);
     assert!(follower.read(|book| book.is_told_backends(START)));
     let later = START + Duration::from_secs(4);
     let changed = vec![entry("b", 10, 2, BackendPhase::Leaving)];
     reader.change(|book| book.change_backends(&view(changed, 11), later));
-    let mut question = follower.read(ViewBook::ask);
+    let mut question = follower.read(ControlState::query);
     question.follows = true;
     let answer = reader.read(|book| book.answer(&question, Duration::ZERO, later));
     let told = answer.backend_changes.expect("there is a list").entries;
@@ -77,11 +80,11 @@
     let reader = reader_with(vec![entry("a", 5, 1, BackendPhase::Serving)], 9);
     let follower = new_book();
     let mut asking = ListAsking::default();
-    ask(&follower, &reader, &mut asking, START);
+    query(&follower, &reader, &mut asking, START);
     let is_news = || {
-        let mut question = follower.read(ViewBook::ask);
+        let mut question = follower.read(ControlState::query);
         question.follows = true;
-        asking.complete(&mut question, follower.read(ViewBook::backends_digest));
+        asking.complete(&mut question, follower.read(ControlState::backends_digest));
         reader.read(|book| book.has_urgent_news(&question))
     };
     let tell = |row: StoreRow, revision: u64| {
@@ -106,13 +109,19 @@
     );
     let follower = new_book();
     let mut asking = ListAsking::default();
-    assert_eq!(ask(&follower, &second, &mut asking, START), ListMatch::Same);
-    assert_eq!(ask(&follower, &first, &mut asking, START), ListMatch::Older);
+    assert_eq!(
+        query(&follower, &second, &mut asking, START),
+        ListMatch::Same
+    );
+    assert_eq!(
+        query(&follower, &first, &mut asking, START),
+        ListMatch::Older
+    );
     assert_eq!(ids(&follower), ["a", "b"]);
     assert!(!first.read(|book| {
-        let mut question = follower.read(ViewBook::ask);
+        let mut question = follower.read(ControlState::query);
         question.follows = true;
-        question.backends_digest = Some(follower.read(ViewBook::backends_digest));
+        question.backends_digest = Some(follower.read(ControlState::backends_digest));
         book.has_urgent_news(&question)
     }));
 }
@@ -124,14 +133,17 @@
     let reader = reader_with(rows.to_vec(), 9);
     let follower = new_book();
     let mut asking = ListAsking::default();
-    ask(&follower, &reader, &mut asking, START);
+    query(&follower, &reader, &mut asking, START);
     let spoilt = super::row("a", 12, Some("no entry"));
     reader.change(|book| book.change_backends(&view(vec![spoilt], 12), START));
     assert_eq!(
-        ask(&follower, &reader, &mut asking, START),
+        query(&follower, &reader, &mut asking, START),
         ListMatch::Differs
     );
-    assert_eq!(ask(&follower, &reader, &mut asking, START), ListMatch::Same);
+    assert_eq!(
+        query(&follower, &reader, &mut asking, START),
+        ListMatch::Same
+    );
     assert_eq!(ids(&follower), ["b"]);
 }
 
@@ -142,7 +154,7 @@
     let follower = new_book();
     let mut asking = ListAsking::default();
     let told_at = START + Duration::from_millis(1500);
-    ask(&follower, &reader, &mut asking, told_at);
+    query(&follower, &reader, &mut asking, told_at);
     let is_told = |at: ClockTime| follower.read(|book| book.is_told_backends(at));
     assert!(is_told(START + Duration::from_millis(2300)));
     assert!(!is_told(START + Duration::from_millis(2400)));
@@ -183,7 +195,7 @@
             let mut found = ListMatch::Differs;
             for _ in 0..QUESTIONS {
                 if found == ListMatch::Differs {
-                    found = ask(&follower, &reader, &mut asking, now);
+                    found = query(&follower, &reader, &mut asking, now);
                 }
             }
             assert_eq!(found, ListMatch::Same);
--- a/src/sync/tests/unreadable.rs
+++ b/src/sync/tests/unreadable.rs
@@ -18,7 +18,7 @@
 /// What the store's client makes of bytes that do not decode.
 const NO_BYTES: &str = "";
 
-fn steady_book(rows: Vec<StoreRow>) -> SharedBook {
+fn steady_book(rows: Vec<StoreRow>) -> SharedControlState {
     let book = new_book();
     book.change(|book| {
         book.note_store(START);
@@ -65,7 +65,7 @@
 fn an_operators_row_that_does_not_read_leaves_the_others_and_what_was_in_force() {
     let book = new_book();
     let take = |rows: &[StoreRow]| {
-        book.change(|book| book.take_operator_rows(rows, told_at(START)));
+        book.change(|book| book.change_operator_rows(rows, told_at(START)));
     };
     let (document_key, text) = document_sample(9);
     let (naming_key, _) = naming_sample(1);
@@ -80,7 +80,7 @@
     }
     let (_, other) = naming_sample(5);
     take(&[row(&format!("{naming_key}x"), 10, Some(&other))]);
-    let newest = |book: &SharedBook| {
+    let newest = |book: &SharedControlState| {
         let snapshot = book.snapshot().load();
         snapshot
             .newest_version("m")
@@ -234,7 +234,7 @@
                 value: Some(value.clone()),
             };
             let rows = [told(document_key), told(naming_key), document(7), named(2)];
-            book.change(|book| book.take_operator_rows(&rows, told_at(START)));
+            book.change(|book| book.change_operator_rows(&rows, told_at(START)));
             assert_eq!(version_of(&book), 7);
         }
         Ok(())
--- a/src/sync/version_recorder.rs
+++ b/src/sync/version_recorder.rs
@@ -9,7 +9,7 @@
 use super::events;
 use super::own_rows::{OwnRows, VersionRecord, version_key};
 use super::store_watch::{FailurePause, STORE_WITHIN, StoreWatch};
-use super::view_book::ViewBook;
+use super::view_book::ControlState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::platform::{TableName, WriteOutcome};
@@ -44,14 +44,14 @@
         let mut changes = self.book.changes();
         let mut pause = FailurePause::default();
         loop {
-            let mut records = self.book.read(ViewBook::unrecorded);
+            let mut records = self.book.read(ControlState::unrecorded);
             let places = records
                 .iter()
                 .map(|record| self.place_among_recorders(record));
             if let Some(later) = places.max().and_then(record_later) {
                 let later = rand::rng().random_range(later);
                 sleep(Duration::from_secs_f64(later)).await;
-                records = self.book.read(ViewBook::unrecorded);
+                records = self.book.read(ControlState::unrecorded);
             }
             for record in records {
                 match self.record_version(record).await {
@@ -75,11 +75,11 @@
     fn place_among_recorders(&self, record: &VersionRecord) -> usize {
         let version = record.target.version.0;
         let turn = |host: &str| name_hash(&format!("{host}/{}/{version}", record.target.model));
-        let me = turn(&self.me.host);
+        let own_entry = turn(&self.own_entry.host);
         self.book.read(|book| {
             let entries = book.entries().iter();
-            let others = entries.filter(|entry| entry.host != self.me.host);
-            others.filter(|entry| turn(&entry.host) > me).count()
+            let others = entries.filter(|entry| entry.host != self.own_entry.host);
+            others.filter(|entry| turn(&entry.host) > own_entry).count()
         })
     }
 
--- a/src/sync/view_book.rs
+++ b/src/sync/view_book.rs
@@ -9,7 +9,7 @@
 
 use super::backend_list::{BackendList, LAPSE_GRACE};
 use super::events;
-use super::naming_time::NamingTime;
+use super::naming_time::TargetUpdateTime;
 use super::operator_reading::OperatorReading;
 use super::own_rows::{OwnRows, VersionRecord};
 use super::peer_messages::EntryRecord;
@@ -44,7 +44,7 @@
 
 /// The control state.
 #[derive(Debug, Default)]
-pub(crate) struct ViewBook {
+pub(crate) struct ControlState {
     pub(super) document: Option<DocumentHeld>,
     pub(super) versions: WantedVersions,
     pub(super) clock: StoreClock,
@@ -72,7 +72,7 @@
     pub(super) crashes: Arc<CrashLedger>,
 }
 
-impl ViewBook {
+impl ControlState {
     /// Whether requests can be taken: there is a document, and the backend servers are known.
     pub(crate) const fn is_usable(&self) -> bool {
         self.document.is_some() && self.backends_revision > 0
@@ -147,19 +147,19 @@
 
     /// Takes in rows of the operator's table that have just changed. `named` tells when the versions of
     /// weights in them were named.
-    pub(crate) fn take_operator_rows(&mut self, rows: &[StoreRow], named: NamingTime) {
+    pub(crate) fn change_operator_rows(&mut self, rows: &[StoreRow], named: TargetUpdateTime) {
         self.take_operator(rows, named, WordSource::Change);
     }
 
     /// Takes in the whole of the operator's table. `named` tells when versions of weights that are new
     /// to this process were named.
-    pub(crate) fn read_operator_rows(&mut self, rows: &[StoreRow], named: NamingTime) {
+    pub(crate) fn set_operator_rows(&mut self, rows: &[StoreRow], named: TargetUpdateTime) {
         self.take_operator(rows, named, WordSource::Table);
     }
 
     /// Takes in changes of the operator's table of before this process began to follow it, of which
     /// others may have followed since. `named` tells when versions in them were named.
-    pub(crate) fn take_past_namings(&mut self, rows: &[StoreRow], named: NamingTime) {
+    pub(crate) fn take_past_namings(&mut self, rows: &[StoreRow], named: TargetUpdateTime) {
         for row in rows {
             if let (Some(value), DocumentRow::WantedVersion) =
                 (&row.value, DocumentRow::of(&row.key))
@@ -174,7 +174,7 @@
     fn take_operator(
         &mut self,
         rows: &[StoreRow],
-        named: NamingTime,
+        named: TargetUpdateTime,
         source_of: impl Fn(u64) -> WordSource,
     ) {
         for (at, row) in rows.iter().enumerate() {
@@ -208,7 +208,12 @@
 
     /// When a version was named whose row `source` tells with `revision`, if it is `named` as far as the
     /// table alone tells.
-    fn place(&self, named: NamingTime, revision: u64, source: WordSource) -> NamingTime {
+    fn place(
+        &self,
+        named: TargetUpdateTime,
+        revision: u64,
+        source: WordSource,
+    ) -> TargetUpdateTime {
         match (named.certainty, source) {
             // A process that starts has no answers of before.
             (NamingCertainty::Assumed, _) => named,
@@ -314,7 +319,7 @@
 
     /// Takes in the system's own rows. `named` tells when recorded versions that are new to this
     /// process were named.
-    pub(crate) fn take_own_rows(&mut self, own: OwnRows, named: NamingTime) {
+    pub(crate) fn take_own_rows(&mut self, own: OwnRows, named: TargetUpdateTime) {
         self.has_own_rows = true;
         self.own_revision = self.own_revision.max(own.revision);
         self.unreadable.note_own(&own);
@@ -374,7 +379,7 @@
             fleet: Arc::new(FleetView {
                 backends: self.backends.all().cloned().collect(),
             }),
-            wanted: Arc::new(self.versions.on_clock(&self.clock)),
+            targets: Arc::new(self.versions.on_clock(&self.clock)),
             entries: Arc::new(self.entries.clone()),
             crashes: self.crashes.clone(),
             clock: self.clock,
--- a/src/sync/wanted_versions.rs
+++ b/src/sync/wanted_versions.rs
@@ -9,9 +9,9 @@
 use bytestring::ByteString;
 
 use super::events;
-use super::naming_time::NamingTime;
+use super::naming_time::TargetUpdateTime;
 use super::own_rows::VersionRecord;
-use super::peer_messages::WantedWord;
+use super::peer_messages::TargetAnnouncement;
 use super::store_clock::StoreClock;
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, NamingCertainty, WantedWeights, WeightsVersion};
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 pub(super) struct WantedVersions {
     /// Sorted by model and version.
-    wanted: Vec<WantedWord>,
+    wanted: Vec<TargetAnnouncement>,
     /// Those of them that the store has told of, sorted.
     told: Vec<ModelVersion>,
     /// The versions that the store's own rows record, sorted by model.
@@ -69,13 +69,13 @@
 
 impl WantedVersions {
     /// All of them, sorted by model and version.
-    pub(super) fn all(&self) -> &[WantedWord] {
+    pub(super) fn all(&self) -> &[TargetAnnouncement] {
         &self.wanted
     }
 
     /// The same on this process's own clock, of which `clock` knows.
     pub(super) fn on_clock(&self, clock: &StoreClock) -> Vec<WantedWeights> {
-        let weights = |wanted: &WantedWord| WantedWeights {
+        let weights = |wanted: &TargetAnnouncement| WantedWeights {
             target: wanted.target.clone(),
             named_at: clock.earliest(wanted.named.at),
             certainty: wanted.named.certainty,
@@ -84,7 +84,12 @@
     }
 
     /// `source` says that `target` was named, at `named` as far as it knows.
-    pub(super) fn want(&mut self, target: &ModelVersion, named: NamingTime, source: WordSource) {
+    pub(super) fn want(
+        &mut self,
+        target: &ModelVersion,
+        named: TargetUpdateTime,
+        source: WordSource,
+    ) {
         let known = self.newest(&target.model);
         if known > Some(target.version) {
             note_naming_behind(target, known, source);
@@ -111,7 +116,7 @@
             WordSource::Change(_) | WordSource::PastChange(_) | WordSource::Table(_) => true,
         };
         if is_told {
-            self.note_told(target);
+            self.note_store_answer(target);
         }
         if known < Some(target.version) {
             let (model, version) = (&target.model, target.version.0);
@@ -143,7 +148,7 @@
         }
     }
 
-    fn note_told(&mut self, target: &ModelVersion) {
+    fn note_store_answer(&mut self, target: &ModelVersion) {
         if let Err(at) = self.told.binary_search(target) {
             self.told.insert(at, target.clone());
         }
@@ -159,8 +164,8 @@
             .binary_search_by(|wanted| wanted.target.cmp(target))
     }
 
-    fn insert(&mut self, at: usize, target: &ModelVersion, named: NamingTime) {
-        let wanted = WantedWord {
+    fn insert(&mut self, at: usize, target: &ModelVersion, named: TargetUpdateTime) {
+        let wanted = TargetAnnouncement {
             target: target.clone(),
             named,
         };
@@ -173,12 +178,17 @@
     /// One that is older than another which is known was named before it, whenever its row was written.
     /// Taken for new, a naming that was done late let requests begin on what it had replaced long
     /// before.
-    fn bounded_naming(&self, at: usize, target: &ModelVersion, named: NamingTime) -> NamingTime {
+    fn bounded_naming(
+        &self,
+        at: usize,
+        target: &ModelVersion,
+        named: TargetUpdateTime,
+    ) -> TargetUpdateTime {
         let next = self.wanted.get(at);
         match next.filter(|next| next.target.model == target.model) {
             Some(next) => {
                 let at = named.at.min(next.named.at);
-                NamingTime::guessed(at, NamingCertainty::Assumed)
+                TargetUpdateTime::guessed(at, NamingCertainty::Assumed)
             }
             None => named,
         }
@@ -206,7 +216,7 @@
     /// the bound: the version that had to replace them was forgotten, and those that were left were not
     /// due yet.
     fn forget(&mut self, model: &str) {
-        let is_of = |wanted: &WantedWord| *wanted.target.model == *model;
+        let is_of = |wanted: &TargetAnnouncement| *wanted.target.model == *model;
         let count = self.wanted.iter().filter(|wanted| is_of(wanted)).count();
         let first = self.wanted.iter().position(is_of);
         if let (true, Some(first)) = (count > VERSIONS_KEPT, first) {
@@ -224,15 +234,15 @@
             .map(|wanted| wanted.target.version)
     }
 
-    fn newest_wanted(&self, model: &str) -> Option<&WantedWord> {
+    fn newest_wanted(&self, model: &str) -> Option<&TargetAnnouncement> {
         let mut newest_first = self.wanted.iter().rev();
         newest_first.find(|wanted| *wanted.target.model == *model)
     }
 
     /// Whether `words` name a newer version than is known, or say with more certainty when one was
     /// named, be it only the one before.
-    pub(super) fn learns_from(&self, words: &[WantedWord]) -> bool {
-        let is_news = |word: &WantedWord| match self.find(&word.target) {
+    pub(super) fn learns_from(&self, words: &[TargetAnnouncement]) -> bool {
+        let is_news = |word: &TargetAnnouncement| match self.find(&word.target) {
             Ok(at) => word.named.and(self.wanted[at].named) != self.wanted[at].named,
             Err(_) => match self.newest_wanted(&word.target.model) {
                 Some(newest) if newest.target.version > word.target.version => {
@@ -252,7 +262,7 @@
     }
 
     /// Takes in the versions that another process knows to be wanted, none of them named behind `latest`.
-    pub(super) fn take_words(&mut self, words: &[WantedWord], latest: StoreTime) {
+    pub(super) fn take_words(&mut self, words: &[TargetAnnouncement], latest: StoreTime) {
         for word in words {
             let mut named = word.named;
             named.at = named.at.min(latest);
@@ -261,7 +271,7 @@
     }
 
     /// Takes in a version that the store records.
-    pub(super) fn take_record(&mut self, record: VersionRecord, named: NamingTime) {
+    pub(super) fn take_record(&mut self, record: VersionRecord, named: TargetUpdateTime) {
         let source = WordSource::Record(record.revision);
         self.want(&record.target, named, source);
         match self.find_record(&record.target.model) {
@@ -306,12 +316,12 @@
         let models = self
             .wanted
             .chunk_by(|left, right| left.target.model == right.target.model);
-        let newest = models.filter_map(<[WantedWord]>::last);
+        let newest = models.filter_map(<[TargetAnnouncement]>::last);
         newest.filter_map(|wanted| self.record_of(wanted)).collect()
     }
 
     /// What is to be recorded of `wanted`, if anything is.
-    fn record_of(&self, wanted: &WantedWord) -> Option<VersionRecord> {
+    fn record_of(&self, wanted: &TargetAnnouncement) -> Option<VersionRecord> {
         let target = &wanted.target;
         // The first version is what a process believes that knows of none.
         if target.version <= WeightsVersion(1) {
@@ -329,7 +339,7 @@
 
 /// Tells since when a version counts as named now. Requests begin on older weights until a span behind
 /// it is over, so that without a line nobody could tell why one began when it did.
-fn note_naming_timed(target: &ModelVersion, named: NamingTime, source: WordSource) {
+fn note_naming_timed(target: &ModelVersion, named: TargetUpdateTime, source: WordSource) {
     let (model, version) = (&target.model, target.version.0);
     let (certainty, slack) = (named.certainty, named.by.since(named.at).as_millis());
     let named_ms = millis_of(named);
@@ -340,7 +350,7 @@
 }
 
 /// When a version was named, in milliseconds on the store's clock; for the log.
-const fn millis_of(named: NamingTime) -> u64 {
+const fn millis_of(named: TargetUpdateTime) -> u64 {
     named.at.0 / 1000
 }
 
