--- a/src/load_reports/digest_queue.rs
+++ b/src/load_reports/digest_queue.rs
@@ -22,18 +22,18 @@
 /// turned away. Changes of several engines within this span go in one digest.
 const CHANGE_PAUSE: Duration = Duration::from_millis(10);
 /// How long a backend server that no longer reports is remembered.
-const REMEMBERED: Duration = Duration::from_secs(10);
+const REPORT_MEMORY: Duration = Duration::from_secs(10);
 
 /// The newest report of a backend server.
 #[apply(plain!)]
-struct HeldReport {
+struct LatestReport {
     report: LoadReport,
     at: ClockTime,
 }
 
 /// The reports that wait for the next digest to one kind of receivers.
 #[derive(Clone, Debug)]
-struct DigestLane {
+struct DigestBatch {
     reach: DigestReach,
     pause: Duration,
     /// Sorted.
@@ -41,7 +41,7 @@
     due: Option<ClockTime>,
 }
 
-impl DigestLane {
+impl DigestBatch {
     const fn new(reach: DigestReach, pause: Duration) -> Self {
         Self {
             reach,
@@ -70,17 +70,17 @@
 #[derive(Clone, Debug)]
 pub(crate) struct DigestQueue {
     /// Sorted by address.
-    held: Vec<HeldReport>,
-    lanes: [DigestLane; 2],
+    latest: Vec<LatestReport>,
+    batches: [DigestBatch; 2],
 }
 
 impl Default for DigestQueue {
     fn default() -> Self {
         Self {
-            held: Vec::new(),
-            lanes: [
-                DigestLane::new(DigestReach::Receiver, NEAR_PAUSE),
-                DigestLane::new(DigestReach::DataCentre, FAR_PAUSE),
+            latest: Vec::new(),
+            batches: [
+                DigestBatch::new(DigestReach::Receiver, NEAR_PAUSE),
+                DigestBatch::new(DigestReach::DataCentre, FAR_PAUSE),
             ],
         }
     }
@@ -91,44 +91,45 @@
     pub(crate) fn push(&mut self, report: LoadReport, now: ClockTime) {
         let address = report.address;
         let found = self
-            .held
-            .binary_search_by_key(&address, |held| held.report.address);
-        let held = HeldReport { report, at: now };
+            .latest
+            .binary_search_by_key(&address, |latest| latest.report.address);
+        let latest = LatestReport { report, at: now };
         let is_change = match found {
             Ok(at) => {
-                let is_change = held.report.changes_weights(&self.held[at].report);
-                self.held[at] = held;
+                let is_change = latest.report.changes_weights(&self.latest[at].report);
+                self.latest[at] = latest;
                 is_change
             }
             Err(at) => {
-                self.held.insert(at, held);
+                self.latest.insert(at, latest);
                 true
             }
         };
-        for lane in &mut self.lanes {
-            lane.push(address, is_change, now);
+        for batch in &mut self.batches {
+            batch.push(address, is_change, now);
         }
     }
 
     /// When the next digest is due; none while nothing waits.
     pub(crate) fn due_at(&self) -> Option<ClockTime> {
-        self.lanes.iter().filter_map(|lane| lane.due).min()
+        self.batches.iter().filter_map(|batch| batch.due).min()
     }
 
     /// The digests that are due at `now`.
     pub(crate) fn take_due(&mut self, now: ClockTime) -> Vec<LoadDigest> {
-        self.held.retain(|held| now.since(held.at) < REMEMBERED);
+        self.latest
+            .retain(|latest| now.since(latest.at) < REPORT_MEMORY);
         let mut digests = Vec::new();
-        for lane in &mut self.lanes {
-            let Some(pending) = lane.take_due(now) else {
+        for batch in &mut self.batches {
+            let Some(pending) = batch.take_due(now) else {
                 continue;
             };
-            let reports = self.held.iter().map(|held| &held.report);
+            let reports = self.latest.iter().map(|latest| &latest.report);
             let reports: Vec<LoadReport> = reports
                 .filter(|report| pending.binary_search(&report.address).is_ok())
                 .cloned()
                 .collect();
-            digests.extend(LoadDigest::pack(&reports, lane.reach));
+            digests.extend(LoadDigest::pack(&reports, batch.reach));
         }
         digests
     }
--- a/src/load_reports/report_leases.rs
+++ b/src/load_reports/report_leases.rs
@@ -18,7 +18,7 @@
 /// Leases at a time; more entry hosts than that read the store only while most of them fail.
 const LEASES_MAX: usize = 6;
 /// Of the reports without a lease, one in so many goes to entry hosts elsewhere.
-const FAR_PART: u32 = 5;
+const FAR_REPORT_EVERY: u32 = 5;
 
 #[derive(Clone, Copy, Debug)]
 struct LeaseRecord {
@@ -32,7 +32,7 @@
     data_centre: ByteString,
     leases: Vec<LeaseRecord>,
     /// Counts reports that were made without a lease.
-    unasked: u32,
+    unleased: u32,
 }
 
 impl ReportLeases {
@@ -41,7 +41,7 @@
         Self {
             data_centre,
             leases: Vec::new(),
-            unasked: 0,
+            unleased: 0,
         }
     }
 
@@ -67,8 +67,8 @@
         if !self.leases.is_empty() {
             return self.leases.iter().map(|lease| lease.relay).collect();
         }
-        let goes_far = is_change || self.unasked.is_multiple_of(FAR_PART);
-        self.unasked = self.unasked.wrapping_add(1);
+        let goes_far = is_change || self.unleased.is_multiple_of(FAR_REPORT_EVERY);
+        self.unleased = self.unleased.wrapping_add(1);
         entries
             .iter()
             .filter(|entry| goes_far || entry.data_centre == self.data_centre)
--- a/src/load_reports/tests/mod.rs
+++ b/src/load_reports/tests/mod.rs
@@ -1,4 +1,4 @@
-mod world;
+mod simulation;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
 
 /// Guards against reports that a digest loses, changes or gives to another backend server.
 #[test]
-fn a_digest_tells_what_was_packed() {
+fn digests_round_trip_reports() {
     run_cases(300, 4096, |u| {
         let count = u.int_in_range(0..=80)?;
         let reports: Vec<LoadReport> = (0..count).map(|_| any_report(u)).collect::<Result<_>>()?;
@@ -87,7 +87,7 @@
 
 /// Guards against requests that are sent to an engine while it changes its weights, and turned away.
 #[test]
-fn a_change_of_weights_is_passed_on_at_once() {
+fn weight_changes_are_forwarded_at_once() {
     let mut queue = DigestQueue::default();
     queue.push(report(1, 3), NOW);
     queue.take_due(NOW + Duration::from_secs(1));
@@ -122,7 +122,7 @@
 
 /// Guards against engines whose load nobody hears once both relays of their data centre are gone.
 #[test]
-fn a_host_reports_to_all_once_its_leases_are_over() {
+fn a_host_reports_to_all_entry_hosts_once_its_leases_expire() {
     let entries = [entry("a", 1), entry("a", 2), entry("b", 3)];
     let near: Vec<SocketAddr> = entries[..2].iter().map(|entry| entry.reports).collect();
     let mut leases = ReportLeases::new("a".into());
--- a/src/sync/backend_list.rs
+++ b/src/sync/backend_list.rs
@@ -22,13 +22,13 @@
 pub(super) const LAPSE_GRACE: Duration = Duration::from_millis(1500);
 /// How long the last word of a backend server that is gone is remembered. The store does a write that
 /// got no answer within some seconds.
-const GONE_SPAN: Duration = Duration::from_secs(30);
+const REMOVED_MEMORY: Duration = Duration::from_secs(30);
 /// Backend servers that are gone and remembered at a time; all of a large deployment may go together.
-const GONE_MAX: usize = 1024;
+const REMOVED_MAX: usize = 1024;
 
 /// How long it is told that a backend server is gone. Whoever asks does so twice in a second; what else
 /// is missed shows in the digest.
-const TELL_GONE_SPAN: Duration = Duration::from_secs(5);
+const REMOVED_REPORT_SPAN: Duration = Duration::from_secs(5);
 
 fn digest_of(facts: &BackendFacts) -> u64 {
     let (id, born, address) = (&facts.id, facts.born, facts.address);
@@ -37,25 +37,25 @@
 
 /// Where a word stands among all of its backend server's.
 #[derive(Clone, Copy, Debug)]
-struct WordPlace {
-    born: Option<WallTime>,
-    told: Option<u64>,
+struct EntrySequence {
+    started_at: Option<WallTime>,
+    number: Option<u64>,
 }
 
-impl WordPlace {
+impl EntrySequence {
     const fn of(facts: &BackendFacts) -> Self {
         Self {
-            born: facts.born,
-            told: facts.told,
+            started_at: facts.born,
+            number: facts.told,
         }
     }
 
     /// How it stands to `known`; none where the two cannot be told apart.
     fn order(self, known: Self) -> Option<Ordering> {
-        match (self.born, known.born) {
-            (Some(born), Some(known_born)) if born != known_born => Some(born.cmp(&known_born)),
+        match (self.started_at, known.started_at) {
+            (Some(own), Some(other)) if own != other => Some(own.cmp(&other)),
             (Some(_), None) | (None, Some(_)) => None,
-            _ => Some(self.told?.cmp(&known.told?)),
+            _ => Some(self.number?.cmp(&known.number?)),
         }
     }
 }
@@ -68,13 +68,13 @@
     /// What the digest of the list holds of them.
     digest: u64,
     /// When it is given up, if its entry does not come back before.
-    gone_at: Option<ClockTime>,
+    expires_at: Option<ClockTime>,
 }
 
 #[derive(Clone, Debug)]
-struct GoneBackend {
+struct RemovedBackend {
     id: ByteString,
-    last: WordPlace,
+    last: EntrySequence,
     at: ClockTime,
 }
 
@@ -84,7 +84,7 @@
     /// Sorted by id.
     entries: Vec<BackendEntry>,
     /// Sorted by id.
-    gone: Vec<GoneBackend>,
+    removed: Vec<RemovedBackend>,
 }
 
 impl BackendList {
@@ -95,7 +95,10 @@
 
     /// Those that have an entry.
     pub(super) fn listed(&self) -> impl Iterator<Item = &Arc<BackendFacts>> {
-        let listed = self.entries.iter().filter(|entry| entry.gone_at.is_none());
+        let listed = self
+            .entries
+            .iter()
+            .filter(|entry| entry.expires_at.is_none());
         listed.map(|entry| &entry.facts)
     }
 
@@ -104,28 +107,28 @@
     /// Without that, a leaving backend server got requests again, and one that was gone came back for
     /// three heartbeats: an earlier entry of its own was done late.
     pub(super) fn put(&mut self, facts: BackendFacts, revision: u64) {
-        let place = WordPlace::of(&facts);
+        let sequence = EntrySequence::of(&facts);
         let found = self.find(&facts.id);
-        let (known, is_gone) = match found {
-            Ok(at) => (Some(WordPlace::of(&self.entries[at].facts)), false),
-            Err(_) => (self.last_word(&facts.id), true),
+        let (known, is_removed) = match found {
+            Ok(at) => (Some(EntrySequence::of(&self.entries[at].facts)), false),
+            Err(_) => (self.last_sequence(&facts.id), true),
         };
-        let order = known.and_then(|known| place.order(known));
+        let order = known.and_then(|known| sequence.order(known));
         let is_late = match order {
             Some(Ordering::Less) => true,
             // The very word that was known when its entry went.
-            Some(Ordering::Equal) => is_gone,
+            Some(Ordering::Equal) => is_removed,
             Some(Ordering::Greater) | None => false,
         };
         if is_late {
-            log_event!(events::ENTRY_LATE, "backend={} {place:?}", facts.id);
+            log_event!(events::ENTRY_LATE, "backend={} {sequence:?}", facts.id);
             return;
         }
         let entry = BackendEntry {
             digest: digest_of(&facts),
             facts: Arc::new(facts),
             revision,
-            gone_at: None,
+            expires_at: None,
         };
         match found {
             Ok(at) => self.entries[at] = entry,
@@ -140,10 +143,10 @@
         };
         if settled_at <= now {
             let entry = self.entries.remove(at);
-            self.bury(&entry.facts, now);
+            self.remember_removed(&entry.facts, now);
         } else {
-            let gone_at = settled_at.min(now + LAPSE_GRACE);
-            self.entries[at].gone_at.get_or_insert(gone_at);
+            let expires_at = settled_at.min(now + LAPSE_GRACE);
+            self.entries[at].expires_at.get_or_insert(expires_at);
         }
     }
 
@@ -170,13 +173,13 @@
     }
 
     /// The ids of those that are gone and were a short while ago at `now`.
-    pub(super) fn lately_gone(&self, now: ClockTime) -> impl Iterator<Item = &ByteString> {
-        let gone = self
-            .gone
+    pub(super) fn recently_removed(&self, now: ClockTime) -> impl Iterator<Item = &ByteString> {
+        let removed = self
+            .removed
             .iter()
-            .filter(move |gone| now.since(gone.at) < TELL_GONE_SPAN);
-        let gone = gone.filter(|gone| self.find(&gone.id).is_err());
-        gone.map(|gone| &gone.id)
+            .filter(move |removed| now.since(removed.at) < REMOVED_REPORT_SPAN);
+        let removed = removed.filter(|removed| self.find(&removed.id).is_err());
+        removed.map(|removed| &removed.id)
     }
 
     /// Of who is in the list, where, and whether it takes requests.
@@ -187,16 +190,16 @@
 
     /// Whether backend servers whose entries went are to be given up at `now`.
     pub(super) fn has_expired(&self, now: ClockTime) -> bool {
-        let mut waiting = self.entries.iter().filter_map(|entry| entry.gone_at);
-        waiting.any(|gone_at| gone_at <= now)
+        let mut waiting = self.entries.iter().filter_map(|entry| entry.expires_at);
+        waiting.any(|expires_at| expires_at <= now)
     }
 
     /// Gives up backend servers whose entries did not come back.
     pub(super) fn expire(&mut self, now: ClockTime) {
-        let is_over = |entry: &mut BackendEntry| entry.gone_at.is_some_and(|at| at <= now);
+        let is_over = |entry: &mut BackendEntry| entry.expires_at.is_some_and(|at| at <= now);
         let over: Vec<BackendEntry> = self.entries.extract_if(.., is_over).collect();
         for entry in over {
-            self.bury(&entry.facts, now);
+            self.remember_removed(&entry.facts, now);
         }
     }
 
@@ -205,21 +208,27 @@
             .binary_search_by(|entry| (*entry.facts.id).cmp(id))
     }
 
-    fn last_word(&self, id: &str) -> Option<WordPlace> {
-        let found = self.gone.binary_search_by(|gone| (*gone.id).cmp(id));
-        found.ok().map(|at| self.gone[at].last)
+    fn last_sequence(&self, id: &str) -> Option<EntrySequence> {
+        let found = self
+            .removed
+            .binary_search_by(|removed| (*removed.id).cmp(id));
+        found.ok().map(|at| self.removed[at].last)
     }
 
-    fn bury(&mut self, facts: &BackendFacts, now: ClockTime) {
-        self.gone.retain(|gone| now.since(gone.at) < GONE_SPAN);
-        let gone = GoneBackend {
+    fn remember_removed(&mut self, facts: &BackendFacts, now: ClockTime) {
+        self.removed
+            .retain(|removed| now.since(removed.at) < REMOVED_MEMORY);
+        let removed = RemovedBackend {
             id: facts.id.clone(),
-            last: WordPlace::of(facts),
+            last: EntrySequence::of(facts),
             at: now,
         };
-        match self.gone.binary_search_by(|known| known.id.cmp(&gone.id)) {
-            Ok(at) => self.gone[at] = gone,
-            Err(at) if self.gone.len() < GONE_MAX => self.gone.insert(at, gone),
+        match self
+            .removed
+            .binary_search_by(|known| known.id.cmp(&removed.id))
+        {
+            Ok(at) => self.removed[at] = removed,
+            Err(at) if self.removed.len() < REMOVED_MAX => self.removed.insert(at, removed),
             // One more would only make its own late entry believed, until its next heartbeat is due.
             Err(_) => {}
         }
--- a/src/sync/view_book.rs
+++ b/src/sync/control_state.rs
@@ -9,15 +9,15 @@
 
 use super::backend_list::{BackendList, LAPSE_GRACE};
 use super::events;
-use super::naming_time::TargetUpdateTime;
-use super::operator_reading::OperatorReading;
+use super::operator_status::OperatorStatus;
 use super::own_rows::{OwnRows, VersionRecord};
 use super::peer_messages::EntryRecord;
+use super::revision_times::RevisionTimes;
 use super::snapshot::ControlSnapshot;
 use super::store_clock::StoreClock;
-use super::store_marks::StoreMarks;
-use super::unreadable_rows::{RowReading, UnreadableRows};
-use super::wanted_versions::{WantedVersions, WordSource};
+use super::target_update_time::TargetUpdateTime;
+use super::target_versions::{TargetVersions, UpdateSource};
+use super::unreadable_rows::{RowStatus, UnreadableRows};
 use crate::catalog::{CatalogVersion, ServiceCatalog};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -37,7 +37,7 @@
 const SETTLED_SPAN: Duration = Duration::from_millis(2200);
 
 #[derive(Clone, Debug)]
-pub(super) struct DocumentHeld {
+pub(super) struct CurrentDocument {
     pub(super) catalog: Arc<ServiceCatalog>,
     pub(super) text: Bytes,
 }
@@ -45,10 +45,10 @@
 /// The control state.
 #[derive(Debug, Default)]
 pub(crate) struct ControlState {
-    pub(super) document: Option<DocumentHeld>,
-    pub(super) versions: WantedVersions,
+    pub(super) document: Option<CurrentDocument>,
+    pub(super) versions: TargetVersions,
     pub(super) clock: StoreClock,
-    pub(super) marks: StoreMarks,
+    pub(super) revision_times: RevisionTimes,
     /// The answer up to which the operator's table was followed, if it is.
     pub(super) followed: Option<StoreTime>,
     /// Whether the system's own rows were read.
@@ -57,7 +57,7 @@
     own_revision: u64,
     pub(super) backends: BackendList,
     /// When the store last told of the list, to whoever told it this process.
-    pub(super) backends_told: Option<StoreTime>,
+    pub(super) backends_answered_at: Option<StoreTime>,
     /// The store's revision of the list of backend servers; none before it was read.
     pub(super) backends_revision: u64,
     /// Sorted.
@@ -66,7 +66,7 @@
     store_answered: Option<ClockTime>,
     /// When the store last began to answer again.
     pub(super) store_steady_since: Option<ClockTime>,
-    pub(super) operator: OperatorReading,
+    pub(super) operator: OperatorStatus,
     /// The store's rows that do not read.
     pub(super) unreadable: UnreadableRows,
     pub(super) crashes: Arc<CrashLedger>,
@@ -96,7 +96,7 @@
     /// The store answered.
     pub(crate) fn note_store(&mut self, now: ClockTime) {
         if self.store_steady_since.is_none() {
-            log_event!(events::STORE_BACK);
+            log_event!(events::STORE_REACHABLE);
             self.store_steady_since = Some(now);
         }
         self.store_answered = Some(now);
@@ -105,7 +105,7 @@
     /// The store did not answer, or refused.
     pub(crate) fn note_store_failure(&mut self, detail: &str) {
         if self.store_steady_since.take().is_some() || self.store_answered.is_none() {
-            log_event!(events::STORE_LOST, "{detail}");
+            log_event!(events::STORE_UNREACHABLE, "{detail}");
         }
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// How long the store has not answered, at `now`.
-    pub(crate) fn store_silence(&self, now: ClockTime) -> Duration {
+    pub(crate) fn store_outage(&self, now: ClockTime) -> Duration {
         match (self.store_answered, self.store_steady_since) {
             (Some(_), Some(_)) => Duration::ZERO,
             (Some(at), None) => now.since(at),
@@ -124,17 +124,17 @@
     }
 
     /// How well the operator's table is known.
-    pub(super) const fn operator(&self) -> &OperatorReading {
+    pub(super) const fn operator(&self) -> &OperatorStatus {
         &self.operator
     }
 
     /// Whether this process reads the store itself, where others are told by their neighbours.
     pub(crate) const fn reads_store(&self) -> bool {
-        self.operator.is_own()
+        self.operator.is_reader()
     }
 
     /// The same, to be changed.
-    pub(super) const fn operator_mut(&mut self) -> &mut OperatorReading {
+    pub(super) const fn operator_mut(&mut self) -> &mut OperatorStatus {
         &mut self.operator
     }
 
@@ -145,47 +145,47 @@
         since.map_or(now + LAPSE_GRACE, |since| since + SETTLED_SPAN)
     }
 
-    /// Takes in rows of the operator's table that have just changed. `named` tells when the versions of
+    /// Takes in rows of the operator's table that have just changed. `set_at` tells when the versions of
     /// weights in them were named.
-    pub(crate) fn change_operator_rows(&mut self, rows: &[StoreRow], named: TargetUpdateTime) {
-        self.take_operator(rows, named, WordSource::Change);
+    pub(crate) fn change_operator_rows(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
+        self.merge_operator_rows(rows, set_at, UpdateSource::Change);
     }
 
-    /// Takes in the whole of the operator's table. `named` tells when versions of weights that are new
+    /// Takes in the whole of the operator's table. `set_at` tells when versions of weights that are new
     /// to this process were named.
-    pub(crate) fn set_operator_rows(&mut self, rows: &[StoreRow], named: TargetUpdateTime) {
-        self.take_operator(rows, named, WordSource::Table);
+    pub(crate) fn set_operator_rows(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
+        self.merge_operator_rows(rows, set_at, UpdateSource::Table);
     }
 
     /// Takes in changes of the operator's table of before this process began to follow it, of which
-    /// others may have followed since. `named` tells when versions in them were named.
-    pub(crate) fn take_past_namings(&mut self, rows: &[StoreRow], named: TargetUpdateTime) {
+    /// others may have followed since. `set_at` tells when versions in them were named.
+    pub(crate) fn take_past_targets(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
         for row in rows {
             if let (Some(value), DocumentRow::WantedVersion) =
                 (&row.value, DocumentRow::of(&row.key))
                 && let Ok(target) = read_wanted_version(&row.key, value)
             {
-                let source = WordSource::PastChange(row.revision);
-                self.versions.want(&target, named, source);
+                let source = UpdateSource::PastChange(row.revision);
+                self.versions.add_target(&target, set_at, source);
             }
         }
     }
 
-    fn take_operator(
+    fn merge_operator_rows(
         &mut self,
         rows: &[StoreRow],
-        named: TargetUpdateTime,
-        source_of: impl Fn(u64) -> WordSource,
+        set_at: TargetUpdateTime,
+        source_of: impl Fn(u64) -> UpdateSource,
     ) {
         for (at, row) in rows.iter().enumerate() {
             let table = TableName::Operator;
             let Some(value) = &row.value else {
-                self.unreadable.note(table, &row.key, RowReading::Gone);
+                self.unreadable.note(table, &row.key, RowStatus::Removed);
                 continue;
             };
             let is_past = rows[at + 1..].iter().any(|later| later.key == row.key);
             let source = if is_past {
-                WordSource::PastChange(row.revision)
+                UpdateSource::PastChange(row.revision)
             } else {
                 source_of(row.revision)
             };
@@ -193,49 +193,49 @@
             let read = match kind {
                 DocumentRow::Document => self.take_document(value.clone(), source),
                 DocumentRow::WantedVersion => {
-                    let named = self.place(named, row.revision, source);
+                    let set_at = self.place(set_at, row.revision, source);
                     read_wanted_version(&row.key, value)
-                        .map(|target| self.versions.want(&target, named, source))
+                        .map(|target| self.versions.add_target(&target, set_at, source))
                 }
                 DocumentRow::Other => Ok(()),
             };
-            let begins = self.unreadable.note(table, &row.key, RowReading::of(&read));
+            let begins = self.unreadable.note(table, &row.key, RowStatus::of(&read));
             if begins && kind == DocumentRow::Document {
                 note_document_fault(&read);
             }
         }
     }
 
-    /// When a version was named whose row `source` tells with `revision`, if it is `named` as far as the
+    /// When a version was named whose row `source` tells with `revision`, if it is `set_at` as far as the
     /// table alone tells.
     fn place(
         &self,
-        named: TargetUpdateTime,
+        set_at: TargetUpdateTime,
         revision: u64,
-        source: WordSource,
+        source: UpdateSource,
     ) -> TargetUpdateTime {
-        match (named.certainty, source) {
+        match (set_at.certainty, source) {
             // A process that starts has no answers of before.
-            (NamingCertainty::Assumed, _) => named,
-            (NamingCertainty::Witnessed, WordSource::Change(_) | WordSource::PastChange(_)) => {
-                self.marks.narrow(named, revision)
+            (NamingCertainty::Assumed, _) => set_at,
+            (NamingCertainty::Witnessed, UpdateSource::Change(_) | UpdateSource::PastChange(_)) => {
+                self.revision_times.narrow(set_at, revision)
             }
             (NamingCertainty::Witnessed | NamingCertainty::Resumed, _) => {
-                self.marks.cap(named, revision)
+                self.revision_times.cap(set_at, revision)
             }
         }
     }
 
     /// Puts a document in force if it is newer than the one that is.
-    pub(super) fn take_document(&mut self, text: Bytes, source: WordSource) -> SwitchResult<()> {
+    pub(super) fn take_document(&mut self, text: Bytes, source: UpdateSource) -> SwitchResult<()> {
         let catalog = read_document(&text)?;
         if let Some(known) = self.document_version()
             && known >= catalog.version
         {
-            if known > catalog.version && source.stands() {
+            if known > catalog.version && source.is_current() {
                 let (version, known) = (catalog.version.0, known.0);
                 log_event!(
-                    events::DOCUMENT_BEHIND,
+                    events::DOCUMENT_OLDER,
                     "version={version} known={known} from={source}"
                 );
             }
@@ -248,7 +248,7 @@
             catalog.routes.rules().len(),
             catalog.accounts.len()
         );
-        self.document = Some(DocumentHeld {
+        self.document = Some(CurrentDocument {
             catalog: Arc::new(catalog),
             text,
         });
@@ -278,11 +278,11 @@
             let table = TableName::Backends;
             let Some(value) = &row.value else {
                 self.remove_backend(&row.key, now);
-                self.unreadable.note(table, &row.key, RowReading::Gone);
+                self.unreadable.note(table, &row.key, RowStatus::Removed);
                 continue;
             };
             let read = read_backend_row(&row.key, value);
-            self.unreadable.note(table, &row.key, RowReading::of(&read));
+            self.unreadable.note(table, &row.key, RowStatus::of(&read));
             match read {
                 Ok(facts) => self.backends.put(facts, row.revision),
                 Err(_) => self.backends.drop_entry(&row.key),
@@ -317,9 +317,9 @@
         self.backends.expire(now);
     }
 
-    /// Takes in the system's own rows. `named` tells when recorded versions that are new to this
+    /// Takes in the system's own rows. `set_at` tells when recorded versions that are new to this
     /// process were named.
-    pub(crate) fn take_own_rows(&mut self, own: OwnRows, named: TargetUpdateTime) {
+    pub(crate) fn take_own_rows(&mut self, own: OwnRows, set_at: TargetUpdateTime) {
         self.has_own_rows = true;
         self.own_revision = self.own_revision.max(own.revision);
         self.unreadable.note_own(&own);
@@ -330,7 +330,7 @@
             self.versions.note_record_row(&model, 0);
         }
         for record in own.records {
-            self.versions.take_record(record, named);
+            self.versions.take_record(record, set_at);
         }
     }
 
@@ -379,7 +379,7 @@
             fleet: Arc::new(FleetView {
                 backends: self.backends.all().cloned().collect(),
             }),
-            targets: Arc::new(self.versions.on_clock(&self.clock)),
+            targets: Arc::new(self.versions.on_local_clock(&self.clock)),
             entries: Arc::new(self.entries.clone()),
             crashes: self.crashes.clone(),
             clock: self.clock,
--- a/src/sync/crash_rows.rs
+++ b/src/sync/crash_rows.rs
@@ -16,7 +16,7 @@
 /// What stands in a row; the key holds the rest.
 #[apply(plain!)]
 #[derive(Copy, Serialize, Deserialize)]
-struct CrashText {
+struct CrashRowValue {
     verdict: CrashVerdict,
     /// Milliseconds on the store's clock.
     seen_ms: u64,
@@ -37,8 +37,8 @@
 /// # Errors
 ///
 /// `Internal` when it does not encode.
-pub(super) fn crash_text(record: &CrashRecord) -> SwitchResult<Vec<u8>> {
-    let text = CrashText {
+pub(super) fn crash_value(record: &CrashRecord) -> SwitchResult<Vec<u8>> {
+    let text = CrashRowValue {
         verdict: record.verdict,
         seen_ms: record.seen.0 / 1000,
     };
@@ -61,7 +61,7 @@
             "its key names no request and backend server".into(),
         ));
     };
-    let text: CrashText = read_object(value).map_err(|fault| invalid(fault.to_string()))?;
+    let text: CrashRowValue = read_object(value).map_err(|fault| invalid(fault.to_string()))?;
     let request = request.parse();
     let backend = backend.strip_suffix(CLEARED_SUFFIX).unwrap_or(backend);
     let backend = u64::from_str_radix(backend, 16);
--- a/src/sync/crash_book.rs
+++ b/src/sync/crash_state.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
+use super::control_state::ControlState;
 use super::crash_rows::read_crash;
 use super::events;
 use super::peer_messages::PeerQuery;
-use super::unreadable_rows::RowReading;
-use super::view_book::ControlState;
+use super::unreadable_rows::RowStatus;
 use crate::events::log_event;
 use crate::metrics;
 use crate::platform::{TableName, TableView};
@@ -48,8 +48,8 @@
 
     /// Takes in rows of the store that changed.
     pub(super) fn change_crashes(&mut self, view: &TableView, now: ClockTime) {
-        for word in self.read_crash_rows(view) {
-            self.take_crash_word(word, now);
+        for announcement in self.read_crash_rows(view) {
+            self.merge_crash(announcement, now);
         }
         let ledger = Arc::make_mut(&mut self.crashes);
         ledger.note_revision(view.revision);
@@ -58,35 +58,35 @@
 
     /// Takes in all rows of the store.
     pub(super) fn set_crashes(&mut self, view: &TableView, now: ClockTime) {
-        let words = self.read_crash_rows(view);
+        let announcements = self.read_crash_rows(view);
         let is_listed = |key: &str| view.rows.iter().any(|row| row.key == key);
         self.unreadable.keep_listed(TableName::Crashes, is_listed);
-        Arc::make_mut(&mut self.crashes).keep_listed(&words, view.revision);
-        for word in words {
-            self.take_crash_word(word, now);
+        Arc::make_mut(&mut self.crashes).keep_listed(&announcements, view.revision);
+        for announcement in announcements {
+            self.merge_crash(announcement, now);
         }
     }
 
     fn read_crash_rows(&mut self, view: &TableView) -> Vec<CrashWord> {
-        let mut words = Vec::new();
+        let mut announcements = Vec::new();
         for row in &view.rows {
             let Some(value) = &row.value else {
                 let table = TableName::Crashes;
-                self.unreadable.note(table, &row.key, RowReading::Gone);
+                self.unreadable.note(table, &row.key, RowStatus::Removed);
                 continue;
             };
             let read = read_crash(row, value);
-            let reading = RowReading::of(&read);
-            self.unreadable.note(TableName::Crashes, &row.key, reading);
-            words.extend(read);
+            let status = RowStatus::of(&read);
+            self.unreadable.note(TableName::Crashes, &row.key, status);
+            announcements.extend(read);
         }
-        words
+        announcements
     }
 
-    fn take_crash_word(&mut self, word: CrashWord, now: ClockTime) {
-        let until = self.earliest(word.record.seen) + CRASH_SPAN;
-        let request = word.record.request;
-        self.change_request(request, now, |ledger| ledger.take_word(word, until));
+    fn merge_crash(&mut self, announcement: CrashWord, now: ClockTime) {
+        let until = self.earliest(announcement.record.seen) + CRASH_SPAN;
+        let request = announcement.record.request;
+        self.change_request(request, now, |ledger| ledger.take_word(announcement, until));
     }
 
     /// Makes a change that may quarantine `request`.
@@ -109,7 +109,7 @@
     }
 
     /// The records that are to be written to the store; none while it does not answer.
-    pub(super) fn unkept_crashes(&self) -> Vec<CrashRecord> {
+    pub(super) fn unsaved_crashes(&self) -> Vec<CrashRecord> {
         match self.store_steady_since {
             Some(_) => self.crashes.unkept(),
             None => Vec::new(),
@@ -117,26 +117,31 @@
     }
 
     /// The store keeps `records` since `revision`.
-    pub(super) fn note_kept_crashes(&mut self, records: &[CrashRecord], revision: u64) {
+    pub(super) fn note_saved_crashes(&mut self, records: &[CrashRecord], revision: u64) {
         Arc::make_mut(&mut self.crashes).note_kept(records, revision);
     }
 
     /// Whether there are crashes that a process that asks has to know.
-    pub(super) fn has_crash_news(&self, query: &PeerQuery) -> bool {
+    pub(super) fn has_new_crashes(&self, query: &PeerQuery) -> bool {
         let known = query.crashes_revision;
         known.is_some_and(|known| self.crashes.words_behind(known).next().is_some())
     }
 
     /// The crashes that a process that asks does not know.
-    pub(super) fn crash_words(&self, query: &PeerQuery) -> Vec<CrashWord> {
+    pub(super) fn new_crashes(&self, query: &PeerQuery) -> Vec<CrashWord> {
         let known = query.crashes_revision;
         known.map_or_else(Vec::new, |known| self.crashes.words_behind(known).collect())
     }
 
     /// Takes in what a neighbour told, which with these knows all crashes up to `revision`.
-    pub(super) fn take_crash_words(&mut self, words: &[CrashWord], revision: u64, now: ClockTime) {
-        for word in words {
-            self.take_crash_word(*word, now);
+    pub(super) fn merge_crashes(
+        &mut self,
+        announcements: &[CrashWord],
+        revision: u64,
+        now: ClockTime,
+    ) {
+        for announcement in announcements {
+            self.merge_crash(*announcement, now);
         }
         if revision > self.crashes.revision() {
             let ledger = Arc::make_mut(&mut self.crashes);
--- a/src/sync/neighbour_words.rs
+++ b/src/sync/neighbour_exchange.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use super::control_state::{ControlState, CurrentDocument, note_document_fault};
 use super::events;
 use super::peer_messages::{PeerQuery, PeerView, TargetAnnouncement};
 use super::store_clock::{ClockSource, QuerySpan};
-use super::view_book::{ControlState, DocumentHeld, note_document_fault};
-use super::wanted_versions::WordSource;
+use super::target_versions::UpdateSource;
 use crate::events::log_event;
 use crate::fleet::BackendFacts;
 use crate::time::ClockTime;
@@ -28,7 +28,7 @@
     }
 
     /// The same for an entry host, which also has to know which requests crash backend servers.
-    pub(super) fn entry_ask(&self) -> PeerQuery {
+    pub(super) fn entry_query(&self) -> PeerQuery {
         PeerQuery {
             crashes_revision: Some(self.crashes.revision()),
             ..self.query()
@@ -36,37 +36,37 @@
     }
 
     /// Whether there is something that a process that asks has to know at once.
-    pub(crate) fn has_urgent_news(&self, query: &PeerQuery) -> bool {
-        let mut wanted = self.versions.all().iter();
+    pub(crate) fn has_urgent_changes(&self, query: &PeerQuery) -> bool {
+        let mut known = self.versions.all().iter();
         self.newer_document(query).is_some()
-            || (query.follows && (self.operator.is_cut_off() || self.has_backend_news(query)))
-            || self.has_crash_news(query)
-            || wanted.any(|wanted| {
+            || (query.follows && (self.operator.is_cut_off() || self.has_backend_changes(query)))
+            || self.has_new_crashes(query)
+            || known.any(|known| {
                 query
                     .targets
                     .iter()
-                    .all(|word| word.target != wanted.target)
+                    .all(|announcement| announcement.target != known.target)
             })
     }
 
     /// The document, if it is newer than that of the process that asks, which does not wait for it.
-    fn newer_document(&self, query: &PeerQuery) -> Option<&DocumentHeld> {
+    fn newer_document(&self, query: &PeerQuery) -> Option<&CurrentDocument> {
         let held = self.document.as_ref();
         held.filter(|held| {
             query.document < Some(held.catalog.version) && !query.can_wait_for_document
         })
     }
 
-    /// Whether `words` tell more of what versions were named, and when, than is known.
-    pub(crate) fn learns_from(&self, words: &[TargetAnnouncement]) -> bool {
-        self.clock.is_known() && self.versions.learns_from(words)
+    /// Whether `announcements` tell more of what versions were named, and when, than is known.
+    pub(crate) fn is_updated_by(&self, announcements: &[TargetAnnouncement]) -> bool {
+        self.clock.is_known() && self.versions.is_updated_by(announcements)
     }
 
     /// Takes in the versions that another process knows to be wanted.
-    pub(crate) fn take_words(&mut self, words: &[TargetAnnouncement], now: ClockTime) {
+    pub(crate) fn merge_targets(&mut self, announcements: &[TargetAnnouncement], now: ClockTime) {
         // Without the store's clock nobody can tell when these were named; they are told again.
-        if let Some(word) = self.clock.word(now) {
-            self.versions.take_words(words, word.most);
+        if let Some(bounds) = self.clock.bounds(now) {
+            self.versions.merge_targets(announcements, bounds.most);
         }
     }
 
@@ -81,7 +81,7 @@
             .flatten();
         PeerView {
             document: document.map(|held| held.text.to_vec()),
-            clock: self.clock.word(now),
+            clock: self.clock.bounds(now),
             held_ms: u64::try_from(held.as_millis()).unwrap_or(u64::MAX),
             targets: self.versions.all().to_vec(),
             backends: has_newer_backends.then(|| {
@@ -93,9 +93,9 @@
             } else {
                 Vec::new()
             },
-            operator: self.operator.word(),
+            operator: self.operator.announcement(),
             backend_changes: changes,
-            crashes: self.crash_words(query),
+            crashes: self.new_crashes(query),
             crashes_revision: query
                 .crashes_revision
                 .map_or(0, |_| self.crashes.revision()),
@@ -104,27 +104,27 @@
 
     /// Takes in what a neighbour knew beyond this process, asked and told within `span`.
     pub(crate) fn merge(&mut self, view: PeerView, span: QuerySpan) {
-        if let Some(word) = view.clock {
+        if let Some(bounds) = view.clock {
             let sent_at = span.sent_at + Duration::from_millis(view.held_ms);
             let span = QuerySpan { sent_at, ..span };
-            self.clock.note(word, span, ClockSource::Neighbour);
+            self.clock.note(bounds, span, ClockSource::Neighbour);
         }
         if let Some(text) = view.document {
-            let read = self.take_document(text.into(), WordSource::Neighbour);
+            let read = self.take_document(text.into(), UpdateSource::Neighbour);
             note_document_fault(&read);
         }
-        self.take_words(&view.targets, span.received_at);
+        self.merge_targets(&view.targets, span.received_at);
         if let Some((revision, backends)) = view.backends
             && revision > self.backends_revision
         {
             self.replace_backends(revision, backends, span.received_at);
         }
         self.add_entries(view.entries);
-        self.take_crash_words(&view.crashes, view.crashes_revision, span.received_at);
+        self.merge_crashes(&view.crashes, view.crashes_revision, span.received_at);
     }
 
     fn replace_backends(&mut self, revision: u64, backends: Vec<BackendFacts>, now: ClockTime) {
-        log_event!(events::NEIGHBOUR_KNEW, "backends revision={revision}");
+        log_event!(events::NEIGHBOUR_NEWER, "backends revision={revision}");
         self.remove_unlisted(|id| backends.iter().any(|facts| *facts.id == *id), now);
         for facts in backends {
             self.backends.put(facts, revision);
--- a/src/sync/neighbour_asks.rs
+++ b/src/sync/neighbour_queries.rs
@@ -6,31 +6,31 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
+use super::control_state::ControlState;
 use super::events;
 use super::peer_messages::{EntryRecord, PeerView, VIEW_PATH};
 use super::store_clock::QuerySpan;
 use super::store_watch::StoreWatch;
-use super::view_book::ControlState;
 use crate::events::log_event;
 use crate::time::{ClockTime, clock_now};
 use crate::transport::AnswerPace;
 
 /// How often a neighbour is asked while the store answers, and while it does not.
-const ASK_PAUSE: Duration = Duration::from_secs(1);
-const ASK_PAUSE_CUT_OFF: Duration = Duration::from_millis(250);
+const QUERY_PAUSE: Duration = Duration::from_secs(1);
+const QUERY_PAUSE_CUT_OFF: Duration = Duration::from_millis(250);
 /// After this long without an answer the store counts as away.
-const STORE_AWAY_AFTER: Duration = Duration::from_millis(500);
+const STORE_UNAVAILABLE_AFTER: Duration = Duration::from_millis(500);
 const NEIGHBOUR_PACE: AnswerPace = AnswerPace {
     head: Duration::from_millis(400),
     idle: Duration::from_millis(400),
     whole: Duration::from_millis(2500),
 };
 /// How often a neighbour in the same data centre is asked, out of all times.
-const NEAR_PART: f64 = 0.5;
+const NEAR_SHARE: f64 = 0.5;
 
 /// Where a neighbour stands.
 #[derive(Clone, Copy, Debug)]
-enum NeighbourPlace {
+enum NeighbourLocation {
     /// In the same data centre.
     Near,
     /// Somewhere else, or nobody knows where.
@@ -44,16 +44,16 @@
     /// The store may turn this process away and serve its neighbours. A key that was taken away
     /// would then go on being served here. The neighbour's document has a version, so that nothing
     /// older replaces something newer.
-    pub(crate) async fn ask_neighbours(self) {
+    pub(crate) async fn query_neighbours(self) {
         loop {
             if let Some((address, place)) = self.choose_neighbour() {
                 self.query(address, place).await;
             }
             let now = clock_now();
             let pause = if self.is_cut_off(now) {
-                ASK_PAUSE_CUT_OFF
+                QUERY_PAUSE_CUT_OFF
             } else {
-                ASK_PAUSE
+                QUERY_PAUSE
             };
             let part = rand::rng().random_range(0.75..1.25);
             sleep(pause.mul_f64(part)).await;
@@ -65,17 +65,17 @@
     /// Each table is followed by itself, and a small one may be read over a link that does not carry the
     /// operator's: then the store counts as there, and the document in force is old.
     fn is_cut_off(&self, now: ClockTime) -> bool {
-        self.book.read(|book| {
-            book.store_silence(now) >= STORE_AWAY_AFTER || book.operator().is_overdue(now)
+        self.state.read(|state| {
+            state.store_outage(now) >= STORE_UNAVAILABLE_AFTER || state.operator().is_overdue(now)
         })
     }
 
     /// One in the same data centre as often as not: the link to the others may be as full as the one to the
     /// store.
-    fn choose_neighbour(&self) -> Option<(SocketAddr, NeighbourPlace)> {
-        let is_near_meant = rand::rng().random_bool(NEAR_PART);
+    fn choose_neighbour(&self) -> Option<(SocketAddr, NeighbourLocation)> {
+        let prefers_near = rand::rng().random_bool(NEAR_SHARE);
         let near = self.neighbours(|entry| entry.data_centre == self.own_entry.data_centre);
-        let mut others = if is_near_meant && !near.is_empty() {
+        let mut others = if prefers_near && !near.is_empty() {
             near.clone()
         } else {
             let mut others = self.neighbours(|_| true);
@@ -90,9 +90,9 @@
         }
         let at = rand::rng().random_range(0..others.len());
         let place = if near.contains(&others[at]) {
-            NeighbourPlace::Near
+            NeighbourLocation::Near
         } else {
-            NeighbourPlace::Elsewhere
+            NeighbourLocation::Elsewhere
         };
         Some((others[at], place))
     }
@@ -101,29 +101,29 @@
     ///
     /// Entry hosts that read the operator's table bring each document over the links between regions; the
     /// others have it from them. Only where the store does not tell it to those does it come another way.
-    fn wants_document(&self, place: NeighbourPlace, now: ClockTime) -> bool {
+    fn wants_document(&self, place: NeighbourLocation, now: ClockTime) -> bool {
         match place {
-            NeighbourPlace::Near => true,
-            NeighbourPlace::Elsewhere => self.book.read(|book| {
-                let operator = book.operator();
+            NeighbourLocation::Near => true,
+            NeighbourLocation::Elsewhere => self.state.read(|state| {
+                let operator = state.operator();
                 operator.is_cut_off()
-                    || (operator.is_own() && operator.is_overdue(now))
-                    || operator.word().is_none()
+                    || (operator.is_reader() && operator.is_overdue(now))
+                    || operator.announcement().is_none()
             }),
         }
     }
 
-    fn neighbours(&self, is_meant: impl Fn(&EntryRecord) -> bool) -> Vec<SocketAddr> {
-        self.book.read(|book| {
-            let entries = book.entries().iter();
-            let meant =
-                entries.filter(|entry| entry.control != self.own_entry.control && is_meant(entry));
+    fn neighbours(&self, is_selected: impl Fn(&EntryRecord) -> bool) -> Vec<SocketAddr> {
+        self.state.read(|state| {
+            let entries = state.entries().iter();
+            let meant = entries
+                .filter(|entry| entry.control != self.own_entry.control && is_selected(entry));
             meant.map(|entry| entry.control).collect()
         })
     }
 
-    async fn query(&self, address: SocketAddr, place: NeighbourPlace) {
-        let mut query = self.book.read(ControlState::entry_ask);
+    async fn query(&self, address: SocketAddr, place: NeighbourLocation) {
+        let mut query = self.state.read(ControlState::entry_query);
         let sent_at = clock_now();
         query.can_wait_for_document = !self.wants_document(place, sent_at);
         let called =
@@ -136,10 +136,10 @@
                     sent_at,
                     received_at,
                 };
-                self.book.change(|book| book.merge(view, span));
+                self.state.change(|state| state.merge(view, span));
             }
             Err(error) => {
-                log_event!(events::NEIGHBOUR_SILENT, "{error}");
+                log_event!(events::NEIGHBOUR_UNRESPONSIVE, "{error}");
                 self.client.drop_pool(address);
             }
         }
--- a/src/sync/operator_follow.rs
+++ b/src/sync/operator_follow.rs
@@ -5,15 +5,15 @@
 
 use tokio::time::sleep;
 
-use super::backend_follow::ListAsking;
+use super::backend_follow::ListQueryState;
+use super::control_state::ControlState;
 use super::events;
-use super::naming_time::NamingKnowledge;
-use super::operator_reading::judge_reader;
+use super::operator_status::classify_answer;
 use super::peer_messages::{EntryRecord, PeerView, VIEW_PATH};
-use super::read_order::{ReadOrder, ReadTurn, ReaderAnswer};
+use super::read_order::{ReadOrder, ReadStep, ReaderAnswer};
 use super::store_clock::QuerySpan;
-use super::store_watch::{FailurePause, OperatorStep, StoreWatch};
-use super::view_book::ControlState;
+use super::store_watch::{FollowContext, RetryBackoff, StoreWatch};
+use super::target_update_time::FollowState;
 use crate::events::log_event;
 use crate::time::clock_now;
 use crate::transport::AnswerPace;
@@ -29,19 +29,19 @@
 };
 /// The pause between two questions, and behind an answer that brings nothing and was not held open.
 const FOLLOW_PAUSE: Duration = Duration::from_millis(20);
-const BEHIND_PAUSE: Duration = Duration::from_millis(150);
+const OUTDATED_PAUSE: Duration = Duration::from_millis(150);
 
 /// How this process stands to the store while it reads the operator's table there itself.
-struct OwnFollowing {
+struct ReaderProgress {
     /// The revision behind which it goes on; none where it has to read the table, or has not begun.
     since: Option<u64>,
-    step: OperatorStep,
-    pause: FailurePause,
+    context: FollowContext,
+    backoff: RetryBackoff,
     /// Whether the table has to be read as a whole, whatever is known of it.
-    is_whole_due: bool,
-    has_looked_back: bool,
+    is_full_read_due: bool,
+    has_read_history: bool,
     /// Whether this process read in its last turn.
-    reads: Option<bool>,
+    was_reader: Option<bool>,
 }
 
 impl StoreWatch {
@@ -52,36 +52,36 @@
             log_event!(events::ENTRIES_UNREAD, "{error}");
         }
         let mut order = ReadOrder::of(&self.own_entry);
-        let mut asking = ListAsking::default();
-        let mut following = OwnFollowing {
+        let mut query_state = ListQueryState::default();
+        let mut progress = ReaderProgress {
             since: None,
-            step: OperatorStep {
-                knowledge: NamingKnowledge::Started,
-                is_behind_failure: false,
-                told_at: None,
+            context: FollowContext {
+                follow_state: FollowState::Started,
+                is_after_failure: false,
+                answered_at: None,
             },
-            pause: FailurePause::default(),
-            is_whole_due: false,
-            has_looked_back: false,
-            reads: None,
+            backoff: RetryBackoff::default(),
+            is_full_read_due: false,
+            has_read_history: false,
+            was_reader: None,
         };
         loop {
             let now = clock_now();
-            let next = self.book.read(|book| order.next(book.entries(), now));
-            let reads = next == ReadTurn::Read;
-            if following.reads.replace(reads) != Some(reads) {
-                log_event!(events::READER_CHANGED, "reads={reads}");
+            let next = self.state.read(|state| order.next(state.entries(), now));
+            let was_reader = next == ReadStep::Read;
+            if progress.was_reader.replace(was_reader) != Some(was_reader) {
+                log_event!(events::READER_CHANGED, "reads={was_reader}");
             }
             match next {
-                ReadTurn::Read => self.read_turn(&mut following).await,
-                ReadTurn::Ask(entry) => {
-                    following.since = None;
-                    following.is_whole_due = false;
-                    let answer = self.ask_reader(&entry, &mut asking).await;
+                ReadStep::Read => self.reader_step(&mut progress).await,
+                ReadStep::Query(entry) => {
+                    progress.since = None;
+                    progress.is_full_read_due = false;
+                    let answer = self.query_reader(&entry, &mut query_state).await;
                     order.note(&entry.host, answer, clock_now());
                     sleep(match answer {
-                        ReaderAnswer::Current | ReaderAnswer::Silent => FOLLOW_PAUSE,
-                        ReaderAnswer::Behind => BEHIND_PAUSE,
+                        ReaderAnswer::Current | ReaderAnswer::Unresponsive => FOLLOW_PAUSE,
+                        ReaderAnswer::Outdated => OUTDATED_PAUSE,
                     })
                     .await;
                 }
@@ -90,52 +90,60 @@
     }
 
     /// One step at the store.
-    async fn read_turn(&self, following: &mut OwnFollowing) {
-        if !following.has_looked_back {
-            following.has_looked_back = true;
-            if self.book.read(ControlState::document_version).is_none() {
-                self.read_past_namings_first().await;
+    async fn reader_step(&self, progress: &mut ReaderProgress) {
+        if !progress.has_read_history {
+            progress.has_read_history = true;
+            if self.state.read(ControlState::document_version).is_none() {
+                self.read_past_targets_first().await;
             } else {
-                tokio::spawn(self.clone().read_past_namings_later());
+                tokio::spawn(self.clone().read_past_targets_later());
             }
         }
-        if following.since.is_none()
-            && !following.is_whole_due
-            && let Some(word) = self.book.read(|book| book.operator().word())
+        if progress.since.is_none()
+            && !progress.is_full_read_due
+            && let Some(announcement) = self.state.read(|state| state.operator().announcement())
         {
             // Neighbours told all until then.
-            following.since = Some(word.revision);
-            following.step = OperatorStep::behind_answer(word.told_at);
+            progress.since = Some(announcement.revision);
+            progress.context = FollowContext::after_answer(announcement.answered_at);
         }
-        let step = following.step;
+        let context = progress.context;
         let sent_at = clock_now();
-        let followed = self.operator_step(&mut following.since, step).await;
-        following.step = match &followed {
-            Ok(told_at) => OperatorStep::behind_answer(*told_at),
-            Err(_) => self.behind_failure(step, sent_at),
+        let followed = self.operator_step(&mut progress.since, context).await;
+        progress.context = match &followed {
+            Ok(answered_at) => FollowContext::after_answer(*answered_at),
+            Err(_) => self.after_failure(context, sent_at),
         };
-        let followed_by = following.step.knowledge.followed();
-        self.book.note(|book| book.note_followed(followed_by));
-        following.is_whole_due = followed.is_err() && following.since.is_none();
-        match (&followed, following.since) {
-            (Ok(told_at), Some(revision)) => self.book.note(|book| {
-                let known_at = book.earliest(*told_at);
-                book.operator_mut().note_read(revision, *told_at, known_at);
+        let followed_by = progress.context.follow_state.followed();
+        self.state.note(|state| state.note_followed(followed_by));
+        progress.is_full_read_due = followed.is_err() && progress.since.is_none();
+        match (&followed, progress.since) {
+            (Ok(answered_at), Some(revision)) => self.state.note(|state| {
+                let known_at = state.earliest(*answered_at);
+                state
+                    .operator_mut()
+                    .note_read(revision, *answered_at, known_at);
             }),
             // Whoever asks has to know at once.
-            _ => self.book.change(|book| book.operator_mut().note_failure()),
+            _ => self
+                .state
+                .change(|state| state.operator_mut().note_failure()),
         }
-        self.note_outcome(&followed.map(drop), &mut following.pause)
+        self.note_outcome(&followed.map(drop), &mut progress.backoff)
             .await;
     }
 
     /// Asks an entry host that reads.
-    async fn ask_reader(&self, entry: &EntryRecord, asking: &mut ListAsking) -> ReaderAnswer {
-        let mut query = self.book.read(ControlState::entry_ask);
+    async fn query_reader(
+        &self,
+        entry: &EntryRecord,
+        query_state: &mut ListQueryState,
+    ) -> ReaderAnswer {
+        let mut query = self.state.read(ControlState::entry_query);
         query.follows = true;
         query.wait_ms = u64::try_from(FOLLOW_WAIT.as_millis()).unwrap_or(0);
-        let digest = self.book.read(ControlState::backends_digest);
-        asking.complete(&mut query, digest);
+        let digest = self.state.read(ControlState::backends_digest);
+        query_state.complete(&mut query, digest);
         let pace = AnswerPace {
             head: FOLLOW_WAIT + FOLLOW_PACE.head,
             ..FOLLOW_PACE
@@ -147,41 +155,43 @@
         match called.await {
             Ok(view) => {
                 let received_at = clock_now();
-                self.take_reader_view(
+                self.merge_reader_view(
                     view,
                     QuerySpan {
                         sent_at,
                         received_at,
                     },
-                    asking,
+                    query_state,
                 )
             }
             Err(error) => {
-                log_event!(events::NEIGHBOUR_SILENT, "{error}");
+                log_event!(events::NEIGHBOUR_UNRESPONSIVE, "{error}");
                 self.client.drop_pool(entry.control);
-                ReaderAnswer::Silent
+                ReaderAnswer::Unresponsive
             }
         }
     }
 
-    fn take_reader_view(
+    fn merge_reader_view(
         &self,
         mut view: PeerView,
         span: QuerySpan,
-        asking: &mut ListAsking,
+        query_state: &mut ListQueryState,
     ) -> ReaderAnswer {
-        let (word, changes) = (view.operator, view.backend_changes.take());
-        let mut answer = ReaderAnswer::Behind;
-        self.book.change(|book| {
-            book.merge(view, span);
+        let (announcement, changes) = (view.operator, view.backend_changes.take());
+        let mut answer = ReaderAnswer::Outdated;
+        self.state.change(|state| {
+            state.merge(view, span);
             if let Some(changes) = changes {
-                asking.note(book.take_backend_changes(changes, span.received_at));
+                query_state.note(state.merge_backend_changes(changes, span.received_at));
             }
-            if let Some(word) = word {
-                let known_at = book.earliest(word.told_at);
-                book.operator_mut().take_word(word, known_at);
-                book.note_followed(Some(word.told_at));
-                answer = judge_reader(&word, known_at, span.received_at);
+            if let Some(announcement) = announcement {
+                let known_at = state.earliest(announcement.answered_at);
+                state
+                    .operator_mut()
+                    .take_announcement(announcement, known_at);
+                state.note_followed(Some(announcement.answered_at));
+                answer = classify_answer(&announcement, known_at, span.received_at);
             }
         });
         answer
--- a/src/sync/operator_reading.rs
+++ b/src/sync/operator_status.rs
@@ -18,8 +18,8 @@
 /// What was last told of the table.
 #[apply(plain!)]
 #[derive(Copy)]
-struct TableWord {
-    told_at: StoreTime,
+struct TableKnowledge {
+    answered_at: StoreTime,
     /// The earliest that this can have been on this process's clock.
     known_at: ClockTime,
     /// The store's revision as of which the table is known.
@@ -29,53 +29,57 @@
 /// The reading.
 #[apply(plain!)]
 #[derive(Copy, Default)]
-pub(crate) struct OperatorReading {
+pub(crate) struct OperatorStatus {
     /// None before anything was told.
-    word: Option<TableWord>,
+    knowledge: Option<TableKnowledge>,
     /// Whether this process reads the table by itself, or tried to.
-    is_own: bool,
+    is_reader: bool,
     /// Whether its last try failed.
     is_cut_off: bool,
 }
 
-impl OperatorReading {
-    /// The store told this process of the table at `told_at`, as of `revision`.
-    pub(super) fn note_read(&mut self, revision: u64, told_at: StoreTime, known_at: ClockTime) {
-        self.take(revision, told_at, known_at);
-        self.is_own = true;
+impl OperatorStatus {
+    /// The store told this process of the table at `answered_at`, as of `revision`.
+    pub(super) fn note_read(&mut self, revision: u64, answered_at: StoreTime, known_at: ClockTime) {
+        self.take(revision, answered_at, known_at);
+        self.is_reader = true;
     }
 
     /// The store did not answer this process.
     pub(super) fn note_failure(&mut self) {
-        self.is_own = true;
+        self.is_reader = true;
         self.is_cut_off = true;
     }
 
     /// A neighbour told all that it knows, and this of it.
-    pub(super) fn take_word(&mut self, word: OperatorAnnouncement, known_at: ClockTime) {
-        self.take(word.revision, word.told_at, known_at);
-        self.is_own = false;
+    pub(super) fn take_announcement(
+        &mut self,
+        announcement: OperatorAnnouncement,
+        known_at: ClockTime,
+    ) {
+        self.take(announcement.revision, announcement.answered_at, known_at);
+        self.is_reader = false;
     }
 
-    fn take(&mut self, revision: u64, told_at: StoreTime, known_at: ClockTime) {
+    fn take(&mut self, revision: u64, answered_at: StoreTime, known_at: ClockTime) {
         self.is_cut_off = false;
-        let known = self.word.unwrap_or(TableWord {
-            told_at,
+        let known = self.knowledge.unwrap_or(TableKnowledge {
+            answered_at,
             known_at,
             revision,
         });
-        self.word = Some(TableWord {
-            told_at: known.told_at.max(told_at),
+        self.knowledge = Some(TableKnowledge {
+            answered_at: known.answered_at.max(answered_at),
             known_at: known.known_at.max(known_at),
             revision: known.revision.max(revision),
         });
     }
 
     /// What this process tells of it; none before it knew the table.
-    pub(super) fn word(&self) -> Option<OperatorAnnouncement> {
-        self.word.map(|word| OperatorAnnouncement {
-            told_at: word.told_at,
-            revision: word.revision,
+    pub(super) fn announcement(&self) -> Option<OperatorAnnouncement> {
+        self.knowledge.map(|knowledge| OperatorAnnouncement {
+            answered_at: knowledge.answered_at,
+            revision: knowledge.revision,
             is_cut_off: self.is_cut_off,
         })
     }
@@ -86,30 +90,30 @@
     }
 
     /// Whether this process reads the table itself.
-    pub(super) const fn is_own(&self) -> bool {
-        self.is_own
+    pub(super) const fn is_reader(&self) -> bool {
+        self.is_reader
     }
 
     /// Whether nothing has been known of the table for longer at `now` than while all goes well.
     pub(super) fn is_overdue(&self, now: ClockTime) -> bool {
-        let age_max = if self.is_own {
+        let age_max = if self.is_reader {
             OWN_AGE_MAX
         } else {
             TOLD_AGE_MAX
         };
-        self.word
-            .is_none_or(|word| now.since(word.known_at) >= age_max)
+        self.knowledge
+            .is_none_or(|knowledge| now.since(knowledge.known_at) >= age_max)
     }
 }
 
-/// What the word of a neighbour says of it at `now`, if it was true at `known_at` at the earliest.
-pub(super) fn judge_reader(
-    word: &OperatorAnnouncement,
+/// What the announcement of a neighbour says of it at `now`, if it was true at `known_at` at the earliest.
+pub(super) fn classify_answer(
+    announcement: &OperatorAnnouncement,
     known_at: ClockTime,
     now: ClockTime,
 ) -> ReaderAnswer {
-    if word.is_cut_off || now.since(known_at) >= TOLD_AGE_MAX {
-        ReaderAnswer::Behind
+    if announcement.is_cut_off || now.since(known_at) >= TOLD_AGE_MAX {
+        ReaderAnswer::Outdated
     } else {
         ReaderAnswer::Current
     }
--- a/src/sync/own_rows.rs
+++ b/src/sync/own_rows.rs
@@ -29,9 +29,9 @@
     pub(super) entries: Vec<EntryRecord>,
     pub(super) records: Vec<VersionRecord>,
     /// The keys of the rows that were read, each with whether it did.
-    pub(super) readings: Vec<(String, SwitchResult<()>)>,
+    pub(super) read_results: Vec<(String, SwitchResult<()>)>,
     /// Whether these are all rows that there are.
-    pub(super) is_whole: bool,
+    pub(super) is_complete: bool,
     /// The store's revision as of which they were read; 0 for single rows.
     pub(super) revision: u64,
 }
@@ -40,7 +40,7 @@
     /// Reads the rows of `view`, which has all of them. Where one does not read, the others hold.
     pub(crate) fn of(view: &TableView) -> Self {
         let mut own = Self::of_rows(&view.rows);
-        own.is_whole = true;
+        own.is_complete = true;
         own.revision = view.revision;
         own
     }
@@ -51,7 +51,7 @@
         for row in rows {
             if let Some(value) = &row.value {
                 let read = own.take(row, value);
-                own.readings.push((row.key.clone(), read));
+                own.read_results.push((row.key.clone(), read));
             }
         }
         own
@@ -60,7 +60,7 @@
     /// Just `record`, as it was written.
     pub(super) fn with_record(record: VersionRecord) -> Self {
         Self {
-            readings: vec![(version_key(&record.target.model), Ok(()))],
+            read_results: vec![(version_key(&record.target.model), Ok(()))],
             records: vec![record],
             ..Self::default()
         }
@@ -68,7 +68,7 @@
 
     /// The models whose versions stand in rows that do not read.
     pub(super) fn faulty_records(&self) -> Vec<ByteString> {
-        let faulty = self.readings.iter().filter(|(_, read)| read.is_err());
+        let faulty = self.read_results.iter().filter(|(_, read)| read.is_err());
         let models = faulty.filter_map(|(key, _)| key.strip_prefix(VERSION_KEY_PREFIX));
         models.map(ByteString::from).collect()
     }
--- a/src/sync/peer_messages.rs
+++ b/src/sync/peer_messages.rs
@@ -8,8 +8,8 @@
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::naming_time::TargetUpdateTime;
 use super::store_clock::ClockBounds;
+use super::target_update_time::TargetUpdateTime;
 use crate::catalog::CatalogVersion;
 use crate::derives::message;
 use crate::fleet::{BackendFacts, ModelVersion};
@@ -71,15 +71,18 @@
     /// The store's revision as of which the list is known.
     pub(crate) revision: u64,
     /// Whether `entries` are all of them.
-    pub(crate) is_whole: bool,
+    #[serde(rename = "is_whole")]
+    pub(crate) is_complete: bool,
     /// Those that changed behind the revision that whoever asks knows.
     pub(crate) entries: Vec<BackendFacts>,
     /// Those that went a short while ago.
-    pub(crate) gone: Vec<ByteString>,
+    #[serde(rename = "gone")]
+    pub(crate) removed: Vec<ByteString>,
     /// The digest of the whole list.
     pub(crate) digest: u64,
     /// When the store last told of the list.
-    pub(crate) told_at: StoreTime,
+    #[serde(rename = "told_at")]
+    pub(crate) answered_at: StoreTime,
 }
 
 /// How well the answering process knows the operator's table.
@@ -87,7 +90,8 @@
 #[derive(Copy)]
 pub(crate) struct OperatorAnnouncement {
     /// When the store last told of it.
-    pub(crate) told_at: StoreTime,
+    #[serde(rename = "told_at")]
+    pub(crate) answered_at: StoreTime,
     /// The store's revision as of which it is known.
     pub(crate) revision: u64,
     /// Whether the store does not answer that process.
@@ -101,7 +105,8 @@
     pub(crate) target: ModelVersion,
     /// When it was named, on the store's clock: told from process to process, it stays the same however long
     /// a word is on its way.
-    pub(crate) named: TargetUpdateTime,
+    #[serde(rename = "named")]
+    pub(crate) set_at: TargetUpdateTime,
 }
 
 /// What the answering process knows beyond that.
--- a/src/sync/shared_book.rs
+++ b/src/sync/shared_control_state.rs
@@ -4,13 +4,13 @@
 
 use tokio::sync::watch;
 
+use super::control_state::ControlState;
 use super::snapshot::SharedSnapshot;
-use super::view_book::ControlState;
 
 /// The control state with the snapshot that is made of it. Clones share both.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedControlState {
-    book: Arc<Mutex<ControlState>>,
+    state: Arc<Mutex<ControlState>>,
     snapshot: SharedSnapshot,
     /// Counts changes.
     changes: Arc<watch::Sender<u64>>,
@@ -24,21 +24,21 @@
 
     /// Reads the control state.
     pub(crate) fn read<T>(&self, reader: impl FnOnce(&ControlState) -> T) -> T {
-        reader(&self.book.lock().unwrap_or_else(PoisonError::into_inner))
+        reader(&self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Changes the control state and shows the traffic what came of it.
     pub(crate) fn change(&self, change: impl FnOnce(&mut ControlState)) {
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-        change(&mut book);
-        self.snapshot.store(book.snapshot());
-        drop(book);
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        change(&mut state);
+        self.snapshot.store(state.snapshot());
+        drop(state);
         self.changes.send_modify(|changes| *changes += 1);
     }
 
     /// Changes what neither the traffic nor anybody that follows the changes sees.
     pub(crate) fn note(&self, note: impl FnOnce(&mut ControlState)) {
-        note(&mut self.book.lock().unwrap_or_else(PoisonError::into_inner));
+        note(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
     /// Follows the changes.
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -32,8 +32,8 @@
 impl ControlSnapshot {
     /// The newest version of `model`.
     pub(crate) fn newest_version(&self, model: &str) -> Option<&WantedWeights> {
-        let mut named = self.targets.iter().rev();
-        named.find(|weights| *weights.target.model == *model)
+        let mut newest_first = self.targets.iter().rev();
+        newest_first.find(|weights| *weights.target.model == *model)
     }
 
     /// The oldest version of `model` on which requests may begin at `now`, if they may begin on an
@@ -45,11 +45,13 @@
         grace: Duration,
         now: ClockTime,
     ) -> Option<WeightsVersion> {
-        let mut named = self.targets.iter().rev();
+        let mut newest_first = self.targets.iter().rev();
         let is_due = |weights: &&WantedWeights| {
             *weights.target.model == *model && !weights.allows_older(grace, now)
         };
-        named.find(is_due).map(|weights| weights.target.version)
+        newest_first
+            .find(is_due)
+            .map(|weights| weights.target.version)
     }
 
     /// Until when requests may begin on version `held` of `model`, if a newer one must have replaced
--- a/src/sync/store_clock.rs
+++ b/src/sync/store_clock.rs
@@ -35,10 +35,10 @@
 
 impl ClockBounds {
     /// The store's own word, told in whole milliseconds.
-    pub(super) fn of_store(told_at: StoreTime) -> Self {
+    pub(super) fn from_store(answered_at: StoreTime) -> Self {
         Self {
-            least: told_at,
-            most: told_at + std::time::Duration::from_millis(1),
+            least: answered_at,
+            most: answered_at + std::time::Duration::from_millis(1),
         }
     }
 }
@@ -63,10 +63,10 @@
 }
 
 impl ClockOffset {
-    fn of(word: ClockBounds, span: QuerySpan) -> Self {
+    fn of(bounds: ClockBounds, span: QuerySpan) -> Self {
         Self {
-            least: signed(word.least.0).saturating_sub(signed(span.received_at.0)),
-            most: signed(word.most.0).saturating_sub(signed(span.sent_at.0)),
+            least: signed(bounds.least.0).saturating_sub(signed(span.received_at.0)),
+            most: signed(bounds.most.0).saturating_sub(signed(span.sent_at.0)),
             at: span.received_at,
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /// Both hold; none if they contradict each other.
-    fn and(self, other: Self) -> Option<Self> {
+    fn intersect(self, other: Self) -> Option<Self> {
         let both = Self {
             least: self.least.max(other.least),
             most: self.most.min(other.most),
@@ -101,20 +101,20 @@
 }
 
 impl StoreClock {
-    /// `source` said `word` within `span`.
-    pub(super) fn note(&mut self, word: ClockBounds, span: QuerySpan, source: ClockSource) {
-        let told = ClockOffset::of(word, span);
-        if told.least > told.most {
+    /// `source` said `bounds` within `span`.
+    pub(super) fn note(&mut self, bounds: ClockBounds, span: QuerySpan, source: ClockSource) {
+        let reported = ClockOffset::of(bounds, span);
+        if reported.least > reported.most {
             return;
         }
         let Some(known) = self.known.map(|known| known.at(span.received_at)) else {
-            self.known = Some(told);
+            self.known = Some(reported);
             return;
         };
-        self.known = Some(match known.and(told) {
+        self.known = Some(match known.intersect(reported) {
             Some(both) => both,
             // This process stood still, or whoever tells it did: then its store's time is behind.
-            None if source == ClockSource::Store || told.least > known.most => told,
+            None if source == ClockSource::Store || reported.least > known.most => reported,
             None => known,
         });
     }
@@ -125,7 +125,7 @@
     }
 
     /// What it shows at `now`, for another process.
-    pub(super) fn word(&self, now: ClockTime) -> Option<ClockBounds> {
+    pub(super) fn bounds(&self, now: ClockTime) -> Option<ClockBounds> {
         let known = self.known?.at(now);
         let shown = |ahead: i64| StoreTime(unsigned(signed(now.0).saturating_add(ahead)));
         Some(ClockBounds {
@@ -136,7 +136,8 @@
 
     /// What it shows at `now` at the latest; this process's own clock as long as nothing was heard of it.
     pub(crate) fn time(&self, now: ClockTime) -> StoreTime {
-        self.word(now).map_or(StoreTime(now.0), |word| word.most)
+        self.bounds(now)
+            .map_or(StoreTime(now.0), |bounds| bounds.most)
     }
 
     /// The earliest moment on this process's clock that `moment` can be.
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -7,13 +7,13 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
+use super::control_state::ControlState;
 use super::events;
-use super::naming_time::NamingKnowledge;
 use super::own_rows::OwnRows;
 use super::peer_messages::EntryRecord;
-use super::shared_book::SharedControlState;
+use super::shared_control_state::SharedControlState;
 use super::store_clock::QuerySpan;
-use super::view_book::ControlState;
+use super::target_update_time::FollowState;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::platform::{StoreClient, TableName, TableView, WatchAnswer};
@@ -31,9 +31,9 @@
 /// after the store's word.
 const BACKENDS_PAUSE: Duration = Duration::from_millis(500);
 /// How often it is looked whether neighbours still tell the list.
-const TOLD_PAUSE: Duration = Duration::from_millis(100);
+const REPORTED_PAUSE: Duration = Duration::from_millis(100);
 /// How long a start waits for a neighbour to tell it, and how often that is looked at.
-const START_WITHIN: Duration = Duration::from_millis(400);
+const START_TIMEOUT: Duration = Duration::from_millis(400);
 const START_PAUSE: Duration = Duration::from_millis(20);
 /// The pause between two reads of the entry hosts' table.
 const ENTRIES_PAUSE: Duration = Duration::from_secs(10);
@@ -42,7 +42,7 @@
 const ENTRIES_READERS: usize = 10;
 /// How long the store has for an answer beyond what it was asked to wait. It takes 4 ms usually, and
 /// some hundred when it is slow.
-pub(super) const STORE_WITHIN: Duration = Duration::from_millis(900);
+pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 /// The first pause after a failure; it doubles with each, up to the longest.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(800);
@@ -57,7 +57,7 @@
     /// The way to neighbours.
     pub(crate) client: Arc<PeerClient>,
     /// The control state.
-    pub(crate) book: SharedControlState,
+    pub(crate) state: SharedControlState,
     /// What this entry host enters of itself.
     pub(crate) own_entry: EntryRecord,
     /// Where some entry hosts listen; may be stale.
@@ -66,55 +66,59 @@
 
 /// What the next question for the operator's table stands behind.
 #[derive(Clone, Copy)]
-pub(super) struct OperatorStep {
-    pub(super) knowledge: NamingKnowledge,
+pub(super) struct FollowContext {
+    pub(super) follow_state: FollowState,
     /// The one before it failed.
-    pub(super) is_behind_failure: bool,
+    pub(super) is_after_failure: bool,
     /// The last answer about the table.
-    pub(super) told_at: Option<StoreTime>,
+    pub(super) answered_at: Option<StoreTime>,
 }
 
-impl OperatorStep {
-    /// The next step behind an answer of `told_at`.
-    pub(super) const fn behind_answer(told_at: StoreTime) -> Self {
+impl FollowContext {
+    /// The next step behind an answer of `answered_at`.
+    pub(super) const fn after_answer(answered_at: StoreTime) -> Self {
         Self {
-            knowledge: NamingKnowledge::Followed(told_at),
-            is_behind_failure: false,
-            told_at: Some(told_at),
+            follow_state: FollowState::Followed(answered_at),
+            is_after_failure: false,
+            answered_at: Some(answered_at),
         }
     }
 
     /// The next step, if this one fails; `contact` tells since when the store has answered other questions,
     /// if it did meanwhile.
-    const fn behind_failure(self, contact: Option<StoreTime>) -> Self {
+    const fn after_failure(self, contact: Option<StoreTime>) -> Self {
         Self {
-            knowledge: self.knowledge.behind_failure(contact),
+            follow_state: self.follow_state.after_failure(contact),
             // A start reads all that there is anyway.
-            is_behind_failure: !matches!(self.knowledge, NamingKnowledge::Started),
+            is_after_failure: !matches!(self.follow_state, FollowState::Started),
             ..self
         }
     }
 }
 
 impl StoreWatch {
-    /// The step behind `step`, which failed and began at `sent_at`.
-    pub(super) fn behind_failure(&self, step: OperatorStep, sent_at: ClockTime) -> OperatorStep {
+    /// The step behind `context`, which failed and began at `sent_at`.
+    pub(super) fn after_failure(
+        &self,
+        context: FollowContext,
+        sent_at: ClockTime,
+    ) -> FollowContext {
         if self.has_answered_since(sent_at) {
-            step.behind_failure(self.contact_since(step))
+            context.after_failure(self.contact_since(context))
         } else {
-            step.behind_failure(None)
+            context.after_failure(None)
         }
     }
 
     /// Since when the store has answered without telling of the operator's table.
-    fn contact_since(&self, step: OperatorStep) -> Option<StoreTime> {
-        let since = self.book.read(ControlState::contact_since);
-        since.max(step.told_at)
+    fn contact_since(&self, context: FollowContext) -> Option<StoreTime> {
+        let since = self.state.read(ControlState::contact_since);
+        since.max(context.answered_at)
     }
 
     /// Whether the store has answered any question since `sent_at`.
     fn has_answered_since(&self, sent_at: ClockTime) -> bool {
-        let answered = self.book.read(ControlState::store_answered);
+        let answered = self.state.read(ControlState::store_answered);
         answered.is_some_and(|at| at >= sent_at)
     }
 
@@ -125,16 +129,19 @@
         Ok(())
     }
 
-    /// Takes in rows of the system's own that the store told of at `told_at`.
-    pub(super) fn take_own_rows(&self, own: OwnRows, told_at: StoreTime) {
-        let named = self.own_knowledge().naming_time(told_at, told_at);
-        self.book.change(|book| book.take_own_rows(own, named));
+    /// Takes in rows of the system's own that the store told of at `answered_at`.
+    pub(super) fn take_own_rows(&self, own: OwnRows, answered_at: StoreTime) {
+        let update_time = self
+            .own_follow_state()
+            .update_time(answered_at, answered_at);
+        self.state
+            .change(|state| state.take_own_rows(own, update_time));
     }
 
     /// Reads a whole table.
     pub(super) async fn read_table(&self, table: TableName) -> SwitchResult<TableView> {
         let sent_at = clock_now();
-        let view = self.store.read_table(table, STORE_WITHIN).await?;
+        let view = self.store.read_table(table, STORE_TIMEOUT).await?;
         self.note_store_answer(&view, sent_at);
         Ok(view)
     }
@@ -147,9 +154,9 @@
             sent_at,
             received_at,
         };
-        self.book
-            .note(|book| book.note_store_answer(view.revision, view.told_at, span));
-        self.book.read(|book| book.store_time(sent_at))
+        self.state
+            .note(|state| state.note_store_answer(view.revision, view.told_at, span));
+        self.state.read(|state| state.store_time(sent_at))
     }
 
     /// Follows the operator's table by one answer of the store, behind revision `since`; returns when the
@@ -157,14 +164,14 @@
     pub(super) async fn operator_step(
         &self,
         since: &mut Option<u64>,
-        step: OperatorStep,
+        context: FollowContext,
     ) -> SwitchResult<StoreTime> {
         let Some(known) = *since else {
-            let (revision, told_at) = self.read_operator(step).await?;
+            let (revision, answered_at) = self.read_operator(context).await?;
             *since = Some(revision);
-            return Ok(told_at);
+            return Ok(answered_at);
         };
-        if step.is_behind_failure {
+        if context.is_after_failure {
             // The operator's row of a version that was named meanwhile may have gone back since.
             self.read_own_rows().await?;
         }
@@ -172,68 +179,68 @@
         let sent_at = clock_now();
         let watched = self
             .store
-            .watch_table(table, known, OPERATOR_WAIT, STORE_WITHIN)
+            .watch_table(table, known, OPERATOR_WAIT, STORE_TIMEOUT)
             .await;
-        if step.is_behind_failure && watched.is_err() {
+        if context.is_after_failure && watched.is_err() {
             // The store answers, and the watch brings nothing: its answer holds every document since it last
             // succeeded, and a link may not carry that in the time that the store is given; each try asks
             // for more. One would notice an entry host that answers 404 for routes that were added seconds
             // before while its neighbours serve them. A read holds the newest document alone.
             *since = None;
         }
-        let (revision, told_at) = match watched? {
+        let (revision, answered_at) = match watched? {
             WatchAnswer::Changed(view) => {
-                let asked_by = self.note_store_answer(&view, sent_at);
+                let sent_by = self.note_store_answer(&view, sent_at);
                 if !view.rows.is_empty() {
-                    let named = step.knowledge.naming_time(asked_by, view.told_at);
-                    self.book
-                        .change(|book| book.change_operator_rows(&view.rows, named));
+                    let update_time = context.follow_state.update_time(sent_by, view.told_at);
+                    self.state
+                        .change(|state| state.change_operator_rows(&view.rows, update_time));
                 }
                 (view.revision, view.told_at)
             }
             WatchAnswer::HistoryLost => {
                 log_event!(events::HISTORY_LOST, "table=operator");
-                let contact = self.contact_since(step);
-                self.read_operator(step.behind_failure(contact)).await?
+                let contact = self.contact_since(context);
+                self.read_operator(context.after_failure(contact)).await?
             }
         };
         *since = Some(known.max(revision));
-        Ok(told_at)
+        Ok(answered_at)
     }
 
     /// Reads the operator's table as a whole; returns its revision, and when the store told it.
     ///
     /// A process reads the system's own rows first: with a document it is ready, and would otherwise
     /// believe an operator's row that has gone back.
-    async fn read_operator(&self, step: OperatorStep) -> SwitchResult<(u64, StoreTime)> {
-        if !self.book.read(ControlState::knows_crashes) {
+    async fn read_operator(&self, context: FollowContext) -> SwitchResult<(u64, StoreTime)> {
+        if !self.state.read(ControlState::knows_crashes) {
             self.read_crashes().await?;
         }
-        if step.is_behind_failure || !self.book.read(ControlState::has_own_rows) {
+        if context.is_after_failure || !self.state.read(ControlState::has_own_rows) {
             self.read_own_rows().await?;
         }
         let view = self.read_table(TableName::Operator).await?;
         // A read does not wait for a change.
-        let named = step.knowledge.naming_time(view.told_at, view.told_at);
-        self.book
-            .change(|book| book.set_operator_rows(&view.rows, named));
+        let update_time = context.follow_state.update_time(view.told_at, view.told_at);
+        self.state
+            .change(|state| state.set_operator_rows(&view.rows, update_time));
         Ok((view.revision, view.told_at))
     }
 
     /// Follows the backend servers' table.
     pub(crate) async fn follow_backends(self) {
-        let mut pause = FailurePause::default();
-        self.await_told_backends().await;
-        let mut is_whole = false;
+        let mut backoff = RetryBackoff::default();
+        self.await_reported_backends().await;
+        let mut is_complete = false;
         loop {
-            if self.book.read(|book| book.is_told_backends(clock_now())) {
+            if self.state.read(|state| state.is_list_reported(clock_now())) {
                 // What is told is whole as of its revision.
-                is_whole = true;
-                sleep(TOLD_PAUSE).await;
+                is_complete = true;
+                sleep(REPORTED_PAUSE).await;
                 continue;
             }
-            let followed = self.backends_step(&mut is_whole).await;
-            self.note_outcome(&followed, &mut pause).await;
+            let followed = self.backends_step(&mut is_complete).await;
+            self.note_outcome(&followed, &mut backoff).await;
             if followed.is_ok() {
                 sleep(BACKENDS_PAUSE).await;
             }
@@ -241,22 +248,22 @@
     }
 
     /// A start need not read the list if a neighbour tells it.
-    async fn await_told_backends(&self) {
+    async fn await_reported_backends(&self) {
         let begun = clock_now();
         let is_settled =
-            |book: &ControlState| book.operator().is_own() || book.backends_revision() > 0;
-        while !self.book.read(is_settled) && clock_now().since(begun) < START_WITHIN {
+            |state: &ControlState| state.operator().is_reader() || state.backends_revision() > 0;
+        while !self.state.read(is_settled) && clock_now().since(begun) < START_TIMEOUT {
             sleep(START_PAUSE).await;
         }
     }
 
-    async fn backends_step(&self, is_whole: &mut bool) -> SwitchResult<()> {
-        let since = self.book.read(ControlState::backends_revision);
-        if *is_whole {
+    async fn backends_step(&self, is_complete: &mut bool) -> SwitchResult<()> {
+        let since = self.state.read(ControlState::backends_revision);
+        if *is_complete {
             let sent_at = clock_now();
             let watched =
                 self.store
-                    .watch_table(TableName::Backends, since, BACKENDS_WAIT, STORE_WITHIN);
+                    .watch_table(TableName::Backends, since, BACKENDS_WAIT, STORE_TIMEOUT);
             match watched.await? {
                 WatchAnswer::Changed(view) => {
                     self.note_store_answer(&view, sent_at);
@@ -268,36 +275,36 @@
         }
         let view = self.read_table(TableName::Backends).await?;
         // A read that is older than what is known is tried again.
-        *is_whole = view.revision >= since;
-        self.book.change(|book| {
+        *is_complete = view.revision >= since;
+        self.state.change(|state| {
             let now = clock_now();
-            book.set_backends(&view, now);
-            book.note_backends(view.told_at);
-            book.expire(now);
+            state.set_backends(&view, now);
+            state.note_backends_answer(view.told_at);
+            state.expire(now);
         });
         Ok(())
     }
 
     fn change_backends(&self, view: &TableView) {
-        self.book.change(|book| {
+        self.state.change(|state| {
             let now = clock_now();
-            book.change_backends(view, now);
-            book.note_backends(view.told_at);
-            book.expire(now);
+            state.change_backends(view, now);
+            state.note_backends_answer(view.told_at);
+            state.expire(now);
         });
     }
 
     /// Enters this entry host in the store, and reads who else is there.
     pub(crate) async fn follow_entries(self) {
-        let mut pause = FailurePause::default();
+        let mut backoff = RetryBackoff::default();
         let mut is_entered = false;
         loop {
             let followed = self.entries_step(&mut is_entered).await;
-            self.note_outcome(&followed, &mut pause).await;
+            self.note_outcome(&followed, &mut backoff).await;
             if followed.is_ok() {
                 let pause = self
-                    .book
-                    .read(|book| entries_pause(book.reads_store(), book.entries().len()));
+                    .state
+                    .read(|state| entries_pause(state.reads_store(), state.entries().len()));
                 sleep(pause).await;
             }
         }
@@ -308,7 +315,7 @@
             let text = serde_json::to_vec(&self.own_entry).unwrap_or_default();
             let written =
                 self.store
-                    .write_row(TableName::Own, &self.own_entry.host, &text, STORE_WITHIN);
+                    .write_row(TableName::Own, &self.own_entry.host, &text, STORE_TIMEOUT);
             written.await?;
             *is_entered = true;
         }
@@ -316,15 +323,15 @@
     }
 
     /// What is known of when versions were named that the system's own rows record.
-    fn own_knowledge(&self) -> NamingKnowledge {
-        if let Some(told_at) = self.book.read(ControlState::followed) {
+    fn own_follow_state(&self) -> FollowState {
+        if let Some(answered_at) = self.state.read(ControlState::followed) {
             // A host near the store records a version before the watch tells it here.
-            NamingKnowledge::Followed(told_at)
-        } else if self.book.read(ControlState::has_own_rows) {
+            FollowState::Followed(answered_at)
+        } else if self.state.read(ControlState::has_own_rows) {
             // What is new to a process that has lived was named while it was cut off.
-            NamingKnowledge::Interrupted
+            FollowState::Interrupted
         } else {
-            NamingKnowledge::Started
+            FollowState::Started
         }
     }
 
@@ -333,22 +340,26 @@
         loop {
             sleep(EXPIRE_PAUSE).await;
             let now = clock_now();
-            if self.book.read(|book| book.has_expired(now)) {
-                self.book.change(|book| book.expire(now));
+            if self.state.read(|state| state.has_expired(now)) {
+                self.state.change(|state| state.expire(now));
             }
         }
     }
 
-    pub(super) async fn note_outcome(&self, outcome: &SwitchResult<()>, pause: &mut FailurePause) {
+    pub(super) async fn note_outcome(
+        &self,
+        outcome: &SwitchResult<()>,
+        backoff: &mut RetryBackoff,
+    ) {
         match outcome {
             Ok(()) => {
-                *pause = FailurePause::default();
-                self.book.change(|book| book.note_store(clock_now()));
+                *backoff = RetryBackoff::default();
+                self.state.change(|state| state.note_store(clock_now()));
             }
             Err(error) => {
                 let detail = error.to_string();
-                self.book.change(|book| book.note_store_failure(&detail));
-                sleep(pause.next()).await;
+                self.state.change(|state| state.note_store_failure(&detail));
+                sleep(backoff.next()).await;
             }
         }
     }
@@ -370,11 +381,11 @@
 /// The pause after a failure, with full jitter over its upper half: processes that failed together
 /// do not come back together.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FailurePause {
+pub(super) struct RetryBackoff {
     span: Duration,
 }
 
-impl Default for FailurePause {
+impl Default for RetryBackoff {
     fn default() -> Self {
         Self {
             span: FAILURE_PAUSE,
@@ -382,7 +393,7 @@
     }
 }
 
-impl FailurePause {
+impl RetryBackoff {
     pub(super) fn next(&mut self) -> Duration {
         let span = self.span;
         self.span = (span * 2).min(FAILURE_PAUSE_MAX);
--- a/src/sync/sync_thread.rs
+++ b/src/sync/sync_thread.rs
@@ -6,7 +6,7 @@
 use super::events;
 use super::peer_messages::EntryRecord;
 use super::peer_routes::peer_routes;
-use super::shared_book::SharedControlState;
+use super::shared_control_state::SharedControlState;
 use super::store_watch::StoreWatch;
 use crate::daemon::DrainState;
 use crate::events::log_event;
@@ -26,8 +26,8 @@
 
 /// Starts the control thread, which follows the store and answers other processes.
 pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedControlState {
-    let book = SharedControlState::default();
-    let shared = book.clone();
+    let state = SharedControlState::default();
+    let shared = state.clone();
     let thread = std::thread::Builder::new().name("control".to_owned());
     let started = thread.spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -41,15 +41,15 @@
     if let Err(fault) = started {
         log_event!(events::THREAD_FAILED, "{fault}");
     }
-    book
+    state
 }
 
-pub(super) async fn run_sync(settings: SyncSettings, book: SharedControlState, drain: DrainState) {
+pub(super) async fn run_sync(settings: SyncSettings, state: SharedControlState, drain: DrainState) {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let watch = StoreWatch {
         store: StoreClient::new(settings.store_address, client.clone()),
         client,
-        book: book.clone(),
+        state: state.clone(),
         own_entry: settings.me.clone(),
         seeds: settings.seeds,
     };
@@ -60,8 +60,8 @@
     tokio::spawn(watch.clone().expire_backends());
     tokio::spawn(watch.clone().follow_crashes());
     tokio::spawn(watch.clone().record_crashes());
-    tokio::spawn(watch.ask_neighbours());
-    match HttpServer::bind(settings.me.control, peer_routes(&book)).await {
+    tokio::spawn(watch.query_neighbours());
+    match HttpServer::bind(settings.me.control, peer_routes(&state)).await {
         Ok(server) => server.run(drain).await,
         Err(error) => {
             log_event!(events::THREAD_FAILED, "{error}");
--- a/src/sync/naming_time.rs
+++ b/src/sync/target_update_time.rs
@@ -11,20 +11,22 @@
 
 /// How long ago a version is taken to have been named that a process finds at its start, as long as
 /// no neighbour knows better. Requests then begin on older weights for a second more.
-const NAMED_BEFORE_START: Duration = Duration::from_secs(6);
+const ASSUMED_AGE_AT_START: Duration = Duration::from_secs(6);
 /// How long a version that is found behind a cut is taken to have been named.
-const NAMED_BEFORE_FOUND: Duration = Duration::from_millis(100);
+const ASSUMED_AGE_AFTER_OUTAGE: Duration = Duration::from_millis(100);
 /// How long a question is on its way to the store. It is small, and goes against the stream of documents.
-const QUESTION_ON_WAY: Duration = Duration::from_millis(400);
+const QUERY_TRANSIT_MAX: Duration = Duration::from_millis(400);
 
 /// When a version of weights was named.
 #[apply(message!)]
 #[derive(Copy)]
 pub(crate) struct TargetUpdateTime {
     /// The moment, or an earlier one; a guess where nobody saw it.
-    pub(crate) at: StoreTime,
+    #[serde(rename = "at")]
+    pub(crate) earliest: StoreTime,
     /// One that is surely later, where somebody saw it; else the same.
-    pub(crate) by: StoreTime,
+    #[serde(rename = "by")]
+    pub(crate) latest: StoreTime,
     /// How well it is known.
     pub(crate) certainty: NamingCertainty,
 }
@@ -33,8 +35,8 @@
     /// A moment that nobody saw.
     pub(crate) const fn guessed(at: StoreTime, certainty: NamingCertainty) -> Self {
         Self {
-            at,
-            by: at,
+            earliest: at,
+            latest: at,
             certainty,
         }
     }
@@ -45,15 +47,19 @@
     /// named. Taken for new, requests began on older weights behind the bound; taken for old, all
     /// were refused though the bound was seconds away. A neighbour that was there knows. Two that were
     /// know it better together than each alone; the one nearer to the store says the most.
-    pub(super) fn and(self, known: Self) -> Self {
+    pub(super) fn combine(self, known: Self) -> Self {
         match self.certainty.cmp(&known.certainty) {
             Ordering::Greater => self,
             Ordering::Equal if self.certainty == NamingCertainty::Witnessed => {
-                let by = self.by.min(known.by);
-                let at = self.at.max(known.at).min(by);
-                Self { at, by, ..known }
+                let latest = self.latest.min(known.latest);
+                let earliest = self.earliest.max(known.earliest).min(latest);
+                Self {
+                    earliest,
+                    latest,
+                    ..known
+                }
             }
-            Ordering::Equal if self.at < known.at => self,
+            Ordering::Equal if self.earliest < known.earliest => self,
             Ordering::Equal | Ordering::Less => known,
         }
     }
@@ -61,7 +67,7 @@
 
 /// What is known of the moment at which versions that are found in the store were named.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum NamingKnowledge {
+pub(super) enum FollowState {
     /// The process has just started; they may be old.
     Started,
     /// The table was followed up to an answer of this moment, and they are newer.
@@ -72,14 +78,14 @@
     Interrupted,
 }
 
-impl NamingKnowledge {
+impl FollowState {
     /// What is known behind an answer that did not come. `contact` tells since when the store has answered,
     /// if it answered other questions meanwhile.
     ///
     /// Then it is not away: an answer full of documents did not get through a full link, and versions in
     /// it are as old as they are. Taken for new, as behind a cut, requests began on older weights behind the
     /// bound, wherever a whole region stood behind such a link.
-    pub(super) const fn behind_failure(self, contact: Option<StoreTime>) -> Self {
+    pub(super) const fn after_failure(self, contact: Option<StoreTime>) -> Self {
         match (self, contact) {
             (Self::Started, _) => Self::Started,
             (Self::Followed(_), Some(_)) => self,
@@ -91,29 +97,35 @@
     /// Up to which answer the table was followed, if it is.
     pub(super) const fn followed(self) -> Option<StoreTime> {
         match self {
-            Self::Followed(told_at) => Some(told_at),
+            Self::Followed(answered_at) => Some(answered_at),
             Self::Started | Self::Interrupted => None,
         }
     }
 
-    /// When what the store tells at `told_at`, asked at `asked_by` at the latest, was named.
-    pub(super) fn naming_time(self, asked_by: StoreTime, told_at: StoreTime) -> TargetUpdateTime {
+    /// When what the store tells at `answered_at`, asked at `sent_by` at the latest, was named.
+    pub(super) fn update_time(
+        self,
+        sent_by: StoreTime,
+        answered_at: StoreTime,
+    ) -> TargetUpdateTime {
         match self {
-            Self::Started => {
-                TargetUpdateTime::guessed(told_at - NAMED_BEFORE_START, NamingCertainty::Assumed)
-            }
+            Self::Started => TargetUpdateTime::guessed(
+                answered_at - ASSUMED_AGE_AT_START,
+                NamingCertainty::Assumed,
+            ),
             Self::Followed(answered_before) => {
                 // A question that waits at the store is answered at the change.
-                let waited = told_at.since(asked_by + QUESTION_ON_WAY);
+                let waited = answered_at.since(sent_by + QUERY_TRANSIT_MAX);
                 TargetUpdateTime {
-                    at: (answered_before + waited).min(told_at),
-                    by: told_at,
+                    earliest: (answered_before + waited).min(answered_at),
+                    latest: answered_at,
                     certainty: NamingCertainty::Witnessed,
                 }
             }
-            Self::Interrupted => {
-                TargetUpdateTime::guessed(told_at - NAMED_BEFORE_FOUND, NamingCertainty::Resumed)
-            }
+            Self::Interrupted => TargetUpdateTime::guessed(
+                answered_at - ASSUMED_AGE_AFTER_OUTAGE,
+                NamingCertainty::Resumed,
+            ),
         }
     }
 }
--- a/src/sync/wanted_versions.rs
+++ b/src/sync/target_versions.rs
@@ -9,10 +9,10 @@
 use bytestring::ByteString;
 
 use super::events;
-use super::naming_time::TargetUpdateTime;
 use super::own_rows::VersionRecord;
 use super::peer_messages::TargetAnnouncement;
 use super::store_clock::StoreClock;
+use super::target_update_time::TargetUpdateTime;
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, NamingCertainty, WantedWeights, WeightsVersion};
 use crate::metrics;
@@ -24,7 +24,7 @@
 
 /// Who said something, for the log and for what it is worth.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum WordSource {
+pub(super) enum UpdateSource {
     /// The store, with a change of the operator's row to this revision.
     Change(u64),
     /// The store, with a change to this revision that another has followed since.
@@ -37,14 +37,14 @@
     Neighbour,
 }
 
-impl WordSource {
+impl UpdateSource {
     /// Whether it tells what stands in the operator's row now.
-    pub(super) const fn stands(self) -> bool {
+    pub(super) const fn is_current(self) -> bool {
         matches!(self, Self::Change(_) | Self::Table(_))
     }
 }
 
-impl fmt::Display for WordSource {
+impl fmt::Display for UpdateSource {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Change(revision) | Self::PastChange(revision) | Self::Table(revision) => {
@@ -58,73 +58,75 @@
 
 /// The versions.
 #[derive(Debug, Default)]
-pub(super) struct WantedVersions {
+pub(super) struct TargetVersions {
     /// Sorted by model and version.
-    wanted: Vec<TargetAnnouncement>,
+    announcements: Vec<TargetAnnouncement>,
     /// Those of them that the store has told of, sorted.
-    told: Vec<ModelVersion>,
+    reported: Vec<ModelVersion>,
     /// The versions that the store's own rows record, sorted by model.
     records: Vec<VersionRecord>,
 }
 
-impl WantedVersions {
+impl TargetVersions {
     /// All of them, sorted by model and version.
     pub(super) fn all(&self) -> &[TargetAnnouncement] {
-        &self.wanted
+        &self.announcements
     }
 
     /// The same on this process's own clock, of which `clock` knows.
-    pub(super) fn on_clock(&self, clock: &StoreClock) -> Vec<WantedWeights> {
-        let weights = |wanted: &TargetAnnouncement| WantedWeights {
-            target: wanted.target.clone(),
-            named_at: clock.earliest(wanted.named.at),
-            certainty: wanted.named.certainty,
+    pub(super) fn on_local_clock(&self, clock: &StoreClock) -> Vec<WantedWeights> {
+        let weights = |announcement: &TargetAnnouncement| WantedWeights {
+            target: announcement.target.clone(),
+            named_at: clock.earliest(announcement.set_at.earliest),
+            certainty: announcement.set_at.certainty,
         };
-        self.wanted.iter().map(weights).collect()
+        self.announcements.iter().map(weights).collect()
     }
 
-    /// `source` says that `target` was named, at `named` as far as it knows.
-    pub(super) fn want(
+    /// `source` says that `target` was named, at `set_at` as far as it knows.
+    pub(super) fn add_target(
         &mut self,
         target: &ModelVersion,
-        named: TargetUpdateTime,
-        source: WordSource,
+        set_at: TargetUpdateTime,
+        source: UpdateSource,
     ) {
         let known = self.newest(&target.model);
         if known > Some(target.version) {
-            note_naming_behind(target, known, source);
+            log_older_target(target, known, source);
         }
-        let tells_naming = self.tells_naming(target, source);
+        let states_update_time = self.states_update_time(target, source);
         match self.find(target) {
-            Ok(at) if tells_naming => {
-                let known = &mut self.wanted[at].named;
-                let joined = named.and(*known);
-                if joined != *known {
-                    *known = joined;
-                    note_naming_timed(target, joined, source);
+            Ok(at) if states_update_time => {
+                let known = &mut self.announcements[at].set_at;
+                let combined = set_at.combine(*known);
+                if combined != *known {
+                    *known = combined;
+                    log_update_time(target, combined, source);
                 }
             }
             Ok(_) => {}
-            Err(at) if tells_naming => self.insert(at, target, named),
-            Err(at) => self.insert(at, target, self.bounded_naming(at, target, named)),
+            Err(at) if states_update_time => self.insert(at, target, set_at),
+            Err(at) => self.insert(at, target, self.capped_update_time(at, target, set_at)),
         }
         self.raise_assumed(&target.model);
-        let is_told = match source {
-            WordSource::Neighbour => false,
+        let is_reported = match source {
+            UpdateSource::Neighbour => false,
             // Behind a cut the watch has yet to tell of what was named meanwhile.
-            WordSource::Record(_) => named.certainty == NamingCertainty::Assumed,
-            WordSource::Change(_) | WordSource::PastChange(_) | WordSource::Table(_) => true,
+            UpdateSource::Record(_) => set_at.certainty == NamingCertainty::Assumed,
+            UpdateSource::Change(_) | UpdateSource::PastChange(_) | UpdateSource::Table(_) => true,
         };
-        if is_told {
-            self.note_store_answer(target);
+        if is_reported {
+            self.note_reported(target);
         }
         if known < Some(target.version) {
             let (model, version) = (&target.model, target.version.0);
-            let believed = self.find(target).map_or(named, |at| self.wanted[at].named);
-            let (certainty, named_ms) = (believed.certainty, millis_of(believed));
+            let effective = self
+                .find(target)
+                .map_or(set_at, |at| self.announcements[at].set_at);
+            let (certainty, named_ms) = (effective.certainty, millis_of(effective));
             metrics::set_level("version_wanted", model, version);
             log_event!(
-                events::WEIGHTS_WANTED,
+                events::TARGET_UPDATED,
                 "model={model} version={version} from={source} certainty={certainty:?} named_ms={named_ms}"
             );
         }
@@ -136,41 +138,41 @@
     /// new of it. Taken for a naming of that moment, it allowed requests to begin on older weights
     /// behind the bound, by as much as the version was old. So a change tells it only of a version of
     /// which, and of newer ones, the store has not told before. A neighbour is believed.
-    fn tells_naming(&self, target: &ModelVersion, source: WordSource) -> bool {
+    fn states_update_time(&self, target: &ModelVersion, source: UpdateSource) -> bool {
         match source {
-            WordSource::Neighbour => true,
-            WordSource::Change(_) | WordSource::PastChange(_) => {
-                let at = self.told.partition_point(|told| told < target);
-                let next = self.told.get(at);
+            UpdateSource::Neighbour => true,
+            UpdateSource::Change(_) | UpdateSource::PastChange(_) => {
+                let at = self.reported.partition_point(|reported| reported < target);
+                let next = self.reported.get(at);
                 next.is_none_or(|next| next.model != target.model)
             }
-            WordSource::Table(_) | WordSource::Record(_) => false,
+            UpdateSource::Table(_) | UpdateSource::Record(_) => false,
         }
     }
 
-    fn note_store_answer(&mut self, target: &ModelVersion) {
-        if let Err(at) = self.told.binary_search(target) {
-            self.told.insert(at, target.clone());
+    fn note_reported(&mut self, target: &ModelVersion) {
+        if let Err(at) = self.reported.binary_search(target) {
+            self.reported.insert(at, target.clone());
         }
-        let wanted = &self.wanted;
-        self.told.retain(|told| {
-            let found = wanted.binary_search_by(|known| known.target.cmp(told));
+        let announcements = &self.announcements;
+        self.reported.retain(|reported| {
+            let found = announcements.binary_search_by(|known| known.target.cmp(reported));
             found.is_ok()
         });
     }
 
     fn find(&self, target: &ModelVersion) -> Result<usize, usize> {
-        self.wanted
-            .binary_search_by(|wanted| wanted.target.cmp(target))
+        self.announcements
+            .binary_search_by(|announcement| announcement.target.cmp(target))
     }
 
-    fn insert(&mut self, at: usize, target: &ModelVersion, named: TargetUpdateTime) {
-        let wanted = TargetAnnouncement {
+    fn insert(&mut self, at: usize, target: &ModelVersion, set_at: TargetUpdateTime) {
+        let announcement = TargetAnnouncement {
             target: target.clone(),
-            named,
+            set_at,
         };
-        self.wanted.insert(at, wanted);
-        self.forget(&target.model);
+        self.announcements.insert(at, announcement);
+        self.drop_oldest(&target.model);
     }
 
     /// When a version that is new to this process was named at the latest, if its place is `at`.
@@ -178,19 +180,19 @@
     /// One that is older than another which is known was named before it, whenever its row was written.
     /// Taken for new, a naming that was done late let requests begin on what it had replaced long
     /// before.
-    fn bounded_naming(
+    fn capped_update_time(
         &self,
         at: usize,
         target: &ModelVersion,
-        named: TargetUpdateTime,
+        set_at: TargetUpdateTime,
     ) -> TargetUpdateTime {
-        let next = self.wanted.get(at);
+        let next = self.announcements.get(at);
         match next.filter(|next| next.target.model == target.model) {
             Some(next) => {
-                let at = named.at.min(next.named.at);
+                let at = set_at.earliest.min(next.set_at.earliest);
                 TargetUpdateTime::guessed(at, NamingCertainty::Assumed)
             }
-            None => named,
+            None => set_at,
         }
     }
 
@@ -199,13 +201,13 @@
     /// older weights could have answered.
     fn raise_assumed(&mut self, model: &str) {
         let mut earliest = StoreTime(0);
-        let of_model = self.wanted.iter_mut();
-        for wanted in of_model.filter(|wanted| *wanted.target.model == *model) {
-            let named = &mut wanted.named;
-            match named.certainty {
-                NamingCertainty::Assumed => named.at = named.at.max(earliest),
+        let of_model = self.announcements.iter_mut();
+        for announcement in of_model.filter(|announcement| *announcement.target.model == *model) {
+            let set_at = &mut announcement.set_at;
+            match set_at.certainty {
+                NamingCertainty::Assumed => set_at.earliest = set_at.earliest.max(earliest),
                 NamingCertainty::Resumed => {}
-                NamingCertainty::Witnessed => earliest = earliest.max(named.at),
+                NamingCertainty::Witnessed => earliest = earliest.max(set_at.earliest),
             }
         }
     }
@@ -215,65 +217,76 @@
     /// Without that, versions named in quick succession let requests begin on the oldest weights behind
     /// the bound: the version that had to replace them was forgotten, and those that were left were not
     /// due yet.
-    fn forget(&mut self, model: &str) {
-        let is_of = |wanted: &TargetAnnouncement| *wanted.target.model == *model;
-        let count = self.wanted.iter().filter(|wanted| is_of(wanted)).count();
-        let first = self.wanted.iter().position(is_of);
+    fn drop_oldest(&mut self, model: &str) {
+        let is_of = |announcement: &TargetAnnouncement| *announcement.target.model == *model;
+        let count = self
+            .announcements
+            .iter()
+            .filter(|announcement| is_of(announcement))
+            .count();
+        let first = self.announcements.iter().position(is_of);
         if let (true, Some(first)) = (count > VERSIONS_KEPT, first) {
-            let oldest = self.wanted.remove(first);
-            let next = &mut self.wanted[first];
-            next.named.at = next.named.at.min(oldest.named.at);
+            let oldest = self.announcements.remove(first);
+            let next = &mut self.announcements[first];
+            next.set_at.earliest = next.set_at.earliest.min(oldest.set_at.earliest);
             // Whoever tells this version's own naming does not undo it.
-            next.named.by = next.named.at;
+            next.set_at.latest = next.set_at.earliest;
         }
     }
 
     /// The newest version of `model` that is known to be wanted.
     pub(super) fn newest(&self, model: &str) -> Option<WeightsVersion> {
-        self.newest_wanted(model)
-            .map(|wanted| wanted.target.version)
+        self.newest_announcement(model)
+            .map(|announcement| announcement.target.version)
     }
 
-    fn newest_wanted(&self, model: &str) -> Option<&TargetAnnouncement> {
-        let mut newest_first = self.wanted.iter().rev();
-        newest_first.find(|wanted| *wanted.target.model == *model)
+    fn newest_announcement(&self, model: &str) -> Option<&TargetAnnouncement> {
+        let mut newest_first = self.announcements.iter().rev();
+        newest_first.find(|announcement| *announcement.target.model == *model)
     }
 
-    /// Whether `words` name a newer version than is known, or say with more certainty when one was
+    /// Whether `announcements` name a newer version than is known, or say with more certainty when one was
     /// named, be it only the one before.
-    pub(super) fn learns_from(&self, words: &[TargetAnnouncement]) -> bool {
-        let is_news = |word: &TargetAnnouncement| match self.find(&word.target) {
-            Ok(at) => word.named.and(self.wanted[at].named) != self.wanted[at].named,
-            Err(_) => match self.newest_wanted(&word.target.model) {
-                Some(newest) if newest.target.version > word.target.version => {
-                    newest.named.certainty < word.named.certainty
-                        && self.has_room(&word.target.model)
+    pub(super) fn is_updated_by(&self, announcements: &[TargetAnnouncement]) -> bool {
+        let has_news = |announcement: &TargetAnnouncement| match self.find(&announcement.target) {
+            Ok(at) => {
+                announcement.set_at.combine(self.announcements[at].set_at)
+                    != self.announcements[at].set_at
+            }
+            Err(_) => match self.newest_announcement(&announcement.target.model) {
+                Some(newest) if newest.target.version > announcement.target.version => {
+                    newest.set_at.certainty < announcement.set_at.certainty
+                        && self.has_room(&announcement.target.model)
                 }
                 _ => true,
             },
         };
-        words.iter().any(is_news)
+        announcements.iter().any(has_news)
     }
 
     fn has_room(&self, model: &str) -> bool {
-        let of_model = self.wanted.iter();
-        let count = of_model.filter(|wanted| *wanted.target.model == *model);
+        let of_model = self.announcements.iter();
+        let count = of_model.filter(|announcement| *announcement.target.model == *model);
         count.count() < VERSIONS_KEPT
     }
 
     /// Takes in the versions that another process knows to be wanted, none of them named behind `latest`.
-    pub(super) fn take_words(&mut self, words: &[TargetAnnouncement], latest: StoreTime) {
-        for word in words {
-            let mut named = word.named;
-            named.at = named.at.min(latest);
-            self.want(&word.target, named, WordSource::Neighbour);
+    pub(super) fn merge_targets(
+        &mut self,
+        announcements: &[TargetAnnouncement],
+        latest: StoreTime,
+    ) {
+        for announcement in announcements {
+            let mut set_at = announcement.set_at;
+            set_at.earliest = set_at.earliest.min(latest);
+            self.add_target(&announcement.target, set_at, UpdateSource::Neighbour);
         }
     }
 
     /// Takes in a version that the store records.
-    pub(super) fn take_record(&mut self, record: VersionRecord, named: TargetUpdateTime) {
-        let source = WordSource::Record(record.revision);
-        self.want(&record.target, named, source);
+    pub(super) fn take_record(&mut self, record: VersionRecord, set_at: TargetUpdateTime) {
+        let source = UpdateSource::Record(record.revision);
+        self.add_target(&record.target, set_at, source);
         match self.find_record(&record.target.model) {
             Ok(at) if self.records[at].revision < record.revision => self.records[at] = record,
             Ok(_) => {}
@@ -314,23 +327,25 @@
     /// the revision that it replaces.
     pub(super) fn unrecorded(&self) -> Vec<VersionRecord> {
         let models = self
-            .wanted
+            .announcements
             .chunk_by(|left, right| left.target.model == right.target.model);
         let newest = models.filter_map(<[TargetAnnouncement]>::last);
-        newest.filter_map(|wanted| self.record_of(wanted)).collect()
+        newest
+            .filter_map(|announcement| self.record_of(announcement))
+            .collect()
     }
 
-    /// What is to be recorded of `wanted`, if anything is.
-    fn record_of(&self, wanted: &TargetAnnouncement) -> Option<VersionRecord> {
-        let target = &wanted.target;
+    /// What is to be recorded of `announcement`, if anything is.
+    fn record_of(&self, announcement: &TargetAnnouncement) -> Option<VersionRecord> {
+        let target = &announcement.target;
         // The first version is what a process believes that knows of none.
         if target.version <= WeightsVersion(1) {
             return None;
         }
         let known = self.find_record(&target.model).ok();
         let known = known.map(|at| &self.records[at]);
-        let is_behind = known.is_none_or(|known| known.target.version < target.version);
-        is_behind.then(|| VersionRecord {
+        let is_outdated = known.is_none_or(|known| known.target.version < target.version);
+        is_outdated.then(|| VersionRecord {
             target: target.clone(),
             revision: known.map_or(0, |known| known.revision),
         })
@@ -339,30 +354,33 @@
 
 /// Tells since when a version counts as named now. Requests begin on older weights until a span behind
 /// it is over, so that without a line nobody could tell why one began when it did.
-fn note_naming_timed(target: &ModelVersion, named: TargetUpdateTime, source: WordSource) {
+fn log_update_time(target: &ModelVersion, set_at: TargetUpdateTime, source: UpdateSource) {
     let (model, version) = (&target.model, target.version.0);
-    let (certainty, slack) = (named.certainty, named.by.since(named.at).as_millis());
-    let named_ms = millis_of(named);
+    let (certainty, slack) = (
+        set_at.certainty,
+        set_at.latest.since(set_at.earliest).as_millis(),
+    );
+    let named_ms = millis_of(set_at);
     log_event!(
-        events::NAMING_TIMED,
+        events::TARGET_TIME_REFINED,
         "model={model} version={version} from={source} certainty={certainty:?} named_ms={named_ms} slack_ms={slack}"
     );
 }
 
 /// When a version was named, in milliseconds on the store's clock; for the log.
-const fn millis_of(named: TargetUpdateTime) -> u64 {
-    named.at.0 / 1000
+const fn millis_of(set_at: TargetUpdateTime) -> u64 {
+    set_at.earliest.0 / 1000
 }
 
 /// Tells that the store names an older version than was named before.
 ///
 /// Its row was written over by an older naming that was done late. Processes that live stay with the
 /// newer version, and without a line nobody would know why the store says another.
-fn note_naming_behind(target: &ModelVersion, known: Option<WeightsVersion>, source: WordSource) {
-    if let (true, Some(known)) = (source.stands(), known) {
+fn log_older_target(target: &ModelVersion, known: Option<WeightsVersion>, source: UpdateSource) {
+    if let (true, Some(known)) = (source.is_current(), known) {
         let (model, version) = (&target.model, target.version.0);
         log_event!(
-            events::NAMING_BEHIND,
+            events::TARGET_OLDER,
             "model={model} version={version} known={} from={source}",
             known.0
         );
--- a/src/sync/tests/clock.rs
+++ b/src/sync/tests/clock.rs
@@ -12,24 +12,24 @@
 const CASE_BYTES: u32 = 1024;
 const STEPS: u32 = 40;
 /// The clocks differ by up to half of what is allowed for, in millionths.
-const DRIFT_MOST: u64 = 100;
-const ON_WAY_MOST_MS: u64 = 2500;
+const DRIFT_MAX: u64 = 100;
+const TRANSIT_MAX_MS: u64 = 2500;
 
 /// The store's clock as it is, against that of a process.
 #[derive(Clone, Copy)]
-struct RealClock {
+struct SimulatedClock {
     ahead: u64,
     drift: u64,
 }
 
-impl RealClock {
+impl SimulatedClock {
     fn at(self, now: ClockTime) -> StoreTime {
         StoreTime(now.0 + self.ahead + now.0 / 1_000_000 * self.drift)
     }
 
     /// The store's word of `now`, in whole milliseconds.
-    fn word(self, now: ClockTime) -> ClockBounds {
-        ClockBounds::of_store(StoreTime(self.at(now).0 / 1000 * 1000))
+    fn bounds(self, now: ClockTime) -> ClockBounds {
+        ClockBounds::from_store(StoreTime(self.at(now).0 / 1000 * 1000))
     }
 }
 
@@ -40,59 +40,59 @@
 /// Two processes ask the store, and each other, over ways of any length: the store's clock is always within
 /// what each takes for its bounds, and a moment on it never counts as later than it was.
 fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let real = RealClock {
+    let simulated = SimulatedClock {
         ahead: u.int_in_range(0..=10_000_000_000)?,
-        drift: u.int_in_range(0..=DRIFT_MOST)?,
+        drift: u.int_in_range(0..=DRIFT_MAX)?,
     };
     let mut clocks = [StoreClock::default(), StoreClock::default()];
     let mut now = ClockTime::from_millis(u.int_in_range(0..=100_000_000)?);
     for _ in 0..STEPS {
-        let asks = usize::from(u.arbitrary::<bool>()?);
+        let requester = usize::from(u.arbitrary::<bool>()?);
         let sent_at = now;
-        now = now + millis(u, ON_WAY_MOST_MS)?;
-        let (word, source) = if u.arbitrary()? {
-            (Some(real.word(now)), ClockSource::Store)
+        now = now + millis(u, TRANSIT_MAX_MS)?;
+        let (bounds, source) = if u.arbitrary()? {
+            (Some(simulated.bounds(now)), ClockSource::Store)
         } else {
-            (clocks[1 - asks].word(now), ClockSource::Neighbour)
+            (clocks[1 - requester].bounds(now), ClockSource::Neighbour)
         };
-        now = now + millis(u, ON_WAY_MOST_MS)?;
+        now = now + millis(u, TRANSIT_MAX_MS)?;
         let span = QuerySpan {
             sent_at,
             received_at: now,
         };
-        if let Some(word) = word {
-            clocks[asks].note(word, span, source);
+        if let Some(bounds) = bounds {
+            clocks[requester].note(bounds, span, source);
         }
         now = now + millis(u, 60_000)?;
         for clock in &clocks {
-            if let Some(word) = clock.word(now) {
-                let shown = real.at(now);
+            if let Some(bounds) = clock.bounds(now) {
+                let shown = simulated.at(now);
                 assert!(
-                    word.least <= shown && shown <= word.most,
-                    "{word:?} {shown:?}"
+                    bounds.least <= shown && shown <= bounds.most,
+                    "{bounds:?} {shown:?}"
                 );
             }
         }
         // What is not heard anew is looked at within a second or so.
         let before = sent_at;
-        let believed = clocks[asks].earliest(real.at(before));
+        let believed = clocks[requester].earliest(simulated.at(before));
         assert!(believed <= before, "{believed:?} is behind {before:?}");
     }
     Ok(())
 }
 
 #[test]
-fn the_stores_clock_is_within_its_bounds_whatever_way_words_take() {
+fn clock_bounds_contain_the_store_clock_for_any_delays() {
     run_cases(CASES, CASE_BYTES, run_case);
 }
 
 /// An entry host took a version for named 60 ms later than it was, an hour behind its start: two clocks drift
 /// apart also in the tenths of a second between two words, and only whole seconds were counted.
 #[test]
-fn clocks_drift_apart_between_words_in_quick_succession() {
-    let real = RealClock {
+fn drift_is_counted_between_frequent_answers() {
+    let simulated = SimulatedClock {
         ahead: 40_000_000,
-        drift: DRIFT_MOST,
+        drift: DRIFT_MAX,
     };
     let mut clock = StoreClock::default();
     let mut now = ClockTime::from_millis(1_000_000);
@@ -103,9 +103,9 @@
             sent_at: now,
             received_at,
         };
-        clock.note(real.word(answered), span, ClockSource::Store);
+        clock.note(simulated.bounds(answered), span, ClockSource::Store);
         now = now + Duration::from_millis(400);
-        let late = clock.earliest(real.at(now)).since(now);
+        let late = clock.earliest(simulated.at(now)).since(now);
         assert!(late.is_zero(), "{late:?} late at {now:?}");
     }
 }
@@ -113,17 +113,17 @@
 /// A process that stood still goes by what the store says next; a neighbour that did not notice yet that it
 /// stood still itself, and tells a time of before, is not believed.
 #[test]
-fn who_stood_still_is_put_right_and_not_believed() {
+fn a_paused_process_is_corrected_and_not_trusted() {
     let at = |millis| ClockTime::from_millis(millis);
-    let shows = |millis| ClockBounds::of_store(StoreTime::from_millis(millis));
+    let shows = |millis| ClockBounds::from_store(StoreTime::from_millis(millis));
     let within = |sent_at, received_at| QuerySpan {
         sent_at: at(sent_at),
         received_at: at(received_at),
     };
     let mut clock = StoreClock::default();
     clock.note(shows(5_000), within(1_000, 1_010), ClockSource::Store);
-    let behind = shows(3_020);
-    clock.note(behind, within(1_015, 1_025), ClockSource::Neighbour);
+    let outdated = shows(3_020);
+    clock.note(outdated, within(1_015, 1_025), ClockSource::Neighbour);
     // Clocks may have drifted apart by some microseconds since.
     let is_just = |found: ClockTime, expected: ClockTime| {
         found <= expected && expected.since(found) <= Duration::from_micros(20)
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -7,11 +7,11 @@
 use tokio::time::{sleep, timeout};
 
 use super::restarts::EntryProcess;
-use super::store_gate::{GateHarm, StoreGate};
+use super::store_proxy::{ProxyFault, StoreProxy};
 use crate::platform::samples::{backend_sample, document_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::quarantine::BackendStart;
-use crate::sync::crash_rows::{crash_key, crash_text};
+use crate::sync::crash_rows::{crash_key, crash_value};
 use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::{digest_of, free_address};
 use crate::time::clock_now;
@@ -23,7 +23,7 @@
 /// Requests of an entry host that asks a neighbour, which is held open until there is news.
 const SETTLE_SPAN: Duration = Duration::from_secs(3);
 
-async fn store_in_use() -> FakeStore {
+async fn populated_store() -> FakeStore {
     let store = FakeStore::start().await;
     let (key, text) = document_sample(1);
     store.put(TableName::Operator, key, &text);
@@ -44,7 +44,10 @@
 
 impl Drop for TestEntry {
     fn drop(&mut self) {
-        self.0.take().into_iter().for_each(EntryProcess::lose_power);
+        self.0
+            .take()
+            .into_iter()
+            .for_each(EntryProcess::stop_abruptly);
     }
 }
 
@@ -66,16 +69,16 @@
         seeds: Vec::new(),
     });
     process
-        .believes(|snapshot| snapshot.catalog.is_some())
+        .wait_for(|snapshot| snapshot.catalog.is_some())
         .await;
     TestEntry(Some(process))
 }
 
-fn see_crash(process: &EntryProcess, backend: u64, body: &[u8]) {
+fn note_crash_at(process: &EntryProcess, backend: u64, body: &[u8]) {
     let (backend, now) = (BackendStart(backend), clock_now());
     process
-        .book
-        .change(|book| book.note_crash(backend, &[digest_of(body)], now));
+        .state
+        .change(|state| state.note_crash(backend, &[digest_of(body)], now));
 }
 
 fn has_quarantined(snapshot: &ControlSnapshot, body: &[u8]) -> bool {
@@ -83,62 +86,62 @@
     left.is_some()
 }
 
-async fn learns(process: &EntryProcess, body: &[u8]) {
-    let learning = process.believes(|snapshot| has_quarantined(snapshot, body));
+async fn wait_for_quarantine(process: &EntryProcess, body: &[u8]) {
+    let learning = process.wait_for(|snapshot| has_quarantined(snapshot, body));
     timeout(KNOWN_WITHIN, learning).await.expect("it learns");
 }
 
 /// Guards against entry hosts that each see one crash, so that none of them ever sees enough.
 #[tokio::test]
-async fn entry_hosts_that_see_one_crash_each_quarantine_together() {
-    let store = store_in_use().await;
+async fn crashes_seen_by_different_entry_hosts_add_up() {
+    let store = populated_store().await;
     let mut processes = Vec::new();
     for name in ["e1", "e2", "e3", "e4", "e5"] {
         processes.push(start_entry(name, &store).await);
     }
     sleep(SETTLE_SPAN).await;
     for (backend, process) in (1..=3).zip(&processes) {
-        see_crash(process, backend, b"deadly");
-        see_crash(process, backend, &backend.to_be_bytes());
+        note_crash_at(process, backend, b"deadly");
+        note_crash_at(process, backend, &backend.to_be_bytes());
     }
     for process in &processes {
-        learns(process, b"deadly").await;
-        let snapshot = process.book.snapshot().load();
+        wait_for_quarantine(process, b"deadly").await;
+        let snapshot = process.state.snapshot().load();
         assert!(!has_quarantined(&snapshot, &1_u64.to_be_bytes()));
     }
 }
 
 /// Guards against processes that have all started again and send the request once more.
 #[tokio::test]
-async fn what_is_quarantined_outlives_all_processes() {
-    let store = store_in_use().await;
+async fn quarantine_survives_a_restart_of_all_processes() {
+    let store = populated_store().await;
     let process = start_entry("e1", &store).await;
     for backend in 1..=3 {
-        see_crash(&process, backend, b"deadly");
+        note_crash_at(&process, backend, b"deadly");
     }
     let other = start_entry("e2", &store).await;
-    learns(&other, b"deadly").await;
+    wait_for_quarantine(&other, b"deadly").await;
     drop(other);
     drop(process);
     let process = start_entry("e3", &store).await;
     // It takes requests as soon as it has a document.
-    assert!(has_quarantined(&process.book.snapshot().load(), b"deadly"));
+    assert!(has_quarantined(&process.state.snapshot().load(), b"deadly"));
 }
 
 /// Guards against crashes that nobody hears of because the store was away when they were seen.
 #[tokio::test]
-async fn crashes_of_an_outage_are_told_behind_it() {
-    let store = store_in_use().await;
+async fn crashes_during_an_outage_are_recorded_after_it() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     let second = start_entry("e2", &store).await;
     store.set_down(true);
-    see_crash(&first, 1, b"deadly");
-    see_crash(&second, 2, b"deadly");
+    note_crash_at(&first, 1, b"deadly");
+    note_crash_at(&second, 2, b"deadly");
     sleep(Duration::from_millis(500)).await;
-    see_crash(&first, 3, b"deadly");
+    note_crash_at(&first, 3, b"deadly");
     store.set_down(false);
     for process in [&first, &second] {
-        learns(process, b"deadly").await;
+        wait_for_quarantine(process, b"deadly").await;
     }
 }
 
@@ -146,29 +149,29 @@
 /// the seconds behind it.
 #[tokio::test]
 async fn an_entry_host_that_was_cut_off_catches_up() {
-    let store = store_in_use().await;
-    let gate = StoreGate::start(store.address).await;
+    let store = populated_store().await;
+    let proxy = StoreProxy::start(store.address).await;
     let near = start_entry("e1", &store).await;
-    let far = start_entry_at("e2", "b", gate.address).await;
+    let far = start_entry_at("e2", "b", proxy.address).await;
     sleep(SETTLE_SPAN).await;
-    gate.set(GateHarm::Silent);
+    proxy.set(ProxyFault::Unresponsive);
     sleep(SETTLE_SPAN).await;
     for backend in 1..=3 {
-        see_crash(&near, backend, b"near");
-        see_crash(&far, backend, b"far");
+        note_crash_at(&near, backend, b"near");
+        note_crash_at(&far, backend, b"far");
     }
     // Its neighbours tell it, whatever becomes of its own way.
-    learns(&far, b"near").await;
-    gate.set(GateHarm::None);
-    let learning = near.believes(|snapshot| has_quarantined(snapshot, b"far"));
+    wait_for_quarantine(&far, b"near").await;
+    proxy.set(ProxyFault::None);
+    let learning = near.wait_for(|snapshot| has_quarantined(snapshot, b"far"));
     timeout(CONTACT_SPAN, learning).await.expect("it learns");
 }
 
 /// Guards against a watch that stops for good where the store forgets its history, and against rows of other
 /// writers that hide those of entry hosts.
 #[tokio::test]
-async fn crashes_are_read_behind_a_forgotten_history_and_beside_rows_that_do_not_read() {
-    let store = store_in_use().await;
+async fn crashes_are_read_after_lost_history_and_despite_unreadable_rows() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     let second = start_entry("e2", &store).await;
     for (key, text) in [("x", "{}"), ("0/0", "{\"verdict\":\"suspected\"}")] {
@@ -176,62 +179,62 @@
     }
     store.forget_history();
     for backend in 1..=3 {
-        see_crash(&first, backend, b"deadly");
+        note_crash_at(&first, backend, b"deadly");
     }
-    learns(&second, b"deadly").await;
+    wait_for_quarantine(&second, b"deadly").await;
 }
 
 /// Guards against a quarantine that goes on at other entry hosts when the request was answered whole.
 #[tokio::test]
-async fn a_request_that_is_cleared_is_cleared_everywhere() {
-    let store = store_in_use().await;
+async fn a_cleared_request_is_cleared_on_all_entry_hosts() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     let second = start_entry("e2", &store).await;
     for backend in 1..=3 {
-        see_crash(&first, backend, b"body");
+        note_crash_at(&first, backend, b"body");
     }
-    learns(&second, b"body").await;
+    wait_for_quarantine(&second, b"body").await;
     first
-        .book
-        .change(|book| book.clear_request(digest_of(b"body")));
-    let cleared = second.believes(|snapshot| !has_quarantined(snapshot, b"body"));
+        .state
+        .change(|state| state.clear_request(digest_of(b"body")));
+    let cleared = second.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
     timeout(KNOWN_WITHIN, cleared).await.expect("it learns");
 }
 
 /// Guards against a request that is quarantined once more at a start, because the store did an earlier write late,
 /// behind the clearing.
 #[tokio::test]
-async fn a_clearing_outlives_a_late_suspicion() {
-    let store = store_in_use().await;
+async fn a_clearing_overrides_a_late_suspicion() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     for backend in 1..=3 {
-        see_crash(&first, backend, b"body");
+        note_crash_at(&first, backend, b"body");
     }
-    let records = first.book.read(|book| book.crashes.unkept());
+    let records = first.state.read(|state| state.crashes.unkept());
     let second = start_entry("e2", &store).await;
-    learns(&second, b"body").await;
+    wait_for_quarantine(&second, b"body").await;
     second
-        .book
-        .change(|book| book.clear_request(digest_of(b"body")));
-    let cleared = first.believes(|snapshot| !has_quarantined(snapshot, b"body"));
+        .state
+        .change(|state| state.clear_request(digest_of(b"body")));
+    let cleared = first.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
     timeout(KNOWN_WITHIN, cleared).await.expect("it learns");
     for record in records {
-        let text = crash_text(&record).expect("it encodes");
+        let text = crash_value(&record).expect("it encodes");
         let text = String::from_utf8(text).expect("it is JSON");
         store.put(TableName::Crashes, &crash_key(&record), &text);
     }
     let third = start_entry("e3", &store).await;
-    assert!(!has_quarantined(&third.book.snapshot().load(), b"body"));
+    assert!(!has_quarantined(&third.state.snapshot().load(), b"body"));
 }
 
 /// Guards against rows under keys that nobody looks for.
 #[tokio::test]
-async fn a_crash_stands_under_its_key() {
-    let store = store_in_use().await;
+async fn a_crash_is_written_under_its_key() {
+    let store = populated_store().await;
     let process = start_entry("e1", &store).await;
-    see_crash(&process, 0xab, b"body");
-    let record = process.book.read(|book| book.crashes.unkept()[0]);
-    let expected = crash_text(&record).expect("it encodes");
+    note_crash_at(&process, 0xab, b"body");
+    let record = process.state.read(|state| state.crashes.unkept()[0]);
+    let expected = crash_value(&record).expect("it encodes");
     let key = crash_key(&record);
     assert!(key.ends_with("/00000000000000ab"), "{key}");
     let kept = async {
--- a/src/sync/tests/delayed_process.rs
+++ b/src/sync/tests/delayed_process.rs
@@ -4,14 +4,14 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 
-use super::delayed_words::{StoreWord, take_store_word};
+use super::delayed_messages::{StoreAnswer, take_store_answer};
 use crate::sync::SharedControlState;
-use crate::sync::naming_time::NamingKnowledge;
+use crate::sync::target_update_time::FollowState;
 use crate::time::{ClockTime, StoreTime};
 
 /// The longest ways of the store's answers, in milliseconds.
-const STORE_ANSWER_MAX: u64 = 2300;
-pub(super) const NEAR_MAX: u64 = 20;
+const ANSWER_DELAY_MAX: u64 = 2300;
+pub(super) const NEAR_DELAY_MAX: u64 = 20;
 
 pub(super) fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -19,26 +19,26 @@
 
 /// One process, an entry host or a host of an engine.
 pub(super) struct Process {
-    pub(super) book: SharedControlState,
+    pub(super) state: SharedControlState,
     /// What its clock shows beyond the real time.
     pub(super) ahead: Duration,
     /// Counts its starts; words to a former one find nobody.
-    pub(super) life: u32,
+    pub(super) incarnation: u32,
     pub(super) started: ClockTime,
     pub(super) follows_store: bool,
     /// The longest way of the store's answers to it, in milliseconds.
-    pub(super) store_way: u64,
-    pub(super) cut_until: ClockTime,
-    pub(super) knowledge: NamingKnowledge,
+    pub(super) store_delay: u64,
+    pub(super) unreachable_until: ClockTime,
+    pub(super) follow_state: FollowState,
     /// How far it has followed the operator's table; none before it was read.
     pub(super) seen: Option<u64>,
     /// Since when it has followed the store without a call that failed.
-    pub(super) touch_since: Option<ClockTime>,
+    pub(super) followed_since: Option<ClockTime>,
     pub(super) store_call: Call,
-    pub(super) mark_call: Call,
+    pub(super) revision_call: Call,
     pub(super) peer_call: Call,
     /// The last word of the store, for the message of a failure.
-    pub(super) told: Option<StoreWord>,
+    pub(super) answer: Option<StoreAnswer>,
 }
 
 /// The one call that is under way, or the pause before the next.
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Caller {
     pub(super) at: usize,
-    pub(super) life: u32,
+    pub(super) incarnation: u32,
     pub(super) number: u32,
     /// On its own clock.
     pub(super) sent_at: ClockTime,
@@ -83,26 +83,26 @@
         now: ClockTime,
         (follows_store, is_near): (bool, bool),
     ) -> Result<Self> {
-        let store_way = if is_near {
-            NEAR_MAX
+        let store_delay = if is_near {
+            NEAR_DELAY_MAX
         } else {
-            *u.choose(&[NEAR_MAX, 200, 1000, STORE_ANSWER_MAX])?
+            *u.choose(&[NEAR_DELAY_MAX, 200, 1000, ANSWER_DELAY_MAX])?
         };
         Ok(Self {
-            book: SharedControlState::default(),
+            state: SharedControlState::default(),
             ahead: millis(u.int_in_range(0..=60_000)?),
-            life: 0,
+            incarnation: 0,
             started: now,
             follows_store,
-            store_way,
-            cut_until: ClockTime(0),
-            knowledge: NamingKnowledge::Started,
+            store_delay,
+            unreachable_until: ClockTime(0),
+            follow_state: FollowState::Started,
             seen: None,
-            touch_since: None,
+            followed_since: None,
             store_call: Call::default(),
-            mark_call: Call::default(),
+            revision_call: Call::default(),
             peer_call: Call::default(),
-            told: None,
+            answer: None,
         })
     }
 
@@ -113,7 +113,7 @@
     pub(super) fn caller(&self, at: usize, call: Call, now: ClockTime) -> Caller {
         Caller {
             at,
-            life: self.life,
+            incarnation: self.incarnation,
             number: call.number,
             sent_at: self.clock(now),
             fails: call.due,
@@ -121,18 +121,22 @@
     }
 
     pub(super) fn expects(&self, caller: Caller, call: Call) -> bool {
-        call.is_open && (self.life, call.number) == (caller.life, caller.number)
+        call.is_open && (self.incarnation, call.number) == (caller.incarnation, caller.number)
     }
 
     /// The pause before the next question about another table.
-    pub(super) fn rest_mark(&mut self, now: ClockTime, u: &mut Unstructured<'_>) -> Result<()> {
+    pub(super) fn end_revision_call(
+        &mut self,
+        now: ClockTime,
+        u: &mut Unstructured<'_>,
+    ) -> Result<()> {
         let pause = u.int_in_range(500..=1500)?;
-        self.mark_call.end(now + millis(pause));
+        self.revision_call.end(now + millis(pause));
         Ok(())
     }
 
     /// The pause before the next question to a neighbour.
-    pub(super) fn rest(&mut self, now: ClockTime, u: &mut Unstructured<'_>) -> Result<()> {
+    pub(super) fn end_peer_call(&mut self, now: ClockTime, u: &mut Unstructured<'_>) -> Result<()> {
         let pause = if self.follows_store {
             u.int_in_range(750..=1250)?
         } else {
@@ -143,22 +147,22 @@
     }
 
     /// The store's answer came. Returns whether it is the first behind a cut.
-    pub(super) fn hear_store(&mut self, told: StoreWord, now: ClockTime) -> bool {
-        take_store_word(&self.book, &told, self.knowledge, self.clock(now));
-        let rejoins = matches!(self.knowledge, NamingKnowledge::Interrupted);
-        self.knowledge = NamingKnowledge::Followed(StoreTime::from_millis(told.now_ms));
-        self.seen = self.seen.max(Some(told.revision));
-        self.touch_since.get_or_insert(now);
+    pub(super) fn take_store_answer_at(&mut self, answer: StoreAnswer, now: ClockTime) -> bool {
+        take_store_answer(&self.state, &answer, self.follow_state, self.clock(now));
+        let reconnects = matches!(self.follow_state, FollowState::Interrupted);
+        self.follow_state = FollowState::Followed(StoreTime::from_millis(answer.store_ms));
+        self.seen = self.seen.max(Some(answer.revision));
+        self.followed_since.get_or_insert(now);
         self.store_call.end(now);
-        self.told = Some(told);
-        rejoins
+        self.answer = Some(answer);
+        reconnects
     }
 
     pub(super) fn restart(&mut self, u: &mut Unstructured<'_>, now: ClockTime) -> Result<()> {
-        let life = self.life + 1;
-        let store_way = self.store_way;
+        let incarnation = self.incarnation + 1;
+        let store_delay = self.store_delay;
         *self = Self::new(u, now, (self.follows_store, false))?;
-        (self.life, self.store_way) = (life, store_way);
+        (self.incarnation, self.store_delay) = (incarnation, store_delay);
         Ok(())
     }
 }
--- a/src/sync/tests/storms.rs
+++ b/src/sync/tests/document_bursts.rs
@@ -5,18 +5,18 @@
 use tokio::time::{sleep, timeout};
 
 use super::restarts::EntryProcess;
-use super::{START, document, named, new_book, told_at};
+use super::{START, document, new_state, target_row, witnessed_at};
 use crate::catalog::CatalogVersion;
 use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
 use crate::platform::samples::{document_sample, naming_sample};
 use crate::platform::{FakeStore, TableName};
-use crate::sync::past_namings::is_last_look;
+use crate::sync::past_targets::is_final_read;
 use crate::sync::peer_messages::{PeerQuery, TargetAnnouncement};
 use crate::sync::{ControlSnapshot, ControlState, TargetUpdateTime};
 use crate::time::clock_now;
 
 /// Versions of the document in one storm.
-const STORM: u64 = 40;
+const BURST: u64 = 40;
 /// How long one of them takes over the link: ten of them, the shortest look back, take longer than the
 /// store is given for an answer, and the whole storm longer than a watch is held open.
 const ROW_DELAY: Duration = Duration::from_millis(150);
@@ -28,11 +28,11 @@
     }
 }
 
-async fn believes_document(process: &EntryProcess, version: u64) {
+async fn wait_for_document(process: &EntryProcess, version: u64) {
     let version = CatalogVersion(version);
-    let is_there = |catalog: &crate::catalog::ServiceCatalog| catalog.version >= version;
+    let is_ready = |catalog: &crate::catalog::ServiceCatalog| catalog.version >= version;
     process
-        .believes(|snapshot| snapshot.catalog.as_deref().is_some_and(is_there))
+        .wait_for(|snapshot| snapshot.catalog.as_deref().is_some_and(is_ready))
         .await;
 }
 
@@ -42,21 +42,21 @@
 /// the time that the store is given; it asked for the same history again, which grew meanwhile. Cause:
 /// the table was followed only behind a look that had succeeded.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_start_beside_a_history_that_does_not_arrive_follows_the_table() {
+async fn a_start_follows_the_table_when_the_history_does_not_arrive() {
     let store = FakeStore::start().await;
-    put_documents(&store, 1..=STORM);
+    put_documents(&store, 1..=BURST);
     store.slow_watches(ROW_DELAY);
     let process = EntryProcess::start("e1", &store);
     let followed = async {
-        believes_document(&process, STORM).await;
-        put_documents(&store, STORM + 1..=STORM + 1);
-        believes_document(&process, STORM + 1).await;
+        wait_for_document(&process, BURST).await;
+        put_documents(&store, BURST + 1..=BURST + 1);
+        wait_for_document(&process, BURST + 1).await;
     };
     // One look that fails, and the bound of documents.
     let within = Duration::from_secs(3);
     let followed = timeout(within, followed).await;
     assert!(followed.is_ok(), "it does not follow within {within:?}");
-    process.lose_power();
+    process.stop_abruptly();
 }
 
 /// Symptom: every engine was loaded with older weights behind a loss of power of all. Events: version 3 was
@@ -64,12 +64,12 @@
 /// an entry host that started looked back through 300 KB of history and found neither. Cause: the look ended
 /// by its bytes also where the way to the store is wide.
 #[test]
-fn only_a_slow_look_through_many_documents_is_the_last() {
+fn only_a_slow_large_history_read_is_final() {
     let (quick, slow) = (Duration::from_millis(20), Duration::from_millis(200));
     let (many, few) = (2_000_000, 20_000);
-    assert!(is_last_look(many, slow));
-    assert!(!is_last_look(many, quick), "the way is wide");
-    assert!(!is_last_look(few, slow), "the store is slow");
+    assert!(is_final_read(many, slow));
+    assert!(!is_final_read(many, quick), "the way is wide");
+    assert!(!is_final_read(few, slow), "the store is slow");
 }
 
 /// Symptom and cause as in the first of these, for an entry host that lives and was cut off: its watch goes on where it
@@ -79,11 +79,11 @@
     let store = FakeStore::start().await;
     put_documents(&store, 1..=1);
     let process = EntryProcess::start("e1", &store);
-    believes_document(&process, 1).await;
+    wait_for_document(&process, 1).await;
     store.slow_watches(ROW_DELAY);
-    put_documents(&store, 2..=STORM);
-    believes_document(&process, STORM).await;
-    process.lose_power();
+    put_documents(&store, 2..=BURST);
+    wait_for_document(&process, BURST).await;
+    process.stop_abruptly();
 }
 
 /// Symptom: every request was refused for four seconds behind an outage of the store. Events: a version was
@@ -92,40 +92,42 @@
 /// watch, and a read does not tell that the version is new. Cause: a watch that fails because the store is
 /// down was taken for one whose answer does not arrive.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_watch_goes_on_behind_an_outage_and_tells_that_a_version_is_new() {
+async fn a_watch_resumes_after_an_outage_and_dates_a_version_as_new() {
     let store = FakeStore::start().await;
     put_documents(&store, 1..=1);
     let process = EntryProcess::start("e1", &store);
-    believes_document(&process, 1).await;
+    wait_for_document(&process, 1).await;
     // A watch that is held open ends by itself after 1.4 s.
     store.set_down(true);
     sleep(Duration::from_millis(3500)).await;
     let (key, text) = naming_sample(2);
     store.put(TableName::Operator, key, &text);
     let now = clock_now();
-    let answer = |book: &ControlState| book.answer(&PeerQuery::default(), Duration::ZERO, now);
-    let clock = process.book.read(answer).clock;
+    let answer = |state: &ControlState| state.answer(&PeerQuery::default(), Duration::ZERO, now);
+    let clock = process.state.read(answer).clock;
     let known_at = clock.expect("the store has answered").most;
-    let word = TargetAnnouncement {
+    let announcement = TargetAnnouncement {
         target: ModelVersion {
             model: "m".into(),
             version: WeightsVersion(2),
         },
-        named: TargetUpdateTime::guessed(
+        set_at: TargetUpdateTime::guessed(
             known_at - Duration::from_secs(6),
             NamingCertainty::Assumed,
         ),
     };
-    process.book.change(|book| book.take_words(&[word], now));
+    process
+        .state
+        .change(|state| state.merge_targets(&[announcement], now));
     store.set_down(false);
     let is_resumed = |snapshot: &ControlSnapshot| {
-        let mut wanted = snapshot.targets.iter();
-        wanted.any(|wanted| {
-            wanted.certainty == NamingCertainty::Resumed && wanted.named_at >= now - ROW_DELAY
+        let mut weights = snapshot.targets.iter();
+        weights.any(|weights| {
+            weights.certainty == NamingCertainty::Resumed && weights.named_at >= now - ROW_DELAY
         })
     };
-    process.believes(is_resumed).await;
-    process.lose_power();
+    process.wait_for(is_resumed).await;
+    process.stop_abruptly();
 }
 
 /// Symptom: new weights reached the hosts of engines 1.5 s later than their links allow, and no engine could
@@ -133,21 +135,22 @@
 /// host's question was answered with each of them at once, over the link on which the chunks came. Cause:
 /// a host got every document as urgently as an entry host.
 #[test]
-fn a_host_that_has_a_document_is_not_woken_for_each_newer_one() {
-    let book = new_book();
-    let mut query = book.read(ControlState::query);
-    book.change(|book| book.change_operator_rows(&[document(7)], told_at(START)));
-    assert!(book.read(|book| book.has_urgent_news(&query)));
+fn a_host_with_a_document_gets_no_response_for_each_newer_one() {
+    let state = new_state();
+    let mut query = state.read(ControlState::query);
+    state.change(|state| state.change_operator_rows(&[document(7)], witnessed_at(START)));
+    assert!(state.read(|state| state.has_urgent_changes(&query)));
     query.can_wait_for_document = true;
-    assert!(!book.read(|book| book.has_urgent_news(&query)));
+    assert!(!state.read(|state| state.has_urgent_changes(&query)));
     assert!(
-        book.read(|book| book.answer(&query, Duration::ZERO, START))
+        state
+            .read(|state| state.answer(&query, Duration::ZERO, START))
             .document
             .is_none()
     );
-    book.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
+    state.change(|state| state.change_operator_rows(&[target_row(2)], witnessed_at(START)));
     assert!(
-        book.read(|book| book.has_urgent_news(&query)),
+        state.read(|state| state.has_urgent_changes(&query)),
         "a version is told at once"
     );
 }
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -6,14 +6,14 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 
-use super::driver_world::{LAYERS, LateWrite, RealWorld, SERVERS};
-use super::{at_once, found_at, new_book, store_time};
+use super::driver_simulation::{LAYERS, LateWrite, SERVERS, Simulation};
+use super::{at_once, found_at, new_state, store_time};
 use crate::fleet::{
     BackendDesk, BackendPhase, LoadReport, PickNeed, SharedDesk, VersionNeed, WeightsVersion,
 };
 use crate::overload::EntryPlace;
-use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::own_rows::VersionRecord;
+use crate::sync::target_update_time::FollowState;
 use crate::sync::{ControlSnapshot, ControlState, OwnRows, SharedControlState};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
@@ -30,146 +30,147 @@
 
 /// What one entry host was told by a backend server's words, for the checks.
 #[derive(Clone, Copy, Default)]
-struct HeardServer {
+struct KnownServer {
     born: u64,
-    leaves: bool,
+    is_leaving: bool,
 }
 
 /// One entry host.
 struct EntryHost {
-    book: SharedControlState,
-    desk: SharedDesk,
+    state: SharedControlState,
+    registry: SharedDesk,
     /// How far it has followed the operator's table; none before it was read.
     operator_seen: Option<u64>,
     /// How far it has followed the backend servers' table.
     backends_seen: Option<u64>,
-    knowledge: NamingKnowledge,
+    follow_state: FollowState,
     reaches_store: bool,
     started: ClockTime,
-    received_at: [HeardServer; SERVERS],
+    known: [KnownServer; SERVERS],
 }
 
 impl EntryHost {
     fn start(now: ClockTime) -> Self {
         Self {
-            book: new_book(),
-            desk: SharedDesk::new(BackendDesk::new(EntryPlace {
+            state: new_state(),
+            registry: SharedDesk::new(BackendDesk::new(EntryPlace {
                 data_centre: "z".into(),
                 host: "e1".into(),
             })),
             operator_seen: None,
             backends_seen: None,
-            knowledge: NamingKnowledge::Started,
+            follow_state: FollowState::Started,
             reaches_store: true,
             started: now,
-            received_at: [HeardServer::default(); SERVERS],
+            known: [KnownServer::default(); SERVERS],
         }
     }
 
     /// Follows the operator's table, if the store can be reached.
-    fn follow_operator(&mut self, world: &RealWorld) {
+    fn follow_operator(&mut self, simulation: &Simulation) {
         if !self.reaches_store {
-            self.lose_store();
+            self.note_store_failure();
             return;
         }
-        let now = world.now;
-        self.book.change(|book| book.note_store(now));
-        if !matches!(self.knowledge, NamingKnowledge::Followed(_)) {
-            self.read_own_rows(world);
+        let now = simulation.now;
+        self.state.change(|state| state.note_store(now));
+        if !matches!(self.follow_state, FollowState::Followed(_)) {
+            self.read_own_rows(simulation);
         }
-        let view = world.store.operator(self.operator_seen);
-        let named = found_at(self.knowledge, now);
-        let is_whole = self.operator_seen.is_none();
-        self.book.change(|book| {
-            if is_whole {
-                book.set_operator_rows(&view.rows, named);
+        let view = simulation.store.operator(self.operator_seen);
+        let set_at = found_at(self.follow_state, now);
+        let is_complete = self.operator_seen.is_none();
+        self.state.change(|state| {
+            if is_complete {
+                state.set_operator_rows(&view.rows, set_at);
             } else {
-                book.change_operator_rows(&view.rows, named);
+                state.change_operator_rows(&view.rows, set_at);
             }
         });
         self.operator_seen = Some(view.revision);
-        self.knowledge = NamingKnowledge::Followed(store_time(now));
+        self.follow_state = FollowState::Followed(store_time(now));
     }
 
-    fn lose_store(&mut self) {
-        self.book.change(|book| book.note_store_failure("cut off"));
-        if !matches!(self.knowledge, NamingKnowledge::Started) {
-            self.knowledge = NamingKnowledge::Interrupted;
+    fn note_store_failure(&mut self) {
+        self.state
+            .change(|state| state.note_store_failure("cut off"));
+        if !matches!(self.follow_state, FollowState::Started) {
+            self.follow_state = FollowState::Interrupted;
         }
     }
 
-    fn read_own_rows(&self, world: &RealWorld) {
-        let own = match &world.store.record {
+    fn read_own_rows(&self, simulation: &Simulation) {
+        let own = match &simulation.store.record {
             Some(record) => OwnRows::with_record(record.clone()),
             None => OwnRows::default(),
         };
-        let has_read = self.book.read(ControlState::has_own_rows);
-        let knowledge = if has_read {
-            NamingKnowledge::Interrupted
+        let has_read = self.state.read(ControlState::has_own_rows);
+        let follow_state = if has_read {
+            FollowState::Interrupted
         } else {
-            NamingKnowledge::Started
+            FollowState::Started
         };
-        let named = found_at(knowledge, world.now);
-        self.book.change(|book| book.take_own_rows(own, named));
+        let set_at = found_at(follow_state, simulation.now);
+        self.state.change(|state| state.take_own_rows(own, set_at));
     }
 
     /// Follows the backend servers' table, if the store can be reached.
-    fn follow_backends(&mut self, world: &RealWorld) {
+    fn follow_backends(&mut self, simulation: &Simulation) {
         if !self.reaches_store {
-            self.lose_store();
+            self.note_store_failure();
             return;
         }
-        let view = world.store.backends(self.backends_seen);
-        let is_whole = self.backends_seen.is_none();
-        let now = world.now;
-        self.book.change(|book| {
-            book.note_store(now);
-            if is_whole {
-                book.set_backends(&view, now);
+        let view = simulation.store.backends(self.backends_seen);
+        let is_complete = self.backends_seen.is_none();
+        let now = simulation.now;
+        self.state.change(|state| {
+            state.note_store(now);
+            if is_complete {
+                state.set_backends(&view, now);
             } else {
-                book.change_backends(&view, now);
+                state.change_backends(&view, now);
             }
-            book.expire(now);
+            state.expire(now);
         });
         self.backends_seen = Some(view.revision);
-        self.hear_entries();
+        self.check_entries();
         self.show();
     }
 
     /// The traffic sees the newest state.
     fn show(&self) {
-        self.desk.lock().set_fleet(&self.snapshot().fleet);
+        self.registry.lock().set_fleet(&self.snapshot().fleet);
     }
 
     fn snapshot(&self) -> Arc<ControlSnapshot> {
-        self.book.snapshot().load()
+        self.state.snapshot().load()
     }
 
     /// What its state says of the backend servers: never less than before.
-    fn hear_entries(&mut self) {
+    fn check_entries(&mut self) {
         let snapshot = self.snapshot();
         for facts in &snapshot.fleet.backends {
-            let Some(received_at) = self.heard_of(&facts.id) else {
+            let Some(known) = self.known_server(&facts.id) else {
                 continue;
             };
             let born = facts.born.map_or(0, |born| born.0);
-            if born > received_at.born {
-                received_at.born = born;
-                received_at.leaves = false;
+            if born > known.born {
+                known.born = born;
+                known.is_leaving = false;
             }
             // An entry behind the report of a newer incarnation is passed over at the desk.
-            if born == received_at.born {
-                let leaves = facts.phase == BackendPhase::Leaving;
-                let is_back = received_at.leaves && !leaves;
+            if born == known.born {
+                let is_leaving = facts.phase == BackendPhase::Leaving;
+                let is_back = known.is_leaving && !is_leaving;
                 assert!(!is_back, "a leaving backend server is back: {facts:?}");
-                received_at.leaves = leaves;
+                known.is_leaving = is_leaving;
             }
         }
     }
 
-    fn heard_of(&mut self, id: &str) -> Option<&mut HeardServer> {
+    fn known_server(&mut self, id: &str) -> Option<&mut KnownServer> {
         let number: usize = id.strip_prefix("i-")?.parse().ok()?;
-        self.received_at.get_mut(number.checked_sub(1)?)
+        self.known.get_mut(number.checked_sub(1)?)
     }
 
     fn take_report(&mut self, report: LoadReport, now: ClockTime) {
@@ -189,14 +190,14 @@
         };
         let born = report.born.map_or(0, |born| born.0);
         if is_listed
-            && let Some(received_at) = self.heard_of(&id)
-            && born > received_at.born
+            && let Some(known) = self.known_server(&id)
+            && born > known.born
         {
-            received_at.born = born;
-            received_at.leaves = false;
+            known.born = born;
+            known.is_leaving = false;
         }
         self.show();
-        self.desk.lock().note_report(report, now);
+        self.registry.lock().note_report(report, now);
     }
 
     /// All backend servers that it would send to, with what it takes them for.
@@ -217,7 +218,7 @@
                 is_returned: false,
                 work: None,
             };
-            let Ok(ticket) = self.desk.pick(&need, now) else {
+            let Ok(ticket) = self.registry.pick(&need, now) else {
                 return found;
             };
             let born = ticket.facts.born.map_or(0, |born| born.0);
@@ -231,52 +232,57 @@
 }
 
 struct Run {
-    world: RealWorld,
+    simulation: Simulation,
     entries: Vec<EntryHost>,
 }
 
 impl Run {
     fn new() -> Self {
-        let world = RealWorld::new();
-        let entries = (0..ENTRIES).map(|_| EntryHost::start(world.now)).collect();
-        Self { world, entries }
+        let simulation = Simulation::new();
+        let entries = (0..ENTRIES)
+            .map(|_| EntryHost::start(simulation.now))
+            .collect();
+        Self {
+            simulation,
+            entries,
+        }
     }
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let entry = u.int_in_range(0..=ENTRIES - 1)?;
         let server = u.int_in_range(0..=SERVERS - 1)?;
         match u.int_in_range(0..=20_u8)? {
-            0..=2 => self.world.tell(server),
-            3 => self.world.tell_late(server),
-            4 => self.world.servers[server].restart(self.world.now),
+            0..=2 => self.simulation.write_entry(server),
+            3 => self.simulation.write_entry_late(server),
+            4 => self.simulation.servers[server].restart(self.simulation.now),
             5 => {
-                let newest = self.world.newest();
+                let newest = self.simulation.newest();
                 let version = u.int_in_range(1..=newest)?;
-                self.world.servers[server].load(version);
+                self.simulation.servers[server].load(version);
             }
-            6 => self.world.servers[server].leaves = true,
+            6 => self.simulation.servers[server].is_leaving = true,
             7 => self.end_or_lapse(server),
-            8 => self.name(u.arbitrary()?),
-            9 if !self.world.store.late.is_empty() => {
-                let last = self.world.store.late.len() - 1;
-                self.world.do_late(u.int_in_range(0..=last)?);
+            8 => self.set_target(u.arbitrary()?),
+            9 if !self.simulation.store.late.is_empty() => {
+                let last = self.simulation.store.late.len() - 1;
+                self.simulation.finish_late(u.int_in_range(0..=last)?);
                 self.follow_all();
             }
-            10 | 11 => self.entries[entry].follow_operator(&self.world),
-            12 | 13 => self.entries[entry].follow_backends(&self.world),
+            10 | 11 => self.entries[entry].follow_operator(&self.simulation),
+            12 | 13 => self.entries[entry].follow_backends(&self.simulation),
             14 => self.record(entry, u.arbitrary()?),
             15 => self.query(entry),
             16 => self.report(server),
-            17 if !self.world.reports.is_empty() => {
-                let last = self.world.reports.len() - 1;
-                let report = self.world.reports.remove(u.int_in_range(0..=last)?);
-                self.entries[entry].take_report(report, self.world.now);
+            17 if !self.simulation.reports.is_empty() => {
+                let last = self.simulation.reports.len() - 1;
+                let report = self.simulation.reports.remove(u.int_in_range(0..=last)?);
+                self.entries[entry].take_report(report, self.simulation.now);
             }
             18 => self.toggle(entry),
             19 => self.kill(entry, u.arbitrary()?),
             _ => {
                 let millis = u.int_in_range(0..=2_000)?;
-                self.world.pass(Duration::from_millis(millis));
+                self.simulation.advance(Duration::from_millis(millis));
                 self.follow_all();
             }
         }
@@ -284,11 +290,11 @@
     }
 
     fn end_or_lapse(&mut self, server: usize) {
-        let id = self.world.servers[server].id.clone();
-        if self.world.servers[server].lives {
-            self.world.servers[server].lives = false;
+        let id = self.simulation.servers[server].id.clone();
+        if self.simulation.servers[server].is_alive {
+            self.simulation.servers[server].is_alive = false;
         } else {
-            self.world.store.put_entry(&id, None);
+            self.simulation.store.put_entry(&id, None);
         }
     }
 
@@ -296,13 +302,13 @@
     fn follow_all(&mut self) {
         for entry in &mut self.entries {
             if entry.reaches_store && entry.operator_seen.is_some() {
-                entry.follow_operator(&self.world);
+                entry.follow_operator(&self.simulation);
             }
         }
     }
 
-    fn name(&mut self, is_repeated: bool) {
-        self.world.name(is_repeated);
+    fn set_target(&mut self, is_repeated: bool) {
+        self.simulation.set_target(is_repeated);
         self.follow_all();
         // The record is written within some milliseconds by whoever was told.
         for at in 0..ENTRIES {
@@ -315,65 +321,65 @@
         if !host.reaches_store {
             return;
         }
-        for record in host.book.read(ControlState::unrecorded) {
+        for record in host.state.read(ControlState::unrecorded) {
             if is_late {
-                let late = (self.world.now, LateWrite::Record(record));
-                self.world.store.late.push(late);
+                let late = (self.simulation.now, LateWrite::Record(record));
+                self.simulation.store.late.push(late);
                 continue;
             }
             let model = record.target.model.clone();
-            self.world.store.put_record(record);
-            let standing = self.world.store.record.as_ref();
+            self.simulation.store.put_record(record);
+            let standing = self.simulation.store.record.as_ref();
             let revision = standing.map_or(0, |record: &VersionRecord| record.revision);
-            host.read_own_rows(&self.world);
-            host.book
-                .change(|book| book.note_record_row(&model, revision));
+            host.read_own_rows(&self.simulation);
+            host.state
+                .change(|state| state.note_record_row(&model, revision));
         }
     }
 
-    /// One entry host asks another, which may learn from the question.
-    fn query(&mut self, asks: usize) {
-        let now = self.world.now;
-        let answers = (asks + 1) % ENTRIES;
-        let query = self.entries[asks].book.read(ControlState::query);
-        let told = &self.entries[answers].book;
-        if told.read(|book| book.learns_from(&query.targets)) {
-            told.change(|book| book.take_words(&query.targets, now));
+    /// One entry host requester another, which may learn from the question.
+    fn query(&mut self, requester: usize) {
+        let now = self.simulation.now;
+        let responder_at = (requester + 1) % ENTRIES;
+        let query = self.entries[requester].state.read(ControlState::query);
+        let responder = &self.entries[responder_at].state;
+        if responder.read(|state| state.is_updated_by(&query.targets)) {
+            responder.change(|state| state.merge_targets(&query.targets, now));
         }
-        let view = told.read(|book| book.answer(&query, Duration::ZERO, now));
-        self.entries[asks]
-            .book
-            .change(|book| book.merge(view, at_once(now)));
-        self.entries[asks].hear_entries();
-        self.entries[asks].show();
+        let view = responder.read(|state| state.answer(&query, Duration::ZERO, now));
+        self.entries[requester]
+            .state
+            .change(|state| state.merge(view, at_once(now)));
+        self.entries[requester].check_entries();
+        self.entries[requester].show();
     }
 
     fn report(&mut self, server: usize) {
-        let server = &self.world.servers[server];
-        if server.lives {
+        let server = &self.simulation.servers[server];
+        if server.is_alive {
             let report = server.report();
-            self.world.reports.push(report);
+            self.simulation.reports.push(report);
         }
     }
 
     fn toggle(&mut self, entry: usize) {
         let host = &mut self.entries[entry];
         host.reaches_store = !host.reaches_store;
-        host.lose_store();
-        host.follow_operator(&self.world);
-        self.world.disturbed = self.world.now;
+        host.note_store_failure();
+        host.follow_operator(&self.simulation);
+        self.simulation.disturbed = self.simulation.now;
     }
 
     fn kill(&mut self, entry: usize, kills_all: bool) {
-        let now = self.world.now;
+        let now = self.simulation.now;
         for (at, host) in self.entries.iter_mut().enumerate() {
             if kills_all || at == entry {
                 let reaches_store = host.reaches_store;
                 *host = EntryHost::start(now);
                 host.reaches_store = reaches_store;
                 // The balancer sends it nothing before it has read the store.
-                host.follow_operator(&self.world);
-                host.follow_backends(&self.world);
+                host.follow_operator(&self.simulation);
+                host.follow_backends(&self.simulation);
             }
         }
     }
@@ -388,27 +394,27 @@
     /// No request begins on an older version behind the bound, while the entry host is in touch and no
     /// way to the store was disturbed since.
     fn check_version(&self, at: usize) {
-        let (world, host) = (&self.world, &self.entries[at]);
+        let (simulation, host) = (&self.simulation, &self.entries[at]);
         let is_cut = self.entries.iter().any(|entry| !entry.reaches_store);
-        if is_cut || host.operator_seen.is_none() || world.now.since(host.started) < CONTACT {
+        if is_cut || host.operator_seen.is_none() || simulation.now.since(host.started) < CONTACT {
             return;
         }
         let snapshot = host.snapshot();
-        for (number, acknowledged) in (2_u64..).zip(&world.acknowledged) {
+        for (number, acknowledged) in (2_u64..).zip(&simulation.acknowledged) {
             // One that was written over before any process was told of it is known to nobody.
-            if !world.store.recorded.contains(&number) {
+            if !simulation.store.recorded.contains(&number) {
                 continue;
             }
-            let since = (*acknowledged).max(world.disturbed);
-            if world.now.since(since) >= BOUND {
-                let least = snapshot.oldest_allowed_version("m", OLDER_FOR, world.now);
+            let since = (*acknowledged).max(simulation.disturbed);
+            if simulation.now.since(since) >= BOUND {
+                let least = snapshot.oldest_allowed_version("m", OLDER_FOR, simulation.now);
                 let is_bound = least >= Some(WeightsVersion(number));
-                let named = &snapshot.targets;
+                let targets = &snapshot.targets;
                 assert!(
                     is_bound,
                     "version {number} of {acknowledged:?} is due at {:?}, {least:?} binds, \
-                     started {:?}, disturbed {:?}: {named:?}",
-                    world.now, host.started, world.disturbed
+                     started {:?}, disturbed {:?}: {targets:?}",
+                    simulation.now, host.started, simulation.disturbed
                 );
             }
         }
@@ -416,56 +422,61 @@
 
     /// Whoever gets a request is taken for what it said of itself, in its newest known incarnation.
     fn check_picks(&mut self, at: usize) {
-        let now = self.world.now;
+        let now = self.simulation.now;
         let picks = self.entries[at].picks(None, now);
         for (id, born, version) in picks {
-            let servers = self.world.servers.iter();
+            let servers = self.simulation.servers.iter();
             let real = servers.into_iter().find(|server| server.id == id);
             let real = real.expect("only real ones are picked");
             let was_so = real.held.contains(&(born, version));
             assert!(was_so, "{id} of {born} never held version {version}");
-            let received_at = self.entries[at].heard_of(&id).copied().unwrap_or_default();
-            assert!(
-                born >= received_at.born,
-                "{id}: a former incarnation is used"
-            );
-            assert!(!received_at.leaves, "{id} leaves and is used");
+            let known = self.entries[at]
+                .known_server(&id)
+                .copied()
+                .unwrap_or_default();
+            assert!(born >= known.born, "{id}: a former incarnation is used");
+            assert!(!known.is_leaving, "{id} is_leaving and is used");
         }
     }
 
-    /// Everything works again: each backend server that lives and holds the newest version is used.
+    /// Everything works again: each backend server that is alive and holds the newest version is used.
     fn settle(&mut self) {
-        let newest = self.world.newest();
+        let newest = self.simulation.newest();
         for host in &mut self.entries {
             host.reaches_store = true;
         }
-        while !self.world.store.late.is_empty() {
-            self.world.do_late(0);
+        while !self.simulation.store.late.is_empty() {
+            self.simulation.finish_late(0);
         }
         for at in 0..SERVERS {
-            if self.world.servers[at].lives {
-                self.world.servers[at].load(newest);
+            if self.simulation.servers[at].is_alive {
+                self.simulation.servers[at].load(newest);
             } else {
-                let id = self.world.servers[at].id.clone();
-                self.world.store.put_entry(&id, None);
+                let id = self.simulation.servers[at].id.clone();
+                self.simulation.store.put_entry(&id, None);
             }
-            self.world.tell(at);
+            self.simulation.write_entry(at);
         }
         for at in 0..ENTRIES {
-            self.entries[at].follow_operator(&self.world);
-            self.entries[at].follow_backends(&self.world);
+            self.entries[at].follow_operator(&self.simulation);
+            self.entries[at].follow_backends(&self.simulation);
         }
-        self.world.pass(Duration::from_secs(3));
+        self.simulation.advance(Duration::from_secs(3));
         for at in 0..SERVERS {
-            self.world.tell(at);
+            self.simulation.write_entry(at);
         }
         for at in 0..ENTRIES {
-            self.entries[at].follow_backends(&self.world);
-            let servers = self.world.servers.iter();
-            let used = servers.filter(|server| server.lives && !server.leaves);
+            self.entries[at].follow_backends(&self.simulation);
+            let servers = self.simulation.servers.iter();
+            let used = servers.filter(|server| server.is_alive && !server.is_leaving);
             let mut expected: Vec<String> = used.map(|server| server.id.clone()).collect();
-            let now = self.world.now;
-            for server in self.world.servers.iter().filter(|server| server.lives) {
+            let now = self.simulation.now;
+            for server in self
+                .simulation
+                .servers
+                .iter()
+                .filter(|server| server.is_alive)
+            {
                 self.entries[at].take_report(server.report(), now);
             }
             let picks = self.entries[at].picks(Some(newest), now);
@@ -480,8 +491,8 @@
 fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
     let mut run = Run::new();
     for host in &mut run.entries {
-        host.follow_operator(&run.world);
-        host.follow_backends(&run.world);
+        host.follow_operator(&run.simulation);
+        host.follow_backends(&run.simulation);
     }
     for _ in 0..STEPS {
         if u.is_empty() {
@@ -495,6 +506,6 @@
 }
 
 #[test]
-fn what_is_believed_of_backend_servers_and_versions_never_goes_back() {
+fn known_backends_and_versions_never_regress() {
     run_cases(CASES, CASE_BYTES, run_case);
 }
--- a/src/sync/tests/driver_world.rs
+++ b/src/sync/tests/driver_simulation.rs
@@ -20,29 +20,29 @@
 const LATE_MAX: Duration = Duration::from_secs(8);
 
 /// A backend server as it is.
-pub(super) struct RealServer {
+pub(super) struct SimulatedServer {
     pub(super) id: String,
     pub(super) address: SocketAddr,
     pub(super) born: u64,
-    told: u64,
-    pub(super) lives: bool,
-    pub(super) leaves: bool,
+    entry_number: u64,
+    pub(super) is_alive: bool,
+    pub(super) is_leaving: bool,
     /// The version that it holds; 0 for none.
-    pub(super) holds: u64,
+    pub(super) version: u64,
     /// What its incarnations held, ever.
     pub(super) held: Vec<(u64, u64)>,
 }
 
-impl RealServer {
+impl SimulatedServer {
     fn new(number: u8) -> Self {
         Self {
             id: format!("i-{number}"),
             address: SocketAddr::from(([10, 0, 0, number], 80)),
             born: 1,
-            told: 0,
-            lives: true,
-            leaves: false,
-            holds: 1,
+            entry_number: 0,
+            is_alive: true,
+            is_leaving: false,
+            version: 1,
             held: vec![(1, 1)],
         }
     }
@@ -50,35 +50,40 @@
     /// It starts again under its name, with nothing.
     pub(super) fn restart(&mut self, now: ClockTime) {
         self.born = (now.0 / 1000).max(self.born + 1);
-        self.told = 0;
-        self.lives = true;
-        self.leaves = false;
-        self.holds = 0;
+        self.entry_number = 0;
+        self.is_alive = true;
+        self.is_leaving = false;
+        self.version = 0;
     }
 
     pub(super) fn load(&mut self, version: u64) {
-        if self.lives {
-            self.holds = version;
+        if self.is_alive {
+            self.version = version;
             self.held.push((self.born, version));
         }
     }
 
     /// Its next entry.
-    pub(super) fn tell(&mut self) -> String {
-        self.told += 1;
-        let phase = if self.leaves {
+    pub(super) fn next_entry(&mut self) -> String {
+        self.entry_number += 1;
+        let phase = if self.is_leaving {
             BackendPhase::Leaving
         } else {
             BackendPhase::Serving
         };
-        holding_sample((self.address, self.born), self.told, phase, self.holds)
+        holding_sample(
+            (self.address, self.born),
+            self.entry_number,
+            phase,
+            self.version,
+        )
     }
 
     /// What the process beside it would tell of it now.
     pub(super) fn report(&self) -> LoadReport {
-        let version = WeightsVersion(self.holds);
+        let version = WeightsVersion(self.version);
         let mut holdings = EngineHoldings::default();
-        if self.holds > 0 {
+        if self.version > 0 {
             let model = "m".into();
             holdings.models.push(ModelVersion { model, version });
             holdings.layers.push(HeldLayers {
@@ -102,18 +107,18 @@
 /// A write that got no answer and is done some time later.
 pub(super) enum LateWrite {
     Entry(usize, String),
-    Naming(u64),
+    Target(u64),
     Record(VersionRecord),
 }
 
 /// The store.
 #[derive(Default)]
-pub(super) struct RealStore {
+pub(super) struct SimulatedStore {
     revision: u64,
     backends: Vec<StoreRow>,
-    naming: Option<StoreRow>,
+    target: Option<StoreRow>,
     /// The version that the naming's row holds.
-    pub(super) named: u64,
+    pub(super) target_version: u64,
     pub(super) record: Option<VersionRecord>,
     /// The versions that were ever recorded.
     pub(super) recorded: Vec<u64>,
@@ -121,7 +126,7 @@
     pub(super) late: Vec<(ClockTime, LateWrite)>,
 }
 
-impl RealStore {
+impl SimulatedStore {
     fn next(&mut self) -> u64 {
         self.revision += 1;
         self.revision
@@ -133,11 +138,11 @@
         self.backends.push(row(id, revision, text));
     }
 
-    pub(super) fn name(&mut self, version: u64) {
+    pub(super) fn set_target(&mut self, version: u64) {
         let revision = self.next();
         let (key, text) = naming_sample(version);
-        self.naming = Some(row(key, revision, Some(&text)));
-        self.named = version;
+        self.target = Some(row(key, revision, Some(&text)));
+        self.target_version = version;
     }
 
     /// Writes a record if its row has the revision that was expected; else tells the row's.
@@ -169,7 +174,7 @@
     pub(super) fn operator(&self, since: Option<u64>) -> TableView {
         let (key, text) = document_sample(1);
         let document = row(key, 1, Some(&text));
-        let rows = std::iter::once(document).chain(self.naming.clone());
+        let rows = std::iter::once(document).chain(self.target.clone());
         let since = since.unwrap_or(0);
         TableView {
             rows: rows.filter(|row| row.revision > since).collect(),
@@ -180,10 +185,10 @@
 }
 
 /// Everything outside the entry hosts.
-pub(super) struct RealWorld {
+pub(super) struct Simulation {
     pub(super) now: ClockTime,
-    pub(super) servers: Vec<RealServer>,
-    pub(super) store: RealStore,
+    pub(super) servers: Vec<SimulatedServer>,
+    pub(super) store: SimulatedStore,
     /// When each version was acknowledged, from version 2 on.
     pub(super) acknowledged: Vec<ClockTime>,
     /// When the last way to the store that had been cut was there again.
@@ -191,75 +196,75 @@
     pub(super) reports: Vec<LoadReport>,
 }
 
-impl RealWorld {
+impl Simulation {
     pub(super) fn new() -> Self {
         let now = ClockTime::from_millis(1_000_000);
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             servers: (1..=SERVERS)
                 .filter_map(|number| u8::try_from(number).ok())
-                .map(RealServer::new)
+                .map(SimulatedServer::new)
                 .collect(),
-            store: RealStore::default(),
+            store: SimulatedStore::default(),
             acknowledged: Vec::new(),
             disturbed: now,
             reports: Vec::new(),
         };
         for at in 0..SERVERS {
-            world.tell(at);
+            simulation.write_entry(at);
         }
-        world
+        simulation
     }
 
-    /// The version that was named last; 1 before any was.
+    /// The version that was set last; 1 before any was.
     pub(super) fn newest(&self) -> u64 {
         1 + u64::try_from(self.acknowledged.len()).unwrap_or(0)
     }
 
     /// Time passes. A late write is done within some seconds.
-    pub(super) fn pass(&mut self, span: Duration) {
+    pub(super) fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
         let now = self.now;
         let is_due = |(at, _): &(ClockTime, LateWrite)| now.since(*at) >= LATE_MAX;
         while let Some(at) = self.store.late.iter().position(is_due) {
-            self.do_late(at);
+            self.finish_late(at);
         }
     }
 
     /// A backend server writes its entry, which is done at once.
-    pub(super) fn tell(&mut self, at: usize) {
-        if self.servers[at].lives {
-            let text = self.servers[at].tell();
+    pub(super) fn write_entry(&mut self, at: usize) {
+        if self.servers[at].is_alive {
+            let text = self.servers[at].next_entry();
             self.store.put_entry(&self.servers[at].id, Some(&text));
         }
     }
 
     /// A backend server's entry gets no answer and is done later.
-    pub(super) fn tell_late(&mut self, at: usize) {
-        if self.servers[at].lives {
-            let text = self.servers[at].tell();
+    pub(super) fn write_entry_late(&mut self, at: usize) {
+        if self.servers[at].is_alive {
+            let text = self.servers[at].next_entry();
             self.store.late.push((self.now, LateWrite::Entry(at, text)));
         }
     }
 
     /// The operator names a newer version.
-    pub(super) fn name(&mut self, is_repeated: bool) {
+    pub(super) fn set_target(&mut self, is_repeated: bool) {
         if is_repeated && self.newest() > 1 {
             let version = self.newest();
-            self.store.late.push((self.now, LateWrite::Naming(version)));
+            self.store.late.push((self.now, LateWrite::Target(version)));
         }
         self.acknowledged.push(self.now);
-        self.store.name(self.newest());
+        self.store.set_target(self.newest());
     }
 
     /// The store does a write that got no answer.
-    pub(super) fn do_late(&mut self, at: usize) {
+    pub(super) fn finish_late(&mut self, at: usize) {
         match self.store.late.remove(at).1 {
             LateWrite::Entry(server, text) => {
                 let id = self.servers[server].id.clone();
                 self.store.put_entry(&id, Some(&text));
             }
-            LateWrite::Naming(version) => self.store.name(version),
+            LateWrite::Target(version) => self.store.set_target(version),
             LateWrite::Record(record) => {
                 self.store.put_record(record);
             }
