--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -5,25 +5,25 @@
 
 use tokio::time::sleep;
 
-use super::late_words::{belief, follower, name_version, put_document, second};
+use super::late_messages::{follower, put_document, second, set_target_version, wait_for_second};
 use super::restarts::EntryProcess;
-use super::{START, at_once, document, named, new_book, set_clock, store_time};
+use super::{START, at_once, document, new_state, set_clock, store_time, target_row};
 use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
 use crate::platform::{FakeStore, StoreRow, TableName};
-use crate::sync::naming_time::{NamingKnowledge, TargetUpdateTime};
 use crate::sync::peer_messages::TargetAnnouncement;
+use crate::sync::target_update_time::{FollowState, TargetUpdateTime};
 use crate::sync::{ControlState, SharedControlState};
 use crate::time::{ClockTime, StoreTime};
 
 /// How long a watch's answer with rows takes that does not come in time.
 const TOO_SLOW: Duration = Duration::from_secs(3);
 
-/// Some seconds behind its first word of it, `process` takes the version for named at `named_by` or before.
-async fn check_late(process: &EntryProcess, named_by: ClockTime) {
-    belief(process).await;
+/// Some seconds behind its first word of it, `process` takes the version for named at `set_by` or before.
+async fn check_late(process: &EntryProcess, set_by: ClockTime) {
+    wait_for_second(process).await;
     sleep(Duration::from_secs(3)).await;
-    let wanted = belief(process).await;
-    let late = wanted.named_at.since(named_by);
+    let weights = wait_for_second(process).await;
+    let late = weights.named_at.since(set_by);
     assert!(late.is_zero(), "named {late:?} later than it was");
 }
 
@@ -31,21 +31,21 @@
 /// operator's table did not come through; the system's own rows did, and told the version, which a host near
 /// the store had recorded. What they tell was taken for found behind a cut, in every process that lived.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_record_that_is_read_before_the_watch_comes_does_not_make_a_version_new() {
+async fn a_record_read_before_the_watch_answer_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
     let process = follower(&store).await;
     store.slow_watches(TOO_SLOW);
-    let named_by = name_version(&store);
+    let set_by = set_target_version(&store);
     let record = "{\"model\":\"m\",\"version\":2}";
     store.put(TableName::Own, "weights/m", record);
-    check_late(&process, named_by).await;
-    process.lose_power();
+    check_late(&process, set_by).await;
+    process.stop_abruptly();
 }
 
 /// The store was away and came back; 0.9 s later a version was named. The operator's table, full of
 /// documents, came through two seconds behind that, and all in it counted as found behind the cut.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_version_that_is_named_behind_the_stores_return_is_not_found_behind_a_cut() {
+async fn a_version_set_after_the_store_returned_is_not_dated_by_the_outage() {
     let store = FakeStore::start().await;
     let process = follower(&store).await;
     store.set_down(true);
@@ -54,30 +54,30 @@
     put_document(&store, 2);
     store.set_down(false);
     sleep(Duration::from_millis(900)).await;
-    let named_by = name_version(&store);
-    check_late(&process, named_by).await;
-    process.lose_power();
+    let set_by = set_target_version(&store);
+    check_late(&process, set_by).await;
+    process.stop_abruptly();
 }
 
 /// The store forgot its history while an answer was on its way. What was then read as a whole counted as found
 /// behind a cut, 0.6 s too late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_forgotten_history_does_not_make_a_version_new() {
+async fn lost_history_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
     let process = follower(&store).await;
     store.slow_watches(Duration::from_millis(800));
     put_document(&store, 2);
     sleep(Duration::from_millis(100)).await;
-    let named_by = name_version(&store);
+    let set_by = set_target_version(&store);
     store.forget_history();
-    check_late(&process, named_by).await;
-    process.lose_power();
+    check_late(&process, set_by).await;
+    process.stop_abruptly();
 }
 
-fn naming_row(version: u64, revision: u64) -> StoreRow {
+fn target_row_at(version: u64, revision: u64) -> StoreRow {
     StoreRow {
         revision,
-        ..named(version)
+        ..target_row(version)
     }
 }
 
@@ -86,59 +86,59 @@
 }
 
 /// The store tells at `now` that `revision` is its newest.
-fn mark(book: &SharedControlState, revision: u64, now: ClockTime) {
-    book.change(|book| book.note_store_answer(revision, store_time(now), at_once(now)));
+fn note_revision(state: &SharedControlState, revision: u64, now: ClockTime) {
+    state.change(|state| state.note_store_answer(revision, store_time(now), at_once(now)));
 }
 
 /// A version counted as named 2.5 s later than it was: its naming was repeated, and the row that a whole read
 /// showed had the revision of the second write.
 #[test]
-fn a_row_that_was_written_again_tells_nothing_of_the_first_time() {
-    let book = new_book();
-    mark(&book, 10, at(0));
-    let followed = NamingKnowledge::Followed(store_time(at(0)));
+fn a_rewritten_row_does_not_postdate_its_version() {
+    let state = new_state();
+    note_revision(&state, 10, at(0));
+    let followed = FollowState::Followed(store_time(at(0)));
     // Named at 0.5 s with revision 11, and again at 3.5 s with revision 30.
     for (revision, millis) in [(15, 1000), (20, 2000), (25, 3000), (35, 4000)] {
-        mark(&book, revision, at(millis));
+        note_revision(&state, revision, at(millis));
     }
-    let told = store_time(at(4000));
+    let reported = store_time(at(4000));
     let time = followed
-        .behind_failure(Some(store_time(at(0))))
-        .naming_time(told, told);
-    let rows = [document(2), naming_row(2, 30)];
-    book.change(|book| book.set_operator_rows(&rows, time));
-    let snapshot = book.snapshot().load();
-    let wanted = second(&snapshot).expect("it was read");
-    assert!(wanted.named_at <= at(500), "{:?}", wanted.named_at);
+        .after_failure(Some(store_time(at(0))))
+        .update_time(reported, reported);
+    let rows = [document(2), target_row_at(2, 30)];
+    state.change(|state| state.set_operator_rows(&rows, time));
+    let snapshot = state.snapshot().load();
+    let weights = second(&snapshot).expect("it was read");
+    assert!(weights.named_at <= at(500), "{:?}", weights.named_at);
 }
 
 /// Every host took a version that it found behind a cut for named four seconds after the store's return: the
 /// operator's table came late, while an answer of another table had counted the change at the return.
 #[test]
-fn what_is_found_behind_a_cut_is_not_newer_than_an_answer_that_counted_it() {
-    let book = new_book();
-    mark(&book, 10, at(0));
+fn an_answer_about_another_table_bounds_the_time_after_an_outage() {
+    let state = new_state();
+    note_revision(&state, 10, at(0));
     // The cut ends at 3 s.
-    mark(&book, 12, at(3000));
-    mark(&book, 20, at(7000));
-    let told = store_time(at(7000));
-    let time = NamingKnowledge::Interrupted.naming_time(told, told);
-    book.change(|book| book.change_operator_rows(&[naming_row(2, 11)], time));
-    let snapshot = book.snapshot().load();
-    let wanted = second(&snapshot).expect("it was told");
-    assert!(wanted.named_at <= at(3000), "{:?}", wanted.named_at);
-    assert!(wanted.named_at >= at(2800), "it is taken for new");
+    note_revision(&state, 12, at(3000));
+    note_revision(&state, 20, at(7000));
+    let reported = store_time(at(7000));
+    let time = FollowState::Interrupted.update_time(reported, reported);
+    state.change(|state| state.change_operator_rows(&[target_row_at(2, 11)], time));
+    let snapshot = state.snapshot().load();
+    let weights = second(&snapshot).expect("it was told");
+    assert!(weights.named_at <= at(3000), "{:?}", weights.named_at);
+    assert!(weights.named_at >= at(2800), "it is taken for new");
 }
 
-fn word(version: u64, at: u64, by: u64) -> TargetAnnouncement {
+fn announcement(version: u64, at: u64, by: u64) -> TargetAnnouncement {
     TargetAnnouncement {
         target: ModelVersion {
             model: "m".into(),
             version: WeightsVersion(version),
         },
-        named: TargetUpdateTime {
-            at: StoreTime::from_millis(at),
-            by: StoreTime::from_millis(by),
+        set_at: TargetUpdateTime {
+            earliest: StoreTime::from_millis(at),
+            latest: StoreTime::from_millis(by),
             certainty: NamingCertainty::Witnessed,
         },
     }
@@ -148,34 +148,35 @@
 /// the eldest was forgotten and its time went over to the next, until a host that had not heard of the ninth
 /// told that one's own.
 #[test]
-fn a_forgotten_naming_binds_on_whoever_tells_the_next() {
-    let named_ms = |version: u64| START.0 / 1000 + version * 1000;
-    let words = (2..=10).map(|version| word(version, named_ms(version), named_ms(version) + 5));
-    let words: Vec<TargetAnnouncement> = words.collect();
-    let book = new_book();
+fn a_dropped_version_passes_its_deadline_to_the_next_one() {
+    let set_ms = |version: u64| START.0 / 1000 + version * 1000;
+    let announcements =
+        (2..=10).map(|version| announcement(version, set_ms(version), set_ms(version) + 5));
+    let announcements: Vec<TargetAnnouncement> = announcements.collect();
+    let state = new_state();
     let later = at(12_000);
-    book.change(|book| book.take_words(&words, later));
-    book.change(|book| book.take_words(&words[..8], later));
-    let oldest = &book.read(ControlState::query).targets[0];
-    assert_eq!(oldest.named.at, StoreTime::from_millis(named_ms(2)));
+    state.change(|state| state.merge_targets(&announcements, later));
+    state.change(|state| state.merge_targets(&announcements[..8], later));
+    let oldest = &state.read(ControlState::query).targets[0];
+    assert_eq!(oldest.set_at.earliest, StoreTime::from_millis(set_ms(2)));
 }
 
 /// A process that knows nothing of the store's clock yet cannot tell when anything was: it refused all older
 /// weights at the first question that named a version, or let them answer for good.
 #[test]
-fn words_wait_until_the_stores_clock_is_known() {
-    let named_ms = START.0 / 1000;
-    for told in [named_ms, named_ms + 900_000_000] {
-        let book = SharedControlState::default();
-        let words = [word(2, told, told)];
-        assert!(!book.read(|book| book.learns_from(&words)));
-        book.change(|book| book.take_words(&words, START));
-        assert!(second(&book.snapshot().load()).is_none());
-        set_clock(&book, START);
-        assert!(book.read(|book| book.learns_from(&words)));
-        book.change(|book| book.take_words(&words, START));
-        let snapshot = book.snapshot().load();
-        let wanted = second(&snapshot).expect("it was told");
-        assert!(wanted.named_at <= START);
+fn announcements_are_ignored_until_the_store_clock_is_known() {
+    let set_ms = START.0 / 1000;
+    for reported in [set_ms, set_ms + 900_000_000] {
+        let state = SharedControlState::default();
+        let announcements = [announcement(2, reported, reported)];
+        assert!(!state.read(|state| state.is_updated_by(&announcements)));
+        state.change(|state| state.merge_targets(&announcements, START));
+        assert!(second(&state.snapshot().load()).is_none());
+        set_clock(&state, START);
+        assert!(state.read(|state| state.is_updated_by(&announcements)));
+        state.change(|state| state.merge_targets(&announcements, START));
+        let snapshot = state.snapshot().load();
+        let weights = second(&snapshot).expect("it was told");
+        assert!(weights.named_at <= START);
     }
 }
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -28,14 +28,14 @@
     }
 }
 
-fn lived_book() -> SharedControlState {
-    let book = new_book();
-    book.change(|book| {
-        book.note_store(START);
-        book.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
-        book.change_operator_rows(&[document(7), named(2)], told_at(START));
+fn populated_state() -> SharedControlState {
+    let state = new_state();
+    state.change(|state| {
+        state.note_store(START);
+        state.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
+        state.change_operator_rows(&[document(7), target_row(2)], witnessed_at(START));
     });
-    book
+    state
 }
 
 fn report() -> LoadReport {
@@ -68,32 +68,32 @@
     }
 }
 
-fn desk() -> SharedDesk {
-    let mut desk = BackendDesk::new(EntryPlace {
+fn registry() -> SharedDesk {
+    let mut registry = BackendDesk::new(EntryPlace {
         data_centre: "z".into(),
         host: "e1".into(),
     });
-    desk.set_fleet(&lived_book().snapshot().load().fleet);
-    SharedDesk::new(desk)
+    registry.set_fleet(&populated_state().snapshot().load().fleet);
+    SharedDesk::new(registry)
 }
 
 /// Symptom: the thread that takes load reports ended, or a backend server that said it has four billion
 /// requests was taken for an idle one: the sum of what runs and what waits began again at zero.
 #[test]
-fn loads_beyond_all_bounds_are_full_ones() {
-    let word = LoadWord {
+fn extreme_loads_count_as_full() {
+    let load = LoadWord {
         running: u32::MAX,
         waiting: u32::MAX,
     };
-    let told = desk();
-    let ticket = told.pick(&need(), START).expect("both are free");
+    let stated = registry();
+    let ticket = stated.pick(&need(), START).expect("both are free");
     ticket.with_record(|record| {
-        record.note_load(word, START);
+        record.note_load(load, START);
         assert_eq!(record.load(START), u32::MAX);
     });
-    let other = told.pick(&need(), START).expect("the other one is free");
+    let other = stated.pick(&need(), START).expect("the other one is free");
     assert_ne!(ticket.facts.id, other.facts.id);
-    let reported = desk();
+    let reported = registry();
     reported.lock().note_report(report(), START);
     let first = reported.pick(&need(), START).expect("one is free");
     let second = reported.pick(&need(), START).expect("one is free");
@@ -101,24 +101,24 @@
 }
 
 #[test]
-fn times_beyond_all_bounds_are_the_longest() {
-    let book = lived_book();
+fn extreme_times_are_clamped() {
+    let state = populated_state();
     let later = START + Duration::from_secs(20);
     let ages = [0, 1, u64::MAX / 1000, u64::MAX].map(Duration::from_millis);
-    let words = ages.map(|age| TargetAnnouncement {
+    let announcements = ages.map(|age| TargetAnnouncement {
         target: target(3),
-        named: TargetUpdateTime::guessed(store_time(later) - age, NamingCertainty::Assumed),
+        set_at: TargetUpdateTime::guessed(store_time(later) - age, NamingCertainty::Assumed),
     });
-    let alone = new_book();
-    alone.change(|book| book.take_words(&words, later));
+    let alone = new_state();
+    alone.change(|state| state.merge_targets(&announcements, later));
     let snapshot = alone.snapshot().load();
-    let wanted = snapshot.newest_version("m").expect("it was named");
-    assert_eq!(wanted.named_at, ClockTime(0));
-    book.change(|book| book.take_words(&words, later));
-    let snapshot = book.snapshot().load();
-    let wanted = snapshot.newest_version("m").expect("it was named");
+    let weights = snapshot.newest_version("m").expect("it was named");
+    assert_eq!(weights.named_at, ClockTime(0));
+    state.change(|state| state.merge_targets(&announcements, later));
+    let snapshot = state.snapshot().load();
+    let weights = snapshot.newest_version("m").expect("it was named");
     assert_eq!(
-        wanted.named_at, START,
+        weights.named_at, START,
         "not before version 2, whose naming was told"
     );
     assert_eq!(
@@ -128,7 +128,7 @@
     let query = PeerQuery {
         document: Some(CatalogVersion(u64::MAX)),
         can_wait_for_document: false,
-        targets: words.to_vec(),
+        targets: announcements.to_vec(),
         backends_revision: u64::MAX,
         entries: usize::MAX,
         wait_ms: u64::MAX,
@@ -136,16 +136,16 @@
         backends_digest: Some(u64::MAX),
         crashes_revision: Some(u64::MAX),
     };
-    let answer = book.read(|book| book.answer(&query, Duration::MAX, later));
+    let answer = state.read(|state| state.answer(&query, Duration::MAX, later));
     assert!(answer.document.is_none() && answer.backends.is_none());
 }
 
 /// The bytes of one message of each kind.
 fn messages() -> [Bytes; 4] {
-    let book = lived_book();
-    let query = book.read(ControlState::query);
-    let answer = book.read(|book| book.answer(&PeerQuery::default(), Duration::ZERO, START));
-    let word = HaveWord {
+    let state = populated_state();
+    let query = state.read(ControlState::query);
+    let answer = state.read(|state| state.answer(&PeerQuery::default(), Duration::ZERO, START));
+    let announcement = HaveWord {
         host: "h".into(),
         held: ChunkMap::full(20),
         claimed: ChunkMap::empty(20),
@@ -155,49 +155,55 @@
         encode_message(&query),
         encode_message(&answer),
         encode_message(&report()),
-        encode_message(&word),
+        encode_message(&announcement),
     ];
     messages.map(|message| message.expect("it encodes"))
 }
 
 /// Takes in whatever reads from `bytes`, as a process would.
-fn take_in(bytes: &[u8]) {
-    let book = lived_book();
+fn decode_and_merge(bytes: &[u8]) {
+    let state = populated_state();
     let later = START + Duration::from_secs(20);
     if let Ok(query) = decode_message::<PeerQuery>(bytes) {
-        book.change(|book| book.take_words(&query.targets, later));
-        let _ = book.read(|book| {
+        state.change(|state| state.merge_targets(&query.targets, later));
+        let _ = state.read(|state| {
             (
-                book.has_urgent_news(&query),
-                book.answer(&query, Duration::MAX, later),
+                state.has_urgent_changes(&query),
+                state.answer(&query, Duration::MAX, later),
             )
         });
     }
     if let Ok(view) = decode_message::<PeerView>(bytes) {
-        book.change(|book| book.merge(view, at_once(later)));
-        assert!(version_of(&book) >= 7);
-        let _ = book.read(ControlState::query);
+        state.change(|state| state.merge(view, at_once(later)));
+        assert!(version_of(&state) >= 7);
+        let _ = state.read(ControlState::query);
     }
     if let Ok(report) = decode_message::<LoadReport>(bytes) {
-        let desk = desk();
-        desk.lock().note_report(report, START);
-        assert!(desk.pick(&need(), START).is_ok(), "the other one is free");
+        let registry = registry();
+        registry.lock().note_report(report, START);
+        assert!(
+            registry.pick(&need(), START).is_ok(),
+            "the other one is free"
+        );
     }
-    if let Ok(word) = decode_message::<HaveWord>(bytes) {
-        let _ = word.held.fits(20) && word.held.contains(19);
-        let _ = (word.held.contains(u32::MAX), word.held.is_full());
+    if let Ok(announcement) = decode_message::<HaveWord>(bytes) {
+        let _ = announcement.held.fits(20) && announcement.held.contains(19);
+        let _ = (
+            announcement.held.contains(u32::MAX),
+            announcement.held.is_full(),
+        );
     }
 }
 
 #[test]
-fn whatever_another_process_sends_ends_no_thread() {
+fn arbitrary_messages_cause_no_panic() {
     let messages = messages();
     run_cases(CASES, CASE_BYTES, |u| {
         let mut bytes = u.choose(&messages)?.to_vec();
-        take_in(&bytes);
+        decode_and_merge(&bytes);
         spoil_bytes(u, &mut bytes)?;
-        take_in(&bytes);
-        take_in(u.bytes(u.len())?);
+        decode_and_merge(&bytes);
+        decode_and_merge(u.bytes(u.len())?);
         Ok(())
     });
 }
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -1,21 +1,21 @@
 mod clock;
 mod crashes;
+mod delayed_messages;
 mod delayed_process;
-mod delayed_words;
-mod delayed_world;
+mod delayed_simulation;
+mod document_bursts;
 mod driver;
-mod driver_world;
+mod driver_simulation;
 mod full_links;
 mod incarnations;
-mod late_words;
+mod late_messages;
 mod messages;
 mod read_orders;
 mod readers;
+mod reported_lists;
 mod restarts;
 mod store_calls;
-mod store_gate;
-mod storms;
-mod told_lists;
+mod store_proxy;
 mod unreadable;
 
 use std::time::Duration;
@@ -25,8 +25,8 @@
 use crate::fleet::{NamingCertainty, WeightsVersion};
 use crate::platform::samples::{backend_sample, document_sample, naming_sample};
 use crate::platform::{StoreRow, TableView};
-use crate::sync::naming_time::{NamingKnowledge, TargetUpdateTime};
 use crate::sync::store_clock::{ClockBounds, QuerySpan};
+use crate::sync::target_update_time::{FollowState, TargetUpdateTime};
 use crate::sync::{ControlState, PeerView, SharedControlState};
 use crate::time::{ClockTime, StoreTime};
 
@@ -34,14 +34,14 @@
 const GRACE: Duration = Duration::from_secs(8);
 
 /// A process whose clock shows the same as the store's.
-fn new_book() -> SharedControlState {
-    let book = SharedControlState::default();
-    set_clock(&book, START);
-    book
+fn new_state() -> SharedControlState {
+    let state = SharedControlState::default();
+    set_clock(&state, START);
+    state
 }
 
-/// `book` hears at `now` what the store's clock shows.
-fn set_clock(book: &SharedControlState, now: ClockTime) {
+/// `state` hears at `now` what the store's clock shows.
+fn set_clock(state: &SharedControlState, now: ClockTime) {
     let moment = store_time(now);
     let view = PeerView {
         clock: Some(ClockBounds {
@@ -50,7 +50,7 @@
         }),
         ..PeerView::default()
     };
-    book.change(|book| book.merge(view, at_once(now)));
+    state.change(|state| state.merge(view, at_once(now)));
 }
 
 /// What the store's clock shows at `now`.
@@ -66,13 +66,13 @@
     }
 }
 
-fn told_at(at: ClockTime) -> TargetUpdateTime {
+fn witnessed_at(at: ClockTime) -> TargetUpdateTime {
     TargetUpdateTime::guessed(store_time(at), NamingCertainty::Witnessed)
 }
 
 /// What is taken for the naming of a version that the store tells of at `now`.
-fn found_at(knowledge: NamingKnowledge, now: ClockTime) -> TargetUpdateTime {
-    knowledge.naming_time(store_time(now), store_time(now))
+fn found_at(follow_state: FollowState, now: ClockTime) -> TargetUpdateTime {
+    follow_state.update_time(store_time(now), store_time(now))
 }
 
 fn row(key: &str, revision: u64, value: Option<&str>) -> StoreRow {
@@ -88,7 +88,7 @@
     row(key, version, Some(&text))
 }
 
-fn named(version: u64) -> StoreRow {
+fn target_row(version: u64) -> StoreRow {
     let (key, text) = naming_sample(version);
     row(key, version, Some(&text))
 }
@@ -105,14 +105,14 @@
     }
 }
 
-fn ids(book: &SharedControlState) -> Vec<String> {
-    let snapshot = book.snapshot().load();
+fn ids(state: &SharedControlState) -> Vec<String> {
+    let snapshot = state.snapshot().load();
     let backends = snapshot.fleet.backends.iter();
     backends.map(|facts| facts.id.to_string()).collect()
 }
 
-fn version_of(book: &SharedControlState) -> u64 {
-    let catalog = book.snapshot().load().catalog.clone();
+fn version_of(state: &SharedControlState) -> u64 {
+    let catalog = state.snapshot().load().catalog.clone();
     catalog.map_or(0, |catalog| catalog.version.0)
 }
 
@@ -120,37 +120,37 @@
 /// was read as a whole from a copy that was seconds behind, and the older document replaced the
 /// newer one.
 #[test]
-fn a_document_never_goes_back_whoever_brings_it() {
-    let book = new_book();
-    let take = |book: &SharedControlState, rows: &[StoreRow]| {
-        book.change(|book| book.change_operator_rows(rows, told_at(START)));
+fn an_older_document_never_replaces_a_newer_one() {
+    let state = new_state();
+    let take = |state: &SharedControlState, rows: &[StoreRow]| {
+        state.change(|state| state.change_operator_rows(rows, witnessed_at(START)));
     };
-    take(&book, &[document(7)]);
-    take(&book, &[document(5)]);
-    assert_eq!(version_of(&book), 7);
-    let neighbour = new_book();
+    take(&state, &[document(7)]);
+    take(&state, &[document(5)]);
+    assert_eq!(version_of(&state), 7);
+    let neighbour = new_state();
     take(&neighbour, &[document(6)]);
-    let query = book.read(ControlState::query);
+    let query = state.read(ControlState::query);
     let older = neighbour.read(|neighbour| neighbour.answer(&query, Duration::ZERO, START));
     assert!(older.document.is_none());
     take(&neighbour, &[document(9)]);
     let newer = neighbour.read(|neighbour| neighbour.answer(&query, Duration::ZERO, START));
-    book.change(|book| book.merge(newer, at_once(START)));
-    assert_eq!(version_of(&book), 9);
+    state.change(|state| state.merge(newer, at_once(START)));
+    assert_eq!(version_of(&state), 9);
 }
 
 /// Symptom: requests began on the first version long after the second had to be everywhere. A third
 /// was named four seconds behind the second, and with it the time began anew.
 #[test]
-fn each_version_binds_from_its_own_naming() {
-    let book = new_book();
-    let name = |version: u64, at: ClockTime| {
-        let rows = [named(version)];
-        book.change(|book| book.change_operator_rows(&rows, told_at(at)));
+fn each_version_has_its_own_deadline() {
+    let state = new_state();
+    let set_target = |version: u64, at: ClockTime| {
+        let rows = [target_row(version)];
+        state.change(|state| state.change_operator_rows(&rows, witnessed_at(at)));
     };
-    name(2, START);
-    name(3, START + Duration::from_secs(4));
-    let snapshot = book.snapshot().load();
+    set_target(2, START);
+    set_target(3, START + Duration::from_secs(4));
+    let snapshot = state.snapshot().load();
     let least = |seconds: u64| {
         let now = START + Duration::from_secs(seconds);
         snapshot.oldest_allowed_version("m", GRACE, now)
@@ -164,7 +164,7 @@
     assert_eq!(until(3), None);
     let newest = snapshot
         .newest_version("m")
-        .map(|wanted| wanted.target.version);
+        .map(|weights| weights.target.version);
     assert_eq!(newest, Some(WeightsVersion(3)));
 }
 
@@ -172,18 +172,18 @@
 /// named while it was away; they were taken for as old as the outage, so that older weights counted as
 /// overdue although nobody could have known of the new ones.
 #[test]
-fn a_version_that_is_found_behind_an_outage_is_taken_for_new() {
-    let named_at = |knowledge: NamingKnowledge| found_at(knowledge, START).at;
-    let age = |knowledge: NamingKnowledge| store_time(START).since(named_at(knowledge));
-    assert!(age(NamingKnowledge::Interrupted) <= Duration::from_millis(100));
-    let certainty = |knowledge: NamingKnowledge| found_at(knowledge, START).certainty;
+fn a_version_found_after_an_outage_counts_as_new() {
+    let named_at = |follow_state: FollowState| found_at(follow_state, START).earliest;
+    let age = |follow_state: FollowState| store_time(START).since(named_at(follow_state));
+    assert!(age(FollowState::Interrupted) <= Duration::from_millis(100));
+    let certainty = |follow_state: FollowState| found_at(follow_state, START).certainty;
     assert_eq!(
-        certainty(NamingKnowledge::Interrupted),
+        certainty(FollowState::Interrupted),
         NamingCertainty::Resumed
     );
-    assert!(age(NamingKnowledge::Started) >= Duration::from_secs(6));
+    assert!(age(FollowState::Started) >= Duration::from_secs(6));
     assert_eq!(
-        certainty(NamingKnowledge::Followed(store_time(START))),
+        certainty(FollowState::Followed(store_time(START))),
         NamingCertainty::Witnessed
     );
 }
@@ -192,31 +192,31 @@
 /// the version that it found for old; the others, which had been cut off from the store and knew no
 /// moment either, took its assumption over.
 #[test]
-fn an_assumption_at_a_start_does_not_spread() {
+fn an_assumed_update_time_does_not_spread() {
     let back = START + Duration::from_secs(20);
-    let resumed = new_book();
-    let found = found_at(NamingKnowledge::Interrupted, back);
-    resumed.change(|book| book.change_operator_rows(&[named(2)], found));
-    let started = new_book();
-    let assumed = found_at(NamingKnowledge::Started, back);
-    started.change(|book| book.change_operator_rows(&[named(2)], assumed));
-    let exchange = |asks: &SharedControlState, answers: &SharedControlState| {
-        set_clock(answers, back);
-        let query = asks.read(ControlState::query);
-        let view = answers.read(|book| book.answer(&query, Duration::ZERO, back));
-        asks.change(|book| book.merge(view, at_once(back)));
+    let resumed = new_state();
+    let found = found_at(FollowState::Interrupted, back);
+    resumed.change(|state| state.change_operator_rows(&[target_row(2)], found));
+    let started = new_state();
+    let assumed = found_at(FollowState::Started, back);
+    started.change(|state| state.change_operator_rows(&[target_row(2)], assumed));
+    let exchange = |requester: &SharedControlState, responder: &SharedControlState| {
+        set_clock(responder, back);
+        let query = requester.read(ControlState::query);
+        let view = responder.read(|state| state.answer(&query, Duration::ZERO, back));
+        requester.change(|state| state.merge(view, at_once(back)));
     };
     exchange(&resumed, &started);
     exchange(&started, &resumed);
-    for book in [resumed, started] {
-        let snapshot = book.snapshot().load();
-        let wanted = snapshot.newest_version("m").expect("it was named");
-        assert_eq!(store_time(wanted.named_at), found.at);
+    for state in [resumed, started] {
+        let snapshot = state.snapshot().load();
+        let weights = snapshot.newest_version("m").expect("it was named");
+        assert_eq!(store_time(weights.named_at), found.earliest);
     }
 }
 
 #[test]
-fn a_process_that_has_just_started_can_tell_a_time_before_its_start() {
+fn clock_times_reach_back_before_process_start() {
     let now = crate::time::clock_now();
     let before = now - Duration::from_mins(10);
     assert_eq!(now.since(before), Duration::from_mins(10));
@@ -225,98 +225,98 @@
 /// Symptom: a request began on older weights behind the bound, sent by an entry host that had just
 /// started. It had found the version in the store and had counted from its own start.
 #[test]
-fn a_process_that_starts_learns_from_a_neighbour_when_a_version_was_named() {
-    let witness = new_book();
-    witness.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
+fn a_starting_process_takes_the_update_time_from_a_neighbour() {
+    let witness = new_state();
+    witness.change(|state| state.change_operator_rows(&[target_row(2)], witnessed_at(START)));
     let started_at = START + Duration::from_secs(7);
     set_clock(&witness, started_at);
     for assumed in [1, 6, 30] {
-        let book = new_book();
+        let state = new_state();
         let named_at = TargetUpdateTime::guessed(
             store_time(started_at - Duration::from_secs(assumed)),
             NamingCertainty::Assumed,
         );
-        book.change(|book| book.change_operator_rows(&[named(2)], named_at));
-        let query = book.read(ControlState::query);
+        state.change(|state| state.change_operator_rows(&[target_row(2)], named_at));
+        let query = state.read(ControlState::query);
         let view = witness.read(|witness| witness.answer(&query, Duration::ZERO, started_at));
-        book.change(|book| book.merge(view, at_once(started_at)));
-        let snapshot = book.snapshot().load();
-        let wanted = snapshot.newest_version("m").expect("it was named");
-        assert_eq!(wanted.named_at, START, "assumed {assumed} s");
+        state.change(|state| state.merge(view, at_once(started_at)));
+        let snapshot = state.snapshot().load();
+        let weights = snapshot.newest_version("m").expect("it was named");
+        assert_eq!(weights.named_at, START, "assumed {assumed} s");
     }
 }
 
 /// Symptom: all requests were refused for two seconds after the store came back. Every backend
 /// server's entry had lapsed while it was away, although all of them lived.
 #[test]
-fn entries_that_lapsed_in_an_outage_have_time_to_come_back() {
-    let book = new_book();
-    book.change(|book| {
-        book.note_store(START);
-        book.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
-        book.note_store_failure("silent");
+fn entries_lapsed_in_an_outage_may_return() {
+    let state = new_state();
+    state.change(|state| {
+        state.note_store(START);
+        state.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
+        state.note_store_failure("silent");
     });
     let back = START + Duration::from_secs(20);
-    book.change(|book| {
-        book.note_store(back);
-        book.set_backends(&view(Vec::new(), 9), back);
-        book.expire(back);
+    state.change(|state| {
+        state.note_store(back);
+        state.set_backends(&view(Vec::new(), 9), back);
+        state.expire(back);
     });
-    assert_eq!(ids(&book), ["a", "b"]);
+    assert_eq!(ids(&state), ["a", "b"]);
     let later = back + Duration::from_secs(1);
-    book.change(|book| {
-        book.change_backends(&view(vec![backend("a")], 10), later);
-        book.expire(back + Duration::from_secs(2));
+    state.change(|state| {
+        state.change_backends(&view(vec![backend("a")], 10), later);
+        state.expire(back + Duration::from_secs(2));
     });
-    assert_eq!(ids(&book), ["a"]);
+    assert_eq!(ids(&state), ["a"]);
 }
 
 /// Symptom: requests reached a backend server more than two seconds after its entry had gone. The
 /// process had been cut off from the store until three seconds before; the entry's end was taken for
 /// one that had lapsed in the outage, and its backend server was kept for a while.
 #[test]
-fn an_entry_that_goes_soon_after_an_outage_counts_once_lapsed_ones_are_back() {
-    let book = new_book();
+fn an_entry_removed_soon_after_an_outage_counts_after_the_grace_period() {
+    let state = new_state();
     let back = START + Duration::from_secs(20);
-    book.change(|book| {
-        book.note_store(START);
-        book.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
-        book.note_store_failure("cut off");
-        book.note_store(back);
+    state.change(|state| {
+        state.note_store(START);
+        state.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
+        state.note_store_failure("cut off");
+        state.note_store(back);
     });
     let soon = back + Duration::from_secs(1);
-    book.change(|book| book.change_backends(&view(vec![row("a", 6, None)], 6), soon));
-    assert_eq!(ids(&book), ["a", "b"]);
+    state.change(|state| state.change_backends(&view(vec![row("a", 6, None)], 6), soon));
+    assert_eq!(ids(&state), ["a", "b"]);
     let settled = back + Duration::from_millis(2200);
-    book.change(|book| {
-        assert!(book.has_expired(settled));
-        book.expire(settled);
+    state.change(|state| {
+        assert!(state.has_expired(settled));
+        state.expire(settled);
     });
-    assert_eq!(ids(&book), ["b"]);
+    assert_eq!(ids(&state), ["b"]);
     let later = back + Duration::from_millis(2900);
-    book.change(|book| book.change_backends(&view(vec![row("b", 7, None)], 7), later));
-    assert!(ids(&book).is_empty());
+    state.change(|state| state.change_backends(&view(vec![row("b", 7, None)], 7), later));
+    assert!(ids(&state).is_empty());
 }
 
 #[test]
-fn an_entry_that_goes_while_the_store_is_steady_counts_at_once() {
-    let book = new_book();
+fn an_entry_removed_while_the_store_is_available_counts_at_once() {
+    let state = new_state();
     let later = START + Duration::from_secs(10);
-    book.change(|book| {
-        book.note_store(START);
-        book.set_backends(&view(vec![backend("a")], 5), START);
-        book.change_backends(&view(vec![row("a", 6, None)], 6), later);
+    state.change(|state| {
+        state.note_store(START);
+        state.set_backends(&view(vec![backend("a")], 5), START);
+        state.change_backends(&view(vec![row("a", 6, None)], 6), later);
     });
-    assert!(ids(&book).is_empty());
+    assert!(ids(&state).is_empty());
 }
 
 #[test]
-fn an_older_read_of_the_whole_table_changes_nothing() {
-    let book = new_book();
-    book.change(|book| {
-        book.note_store(START);
-        book.set_backends(&view(vec![backend("a")], 50), START);
-        book.set_backends(&view(Vec::new(), 40), START + Duration::from_secs(10));
+fn a_stale_full_read_changes_nothing() {
+    let state = new_state();
+    state.change(|state| {
+        state.note_store(START);
+        state.set_backends(&view(vec![backend("a")], 50), START);
+        state.set_backends(&view(Vec::new(), 40), START + Duration::from_secs(10));
     });
-    assert_eq!(ids(&book), ["a"]);
+    assert_eq!(ids(&state), ["a"]);
 }
--- a/src/sync/tests/read_orders.rs
+++ b/src/sync/tests/read_orders.rs
@@ -4,8 +4,8 @@
 
 use super::{START, store_time};
 use crate::sync::EntryRecord;
-use crate::sync::operator_reading::{OperatorReading, judge_reader};
-use crate::sync::read_order::{ReadOrder, ReadTurn, ReaderAnswer, place_of};
+use crate::sync::operator_status::{OperatorStatus, classify_answer};
+use crate::sync::read_order::{ReadOrder, ReadStep, ReaderAnswer, rank_of};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -25,7 +25,7 @@
 /// `count` entry hosts of one data centre, the first in the order first.
 fn ordered(count: usize) -> Vec<EntryRecord> {
     let mut entries: Vec<EntryRecord> = (0..count).map(|number| entry(number, "a")).collect();
-    entries.sort_unstable_by_key(|entry| std::cmp::Reverse(place_of(&entry.host)));
+    entries.sort_unstable_by_key(|entry| std::cmp::Reverse(rank_of(&entry.host)));
     entries
 }
 
@@ -38,17 +38,17 @@
     let mut found = Vec::new();
     for _ in 0..2 {
         match order.next(entries, now) {
-            ReadTurn::Read => return None,
-            ReadTurn::Ask(entry) => found.push(entry),
+            ReadStep::Read => return None,
+            ReadStep::Query(entry) => found.push(entry),
         }
     }
-    found.sort_unstable_by_key(|entry| std::cmp::Reverse(place_of(&entry.host)));
+    found.sort_unstable_by_key(|entry| std::cmp::Reverse(rank_of(&entry.host)));
     Some(found)
 }
 
 /// Documents reached far entry hosts 2.5 s late: all 17 of a data centre read each of them over one link.
 #[test]
-fn two_of_a_data_centre_read_and_the_others_ask_them_by_turns() {
+fn two_entry_hosts_read_and_the_others_query_them_in_turn() {
     let mut entries = ordered(17);
     let readers = entries[..2].to_vec();
     let elsewhere: Vec<EntryRecord> = (100..120).map(|number| entry(number, "b")).collect();
@@ -67,27 +67,27 @@
 }
 
 #[test]
-fn a_process_that_knows_no_entry_hosts_reads() {
+fn a_process_without_known_entry_hosts_reads() {
     let me = entry(1, "a");
-    assert_eq!(ReadOrder::of(&me).next(&[], START), ReadTurn::Read);
+    assert_eq!(ReadOrder::of(&me).next(&[], START), ReadStep::Read);
     let alone = [me.clone(), entry(2, "b"), entry(3, "b"), entry(4, "b")];
-    assert_eq!(ReadOrder::of(&me).next(&alone, START), ReadTurn::Read);
+    assert_eq!(ReadOrder::of(&me).next(&alone, START), ReadStep::Read);
 }
 
 /// A reader was killed, and those that asked it had no documents until it was back.
 #[test]
-fn a_reader_that_does_not_answer_is_replaced_by_the_next_and_asked_again_later() {
+fn an_unresponsive_reader_is_replaced_and_queried_again_later() {
     let entries = ordered(5);
     let mut order = ReadOrder::of(&entries[4]);
-    order.note(&entries[0].host, ReaderAnswer::Silent, START);
+    order.note(&entries[0].host, ReaderAnswer::Unresponsive, START);
     assert_eq!(
         sent_at(&mut order, &entries, START),
         Some(entries[1..3].to_vec())
     );
     // The next in the order sees the same, and reads.
     let mut next = ReadOrder::of(&entries[2]);
-    next.note(&entries[0].host, ReaderAnswer::Silent, START);
-    assert_eq!(next.next(&entries, START), ReadTurn::Read);
+    next.note(&entries[0].host, ReaderAnswer::Unresponsive, START);
+    assert_eq!(next.next(&entries, START), ReadStep::Read);
     let later = START + Duration::from_secs(2);
     assert_eq!(
         sent_at(&mut order, &entries, later),
@@ -95,7 +95,7 @@
     );
     order.note(&entries[1].host, ReaderAnswer::Current, later);
     // It is still away: asking it again costs a turn, and is done less often.
-    order.note(&entries[0].host, ReaderAnswer::Silent, later);
+    order.note(&entries[0].host, ReaderAnswer::Unresponsive, later);
     let soon = later + Duration::from_secs(3);
     assert_eq!(
         sent_at(&mut order, &entries, soon),
@@ -110,12 +110,12 @@
 
 /// Half of a data centre was frozen, and each of those that did not answer took its time.
 #[test]
-fn behind_two_silent_neighbours_a_process_reads_itself_once() {
+fn after_two_unresponsive_readers_a_process_reads_once() {
     let entries = ordered(9);
     let mut order = ReadOrder::of(&entries[8]);
-    order.note(&entries[0].host, ReaderAnswer::Silent, START);
-    order.note(&entries[1].host, ReaderAnswer::Silent, START);
-    assert_eq!(order.next(&entries, START), ReadTurn::Read);
+    order.note(&entries[0].host, ReaderAnswer::Unresponsive, START);
+    order.note(&entries[1].host, ReaderAnswer::Unresponsive, START);
+    assert_eq!(order.next(&entries, START), ReadStep::Read);
     assert_eq!(
         sent_at(&mut order, &entries, START),
         Some(entries[2..4].to_vec())
@@ -124,14 +124,14 @@
 
 /// The store turned the reader away and served all others; they went on asking it.
 #[test]
-fn a_reader_that_is_cut_off_from_the_store_is_replaced() {
+fn a_reader_cut_off_from_the_store_is_replaced() {
     let entries = ordered(5);
-    let mut reading = OperatorReading::default();
+    let mut reading = OperatorStatus::default();
     reading.note_read(7, store_time(START), START);
     reading.note_failure();
-    let word = reading.word().expect("it has read");
-    let answer = judge_reader(&word, START, START);
-    assert_eq!(answer, ReaderAnswer::Behind);
+    let announcement = reading.announcement().expect("it has read");
+    let answer = classify_answer(&announcement, START, START);
+    assert_eq!(answer, ReaderAnswer::Outdated);
     let mut order = ReadOrder::of(&entries[4]);
     order.note(&entries[1].host, answer, START);
     let replaced = vec![entries[0].clone(), entries[2].clone()];
@@ -141,24 +141,25 @@
 /// A reader's connection to the store went silent, or its answers came late: it answered at once and
 /// with old knowledge.
 #[test]
-fn a_reader_is_as_good_as_what_it_knows_is_new() {
-    let mut reading = OperatorReading::default();
-    assert_eq!(reading.word(), None, "it knows nothing");
+fn a_reader_with_old_knowledge_is_outdated() {
+    let mut reading = OperatorStatus::default();
+    assert_eq!(reading.announcement(), None, "it knows nothing");
     reading.note_read(7, store_time(START), START);
-    let word = reading.word().expect("it has read");
-    let after = |millis: u64| judge_reader(&word, START, START + Duration::from_millis(millis));
+    let announcement = reading.announcement().expect("it has read");
+    let after =
+        |millis: u64| classify_answer(&announcement, START, START + Duration::from_millis(millis));
     // A watch is held open that long, and the store may be slow.
     assert_eq!(after(1900), ReaderAnswer::Current);
-    assert_eq!(after(2600), ReaderAnswer::Behind);
+    assert_eq!(after(2600), ReaderAnswer::Outdated);
 }
 
 /// Where the link between two regions is too narrow, all of a data centre would read over it.
 #[test]
-fn no_more_than_four_that_answer_are_left_out() {
+fn at_most_four_outdated_readers_are_excluded() {
     let entries = ordered(17);
     let mut order = ReadOrder::of(&entries[16]);
     for reader in &entries[..8] {
-        order.note(&reader.host, ReaderAnswer::Behind, START);
+        order.note(&reader.host, ReaderAnswer::Outdated, START);
     }
     assert_eq!(
         sent_at(&mut order, &entries, START),
@@ -169,28 +170,28 @@
 /// A process that is told by a neighbour knows no more than that one, and as of the same moment; as a reader it
 /// goes on from there.
 #[test]
-fn what_is_told_is_as_old_as_where_it_comes_from() {
-    let mut reader = OperatorReading::default();
+fn reported_knowledge_keeps_the_age_of_its_source() {
+    let mut reader = OperatorStatus::default();
     reader.note_read(7, store_time(START), START);
-    let told = reader.word().expect("it has read");
-    let mut follower = OperatorReading::default();
-    follower.take_word(told, START);
-    assert_eq!(follower.word(), Some(told));
+    let reported = reader.announcement().expect("it has read");
+    let mut follower = OperatorStatus::default();
+    follower.take_announcement(reported, START);
+    assert_eq!(follower.announcement(), Some(reported));
     assert!(!follower.is_overdue(START + Duration::from_millis(2400)));
     assert!(follower.is_overdue(START + Duration::from_millis(2500)));
     // An older word changes nothing.
     let earlier = START - Duration::from_secs(3);
-    let mut older = OperatorReading::default();
+    let mut older = OperatorStatus::default();
     older.note_read(3, store_time(earlier), earlier);
-    follower.take_word(older.word().expect("it has read"), earlier);
-    assert_eq!(follower.word(), Some(told));
+    follower.take_announcement(older.announcement().expect("it has read"), earlier);
+    assert_eq!(follower.announcement(), Some(reported));
     assert!(!follower.is_overdue(START + Duration::from_millis(2400)));
 }
 
 /// Whatever each has seen fail, nobody waits for somebody that waits for it: following whom each asks leads
 /// to one that reads.
 #[test]
-fn whoever_is_asked_stands_before_whoever_asks() {
+fn queries_only_go_to_higher_ranks() {
     run_cases(CASES, CASE_BYTES, |u| {
         let entries = ordered(usize::from(u.int_in_range(1..=12_u8)?));
         for me in &entries {
@@ -206,13 +207,13 @@
                 let host = u.choose(&entries)?.host.clone();
                 let answers = [
                     ReaderAnswer::Current,
-                    ReaderAnswer::Behind,
-                    ReaderAnswer::Silent,
+                    ReaderAnswer::Outdated,
+                    ReaderAnswer::Unresponsive,
                 ];
                 order.note(&host, *u.choose(&answers)?, START);
             }
-            if let ReadTurn::Ask(entry) = order.next(&known, START) {
-                assert!(place_of(&entry.host) > place_of(&me.host));
+            if let ReadStep::Query(entry) = order.next(&known, START) {
+                assert!(rank_of(&entry.host) > rank_of(&me.host));
                 assert!(known.contains(&entry));
             }
         }
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -6,11 +6,11 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use super::restarts::EntryProcess;
-use super::store_gate::{GateHarm, StoreGate};
+use super::store_proxy::{ProxyFault, StoreProxy};
 use crate::catalog::CatalogVersion;
 use crate::platform::samples::{backend_sample, document_sample};
 use crate::platform::{FakeStore, TableName};
-use crate::sync::read_order::place_of;
+use crate::sync::read_order::rank_of;
 use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::free_address;
 
@@ -21,14 +21,14 @@
 const SETTLE: Duration = Duration::from_millis(2600);
 
 /// The entry hosts of a data centre, the first in the order first, each with its own way to the store.
-struct TestHall {
+struct TestDataCentre {
     store: FakeStore,
-    gates: Vec<StoreGate>,
+    proxies: Vec<StoreProxy>,
     processes: Vec<Option<EntryProcess>>,
     version: u64,
 }
 
-impl TestHall {
+impl TestDataCentre {
     async fn start() -> Self {
         let store = FakeStore::start().await;
         let mut records = Vec::new();
@@ -44,28 +44,29 @@
             store.put(TableName::Own, &record.host, &text);
             records.push(record);
         }
-        records.sort_unstable_by_key(|record| std::cmp::Reverse(place_of(&record.host)));
-        let mut hall = Self {
+        records.sort_unstable_by_key(|record| std::cmp::Reverse(rank_of(&record.host)));
+        let mut data_centre = Self {
             store,
-            gates: Vec::new(),
+            proxies: Vec::new(),
             processes: Vec::new(),
             version: 0,
         };
-        hall.put_document();
+        data_centre.put_document();
         for me in records {
-            let gate = StoreGate::start(hall.store.address).await;
+            let proxy = StoreProxy::start(data_centre.store.address).await;
             let settings = SyncSettings {
                 me,
-                store_address: gate.address,
+                store_address: proxy.address,
                 seeds: Vec::new(),
             };
-            hall.gates.push(gate);
-            hall.processes
+            data_centre.proxies.push(proxy);
+            data_centre
+                .processes
                 .push(Some(EntryProcess::start_with(settings)));
         }
-        hall.all_have_it(BOUND).await;
+        data_centre.wait_for_document(BOUND).await;
         sleep(SETTLE).await;
-        hall
+        data_centre
     }
 
     fn put_document(&mut self) {
@@ -75,39 +76,39 @@
     }
 
     /// All that live, whatever became of their ways, have the newest document within `bound`.
-    async fn all_have_it(&self, bound: Duration) {
+    async fn wait_for_document(&self, bound: Duration) {
         let version = CatalogVersion(self.version);
-        let has_it = |snapshot: &ControlSnapshot| {
+        let is_current = |snapshot: &ControlSnapshot| {
             let catalog = snapshot.catalog.as_ref();
             catalog.is_some_and(|catalog| catalog.version >= version)
         };
-        self.all_believe(has_it, bound).await;
+        self.wait_for_all(is_current, bound).await;
     }
 
     /// All that live, whatever became of their ways, know `count` backend servers within `bound`.
-    async fn all_know(&self, count: usize, bound: Duration) {
-        let know = |snapshot: &ControlSnapshot| snapshot.fleet.backends.len() == count;
-        self.all_believe(know, bound).await;
+    async fn wait_for_backends(&self, count: usize, bound: Duration) {
+        let is_complete = |snapshot: &ControlSnapshot| snapshot.fleet.backends.len() == count;
+        self.wait_for_all(is_complete, bound).await;
     }
 
-    async fn all_believe(&self, is_there: impl Fn(&ControlSnapshot) -> bool, bound: Duration) {
+    async fn wait_for_all(&self, is_ready: impl Fn(&ControlSnapshot) -> bool, bound: Duration) {
         let until = Instant::now() + bound;
         for (place, process) in self.processes.iter().enumerate() {
             let Some(process) = process else { continue };
-            let waited = timeout_at(until, process.believes(&is_there)).await;
+            let waited = timeout_at(until, process.wait_for(&is_ready)).await;
             assert!(waited.is_ok(), "{place} does not know it within {bound:?}");
         }
     }
 
-    fn harm(&self, places: std::ops::Range<usize>, harm: GateHarm) {
-        for gate in &self.gates[places] {
-            gate.set(harm);
+    fn fault(&self, places: std::ops::Range<usize>, fault: ProxyFault) {
+        for proxy in &self.proxies[places] {
+            proxy.set(fault);
         }
     }
 
     fn end(self) {
         for process in self.processes.into_iter().flatten() {
-            process.lose_power();
+            process.stop_abruptly();
         }
     }
 }
@@ -116,156 +117,164 @@
 /// the link between two regions was asked for one and a half times what it carries.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_is_read_by_two_and_reaches_all() {
-    let mut hall = TestHall::start().await;
-    let before = hall.store.rows_told(TableName::Operator);
+    let mut data_centre = TestDataCentre::start().await;
+    let before = data_centre.store.rows_told(TableName::Operator);
     for _ in 0..5 {
-        hall.put_document();
-        hall.all_have_it(Duration::from_millis(500)).await;
+        data_centre.put_document();
+        data_centre
+            .wait_for_document(Duration::from_millis(500))
+            .await;
     }
-    let told = hall.store.rows_told(TableName::Operator) - before;
-    assert!(told <= 10, "five documents were told {told} times");
-    hall.end();
+    let reads = data_centre.store.rows_told(TableName::Operator) - before;
+    assert!(reads <= 10, "five documents were told {reads} times");
+    data_centre.end();
 }
 
 /// Guards against more than one further reader beside one that stands still and answers again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_reader_that_stands_still_costs_one_more_reader() {
-    let mut hall = TestHall::start().await;
-    let before = hall.store.rows_told(TableName::Operator);
-    let reader = hall.processes[1].as_ref().expect("it lives");
+    let mut data_centre = TestDataCentre::start().await;
+    let before = data_centre.store.rows_told(TableName::Operator);
+    let reader = data_centre.processes[1].as_ref().expect("it lives");
     // Longer than a question to it may take.
-    reader.freeze(Duration::from_millis(1200));
+    reader.stall(Duration::from_millis(1200));
     sleep(Duration::from_millis(950)).await;
     for _ in 0..5 {
-        hall.put_document();
-        hall.all_have_it(BOUND).await;
+        data_centre.put_document();
+        data_centre.wait_for_document(BOUND).await;
     }
-    let told = hall.store.rows_told(TableName::Operator) - before;
-    assert!(told <= 15, "five documents were told {told} times");
-    hall.end();
+    let reads = data_centre.store.rows_told(TableName::Operator) - before;
+    assert!(reads <= 15, "five documents were told {reads} times");
+    data_centre.end();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_document_reaches_all_whose_readers_were_killed() {
-    let mut hall = TestHall::start().await;
+async fn a_document_arrives_when_readers_are_killed() {
+    let mut data_centre = TestDataCentre::start().await;
     for place in 0..2 {
-        if let Some(process) = hall.processes[place].take() {
-            process.lose_power();
+        if let Some(process) = data_centre.processes[place].take() {
+            process.stop_abruptly();
         }
     }
-    hall.put_document();
-    hall.all_have_it(BOUND).await;
-    hall.end();
+    data_centre.put_document();
+    data_centre.wait_for_document(BOUND).await;
+    data_centre.end();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_document_reaches_all_whose_readers_are_frozen() {
-    let mut hall = TestHall::start().await;
-    let mut frozen = Vec::new();
+async fn a_document_arrives_when_readers_stall() {
+    let mut data_centre = TestDataCentre::start().await;
+    let mut stalled = Vec::new();
     for place in 0..2 {
-        let process = hall.processes[place].take().expect("it lives");
-        process.freeze(BOUND * 2);
-        frozen.push(process);
+        let process = data_centre.processes[place].take().expect("it lives");
+        process.stall(BOUND * 2);
+        stalled.push(process);
     }
-    hall.put_document();
-    hall.all_have_it(BOUND).await;
-    hall.end();
-    for process in frozen {
-        process.lose_power();
+    data_centre.put_document();
+    data_centre.wait_for_document(BOUND).await;
+    data_centre.end();
+    for process in stalled {
+        process.stop_abruptly();
     }
 }
 
 /// The readers themselves have it from their neighbours.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_document_reaches_all_whose_readers_the_store_turns_away() {
-    for harm in [GateHarm::Refused, GateHarm::Reset] {
-        let mut hall = TestHall::start().await;
-        hall.harm(0..2, harm);
-        hall.put_document();
-        hall.all_have_it(BOUND).await;
-        hall.end();
+async fn a_document_arrives_when_the_store_refuses_readers() {
+    for fault in [ProxyFault::Refused, ProxyFault::Reset] {
+        let mut data_centre = TestDataCentre::start().await;
+        data_centre.fault(0..2, fault);
+        data_centre.put_document();
+        data_centre.wait_for_document(BOUND).await;
+        data_centre.end();
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_document_reaches_all_whose_readers_hear_nothing_of_the_store() {
-    let mut hall = TestHall::start().await;
-    hall.harm(0..2, GateHarm::Silent);
-    hall.put_document();
-    hall.all_have_it(BOUND).await;
-    hall.end();
+async fn a_document_arrives_when_the_store_does_not_answer_readers() {
+    let mut data_centre = TestDataCentre::start().await;
+    data_centre.fault(0..2, ProxyFault::Unresponsive);
+    data_centre.put_document();
+    data_centre.wait_for_document(BOUND).await;
+    data_centre.end();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_document_reaches_all_whose_readers_hear_late_of_the_store() {
-    let mut hall = TestHall::start().await;
-    hall.harm(0..2, GateHarm::Slow(Duration::from_millis(700)));
-    hall.put_document();
-    hall.all_have_it(BOUND).await;
-    hall.end();
+async fn a_document_arrives_when_the_store_answers_readers_late() {
+    let mut data_centre = TestDataCentre::start().await;
+    data_centre.fault(0..2, ProxyFault::Slow(Duration::from_millis(700)));
+    data_centre.put_document();
+    data_centre.wait_for_document(BOUND).await;
+    data_centre.end();
 }
 
 /// Each entry host read the list of backend servers itself, which took a sixth of the link between two regions
 /// and more calls to the store than all else.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_list_of_backend_servers_is_read_by_two_and_reaches_all() {
-    let hall = TestHall::start().await;
-    let before = hall.store.rows_told(TableName::Backends);
+async fn the_backend_list_is_read_by_two_and_reaches_all() {
+    let data_centre = TestDataCentre::start().await;
+    let before = data_centre.store.rows_told(TableName::Backends);
     for count in 1..=4 {
         let id = format!("b{count}");
-        hall.store.put(TableName::Backends, &id, &backend_sample());
-        hall.all_know(count, BOUND).await;
+        data_centre
+            .store
+            .put(TableName::Backends, &id, &backend_sample());
+        data_centre.wait_for_backends(count, BOUND).await;
     }
-    let told = hall.store.rows_told(TableName::Backends) - before;
-    assert!(told <= 8, "four entries were told {told} times");
-    hall.end();
+    let reads = data_centre.store.rows_told(TableName::Backends) - before;
+    assert!(reads <= 8, "four entries were told {reads} times");
+    data_centre.end();
 }
 
 /// A backend server that leaves may get nothing three seconds later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_list_of_backend_servers_reaches_all_whose_readers_fail() {
-    for harm in [GateHarm::Refused, GateHarm::Silent] {
-        let hall = TestHall::start().await;
-        hall.harm(0..2, harm);
-        hall.store.put(TableName::Backends, "b", &backend_sample());
-        hall.all_know(1, BOUND).await;
-        hall.end();
+async fn the_backend_list_arrives_when_readers_fail() {
+    for fault in [ProxyFault::Refused, ProxyFault::Unresponsive] {
+        let data_centre = TestDataCentre::start().await;
+        data_centre.fault(0..2, fault);
+        data_centre
+            .store
+            .put(TableName::Backends, "b", &backend_sample());
+        data_centre.wait_for_backends(1, BOUND).await;
+        data_centre.end();
     }
-    let mut hall = TestHall::start().await;
+    let mut data_centre = TestDataCentre::start().await;
     for place in 0..2 {
-        if let Some(process) = hall.processes[place].take() {
-            process.lose_power();
+        if let Some(process) = data_centre.processes[place].take() {
+            process.stop_abruptly();
         }
     }
-    hall.store.put(TableName::Backends, "b", &backend_sample());
-    hall.all_know(1, BOUND).await;
-    hall.end();
+    data_centre
+        .store
+        .put(TableName::Backends, "b", &backend_sample());
+    data_centre.wait_for_backends(1, BOUND).await;
+    data_centre.end();
 }
 
 /// Behind an outage everybody had taken itself for a reader, and all read the newest document at once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_document_of_an_outage_reaches_all_behind_it() {
-    let mut hall = TestHall::start().await;
-    hall.harm(0..ENTRIES, GateHarm::Refused);
+async fn a_document_written_in_an_outage_arrives_after_it() {
+    let mut data_centre = TestDataCentre::start().await;
+    data_centre.fault(0..ENTRIES, ProxyFault::Refused);
     sleep(BOUND).await;
-    hall.put_document();
+    data_centre.put_document();
     sleep(Duration::from_millis(500)).await;
-    hall.harm(0..ENTRIES, GateHarm::None);
-    hall.all_have_it(BOUND).await;
-    hall.end();
+    data_centre.fault(0..ENTRIES, ProxyFault::None);
+    data_centre.wait_for_document(BOUND).await;
+    data_centre.end();
 }
 
 /// The store forgot its history while the readers were cut off from it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_document_reaches_all_behind_a_history_that_is_forgotten() {
-    let mut hall = TestHall::start().await;
-    hall.harm(0..2, GateHarm::Silent);
-    hall.put_document();
-    hall.store.forget_history();
-    hall.all_have_it(BOUND).await;
-    hall.harm(0..2, GateHarm::None);
+async fn a_document_arrives_after_lost_history() {
+    let mut data_centre = TestDataCentre::start().await;
+    data_centre.fault(0..2, ProxyFault::Unresponsive);
+    data_centre.put_document();
+    data_centre.store.forget_history();
+    data_centre.wait_for_document(BOUND).await;
+    data_centre.fault(0..2, ProxyFault::None);
     sleep(Duration::from_millis(100)).await;
-    hall.put_document();
-    hall.all_have_it(BOUND).await;
-    hall.end();
+    data_centre.put_document();
+    data_centre.wait_for_document(BOUND).await;
+    data_centre.end();
 }
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -7,15 +7,15 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::time::{sleep, timeout};
 
-use super::{START, at_once, found_at, named, new_book, set_clock, store_time, told_at};
+use super::{START, at_once, found_at, new_state, set_clock, store_time, target_row, witnessed_at};
 use crate::daemon::DrainState;
 use crate::fleet::{ModelVersion, NamingCertainty, WeightsVersion};
 use crate::platform::samples::{document_sample, naming_sample};
 use crate::platform::{FakeStore, StoreClient, TableName, WriteOutcome};
-use crate::sync::naming_time::NamingKnowledge;
 use crate::sync::own_rows::VersionRecord;
 use crate::sync::peer_messages::PeerQuery;
 use crate::sync::sync_thread::run_sync;
+use crate::sync::target_update_time::FollowState;
 use crate::sync::{
     ControlSnapshot, ControlState, EntryRecord, OwnRows, SharedControlState, SyncSettings,
     TargetUpdateTime,
@@ -28,16 +28,16 @@
 /// An entry host's control thread, which can lose power.
 pub(super) struct EntryProcess {
     runtime: Runtime,
-    pub(super) book: SharedControlState,
+    pub(super) state: SharedControlState,
 }
 
 impl EntryProcess {
     pub(super) fn start(name: &'static str, store: &FakeStore) -> Self {
-        Self::start_beside(name, store, Vec::new())
+        Self::start_with_seeds(name, store, Vec::new())
     }
 
     /// The same, beside entry hosts that listen at `seeds`.
-    pub(super) fn start_beside(
+    pub(super) fn start_with_seeds(
         name: &'static str,
         store: &FakeStore,
         seeds: Vec<SocketAddr>,
@@ -62,32 +62,32 @@
             .enable_all()
             .build()
             .expect("a thread can be had");
-        let book = SharedControlState::default();
+        let state = SharedControlState::default();
         let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
-        runtime.spawn(run_sync(settings, book.clone(), drain));
-        Self { runtime, book }
+        runtime.spawn(run_sync(settings, state.clone(), drain));
+        Self { runtime, state }
     }
 
     /// It does nothing for `span`, and then goes on.
-    pub(super) fn freeze(&self, span: Duration) {
+    pub(super) fn stall(&self, span: Duration) {
         self.runtime.spawn(async move { std::thread::sleep(span) });
     }
 
     /// Nothing of it is left, and nothing is said on the way.
-    pub(super) fn lose_power(self) {
+    pub(super) fn stop_abruptly(self) {
         self.runtime.shutdown_background();
     }
 
-    /// What it believes as soon as `is_there` holds.
-    pub(super) async fn believes(
+    /// What it believes as soon as `is_ready` holds.
+    pub(super) async fn wait_for(
         &self,
-        is_there: impl Fn(&ControlSnapshot) -> bool,
+        is_ready: impl Fn(&ControlSnapshot) -> bool,
     ) -> Arc<ControlSnapshot> {
-        let mut changes = self.book.changes();
+        let mut changes = self.state.changes();
         let waiting = async {
             loop {
-                let snapshot = self.book.snapshot().load();
-                if is_there(&snapshot) {
+                let snapshot = self.state.snapshot().load();
+                if is_ready(&snapshot) {
                     return snapshot;
                 }
                 changes.changed().await.expect("the book is held here");
@@ -99,11 +99,11 @@
 }
 
 fn newest(snapshot: &ControlSnapshot) -> Option<WeightsVersion> {
-    let wanted = snapshot.newest_version("m");
-    wanted.map(|wanted| wanted.target.version)
+    let weights = snapshot.newest_version("m");
+    weights.map(|weights| weights.target.version)
 }
 
-fn name_version(store: &FakeStore, version: u64) {
+fn set_target_version(store: &FakeStore, version: u64) {
     let (key, text) = naming_sample(version);
     store.put(TableName::Operator, key, &text);
 }
@@ -130,11 +130,11 @@
 }
 
 /// What a process believes that starts beside `store`, as soon as it could take requests.
-async fn belief_of_new(store: &FakeStore) -> Arc<ControlSnapshot> {
+async fn state_of_new_process(store: &FakeStore) -> Arc<ControlSnapshot> {
     let process = EntryProcess::start("new", store);
-    let snapshot = process.believes(|snapshot| snapshot.catalog.is_some());
+    let snapshot = process.wait_for(|snapshot| snapshot.catalog.is_some());
     let snapshot = snapshot.await;
-    process.lose_power();
+    process.stop_abruptly();
     snapshot
 }
 
@@ -144,78 +144,78 @@
 /// that started afterwards knew only the store's row, told `[1102] … version=2 from=store/75
 /// certainty=Assumed`, and 24 engines were loaded with version 2.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_named_version_outlives_a_late_older_naming_and_a_restart_of_all() {
+async fn a_target_version_survives_a_late_older_update_and_a_full_restart() {
     let store = FakeStore::start().await;
     put_document(&store, 1);
-    name_version(&store, 2);
+    set_target_version(&store, 2);
     let first = EntryProcess::start("first", &store);
-    first.believes(|snapshot| newest(snapshot).is_some()).await;
-    name_version(&store, 3);
+    first.wait_for(|snapshot| newest(snapshot).is_some()).await;
+    set_target_version(&store, 3);
     let is_third = |snapshot: &ControlSnapshot| newest(snapshot) == Some(WeightsVersion(3));
-    first.believes(is_third).await;
+    first.wait_for(is_third).await;
     await_record(&store, 3).await;
-    name_version(&store, 2);
-    first.lose_power();
+    set_target_version(&store, 2);
+    first.stop_abruptly();
     let second = EntryProcess::start("second", &store);
-    let snapshot = second.believes(|snapshot| snapshot.catalog.is_some()).await;
+    let snapshot = second.wait_for(|snapshot| snapshot.catalog.is_some()).await;
     assert_eq!(newest(&snapshot), Some(WeightsVersion(3)));
-    second.lose_power();
+    second.stop_abruptly();
 }
 
 /// A version that was named while the row of its record held what somebody else had written would be
 /// lost again with all processes; and a look for it after each change of the view, each of which is
 /// one, would keep the thread and the store busy for good.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_record_that_does_not_read_is_written_over_once() {
+async fn an_unreadable_record_is_overwritten_once() {
     let store = FakeStore::start().await;
     put_document(&store, 1);
     store.put(TableName::Own, "weights/m", "{\"model\":7}");
     store.put(TableName::Own, "another", "no entry of an entry host");
-    name_version(&store, 3);
+    set_target_version(&store, 3);
     let first = EntryProcess::start("first", &store);
-    first.believes(|snapshot| newest(snapshot).is_some()).await;
+    first.wait_for(|snapshot| newest(snapshot).is_some()).await;
     await_record(&store, 3).await;
     sleep(Duration::from_millis(300)).await;
     // Its entry, a record where none was known, and one over what stood there.
     assert!(store.change_calls() <= 4, "{}", store.change_calls());
     assert_eq!(store.changes_done(), 2, "its entry and one record");
-    name_version(&store, 2);
-    first.lose_power();
+    set_target_version(&store, 2);
+    first.stop_abruptly();
     let second = EntryProcess::start("second", &store);
-    let snapshot = second.believes(|snapshot| snapshot.catalog.is_some()).await;
+    let snapshot = second.wait_for(|snapshot| snapshot.catalog.is_some()).await;
     assert_eq!(newest(&snapshot), Some(WeightsVersion(3)));
-    second.lose_power();
+    second.stop_abruptly();
 }
 
 /// All entry hosts were started again beside hosts of backend servers that lived on, and did not know
 /// the version that these had been told: a host that came new was told the older one.
 #[test]
-fn an_entry_host_learns_a_version_from_whoever_asks_it() {
-    let lived = new_book();
-    lived.change(|book| book.change_operator_rows(&[named(3)], told_at(START)));
+fn an_entry_host_takes_a_version_from_a_query() {
+    let witness = new_state();
+    witness.change(|state| state.change_operator_rows(&[target_row(3)], witnessed_at(START)));
     let later = START + Duration::from_secs(20);
-    let words = lived.read(ControlState::query).targets;
-    let started = new_book();
-    assert!(started.read(|book| book.learns_from(&words)));
-    started.change(|book| book.take_words(&words, later));
-    assert!(!started.read(|book| book.learns_from(&words)));
+    let announcements = witness.read(ControlState::query).targets;
+    let started = new_state();
+    assert!(started.read(|state| state.is_updated_by(&announcements)));
+    started.change(|state| state.merge_targets(&announcements, later));
+    assert!(!started.read(|state| state.is_updated_by(&announcements)));
     let snapshot = started.snapshot().load();
     assert_eq!(newest(&snapshot), Some(WeightsVersion(3)));
-    let wanted = snapshot.newest_version("m").expect("it was told");
-    assert_eq!(wanted.named_at, START);
+    let weights = snapshot.newest_version("m").expect("it was told");
+    assert_eq!(weights.named_at, START);
 }
 
 fn named_at(snapshot: &ControlSnapshot) -> ClockTime {
-    let wanted = snapshot.newest_version("m");
-    wanted.expect("a version is wanted").named_at
+    let weights = snapshot.newest_version("m");
+    weights.expect("a version is wanted").named_at
 }
 
 /// Requests would begin on older weights up to six seconds behind the bound: a process that started took
 /// the version that it found for old, and then, when it read the system's own rows once more, for one
 /// that had been named that moment.
 #[test]
-fn a_record_that_is_read_again_does_not_make_a_version_new() {
-    let book = new_book();
+fn a_record_read_again_does_not_postdate_a_version() {
+    let state = new_state();
     let record = |revision| {
         OwnRows::with_record(VersionRecord {
             target: ModelVersion {
@@ -225,51 +225,54 @@
             revision,
         })
     };
-    let found = found_at(NamingKnowledge::Started, START);
-    book.change(|book| book.take_own_rows(record(5), found));
+    let found = found_at(FollowState::Started, START);
+    state.change(|state| state.take_own_rows(record(5), found));
     let later = START + Duration::from_secs(10);
-    let again = found_at(NamingKnowledge::Interrupted, later);
-    book.change(|book| book.take_own_rows(record(6), again));
-    assert_eq!(store_time(named_at(&book.snapshot().load())), found.at);
+    let again = found_at(FollowState::Interrupted, later);
+    state.change(|state| state.take_own_rows(record(6), again));
+    assert_eq!(
+        store_time(named_at(&state.snapshot().load())),
+        found.earliest
+    );
 }
 
 /// The same by the operator's table: the store forgot its history soon after a start, the table was read
 /// as a whole once more, and a version of before counted as one that the process had just been told.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_table_that_is_read_anew_does_not_make_a_version_new() {
+async fn a_table_read_again_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
     put_document(&store, 1);
-    name_version(&store, 2);
+    set_target_version(&store, 2);
     let process = EntryProcess::start("first", &store);
-    let is_there = |snapshot: &ControlSnapshot| snapshot.catalog.is_some();
-    process.believes(is_there).await;
-    let named = |process: &EntryProcess| process.book.read(ControlState::query).targets;
-    let found = named(&process);
+    let is_ready = |snapshot: &ControlSnapshot| snapshot.catalog.is_some();
+    process.wait_for(is_ready).await;
+    let targets_of = |process: &EntryProcess| process.state.read(ControlState::query).targets;
+    let found = targets_of(&process);
     store.forget_history();
     put_document(&store, 2);
     let has_second = |snapshot: &ControlSnapshot| {
         let catalog = snapshot.catalog.as_ref();
         catalog.is_some_and(|catalog| catalog.version.0 == 2)
     };
-    process.believes(has_second).await;
-    assert_eq!(named(&process), found);
-    process.lose_power();
+    process.wait_for(has_second).await;
+    assert_eq!(targets_of(&process), found);
+    process.stop_abruptly();
 }
 
 /// A version named while all entry hosts were killed would bind too late: the hosts of backend servers
 /// beside them had been told when, the entry hosts that had started only assumed it.
 #[test]
-fn an_entry_host_learns_from_whoever_asks_it_when_a_version_was_named() {
-    let lived = new_book();
-    lived.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
+fn an_entry_host_takes_the_update_time_from_a_query() {
+    let witness = new_state();
+    witness.change(|state| state.change_operator_rows(&[target_row(2)], witnessed_at(START)));
     let later = START + Duration::from_secs(20);
-    let started = new_book();
+    let started = new_state();
     let resumed = TargetUpdateTime::guessed(store_time(later), NamingCertainty::Resumed);
-    started.change(|book| book.change_operator_rows(&[named(2)], resumed));
-    let words = lived.read(ControlState::query).targets;
-    assert!(started.read(|book| book.learns_from(&words)));
-    started.change(|book| book.take_words(&words, later));
-    assert!(!started.read(|book| book.learns_from(&words)));
+    started.change(|state| state.change_operator_rows(&[target_row(2)], resumed));
+    let announcements = witness.read(ControlState::query).targets;
+    assert!(started.read(|state| state.is_updated_by(&announcements)));
+    started.change(|state| state.merge_targets(&announcements, later));
+    assert!(!started.read(|state| state.is_updated_by(&announcements)));
     assert_eq!(named_at(&started.snapshot().load()), START);
 }
 
@@ -278,27 +281,27 @@
 /// had been told of version 3, so that nothing of the system's own recorded it. The store still knew each
 /// change of the last seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_version_that_was_written_over_before_anybody_heard_is_found_in_the_history() {
+async fn an_overwritten_version_is_found_in_the_store_history() {
     let store = FakeStore::start().await;
     put_document(&store, 1);
-    name_version(&store, 2);
-    name_version(&store, 3);
-    name_version(&store, 2);
+    set_target_version(&store, 2);
+    set_target_version(&store, 3);
+    set_target_version(&store, 2);
     for document in 2..80 {
         put_document(&store, document);
     }
-    let snapshot = belief_of_new(&store).await;
+    let snapshot = state_of_new_process(&store).await;
     assert_eq!(newest(&snapshot), Some(WeightsVersion(3)));
 }
 
-/// A store that has forgotten its history tells what stands, and the process is ready with that.
+/// A store that has forgotten its history tells what stored, and the process is ready with that.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_process_starts_beside_a_store_that_has_forgotten_its_history() {
+async fn a_process_starts_when_the_store_has_lost_its_history() {
     let store = FakeStore::start().await;
     put_document(&store, 1);
-    name_version(&store, 2);
+    set_target_version(&store, 2);
     store.forget_history();
-    let snapshot = belief_of_new(&store).await;
+    let snapshot = state_of_new_process(&store).await;
     assert_eq!(newest(&snapshot), Some(WeightsVersion(2)));
 }
 
@@ -306,27 +309,27 @@
 /// they took for six seconds old; the hosts of engines had been told of the one before it only two seconds
 /// before that start, so that the newer one could not be older.
 #[test]
-fn a_version_is_not_taken_for_older_than_the_one_before_it() {
-    let lived = new_book();
-    lived.change(|book| book.change_operator_rows(&[named(2)], told_at(START)));
+fn a_version_is_not_dated_before_its_predecessor() {
+    let witness = new_state();
+    witness.change(|state| state.change_operator_rows(&[target_row(2)], witnessed_at(START)));
     let now = START + Duration::from_secs(2);
-    let found = found_at(NamingKnowledge::Started, now);
-    let started = new_book();
+    let found = found_at(FollowState::Started, now);
+    let started = new_state();
     set_clock(&started, now);
-    started.change(|book| book.set_operator_rows(&[named(3)], found));
-    let words = lived.read(ControlState::query).targets;
-    assert!(started.read(|book| book.learns_from(&words)));
-    started.change(|book| book.take_words(&words, now));
+    started.change(|state| state.set_operator_rows(&[target_row(3)], found));
+    let announcements = witness.read(ControlState::query).targets;
+    assert!(started.read(|state| state.is_updated_by(&announcements)));
+    started.change(|state| state.merge_targets(&announcements, now));
     assert_eq!(named_at(&started.snapshot().load()), START);
-    let view = started.read(|book| book.answer(&PeerQuery::default(), Duration::ZERO, now));
-    lived.change(|book| book.merge(view, at_once(now)));
-    assert_eq!(named_at(&lived.snapshot().load()), START);
+    let view = started.read(|state| state.answer(&PeerQuery::default(), Duration::ZERO, now));
+    witness.change(|state| state.merge(view, at_once(now)));
+    assert_eq!(named_at(&witness.snapshot().load()), START);
 }
 
 /// A record of version 2 that a process had begun to write, and that the store did last, would bring the
 /// older weights back at the next restart of all.
 #[tokio::test]
-async fn a_record_that_is_written_late_does_not_replace_a_newer_one() {
+async fn a_late_record_does_not_replace_a_newer_one() {
     let store = FakeStore::start().await;
     let third = "{\"model\":\"m\",\"version\":3}";
     store.put(TableName::Own, "weights/m", third);
@@ -339,35 +342,41 @@
         panic!("it was done: {outcome:?}");
     };
     assert_eq!(row.value.as_deref(), Some(third.as_bytes()));
-    let stands = store.text_of(TableName::Own, "weights/m");
-    assert_eq!(stands.as_deref(), Some(third));
+    let stored = store.text_of(TableName::Own, "weights/m");
+    assert_eq!(stored.as_deref(), Some(third));
 }
 
 /// Every stream was refused for five seconds behind an outage of the store. A process that had started
 /// meanwhile took the versions that it found at the store's return for six seconds old; the others heard of
 /// them from it first, and their own watches, which had been cut, told no more of them.
 #[test]
-fn a_watch_that_was_cut_tells_more_than_an_assumption_that_was_heard_before() {
+fn an_interrupted_watch_overrides_an_assumed_time() {
     let back = START + Duration::from_secs(20);
-    let started = new_book();
-    let assumed = found_at(NamingKnowledge::Started, back);
-    started.change(|book| book.set_operator_rows(&[named(2)], assumed));
-    let words = started.read(ControlState::query).targets;
-    let cut = new_book();
-    cut.change(|book| book.take_words(&words, back));
-    let found = found_at(NamingKnowledge::Interrupted, back);
+    let started = new_state();
+    let assumed = found_at(FollowState::Started, back);
+    started.change(|state| state.set_operator_rows(&[target_row(2)], assumed));
+    let announcements = started.read(ControlState::query).targets;
+    let interrupted = new_state();
+    interrupted.change(|state| state.merge_targets(&announcements, back));
+    let found = found_at(FollowState::Interrupted, back);
     // The process that had started has recorded it, which is read before the watch goes on.
     let record = OwnRows::with_record(VersionRecord {
-        target: words[0].target.clone(),
+        target: announcements[0].target.clone(),
         revision: 8,
     });
-    cut.change(|book| book.take_own_rows(record, found));
-    cut.change(|book| book.change_operator_rows(&[named(2)], found));
-    assert_eq!(store_time(named_at(&cut.snapshot().load())), found.at);
+    interrupted.change(|state| state.take_own_rows(record, found));
+    interrupted.change(|state| state.change_operator_rows(&[target_row(2)], found));
+    assert_eq!(
+        store_time(named_at(&interrupted.snapshot().load())),
+        found.earliest
+    );
     // The same row once more tells nothing.
     let later = back + Duration::from_secs(5);
-    let followed = NamingKnowledge::Followed(store_time(back));
+    let followed = FollowState::Followed(store_time(back));
     let later = found_at(followed, later);
-    cut.change(|book| book.change_operator_rows(&[named(2)], later));
-    assert_eq!(store_time(named_at(&cut.snapshot().load())), found.at);
+    interrupted.change(|state| state.change_operator_rows(&[target_row(2)], later));
+    assert_eq!(
+        store_time(named_at(&interrupted.snapshot().load())),
+        found.earliest
+    );
 }
--- a/src/sync/tests/store_calls.rs
+++ b/src/sync/tests/store_calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::sync::store_watch::entries_pause;
-use crate::sync::version_recorder::record_later;
+use crate::sync::version_recorder::record_delay;
 
 /// Reads of the entry hosts' table in a second, by all entry hosts of five data centres together.
 fn reads_per_s(count: usize) -> f64 {
@@ -14,7 +14,7 @@
 
 /// Guards against calls to the store that grow with the number of entry hosts.
 #[test]
-fn entry_hosts_together_read_each_other_as_often_however_many_they_are() {
+fn reads_of_the_entry_table_do_not_grow_with_entry_hosts() {
     assert!(reads_per_s(400) <= reads_per_s(98) * 1.1);
     assert_eq!(entries_pause(false, 6), Duration::from_secs(10));
 }
@@ -25,7 +25,7 @@
     let within = |span: f64| {
         let places = 0..400;
         let later =
-            places.filter(|place| record_later(*place).is_none_or(|later| later.start < span));
+            places.filter(|place| record_delay(*place).is_none_or(|later| later.start < span));
         later.count()
     };
     assert_eq!(within(0.0), 3);
--- a/src/sync/tests/unreadable.rs
+++ b/src/sync/tests/unreadable.rs
@@ -10,7 +10,7 @@
 use crate::errors::{ErrorKind, SwitchError};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::own_rows::OwnRows;
-use crate::sync::unreadable_rows::{RowReading, UnreadableRows};
+use crate::sync::unreadable_rows::{RowStatus, UnreadableRows};
 use crate::test_support::{any_json, run_cases, spoil_json};
 
 const CASES: u32 = 1500;
@@ -18,78 +18,78 @@
 /// What the store's client makes of bytes that do not decode.
 const NO_BYTES: &str = "";
 
-fn steady_book(rows: Vec<StoreRow>) -> SharedControlState {
-    let book = new_book();
-    book.change(|book| {
-        book.note_store(START);
-        book.set_backends(&view(rows, 5), START);
+fn steady_state(rows: Vec<StoreRow>) -> SharedControlState {
+    let state = new_state();
+    state.change(|state| {
+        state.note_store(START);
+        state.set_backends(&view(rows, 5), START);
     });
-    book
+    state
 }
 
 /// Symptom: requests went on to an address after somebody else had written over the entry that named it:
 /// what the entry had said before stayed in force for as long as it did not read.
 #[test]
-fn an_entry_that_stops_reading_names_nobody_until_it_reads_again() {
+fn an_unreadable_entry_removes_its_backend_until_readable() {
     let later = START + Duration::from_secs(10);
     for text in [NO_BYTES, "{}", "7", "{\"x\":"] {
-        let book = steady_book(vec![backend("a"), backend("b")]);
+        let state = steady_state(vec![backend("a"), backend("b")]);
         let change = |change: StoreRow, revision: u64| {
-            book.change(|book| book.change_backends(&view(vec![change], revision), later));
+            state.change(|state| state.change_backends(&view(vec![change], revision), later));
         };
         change(row("a", 6, Some(text)), 6);
-        assert_eq!(ids(&book), ["b"], "{text}");
+        assert_eq!(ids(&state), ["b"], "{text}");
         change(backend("a"), 7);
-        assert_eq!(ids(&book), ["a", "b"]);
-        let whole = view(vec![row("a", 8, Some(text)), backend("b")], 8);
-        book.change(|book| book.set_backends(&whole, later));
-        assert_eq!(ids(&book), ["b"], "{text}");
+        assert_eq!(ids(&state), ["a", "b"]);
+        let complete = view(vec![row("a", 8, Some(text)), backend("b")], 8);
+        state.change(|state| state.set_backends(&complete, later));
+        assert_eq!(ids(&state), ["b"], "{text}");
     }
 }
 
 /// Symptom: requests went for a second and a half more to an address that no entry named. The entry had
 /// been written over soon after an outage and was taken for one that had lapsed in it.
 #[test]
-fn an_entry_that_was_written_over_is_not_kept_as_one_that_lapsed() {
-    let book = steady_book(vec![backend("a"), backend("b")]);
+fn an_overwritten_entry_is_not_kept_as_lapsed() {
+    let state = steady_state(vec![backend("a"), backend("b")]);
     let back = START + Duration::from_secs(20);
-    book.change(|book| {
-        book.note_store_failure("cut off");
-        book.note_store(back);
-        book.change_backends(&view(vec![row("a", 6, Some("{}"))], 6), back);
+    state.change(|state| {
+        state.note_store_failure("cut off");
+        state.note_store(back);
+        state.change_backends(&view(vec![row("a", 6, Some("{}"))], 6), back);
     });
-    assert_eq!(ids(&book), ["b"]);
+    assert_eq!(ids(&state), ["b"]);
 }
 
 #[test]
-fn an_operators_row_that_does_not_read_leaves_the_others_and_what_was_in_force() {
-    let book = new_book();
+fn an_unreadable_operator_row_changes_nothing_else() {
+    let state = new_state();
     let take = |rows: &[StoreRow]| {
-        book.change(|book| book.change_operator_rows(rows, told_at(START)));
+        state.change(|state| state.change_operator_rows(rows, witnessed_at(START)));
     };
     let (document_key, text) = document_sample(9);
     let (naming_key, _) = naming_sample(1);
-    take(&[document(7), named(2)]);
-    for spoilt in [NO_BYTES, "{", "[]", "{\"x\":-1}"] {
+    take(&[document(7), target_row(2)]);
+    for unreadable in [NO_BYTES, "{", "[]", "{\"x\":-1}"] {
         let rows = [
-            row(document_key, 8, Some(spoilt)),
-            row(naming_key, 9, Some(spoilt)),
+            row(document_key, 8, Some(unreadable)),
+            row(naming_key, 9, Some(unreadable)),
         ];
         take(&rows);
-        assert_eq!(version_of(&book), 7);
+        assert_eq!(version_of(&state), 7);
     }
     let (_, other) = naming_sample(5);
     take(&[row(&format!("{naming_key}x"), 10, Some(&other))]);
-    let newest = |book: &SharedControlState| {
-        let snapshot = book.snapshot().load();
+    let newest = |state: &SharedControlState| {
+        let snapshot = state.snapshot().load();
         snapshot
             .newest_version("m")
-            .map(|wanted| wanted.target.version)
+            .map(|weights| weights.target.version)
     };
-    assert_eq!(newest(&book), Some(WeightsVersion(2)));
-    take(&[row(document_key, 11, Some(&text)), named(3)]);
-    assert_eq!(version_of(&book), 9);
-    assert_eq!(newest(&book), Some(WeightsVersion(3)));
+    assert_eq!(newest(&state), Some(WeightsVersion(2)));
+    take(&[row(document_key, 11, Some(&text)), target_row(3)]);
+    assert_eq!(version_of(&state), 9);
+    assert_eq!(newest(&state), Some(WeightsVersion(3)));
 }
 
 fn entry_text(host: &str) -> Value {
@@ -106,7 +106,7 @@
 /// name of the other, which it replaced; in the same way the record of one model's version was replaced
 /// by a row of another model.
 #[test]
-fn the_systems_own_rows_count_only_under_their_own_keys() {
+fn own_rows_count_only_under_their_keys() {
     let own = own_rows(&[
         ("e1", entry_text("e1")),
         ("e2", entry_text("e1")),
@@ -125,20 +125,23 @@
 }
 
 #[test]
-fn a_row_that_does_not_read_is_told_once_and_once_when_it_ends() {
+fn an_unreadable_row_is_logged_once_at_its_begin_and_end() {
     let mut rows = UnreadableRows::default();
     let error = SwitchError::new(ErrorKind::MessageInvalid, "it is spoilt");
     let table = TableName::Backends;
-    let spoilt = RowReading::Unreadable(&error);
-    assert!(!rows.note(table, "a", RowReading::Reads));
-    assert!(rows.note(table, "a", spoilt));
-    assert!(!rows.note(table, "a", spoilt), "it is known");
-    assert!(rows.note(TableName::Own, "a", spoilt), "it is another row");
-    rows.note(table, "a", RowReading::Reads);
+    let unreadable = RowStatus::Unreadable(&error);
+    assert!(!rows.note(table, "a", RowStatus::Readable));
+    assert!(rows.note(table, "a", unreadable));
+    assert!(!rows.note(table, "a", unreadable), "it is known");
+    assert!(
+        rows.note(TableName::Own, "a", unreadable),
+        "it is another row"
+    );
+    rows.note(table, "a", RowStatus::Readable);
     assert_eq!(rows.len(), 1);
-    assert!(rows.note(table, "a", spoilt), "it begins anew");
-    rows.note(table, "a", RowReading::Gone);
-    rows.note(table, "b", spoilt);
+    assert!(rows.note(table, "a", unreadable), "it begins anew");
+    rows.note(table, "a", RowStatus::Removed);
+    rows.note(table, "b", unreadable);
     rows.keep_listed(table, |_| false);
     assert_eq!(rows.len(), 1, "the other table's row stays");
     rows.note_own(&own_rows(&[]));
@@ -151,15 +154,15 @@
 
 /// Symptom: a process grew for as long as somebody wrote rows that do not read.
 #[test]
-fn rows_that_do_not_read_are_remembered_up_to_a_bound() {
+fn remembered_unreadable_rows_are_bounded() {
     let mut rows = UnreadableRows::default();
     let error = SwitchError::new(ErrorKind::MessageInvalid, "it is spoilt");
     for at in 0..5000 {
         let key = format!("row {at}");
-        rows.note(TableName::Own, &key, RowReading::Unreadable(&error));
+        rows.note(TableName::Own, &key, RowStatus::Unreadable(&error));
     }
     assert_eq!(rows.len(), 256);
-    let other = RowReading::Unreadable(&error);
+    let other = RowStatus::Unreadable(&error);
     assert!(
         rows.note(TableName::Operator, "document", other),
         "it is not hidden"
@@ -170,7 +173,7 @@
 /// each table held bytes that do not decode. Nor was the version recorded that such a row stood in the
 /// place of.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_row_without_bytes_that_decode_stops_no_table() {
+async fn one_undecodable_row_stops_no_table() {
     let store = FakeStore::start().await;
     let tables = [TableName::Own, TableName::Operator, TableName::Backends];
     for table in tables {
@@ -184,32 +187,32 @@
     let is_ready = |snapshot: &crate::sync::ControlSnapshot| {
         snapshot.catalog.is_some() && snapshot.fleet.backends.len() == 1
     };
-    process.believes(is_ready).await;
+    process.wait_for(is_ready).await;
     let (key, text) = naming_sample(2);
     store.put_raw(TableName::Operator, &format!("{key}x"), "%%%");
     store.put_raw(TableName::Backends, "spoilt too", "%%%");
     store.put(TableName::Operator, key, &text);
     store.put(TableName::Backends, "b", &backend_sample());
-    let is_told = |snapshot: &crate::sync::ControlSnapshot| {
+    let is_reported = |snapshot: &crate::sync::ControlSnapshot| {
         snapshot.newest_version("m").is_some() && snapshot.fleet.backends.len() == 2
     };
-    process.believes(is_told).await;
+    process.wait_for(is_reported).await;
     // Over the spoilt row.
     await_record(&store, 2).await;
-    process.lose_power();
+    process.stop_abruptly();
 }
 
 #[test]
-fn whatever_stands_in_one_row_it_has_no_effect_on_others() {
+fn arbitrary_content_in_one_row_does_not_affect_others() {
     run_cases(CASES, CASE_BYTES, |u| {
         let mut entry: Value = serde_json::from_str(&backend_sample()).expect("it is JSON");
         spoil_json(u, &mut entry)?;
         let entry = if u.ratio(1, 4)? { any_json(u)? } else { entry };
-        let book = steady_book(vec![backend("a"), backend("x"), backend("z")]);
-        let spoilt = row("x", 6, Some(&entry.to_string()));
+        let state = steady_state(vec![backend("a"), backend("x"), backend("z")]);
+        let unreadable = row("x", 6, Some(&entry.to_string()));
         let later = START + Duration::from_secs(10);
-        book.change(|book| book.change_backends(&view(vec![spoilt], 6), later));
-        let held = ids(&book);
+        state.change(|state| state.change_backends(&view(vec![unreadable], 6), later));
+        let held = ids(&state);
         assert!(held == ["a", "z"] || held == ["a", "x", "z"], "{entry}");
 
         let mut own = entry_text("x");
@@ -225,17 +228,22 @@
 
         let (naming_key, _) = naming_sample(1);
         let (document_key, _) = document_sample(1);
-        let spoilt = any_json(u)?.to_string();
+        let unreadable = any_json(u)?.to_string();
         let bytes = Bytes::copy_from_slice(u.bytes(u.len())?);
-        for value in [Bytes::from(spoilt), bytes] {
-            let told = |key: &str| StoreRow {
+        for value in [Bytes::from(unreadable), bytes] {
+            let unreadable_row = |key: &str| StoreRow {
                 key: key.to_owned(),
                 revision: 8,
                 value: Some(value.clone()),
             };
-            let rows = [told(document_key), told(naming_key), document(7), named(2)];
-            book.change(|book| book.change_operator_rows(&rows, told_at(START)));
-            assert_eq!(version_of(&book), 7);
+            let rows = [
+                unreadable_row(document_key),
+                unreadable_row(naming_key),
+                document(7),
+                target_row(2),
+            ];
+            state.change(|state| state.change_operator_rows(&rows, witnessed_at(START)));
+            assert_eq!(version_of(&state), 7);
         }
         Ok(())
     });
--- a/src/sync/unreadable_rows.rs
+++ b/src/sync/unreadable_rows.rs
@@ -15,40 +15,40 @@
 /// that the document stopped reading.
 const ROWS_MAX: usize = 256;
 /// Characters of what others wrote that go into one line of the log.
-const SHOWN_MAX: usize = 200;
+const EXCERPT_MAX: usize = 200;
 
 /// What was found in a row.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum RowReading<'a> {
+pub(super) enum RowStatus<'a> {
     /// What belongs there.
-    Reads,
+    Readable,
     /// Something else.
     Unreadable(&'a SwitchError),
     /// There is no such row any more.
-    Gone,
+    Removed,
 }
 
-impl<'a> RowReading<'a> {
+impl<'a> RowStatus<'a> {
     /// What came of reading it.
     pub(super) const fn of<T>(read: &'a SwitchResult<T>) -> Self {
         match read {
-            Ok(_) => Self::Reads,
+            Ok(_) => Self::Readable,
             Err(error) => Self::Unreadable(error),
         }
     }
 
-    const fn word(self) -> &'static str {
+    const fn label(self) -> &'static str {
         match self {
-            Self::Reads => "reads",
-            Self::Unreadable(_) => "does not read",
-            Self::Gone => "gone",
+            Self::Readable => "readable",
+            Self::Unreadable(_) => "unreadable",
+            Self::Removed => "removed",
         }
     }
 }
 
 #[apply(plain!)]
 #[derive(Eq, PartialOrd, Ord)]
-struct RowName {
+struct RowKey {
     table: TableName,
     key: String,
 }
@@ -57,39 +57,39 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreadableRows {
     /// Sorted.
-    rows: Vec<RowName>,
+    rows: Vec<RowKey>,
 }
 
 impl UnreadableRows {
     /// Takes in what was found in a row. Returns whether it has just begun not to read.
-    pub(super) fn note(&mut self, table: TableName, key: &str, reading: RowReading<'_>) -> bool {
+    pub(super) fn note(&mut self, table: TableName, key: &str, status: RowStatus<'_>) -> bool {
         let found = self
             .rows
             .binary_search_by(|row| (row.table, &*row.key).cmp(&(table, key)));
-        match (found, reading) {
-            (Err(at), RowReading::Unreadable(error)) => self.begin(at, (table, key), error),
-            (Ok(at), RowReading::Reads | RowReading::Gone) => {
+        match (found, status) {
+            (Err(at), RowStatus::Unreadable(error)) => self.add(at, (table, key), error),
+            (Ok(at), RowStatus::Readable | RowStatus::Removed) => {
                 self.rows.remove(at);
-                tell_end(table, key, reading);
+                log_end(table, key, status);
                 false
             }
             _ => false,
         }
     }
 
-    fn begin(&mut self, at: usize, (table, key): (TableName, &str), error: &SwitchError) -> bool {
+    fn add(&mut self, at: usize, (table, key): (TableName, &str), error: &SwitchError) -> bool {
         metrics::count_event("rows_unreadable", 1);
         let in_table = self.rows.iter().filter(|row| row.table == table);
         if in_table.count() >= ROWS_MAX {
             return false;
         }
-        let row = RowName {
+        let row = RowKey {
             table,
             key: key.to_owned(),
         };
         self.rows.insert(at, row);
-        let (table, key) = (table_word(table), shown(key));
-        let detail = shown(&error.to_string());
+        let (table, key) = (table_label(table), excerpt(key));
+        let detail = excerpt(&error.to_string());
         log_event!(events::ROW_UNREADABLE, "table={table} key={key} {detail}");
         true
     }
@@ -99,7 +99,7 @@
         self.rows.retain(|row| {
             let stays = row.table != table || is_listed(&row.key);
             if !stays {
-                tell_end(table, &row.key, RowReading::Gone);
+                log_end(table, &row.key, RowStatus::Removed);
             }
             stays
         });
@@ -107,11 +107,11 @@
 
     /// Takes in what was found in the system's own rows.
     pub(super) fn note_own(&mut self, own: &OwnRows) {
-        for (key, read) in &own.readings {
-            self.note(TableName::Own, key, RowReading::of(read));
+        for (key, read) in &own.read_results {
+            self.note(TableName::Own, key, RowStatus::of(read));
         }
-        if own.is_whole {
-            let is_listed = |key: &str| own.readings.iter().any(|(listed, _)| listed == key);
+        if own.is_complete {
+            let is_listed = |key: &str| own.read_results.iter().any(|(listed, _)| listed == key);
             self.keep_listed(TableName::Own, is_listed);
         }
     }
@@ -123,16 +123,16 @@
     }
 }
 
-fn tell_end(table: TableName, key: &str, reading: RowReading<'_>) {
-    let (table, key) = (table_word(table), shown(key));
+fn log_end(table: TableName, key: &str, status: RowStatus<'_>) {
+    let (table, key) = (table_label(table), excerpt(key));
     log_event!(
         events::ROW_READABLE,
         "table={table} key={key} {}",
-        reading.word()
+        status.label()
     );
 }
 
-const fn table_word(table: TableName) -> &'static str {
+const fn table_label(table: TableName) -> &'static str {
     match table {
         TableName::Operator => "operator",
         TableName::Backends => "backends",
@@ -142,7 +142,7 @@
 }
 
 /// What others wrote, on one line and not too long for it.
-fn shown(text: &str) -> String {
-    let start = text.chars().take(SHOWN_MAX);
+fn excerpt(text: &str) -> String {
+    let start = text.chars().take(EXCERPT_MAX);
     start.flat_map(char::escape_debug).collect()
 }
--- a/src/sync/version_recorder.rs
+++ b/src/sync/version_recorder.rs
@@ -6,10 +6,10 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
+use super::control_state::ControlState;
 use super::events;
 use super::own_rows::{OwnRows, VersionRecord, version_key};
-use super::store_watch::{FailurePause, STORE_WITHIN, StoreWatch};
-use super::view_book::ControlState;
+use super::store_watch::{RetryBackoff, STORE_TIMEOUT, StoreWatch};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::platform::{TableName, WriteOutcome};
@@ -21,17 +21,17 @@
 /// Entry hosts that record a version at once. One may be cut off from the store, and one be killed.
 const FIRST_RECORDERS: usize = 3;
 /// When the others look whether it is recorded, in seconds: behind the first ones' time for an answer.
-const RECORD_LATER: Range<f64> = 1.0..4.0;
+const RECORD_DELAY: Range<f64> = 1.0..4.0;
 /// How many of the others do so within that time. The next ones come behind them: a look is a write,
 /// and the store must not get one of each entry host for each version.
-const LATER_RECORDERS: usize = 6;
+const DELAYED_RECORDERS: usize = 6;
 
 /// When the entry host at `place` among the recorders looks whether a version is recorded, in seconds;
 /// none if it writes at once.
-pub(super) fn record_later(place: usize) -> Option<Range<f64>> {
-    let turn = place.checked_sub(FIRST_RECORDERS)? / LATER_RECORDERS;
-    let waited = RECORD_LATER.end * f64::from(u32::try_from(turn).unwrap_or(u32::MAX));
-    Some(RECORD_LATER.start + waited..RECORD_LATER.end + waited)
+pub(super) fn record_delay(place: usize) -> Option<Range<f64>> {
+    let rank = place.checked_sub(FIRST_RECORDERS)? / DELAYED_RECORDERS;
+    let waited = RECORD_DELAY.end * f64::from(u32::try_from(rank).unwrap_or(u32::MAX));
+    Some(RECORD_DELAY.start + waited..RECORD_DELAY.end + waited)
 }
 
 impl StoreWatch {
@@ -41,24 +41,22 @@
     /// store, and spread. All at once they would hold up the operators' writes in the same part of the
     /// store, 3 ms each.
     pub(crate) async fn record_versions(self) {
-        let mut changes = self.book.changes();
-        let mut pause = FailurePause::default();
+        let mut changes = self.state.changes();
+        let mut backoff = RetryBackoff::default();
         loop {
-            let mut records = self.book.read(ControlState::unrecorded);
-            let places = records
-                .iter()
-                .map(|record| self.place_among_recorders(record));
-            if let Some(later) = places.max().and_then(record_later) {
-                let later = rand::rng().random_range(later);
-                sleep(Duration::from_secs_f64(later)).await;
-                records = self.book.read(ControlState::unrecorded);
+            let mut records = self.state.read(ControlState::unrecorded);
+            let places = records.iter().map(|record| self.recorder_rank(record));
+            if let Some(delay) = places.max().and_then(record_delay) {
+                let delay = rand::rng().random_range(delay);
+                sleep(Duration::from_secs_f64(delay)).await;
+                records = self.state.read(ControlState::unrecorded);
             }
             for record in records {
                 match self.record_version(record).await {
-                    Ok(()) => pause = FailurePause::default(),
+                    Ok(()) => backoff = RetryBackoff::default(),
                     Err(error) => {
                         log_event!(events::RECORD_FAILED, "{error}");
-                        sleep(pause.next()).await;
+                        sleep(backoff.next()).await;
                         changes.mark_changed();
                     }
                 }
@@ -72,14 +70,14 @@
 
     /// How many entry hosts write a record before this one, in an order that differs from version to
     /// version and needs no word between them.
-    fn place_among_recorders(&self, record: &VersionRecord) -> usize {
+    fn recorder_rank(&self, record: &VersionRecord) -> usize {
         let version = record.target.version.0;
-        let turn = |host: &str| name_hash(&format!("{host}/{}/{version}", record.target.model));
-        let own_entry = turn(&self.own_entry.host);
-        self.book.read(|book| {
-            let entries = book.entries().iter();
+        let rank = |host: &str| name_hash(&format!("{host}/{}/{version}", record.target.model));
+        let own_entry = rank(&self.own_entry.host);
+        self.state.read(|state| {
+            let entries = state.entries().iter();
             let others = entries.filter(|entry| entry.host != self.own_entry.host);
-            others.filter(|entry| turn(&entry.host) > own_entry).count()
+            others.filter(|entry| rank(&entry.host) > own_entry).count()
         })
     }
 
@@ -92,7 +90,7 @@
         let expected = (&*key, record.revision);
         let written = self
             .store
-            .write_row_at(TableName::Own, expected, &text, STORE_WITHIN);
+            .write_row_at(TableName::Own, expected, &text, STORE_TIMEOUT);
         let answer = written.await?;
         match answer.outcome {
             WriteOutcome::Done { revision } => {
@@ -108,8 +106,8 @@
                 let model = record.target.model;
                 let revision = row.as_ref().map_or(0, |row| row.revision);
                 self.take_own_rows(OwnRows::of_rows(row.as_slice()), answer.told_at);
-                self.book
-                    .change(|book| book.note_record_row(&model, revision));
+                self.state
+                    .change(|state| state.note_record_row(&model, revision));
             }
         }
         Ok(())
