--- a/src/load_reports/digest_queue.rs
+++ b/src/load_reports/digest_queue.rs
@@ -1,8 +1,8 @@
-//! What a relay has to pass on, and when.
+//! Collects what a relay has to forward, and decides when.
 //!
-//! Load pattern: hundreds of hosts report five times a second to a hundred entry hosts. Sent directly
-//! that is a datagram for each pair of them; collected by relays it is one for each entry host and
-//! pause.
+//! Load pattern: hundreds of hosts report five times a second to a hundred entry hosts. Sent
+//! directly, that is one datagram per pair; collected by relays, it is one per entry host and
+//! interval.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,12 +14,13 @@
 use crate::fleet::LoadReport;
 use crate::time::ClockTime;
 
-/// How often the entry hosts of the own data centre get a digest, as often as hosts report.
+/// Interval of digests to entry hosts of the own data centre, equal to that of reports.
 const NEAR_PAUSE: Duration = Duration::from_millis(200);
-/// How often another data centre gets one: it has its own backend servers first.
+/// Interval of digests to another data centre, which sends requests to its own backend servers
+/// first.
 const FAR_PAUSE: Duration = Duration::from_millis(400);
-/// How soon a change of weights is passed on: requests that are sent to an engine meanwhile are
-/// turned away. Changes of several engines within this span go in one digest.
+/// Delay until a change of weights is forwarded; requests that reach the engine meanwhile are
+/// refused. Changes of several engines within it share a digest.
 const CHANGE_PAUSE: Duration = Duration::from_millis(10);
 /// How long a backend server that no longer reports is remembered.
 const REPORT_MEMORY: Duration = Duration::from_secs(10);
@@ -31,7 +32,7 @@
     at: ClockTime,
 }
 
-/// The reports that wait for the next digest to one kind of receivers.
+/// The reports that wait for the next digest to one kind of receiver.
 #[derive(Clone, Debug)]
 struct DigestBatch {
     reach: DigestReach,
@@ -66,7 +67,7 @@
     }
 }
 
-/// The reports of a relay.
+/// The reports that a relay collects.
 #[derive(Clone, Debug)]
 pub(crate) struct DigestQueue {
     /// Sorted by address.
@@ -87,7 +88,7 @@
 }
 
 impl DigestQueue {
-    /// A host reported at `now`.
+    /// Adds a report that a host sent at `now`.
     pub(crate) fn push(&mut self, report: LoadReport, now: ClockTime) {
         let address = report.address;
         let found = self
@@ -110,7 +111,7 @@
         }
     }
 
-    /// When the next digest is due; none while nothing waits.
+    /// When the next digest is due; `None` if no report waits.
     pub(crate) fn due_at(&self) -> Option<ClockTime> {
         self.batches.iter().filter_map(|batch| batch.due).min()
     }
--- a/src/load_reports/messages.rs
+++ b/src/load_reports/messages.rs
@@ -1,6 +1,6 @@
 //! The datagrams of load reports.
 //!
-//! Each replaces the one before, so that a lost one needs no second try.
+//! Each replaces the previous one, so that a lost datagram is not sent again.
 
 use std::net::SocketAddr;
 
@@ -10,52 +10,53 @@
 use crate::fleet::{EngineHoldings, LimitWord, LoadReport};
 use crate::time::WallTime;
 
-/// Reports in a digest at most; with 40 bytes each it fits into one packet of 1,500 bytes.
+/// Limit of reports in a digest; at 40 bytes each they fit into one packet of 1,500 bytes.
 const DIGEST_REPORTS_MAX: usize = 32;
 
-/// What an entry host takes.
+/// A datagram that an entry host receives.
 #[apply(message!)]
 pub(crate) enum ReportDatagram {
     /// From the host of a backend server.
     Report(LoadReport),
     /// From another entry host.
     Digest(LoadDigest),
-    /// From an entry host that heard of limits.
+    /// From an entry host that received limits.
     Limits(LimitDigest),
 }
 
-/// A relay asks the host of a backend server for its reports, for a limited time.
+/// Sent by a relay to the host of a backend server, to receive its reports for a limited time.
 #[apply(message!)]
 pub(crate) struct ReportLease {
-    /// Where the relay takes them.
+    /// Address at which the relay receives reports.
     pub(crate) relay: SocketAddr,
 }
 
-/// How far a digest goes.
+/// How far a digest is forwarded.
 #[apply(key!)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(crate) enum DigestReach {
-    /// It ends with whoever receives it.
+    /// Not beyond its receiver.
     Receiver,
-    /// Whoever receives it passes it on to the other entry hosts of its data centre.
+    /// By its receiver to the other entry hosts of the receiver's data centre.
     DataCentre,
 }
 
-/// What backend servers said of the requests that they take.
+/// The limits that backend servers announced for the requests that they accept.
 #[apply(message!)]
 pub(crate) struct LimitDigest {
-    /// How far it goes.
+    /// How far it is forwarded.
     pub(crate) reach: DigestReach,
-    /// What was heard of each.
+    /// The newest limit of each backend server.
+    #[serde(rename = "words")]
     pub(crate) limits: Vec<LimitWord>,
 }
 
 /// The loads of several backend servers.
 #[apply(message!)]
 pub(crate) struct LoadDigest {
-    /// How far it goes.
+    /// How far it is forwarded.
     pub(crate) reach: DigestReach,
-    /// What their engines have loaded, each once: most of them have loaded the same.
+    /// The loaded weights, without duplicates, since most engines have loaded the same.
     holdings: Vec<EngineHoldings>,
     rows: Vec<DigestRow>,
 }
@@ -68,12 +69,12 @@
     queued: u32,
     is_loading: bool,
     pace: f64,
-    /// Its place among the holdings.
+    /// Index into the holdings of the digest.
     holdings: usize,
 }
 
 impl LoadDigest {
-    /// Packs `reports` into as few digests as hold them.
+    /// Packs `reports` into as few digests as possible.
     pub(crate) fn pack(reports: &[LoadReport], reach: DigestReach) -> Vec<Self> {
         let parts = reports.chunks(DIGEST_REPORTS_MAX);
         parts.map(|part| Self::of(part, reach)).collect()
@@ -119,7 +120,7 @@
         })
     }
 
-    /// The same digest for receivers that keep it to themselves.
+    /// The same digest for receivers that don't forward it.
     pub(crate) fn into_receiver_only(self) -> Self {
         Self {
             reach: DigestReach::Receiver,
--- a/src/load_reports/mod.rs
+++ b/src/load_reports/mod.rs
@@ -1,6 +1,7 @@
-//! How entry hosts hear of the load of backend servers: each host reports to the relays of its data
-//! centre, which pass digests on. What a process sends and receives depends on the size of a data
-//! centre and on the number of data centres, not on the number of entry hosts times that of hosts.
+//! Load reports from hosts of backend servers to entry hosts. Each host reports to the relays of
+//! its data centre, which forward digests. What a process sends and receives therefore depends on
+//! the size of a data centre and the number of data centres, not on the product of entry hosts and
+//! hosts.
 
 mod digest_queue;
 mod messages;
--- a/src/load_reports/report_leases.rs
+++ b/src/load_reports/report_leases.rs
@@ -1,7 +1,8 @@
-//! Which entry hosts the host of a backend server reports to.
+//! Decides which entry hosts receive the reports of a backend server's host.
 //!
-//! Relays ask for reports and renew that while they live, so that a host needs no view of its own of
-//! which entry hosts are up. While nobody asks, it reports to all that it knows.
+//! Relays request reports with a lease, which they renew while they are running, so that the host
+//! need not know which entry hosts are available. Without any lease it reports to all entry hosts
+//! that it knows.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,13 +12,14 @@
 use crate::sync::EntryRecord;
 use crate::time::ClockTime;
 
-/// How often a relay renews its lease.
+/// Interval at which a relay renews its lease.
 pub(crate) const LEASE_RENEWAL: Duration = Duration::from_millis(500);
-/// How long a lease holds: two renewals may be lost.
+/// Duration of a lease; two renewals may be lost.
 const LEASE_SPAN: Duration = Duration::from_millis(1600);
-/// Leases at a time; more entry hosts than that read the store only while most of them fail.
+/// Limit of leases at a time. More entry hosts than that read the store only while most of them
+/// fail.
 const LEASES_MAX: usize = 6;
-/// Of the reports without a lease, one in so many goes to entry hosts elsewhere.
+/// Without a lease, one in this many reports is also sent to entry hosts in other data centres.
 const FAR_REPORT_EVERY: u32 = 5;
 
 #[derive(Clone, Copy, Debug)]
@@ -26,17 +28,17 @@
     until: ClockTime,
 }
 
-/// The leases of a host.
+/// The leases that a host has granted.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportLeases {
     data_centre: ByteString,
     leases: Vec<LeaseRecord>,
-    /// Counts reports that were made without a lease.
+    /// Counts reports that were sent without a lease.
     unleased: u32,
 }
 
 impl ReportLeases {
-    /// No leases yet, of a host in `data_centre`.
+    /// Without leases, for a host in `data_centre`.
     pub(crate) const fn new(data_centre: ByteString) -> Self {
         Self {
             data_centre,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// `relay` asked at `now`.
+    /// Grants or renews the lease of `relay` at `now`.
     pub(crate) fn renew(&mut self, relay: SocketAddr, now: ClockTime) {
         self.leases
             .retain(|lease| lease.relay != relay && lease.until > now);
@@ -55,8 +57,8 @@
         }
     }
 
-    /// Where a report at `now` goes, if `entries` are all known entry hosts. One that tells of a change
-    /// of weights goes to all that are reached without a relay.
+    /// The receivers of a report at `now`, given all known entry hosts. Without a lease, a report
+    /// of a change of weights goes to all entry hosts.
     pub(crate) fn receivers(
         &mut self,
         entries: &[EntryRecord],
--- a/src/load_reports/tests/mod.rs
+++ b/src/load_reports/tests/mod.rs
@@ -13,7 +13,7 @@
 use crate::transport::{decode_message, encode_datagram};
 
 const NOW: ClockTime = ClockTime::from_millis(10_000);
-/// What one packet of a usual link carries beside the headers.
+/// Payload of one packet on a usual link.
 const PACKET_BYTES: usize = 1472;
 
 fn holdings(version: u64) -> EngineHoldings {
@@ -56,7 +56,7 @@
     Ok(report)
 }
 
-/// Guards against reports that a digest loses, changes or gives to another backend server.
+/// Guards against digests that lose or change reports, or assign them to another backend server.
 #[test]
 fn digests_round_trip_reports() {
     run_cases(300, 4096, |u| {
@@ -75,7 +75,7 @@
     });
 }
 
-/// Guards against digests that a link loses more often: a datagram of two packets is lost with either.
+/// Guards against digests of two packets, which are lost if either packet is lost.
 #[test]
 fn a_digest_fits_into_one_packet() {
     let reports: Vec<LoadReport> = (0..100).map(|number| report(number, 9)).collect();
@@ -85,7 +85,7 @@
     }
 }
 
-/// Guards against requests that are sent to an engine while it changes its weights, and turned away.
+/// Guards against requests that are sent to an engine while it changes its weights, and refused.
 #[test]
 fn weight_changes_are_forwarded_at_once() {
     let mut queue = DigestQueue::default();
@@ -97,7 +97,7 @@
     let mut loading = report(1, 4);
     loading.is_loading = true;
     queue.push(loading, later);
-    let due = queue.due_at().expect("something waits");
+    let due = queue.due_at().expect("a digest is pending");
     assert!(due <= later + Duration::from_millis(20), "{due:?}");
     let digests = queue.take_due(due);
     let reaches: Vec<DigestReach> = digests.iter().map(|digest| digest.reach).collect();
@@ -120,7 +120,7 @@
     }
 }
 
-/// Guards against engines whose load nobody hears once both relays of their data centre are gone.
+/// Guards against engines whose load is unknown once both relays of their data centre have failed.
 #[test]
 fn a_host_reports_to_all_entry_hosts_once_its_leases_expire() {
     let entries = [entry("a", 1), entry("a", 2), entry("b", 3)];
@@ -135,11 +135,14 @@
         assert!(near.iter().all(|address| receivers.contains(address)));
         far += receivers.len() - near.len();
     }
-    assert_eq!(far, 2, "entry hosts elsewhere get one in five");
+    assert_eq!(
+        far, 2,
+        "entry hosts in other data centres get one report in five"
+    );
     assert_eq!(leases.receivers(&entries, true, later).len(), entries.len());
 }
 
-/// Guards against a lease that ends while two renewals of it are lost.
+/// Guards against a lease that ends after two lost renewals.
 #[test]
 fn a_lease_outlives_two_lost_renewals() {
     let entries = [entry("a", 1), entry("a", 2)];
--- a/src/load_reports/tests/simulation.rs
+++ b/src/load_reports/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! All entry hosts and hosts of a deployment, as far as load reports go.
+//! Simulates load reports between all entry hosts and hosts of a deployment.
 
 use std::time::Duration;
 
@@ -9,27 +9,29 @@
 const LENGTH: Duration = Duration::from_secs(5);
 const RELAYS: usize = 2;
 
-/// A data centre's entry hosts: the first ones relay, all keep when each engine's state was.
+/// The entry hosts of a data centre. The first ones are relays; all keep the time of each engine's
+/// state.
 struct TestDataCentre {
     queues: Vec<DigestQueue>,
-    /// By entry host and backend server: the moment of the newest state that it heard.
+    /// Per entry host and backend server: the time of the newest state received.
     updated_at: Vec<Vec<ClockTime>>,
     datagrams: Vec<usize>,
 }
 
-/// What was counted in a run.
+/// Results of a run.
 struct RunCounts {
-    /// Datagrams that the busiest entry host received in a second.
+    /// Datagrams per second received by the busiest entry host.
     received_most: usize,
-    /// Datagrams that all processes sent in a second.
+    /// Datagrams per second sent by all processes.
     sent: usize,
-    /// The oldest that an entry host's view of an engine of its data centre became.
+    /// Largest age of an entry host's state of an engine in its data centre, and in another one.
     oldest_near: Duration,
     oldest_far: Duration,
 }
 
-/// Plays `data_centres` data centres of `entries` entry hosts and `hosts` hosts, of which each reports every
-/// 200 ms, at its own moment. With `dead_relay` the first relay of each receives and sends nothing.
+/// Simulates `data_centres` data centres with `entries` entry hosts and `hosts` hosts each. Each
+/// host reports every 200 ms, at its own offset. With `dead_relay` the first relay of each data
+/// centre neither receives nor sends.
 fn run_simulation(
     data_centres: usize,
     entries: usize,
@@ -79,7 +81,7 @@
     }
 }
 
-/// Delivers the digests that are due, and returns how many datagrams that took.
+/// Delivers the digests that are due; returns the number of datagrams.
 fn forward_due(
     simulation: &mut [TestDataCentre],
     first_relay: usize,
@@ -110,7 +112,7 @@
     sent
 }
 
-/// From one entry host of a data centre to all others.
+/// Sends a digest from one entry host of a data centre to all others.
 fn forward_within(
     data_centre: &mut TestDataCentre,
     digest: &LoadDigest,
@@ -129,7 +131,7 @@
     data_centre.datagrams[entry] += 1;
     for report in digest.unpack() {
         let SocketAddr::V4(report) = report.address else {
-            panic!("hosts have addresses of the fourth version");
+            panic!("hosts have IPv4 addresses");
         };
         let [.., high, low] = report.ip().octets();
         data_centre.updated_at[entry][usize::from(u16::from_be_bytes([high, low]))] = now;
@@ -158,14 +160,15 @@
     }
 }
 
-/// Guards against control traffic that grows with entry hosts times hosts. The load pattern: all hosts
-/// of a deployment report all the time, at the size of today's largest and at the planned one.
+/// Guards against control traffic that grows with the product of entry hosts and hosts. The load
+/// pattern: all hosts of a deployment report continuously, at today's largest size and at the
+/// planned one.
 #[test]
 fn datagrams_per_entry_host_do_not_grow_with_their_number() {
     let large = run_simulation(5, 20, 28, false);
     let direct = 5 * 28 * 5 * 20 * 5;
     assert!(large.sent * 6 <= direct, "{} of {direct}", large.sent);
-    // One digest of each data centre and relay a pause, and the reports that a relay takes itself.
+    // One digest per data centre, relay and interval, and the reports that a relay receives itself.
     assert!(large.received_most <= 400, "{}", large.received_most);
     let wider = run_simulation(5, 40, 28, false);
     assert!(
@@ -176,7 +179,8 @@
     );
 }
 
-/// Guards against placing by old loads: an engine begins some seven requests a second.
+/// Guards against choosing backend servers by outdated loads: an engine begins about seven requests
+/// a second.
 #[test]
 fn loads_arrive_within_two_intervals_without_one_relay() {
     for dead_relay in [false, true] {
--- a/src/sync/backend_follow.rs
+++ b/src/sync/backend_follow.rs
@@ -1,8 +1,9 @@
-//! The list of backend servers from an entry host that reads it in the store: what changed, by revision, and
-//! a digest by which whoever asks sees that nothing is missing.
+//! Follows the list of backend servers through an entry host that reads it from the store: the
+//! changes since a revision, and a digest that shows the follower whether its list is complete.
 //!
-//! Entries change about once a second each. Read by each entry host itself they took a sixth of the link
-//! between two regions, and more calls to the store than all else.
+//! Each backend server updates its entry about once a second. Read by every entry host itself,
+//! these updates took a sixth of the link between two regions and more calls to the store than
+//! everything else.
 
 use std::time::Duration;
 
@@ -10,32 +11,33 @@
 use super::peer_messages::{BackendChanges, PeerQuery};
 use crate::time::{ClockTime, StoreTime};
 
-/// How old the list becomes while a reader tells it: a watch of the store that is held open for a second, the
-/// pause behind it, and a question that is held open for 0.6 s.
-const TOLD_AGE_MAX: Duration = Duration::from_millis(2400);
+/// Age that the list reaches while a reader reports it: a watch of the store held open for 1 s, the
+/// pause after it, and a query held open for 0.6 s.
+const REPORTED_AGE_MAX: Duration = Duration::from_millis(2400);
 
-/// How the list stands to a reader's once its answer was taken in.
+/// How the list compares with a reader's after the response was merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListMatch {
-    /// It is the same.
+    /// Equal.
     Same,
-    /// It is not.
+    /// Different.
     Differs,
-    /// The reader's is older, and says nothing.
+    /// The reader's list is older, so the two can't be compared.
     Older,
 }
 
-/// What a process tells of its list when it asks a reader.
+/// What a follower sends about its list with the next query to a reader.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ListQueryState {
-    /// Whether the last answer did not lead to the reader's list, so that the whole is asked for.
+    /// The last response did not make the lists equal, so the full list is requested.
     is_full_list_due: bool,
-    /// Whether the whole did not either. Then the answer need not come at once for it.
+    /// The full list did not make them equal either. The query then carries no digest, so that the
+    /// reader may hold it open instead of answering at once for the difference.
     is_mismatch_persistent: bool,
 }
 
 impl ListQueryState {
-    /// The last answer led to `found`.
+    /// Records what the last response led to.
     pub(super) fn note(&mut self, found: ListMatch) {
         match found {
             ListMatch::Older => {}
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Completes `query`.
+    /// Sets the fields of `query` that concern the list.
     pub(super) fn complete(self, query: &mut PeerQuery, digest: u64) {
         if self.is_full_list_due {
             query.backends_revision = 0;
@@ -57,18 +59,21 @@
 }
 
 impl ControlState {
-    /// The store told of the list at `answered_at`.
+    /// Records that the store reported the list at `answered_at`, on its clock.
     pub(super) fn note_backends_answer(&mut self, answered_at: StoreTime) {
         self.backends_answered_at = self.backends_answered_at.max(Some(answered_at));
     }
 
-    /// Whether a reader tells this process the list, so that it need not read it at `now`.
+    /// Whether a reader reports the list to this process often enough at `now`, so that it need not
+    /// read the list from the store itself.
     pub(super) fn is_list_reported(&self, now: ClockTime) -> bool {
-        let is_new = |answered_at: StoreTime| now.since(self.earliest(answered_at)) < TOLD_AGE_MAX;
+        let is_new =
+            |answered_at: StoreTime| now.since(self.earliest(answered_at)) < REPORTED_AGE_MAX;
         !self.operator().is_reader() && self.backends_answered_at.is_some_and(is_new)
     }
 
-    /// What changed behind what a process knows that follows the list by the answers.
+    /// The changes since the revision in `query`, for a process that follows the list through
+    /// responses.
     pub(super) fn backend_changes(
         &self,
         query: &PeerQuery,
@@ -86,23 +91,23 @@
         })
     }
 
-    /// Whether a backend server came, went, or changed whether it takes requests, behind what a process
-    /// knows that follows the list by the answers.
+    /// Whether a follower has to know at once of changes since the revision in `query`: a backend
+    /// server that was added or removed, or began or ceased to take requests.
     pub(super) fn has_backend_changes(&self, query: &PeerQuery) -> bool {
         let is_other = |digest: u64| digest != self.backends.digest();
         query.backends_digest.is_some_and(is_other)
             && self.backends_revision() > query.backends_revision
     }
 
-    /// The digest of the list.
+    /// Digest of the list.
     pub(super) fn backends_digest(&self) -> u64 {
         self.backends.digest()
     }
 
-    /// Takes in what a reader told.
+    /// Merges changes reported by a reader.
     ///
-    /// A reader tells that a backend server went when its own wait for an entry that lapsed is over;
-    /// nothing more is to be waited for.
+    /// Removals take effect at once: a reader reports one only after its own grace period for a
+    /// lapsed entry.
     pub(super) fn merge_backend_changes(
         &mut self,
         changes: BackendChanges,
--- a/src/sync/backend_list.rs
+++ b/src/sync/backend_list.rs
@@ -1,9 +1,10 @@
-//! The backend servers that the store lists, and which word of them counts.
+//! The backend servers that the store lists, and which of several entries of one backend server is
+//! in force.
 //!
-//! Words of one backend server come over several ways and not in order: the store may do an entry that
-//! got no answer seconds later, and neighbours pass on what they read before. A word of a former
-//! incarnation, or one that was told earlier by the same one, changes nothing; without a start in both
-//! words they cannot be told apart, and the later to arrive counts.
+//! Entries arrive out of order: the store may execute a write that got no answer seconds later, and
+//! neighbours forward what they read earlier. An entry of a former incarnation, or an earlier one
+//! of the same incarnation, changes nothing. If only one of two entries has a start time, or a
+//! number is missing, they cannot be ordered, and the later arrival is used.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -17,17 +18,17 @@
 use crate::routing::name_hash;
 use crate::time::{ClockTime, WallTime};
 
-/// How long at most a backend server whose entry went is kept. A leaving one must get nothing two
-/// seconds after this process has learned of it, what is on its way included.
+/// How long a backend server is kept at most after its entry was removed. A leaving one may get no
+/// request later than two seconds after this process knows of it, requests in transit included.
 pub(super) const LAPSE_GRACE: Duration = Duration::from_millis(1500);
-/// How long the last word of a backend server that is gone is remembered. The store does a write that
-/// got no answer within some seconds.
+/// How long the last entry of a removed backend server is remembered: the store executes a write
+/// that got no answer within some seconds.
 const REMOVED_MEMORY: Duration = Duration::from_secs(30);
-/// Backend servers that are gone and remembered at a time; all of a large deployment may go together.
+/// Limit of remembered removed backend servers; all of a large deployment may be removed at once.
 const REMOVED_MAX: usize = 1024;
 
-/// How long it is told that a backend server is gone. Whoever asks does so twice in a second; what else
-/// is missed shows in the digest.
+/// How long a removal is reported to followers, which send a query twice a second. Removals missed
+/// nevertheless show in the digest.
 const REMOVED_REPORT_SPAN: Duration = Duration::from_secs(5);
 
 fn digest_of(facts: &BackendFacts) -> u64 {
@@ -35,7 +36,7 @@
     name_hash(&format!("{id} {born:?} {address} {:?}", facts.phase))
 }
 
-/// Where a word stands among all of its backend server's.
+/// Position of an entry among all entries of its backend server.
 #[derive(Clone, Copy, Debug)]
 struct EntrySequence {
     started_at: Option<WallTime>,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// How it stands to `known`; none where the two cannot be told apart.
+    /// Compares the two; `None` if they cannot be ordered.
     fn order(self, known: Self) -> Option<Ordering> {
         match (self.started_at, known.started_at) {
             (Some(own), Some(other)) if own != other => Some(own.cmp(&other)),
@@ -63,11 +64,11 @@
 #[derive(Clone, Debug)]
 struct BackendEntry {
     facts: Arc<BackendFacts>,
-    /// The store's revision as of which they came; not before that of their last change.
+    /// Revision of the store as of which the facts were read, at least that of their last change.
     revision: u64,
-    /// What the digest of the list holds of them.
+    /// Contribution to the digest of the list.
     digest: u64,
-    /// When it is given up, if its entry does not come back before.
+    /// When the backend server is removed unless its entry returns before.
     expires_at: Option<ClockTime>,
 }
 
@@ -78,7 +79,7 @@
     at: ClockTime,
 }
 
-/// The list.
+/// The backend servers, and those removed recently.
 #[derive(Debug, Default)]
 pub(super) struct BackendList {
     /// Sorted by id.
@@ -88,12 +89,13 @@
 }
 
 impl BackendList {
-    /// All of them, those whose entries went a moment ago included, sorted by id.
+    /// All backend servers, sorted by id, including those in the grace period after their entry was
+    /// removed.
     pub(super) fn all(&self) -> impl Iterator<Item = &Arc<BackendFacts>> {
         self.entries.iter().map(|entry| &entry.facts)
     }
 
-    /// Those that have an entry.
+    /// The backend servers that have an entry.
     pub(super) fn listed(&self) -> impl Iterator<Item = &Arc<BackendFacts>> {
         let listed = self
             .entries
@@ -102,10 +104,10 @@
         listed.map(|entry| &entry.facts)
     }
 
-    /// Takes in an entry, unless it is of a former incarnation or older than what was told.
+    /// Stores an entry, unless it is of a former incarnation or older than the known one.
     ///
-    /// Without that, a leaving backend server got requests again, and one that was gone came back for
-    /// three heartbeats: an earlier entry of its own was done late.
+    /// Otherwise an earlier entry that the store executes late makes a leaving backend server
+    /// receive requests again, or revives a removed one for three heartbeats.
     pub(super) fn put(&mut self, facts: BackendFacts, revision: u64) {
         let sequence = EntrySequence::of(&facts);
         let found = self.find(&facts.id);
@@ -116,7 +118,7 @@
         let order = known.and_then(|known| sequence.order(known));
         let is_late = match order {
             Some(Ordering::Less) => true,
-            // The very word that was known when its entry went.
+            // The same entry that was known when the backend server was removed.
             Some(Ordering::Equal) => is_removed,
             Some(Ordering::Greater) | None => false,
         };
@@ -136,7 +138,8 @@
         }
     }
 
-    /// The entry of `id` went. It counts as lapsed until `settled_at`, and may come back.
+    /// Handles the removal of the entry of `id`. Before `settled_at` the entry counts as lapsed,
+    /// and may return within the grace period.
     pub(super) fn remove(&mut self, id: &str, settled_at: ClockTime, now: ClockTime) {
         let Ok(at) = self.find(id) else {
             return;
@@ -150,20 +153,20 @@
         }
     }
 
-    /// The entry called `id` names no backend server any more, because somebody else wrote over it. It
-    /// did not lapse while the store was away, so that nothing is to be waited for: what answers at the
-    /// address that it had named is no longer known. Its own next entry brings it back.
+    /// Drops the backend server of entry `id` at once, because another writer has overwritten the
+    /// entry. The entry did not lapse during an outage, so there is no grace period: what now
+    /// answers at its address is unknown. The next valid entry adds it again.
     pub(super) fn drop_entry(&mut self, id: &str) {
         self.entries.retain(|entry| *entry.facts.id != *id);
     }
 
-    /// The ids that are not among those that `is_listed` knows.
+    /// The ids for which `is_listed` is false.
     pub(super) fn unlisted(&self, is_listed: impl Fn(&str) -> bool) -> Vec<ByteString> {
         let ids = self.all().map(|facts| facts.id.clone());
         ids.filter(|id| !is_listed(id)).collect()
     }
 
-    /// Those whose facts came behind revision `since`.
+    /// The facts that changed after revision `since`.
     pub(super) fn changed_since(&self, since: u64) -> impl Iterator<Item = &BackendFacts> {
         let changed = self
             .entries
@@ -172,7 +175,7 @@
         changed.map(|entry| &*entry.facts)
     }
 
-    /// The ids of those that are gone and were a short while ago at `now`.
+    /// The ids of backend servers that were removed within the reporting span before `now`.
     pub(super) fn recently_removed(&self, now: ClockTime) -> impl Iterator<Item = &ByteString> {
         let removed = self
             .removed
@@ -182,19 +185,20 @@
         removed.map(|removed| &removed.id)
     }
 
-    /// Of who is in the list, where, and whether it takes requests.
+    /// Digest over which backend servers are listed, their addresses, and whether they take
+    /// requests.
     pub(super) fn digest(&self) -> u64 {
         let digests = self.entries.iter().map(|entry| entry.digest);
         digests.fold(0, std::ops::BitXor::bitxor)
     }
 
-    /// Whether backend servers whose entries went are to be given up at `now`.
+    /// Whether the grace period of a removed entry is over at `now`.
     pub(super) fn has_expired(&self, now: ClockTime) -> bool {
         let mut waiting = self.entries.iter().filter_map(|entry| entry.expires_at);
         waiting.any(|expires_at| expires_at <= now)
     }
 
-    /// Gives up backend servers whose entries did not come back.
+    /// Removes backend servers whose entries did not return within the grace period.
     pub(super) fn expire(&mut self, now: ClockTime) {
         let is_over = |entry: &mut BackendEntry| entry.expires_at.is_some_and(|at| at <= now);
         let over: Vec<BackendEntry> = self.entries.extract_if(.., is_over).collect();
@@ -229,7 +233,8 @@
         {
             Ok(at) => self.removed[at] = removed,
             Err(at) if self.removed.len() < REMOVED_MAX => self.removed.insert(at, removed),
-            // One more would only make its own late entry believed, until its next heartbeat is due.
+            // Forgetting it only means that a late entry of it is accepted, until its next
+            // heartbeat would be due.
             Err(_) => {}
         }
     }
--- a/src/sync/control_state.rs
+++ b/src/sync/control_state.rs
@@ -1,5 +1,5 @@
-//! The control state of one process: takes in what the store and the neighbours say, in whatever
-//! order it arrives, and never goes back.
+//! The control state of one process. It merges what the store and the neighbours report, in any
+//! order of arrival, and never returns to an older state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,11 +29,12 @@
 use crate::quarantine::CrashLedger;
 use crate::time::{ClockTime, StoreTime};
 
-/// How long after the store's return the entries that lapsed while it was away are back.
+/// After this time since the store returned, entries that lapsed during the outage have been
+/// written again.
 ///
-/// While the store is away, entries lapse although their backend servers live. Without the wait,
-/// every backend server would be given up at the store's return. From then on, an entry's end counts
-/// at once.
+/// During an outage entries lapse although their backend servers are running. Without this time,
+/// all backend servers would be removed when the store returns. Afterwards the removal of an entry
+/// takes effect at once.
 const SETTLED_SPAN: Duration = Duration::from_millis(2200);
 
 #[derive(Clone, Debug)]
@@ -49,38 +50,42 @@
     pub(super) versions: TargetVersions,
     pub(super) clock: StoreClock,
     pub(super) revision_times: RevisionTimes,
-    /// The answer up to which the operator's table was followed, if it is.
+    /// The time of the answer up to which the operator's table was followed, if it is followed.
     pub(super) followed: Option<StoreTime>,
     /// Whether the system's own rows were read.
     has_own_rows: bool,
-    /// The store's revision as of which they were.
+    /// The store's revision as of which they were read.
     own_revision: u64,
     pub(super) backends: BackendList,
-    /// When the store last told of the list, to whoever told it this process.
+    /// When the store last reported the list of backend servers, to this process or to the reader
+    /// that it follows.
     pub(super) backends_answered_at: Option<StoreTime>,
-    /// The store's revision of the list of backend servers; none before it was read.
+    /// The store's revision of the list of backend servers; 0 before it was read.
     pub(super) backends_revision: u64,
     /// Sorted.
     entries: Vec<EntryRecord>,
-    /// When the store last answered.
+    /// When the store last answered this process.
     store_answered: Option<ClockTime>,
-    /// When the store last began to answer again.
+    /// Since when the store has answered this process without a failure.
     pub(super) store_steady_since: Option<ClockTime>,
     pub(super) operator: OperatorStatus,
-    /// The store's rows that do not read.
+    /// The unreadable rows of the store.
     pub(super) unreadable: UnreadableRows,
     pub(super) crashes: Arc<CrashLedger>,
 }
 
 impl ControlState {
-    /// Whether requests can be taken: there is a document, and the backend servers are known.
+    /// Whether the entry host can accept requests: there is a document, and the backend servers are
+    /// known.
     pub(crate) const fn is_usable(&self) -> bool {
         self.document.is_some() && self.backends_revision > 0
     }
 
     /// The version of the document in force.
     pub(crate) fn document_version(&self) -> Option<CatalogVersion> {
-        self.document.as_ref().map(|held| held.catalog.version)
+        self.document
+            .as_ref()
+            .map(|current| current.catalog.version)
     }
 
     /// The store's revision of the list of backend servers.
@@ -93,7 +98,7 @@
         &self.entries
     }
 
-    /// The store answered.
+    /// Records that the store answered.
     pub(crate) fn note_store(&mut self, now: ClockTime) {
         if self.store_steady_since.is_none() {
             log_event!(events::STORE_REACHABLE);
@@ -102,7 +107,7 @@
         self.store_answered = Some(now);
     }
 
-    /// The store did not answer, or refused.
+    /// Records that the store did not answer, or refused.
     pub(crate) fn note_store_failure(&mut self, detail: &str) {
         if self.store_steady_since.take().is_some() || self.store_answered.is_none() {
             log_event!(events::STORE_UNREACHABLE, "{detail}");
@@ -123,42 +128,41 @@
         }
     }
 
-    /// How well the operator's table is known.
+    /// The status of the operator's table.
     pub(super) const fn operator(&self) -> &OperatorStatus {
         &self.operator
     }
 
-    /// Whether this process reads the store itself, where others are told by their neighbours.
+    /// Whether this process reads the store itself, instead of following a reader.
     pub(crate) const fn reads_store(&self) -> bool {
         self.operator.is_reader()
     }
 
-    /// The same, to be changed.
+    /// The status of the operator's table, mutable.
     pub(super) const fn operator_mut(&mut self) -> &mut OperatorStatus {
         &mut self.operator
     }
 
-    /// From when on an entry's end counts at once; while the store does not answer, not before the
-    /// longest wait.
+    /// The time from which the removal of an entry takes effect at once. While the store does not
+    /// answer, it lies a full grace period ahead.
     fn settled_at(&self, now: ClockTime) -> ClockTime {
         let since = self.store_steady_since;
         since.map_or(now + LAPSE_GRACE, |since| since + SETTLED_SPAN)
     }
 
-    /// Takes in rows of the operator's table that have just changed. `set_at` tells when the versions of
-    /// weights in them were named.
+    /// Merges changed rows of the operator's table. `set_at` dates the target versions in them.
     pub(crate) fn change_operator_rows(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
         self.merge_operator_rows(rows, set_at, UpdateSource::Change);
     }
 
-    /// Takes in the whole of the operator's table. `set_at` tells when versions of weights that are new
-    /// to this process were named.
+    /// Merges the full operator's table. `set_at` dates the target versions that are new to this
+    /// process.
     pub(crate) fn set_operator_rows(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
         self.merge_operator_rows(rows, set_at, UpdateSource::Table);
     }
 
-    /// Takes in changes of the operator's table of before this process began to follow it, of which
-    /// others may have followed since. `set_at` tells when versions in them were named.
+    /// Merges target updates from before this process began to follow the operator's table; later
+    /// ones may have followed them. `set_at` dates them.
     pub(crate) fn take_past_targets(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
         for row in rows {
             if let (Some(value), DocumentRow::WantedVersion) =
@@ -206,8 +210,8 @@
         }
     }
 
-    /// When a version was named whose row `source` tells with `revision`, if it is `set_at` as far as the
-    /// table alone tells.
+    /// Bounds `set_at`, the date derived from the operator's table alone, by the revisions seen in
+    /// other answers. The version's row has `revision` and was reported by `source`.
     fn place(
         &self,
         set_at: TargetUpdateTime,
@@ -215,7 +219,7 @@
         source: UpdateSource,
     ) -> TargetUpdateTime {
         match (set_at.certainty, source) {
-            // A process that starts has no answers of before.
+            // A starting process has no earlier answers.
             (NamingCertainty::Assumed, _) => set_at,
             (NamingCertainty::Witnessed, UpdateSource::Change(_) | UpdateSource::PastChange(_)) => {
                 self.revision_times.narrow(set_at, revision)
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Puts a document in force if it is newer than the one that is.
+    /// Puts a document in force if it is newer than the current one.
     pub(super) fn take_document(&mut self, text: Bytes, source: UpdateSource) -> SwitchResult<()> {
         let catalog = read_document(&text)?;
         if let Some(known) = self.document_version()
@@ -255,7 +259,7 @@
         Ok(())
     }
 
-    /// Takes in the whole table of backend servers.
+    /// Merges the full table of backend servers.
     pub(crate) fn set_backends(&mut self, view: &TableView, now: ClockTime) {
         if view.revision < self.backends_revision {
             log_event!(
@@ -272,7 +276,7 @@
         self.change_backends(view, now);
     }
 
-    /// Takes in what changed in the table of backend servers.
+    /// Merges changes of the table of backend servers.
     pub(crate) fn change_backends(&mut self, view: &TableView, now: ClockTime) {
         for row in &view.rows {
             let table = TableName::Backends;
@@ -295,7 +299,7 @@
         self.backends_revision = self.backends_revision.max(revision);
     }
 
-    /// The entries of backend servers that a whole list does not have went.
+    /// Handles the removal of the entries that a full list does not contain.
     pub(super) fn remove_unlisted(&mut self, is_listed: impl Fn(&str) -> bool, now: ClockTime) {
         for id in self.backends.unlisted(is_listed) {
             self.remove_backend(&id, now);
@@ -307,18 +311,18 @@
         self.backends.remove(id, settled_at, now);
     }
 
-    /// Whether backend servers whose entries went are to be given up at `now`.
+    /// Whether the grace period of a removed entry is over at `now`.
     pub(crate) fn has_expired(&self, now: ClockTime) -> bool {
         self.backends.has_expired(now)
     }
 
-    /// Gives up backend servers whose entries did not come back.
+    /// Removes backend servers whose entries did not return within the grace period.
     pub(crate) fn expire(&mut self, now: ClockTime) {
         self.backends.expire(now);
     }
 
-    /// Takes in the system's own rows. `set_at` tells when recorded versions that are new to this
-    /// process were named.
+    /// Merges the system's own rows. `set_at` dates the recorded versions that are new to this
+    /// process.
     pub(crate) fn take_own_rows(&mut self, own: OwnRows, set_at: TargetUpdateTime) {
         self.has_own_rows = true;
         self.own_revision = self.own_revision.max(own.revision);
@@ -326,7 +330,7 @@
         let faulty = own.faulty_records();
         self.add_entries(own.entries);
         for model in faulty {
-            // Somebody wrote over it: the version is recorded once more.
+            // Another writer has overwritten the record, so the version is recorded again.
             self.versions.note_record_row(&model, 0);
         }
         for record in own.records {
@@ -334,7 +338,7 @@
         }
     }
 
-    /// The store's revision as of which the system's own rows were read last.
+    /// The store's revision as of which the system's own rows were last read.
     pub(crate) const fn own_revision(&self) -> u64 {
         self.own_revision
     }
@@ -344,14 +348,14 @@
         self.has_own_rows
     }
 
-    /// The row that records a version of `model` has `revision`, 0 when there is none, whatever stands
-    /// in it: one that somebody else wrote and that does not read is written over.
+    /// Records that the row for the version of `model` has `revision`, 0 if there is none. The
+    /// content does not matter: an unreadable row of another writer is overwritten.
     pub(crate) fn note_record_row(&mut self, model: &ByteString, revision: u64) {
         self.versions.note_record_row(model, revision);
     }
 
-    /// The versions that are to be recorded in the store, each with the revision that its row has; none
-    /// while the store does not answer.
+    /// The versions to record in the store, each with the revision that its row has; none while the
+    /// store does not answer.
     pub(crate) fn unrecorded(&self) -> Vec<VersionRecord> {
         match self.store_steady_since {
             Some(_) => self.versions.unrecorded(),
@@ -359,7 +363,7 @@
         }
     }
 
-    /// Takes in the entry hosts that are known elsewhere.
+    /// Merges entry hosts known elsewhere.
     pub(crate) fn add_entries(&mut self, entries: Vec<EntryRecord>) {
         for entry in entries {
             let found = self
@@ -372,10 +376,13 @@
         }
     }
 
-    /// What the traffic sees of it.
+    /// The snapshot for request handling.
     pub(super) fn snapshot(&self) -> ControlSnapshot {
         ControlSnapshot {
-            catalog: self.document.as_ref().map(|held| held.catalog.clone()),
+            catalog: self
+                .document
+                .as_ref()
+                .map(|current| current.catalog.clone()),
             fleet: Arc::new(FleetView {
                 backends: self.backends.all().cloned().collect(),
             }),
@@ -387,7 +394,7 @@
     }
 }
 
-/// Tells that a document does not read, if it does not.
+/// Logs the error if a document is unreadable.
 pub(super) fn note_document_fault(read: &SwitchResult<()>) {
     if let Err(error) = read {
         log_event!(events::DOCUMENT_UNREADABLE, "{error}");
--- a/src/sync/crash_follow.rs
+++ b/src/sync/crash_follow.rs
@@ -1,7 +1,8 @@
-//! Follows in the store which requests crash backend servers, and records there what this process saw.
+//! Follows the store's table of requests that crash backend servers, and writes to it what this
+//! process saw.
 //!
-//! The store is where entry hosts that learn apart meet: each sees only its own requests at a backend
-//! server, and may be cut off from the others or start again.
+//! Entry hosts share this knowledge through the store because each sees only its own requests to a
+//! backend server, and may be cut off from the others or restart.
 
 use std::time::Duration;
 
@@ -17,17 +18,17 @@
 use crate::quarantine::{CRASH_SPAN, CrashRecord};
 use crate::time::{ClockTime, StoreTime, clock_now};
 
-/// How long the store holds a watch of the table open. A connection that went silent meanwhile shows only
-/// at its end.
+/// How long the store holds a watch of the table open. A connection that fails silently meanwhile
+/// is noticed only at the end.
 const CRASHES_WATCH: Duration = Duration::from_millis(2500);
-/// The pause behind rows that changed: a crash is told by several entry hosts within some milliseconds, and
-/// each change would else be a call of each reader.
+/// Pause after a change. Several entry hosts record the same crash within milliseconds, and without
+/// the pause each record would cost every reader one call.
 const CHANGES_PAUSE: Duration = Duration::from_millis(150);
-/// How often it is looked whether this process reads the store.
+/// Interval at which a process that does not read the store checks whether it has become a reader.
 const READER_CHECK_PAUSE: Duration = Duration::from_millis(100);
-/// For how long crashes are gathered that are written together.
+/// How long crashes are collected before they are written together.
 const GATHER_SPAN: Duration = Duration::from_millis(20);
-/// How often rows that no longer count are removed.
+/// Interval at which expired rows are removed.
 const REMOVE_PAUSE: Duration = Duration::from_mins(2);
 
 impl StoreWatch {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Reads the whole table.
+    /// Reads the full table.
     pub(super) async fn read_crashes(&self) -> SwitchResult<()> {
         let view = self.read_table(TableName::Crashes).await?;
         self.state
@@ -114,7 +115,7 @@
         Ok(())
     }
 
-    /// Writes to the store what this process saw, for as long as it lives.
+    /// Writes the crashes that this process saw to the store, until the process ends.
     pub(crate) async fn record_crashes(self) {
         let mut changes = self.state.changes();
         let mut backoff = RetryBackoff::default();
@@ -153,7 +154,8 @@
     }
 }
 
-/// Whether what `row` tells no longer counts at `moment`. A row that does not read never counted.
+/// Whether the crash in `row` has expired at `moment`. Unreadable rows had no effect, so they count
+/// as expired.
 fn is_expired(row: &StoreRow, moment: StoreTime) -> bool {
     let read = row.value.as_ref().map(|value| read_crash(row, value));
     match read {
--- a/src/sync/crash_rows.rs
+++ b/src/sync/crash_rows.rs
@@ -1,5 +1,5 @@
-//! The rows that tell which requests were under way at backend servers that crashed: one for each request
-//! and crash, so that entry hosts write them without a condition.
+//! Rows of the store that record which requests were running on a backend server when it crashed.
+//! There is one row per request and crash, so that entry hosts can write them unconditionally.
 
 use macro_rules_attribute::apply;
 use serde::{Deserialize, Serialize};
@@ -10,10 +10,10 @@
 use crate::quarantine::{BackendStart, CrashRecord, CrashVerdict, CrashWord};
 use crate::time::StoreTime;
 
-/// Ends the keys of rows that clear a request.
+/// Suffix of the keys of rows that clear a request.
 const CLEARED_SUFFIX: &str = "/cleared";
 
-/// What stands in a row; the key holds the rest.
+/// Value of a row; the key holds the rest.
 #[apply(plain!)]
 #[derive(Copy, Serialize, Deserialize)]
 struct CrashRowValue {
@@ -22,8 +22,8 @@
     seen_ms: u64,
 }
 
-/// The key of the row of `record`. What clears a request stands under a key of its own, so that a write of
-/// the suspicion that the store does late changes nothing.
+/// The key of the row of `record`. A clearing has a key of its own, so that a suspicion which the
+/// store writes late does not undo it.
 pub(super) fn crash_key(record: &CrashRecord) -> String {
     let suffix = match record.verdict {
         CrashVerdict::Suspected => "",
@@ -32,11 +32,11 @@
     format!("{}/{:016x}{suffix}", record.request, record.backend.0)
 }
 
-/// The text of the row of `record`.
+/// Encodes the value of the row of `record`.
 ///
 /// # Errors
 ///
-/// `Internal` when it does not encode.
+/// `Internal` if it can't be encoded.
 pub(super) fn crash_value(record: &CrashRecord) -> SwitchResult<Vec<u8>> {
     let text = CrashRowValue {
         verdict: record.verdict,
@@ -46,20 +46,18 @@
         .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
 }
 
-/// Reads `row`, which holds `value`.
+/// Decodes `row`, whose value is `value`.
 ///
 /// # Errors
 ///
-/// `MessageInvalid` when it does not read.
+/// `MessageInvalid` if the key or the value is invalid.
 pub(super) fn read_crash(row: &StoreRow, value: &[u8]) -> SwitchResult<CrashWord> {
     let invalid = |fault: String| {
-        let detail = format!("the crash row {}: {fault}", row.key);
+        let detail = format!("invalid crash row {}: {fault}", row.key);
         SwitchError::new(ErrorKind::MessageInvalid, detail)
     };
     let Some((request, backend)) = row.key.split_once('/') else {
-        return Err(invalid(
-            "its key names no request and backend server".into(),
-        ));
+        return Err(invalid("the key is not of the form request/backend".into()));
     };
     let text: CrashRowValue = read_object(value).map_err(|fault| invalid(fault.to_string()))?;
     let request = request.parse();
@@ -72,7 +70,7 @@
         seen: StoreTime::from_millis(text.seen_ms),
     };
     if crash_key(&record) != row.key {
-        return Err(invalid("its key is not the one of what it says".into()));
+        return Err(invalid("the key does not match the content".into()));
     }
     Ok(CrashWord {
         record,
--- a/src/sync/crash_state.rs
+++ b/src/sync/crash_state.rs
@@ -1,4 +1,4 @@
-//! Which requests crash backend servers, as the control state holds it.
+//! The part of the control state that holds which requests crashed backend servers.
 
 use std::sync::Arc;
 
@@ -17,12 +17,12 @@
 use crate::time::ClockTime;
 
 impl ControlState {
-    /// Whether the store's rows were read or told.
+    /// Whether the store's table of crashes was read, or received from a neighbour.
     pub(super) fn knows_crashes(&self) -> bool {
         self.crashes.revision() > 0
     }
 
-    /// This process saw that `backend` crashed with `requests` under way.
+    /// Records that this process saw `backend` crash while `requests` were running on it.
     pub(crate) fn note_crash(
         &mut self,
         backend: BackendStart,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// `request` was answered whole.
+    /// Records that `request` was answered completely, which clears it.
     pub(crate) fn clear_request(&mut self, request: RequestDigest) {
         Arc::make_mut(&mut self.crashes).clear(request);
     }
 
-    /// Takes in rows of the store that changed.
+    /// Merges changed rows of the store's table.
     pub(super) fn change_crashes(&mut self, view: &TableView, now: ClockTime) {
         for announcement in self.read_crash_rows(view) {
             self.merge_crash(announcement, now);
@@ -56,7 +56,7 @@
         ledger.drop_expired(now);
     }
 
-    /// Takes in all rows of the store.
+    /// Merges the full table of the store.
     pub(super) fn set_crashes(&mut self, view: &TableView, now: ClockTime) {
         let announcements = self.read_crash_rows(view);
         let is_listed = |key: &str| view.rows.iter().any(|row| row.key == key);
@@ -89,7 +89,7 @@
         self.change_request(request, now, |ledger| ledger.take_word(announcement, until));
     }
 
-    /// Makes a change that may quarantine `request`.
+    /// Applies a change that may quarantine `request`, and logs it if it does.
     fn change_request(
         &mut self,
         request: RequestDigest,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The records that are to be written to the store; none while it does not answer.
+    /// The records that are to be written to the store; none while the store does not answer.
     pub(super) fn unsaved_crashes(&self) -> Vec<CrashRecord> {
         match self.store_steady_since {
             Some(_) => self.crashes.unkept(),
@@ -116,24 +116,24 @@
         }
     }
 
-    /// The store keeps `records` since `revision`.
+    /// Records that the store holds `records` since `revision`.
     pub(super) fn note_saved_crashes(&mut self, records: &[CrashRecord], revision: u64) {
         Arc::make_mut(&mut self.crashes).note_kept(records, revision);
     }
 
-    /// Whether there are crashes that a process that asks has to know.
+    /// Whether there are crashes that the querying process does not know.
     pub(super) fn has_new_crashes(&self, query: &PeerQuery) -> bool {
         let known = query.crashes_revision;
         known.is_some_and(|known| self.crashes.words_behind(known).next().is_some())
     }
 
-    /// The crashes that a process that asks does not know.
+    /// The crashes that the querying process does not know.
     pub(super) fn new_crashes(&self, query: &PeerQuery) -> Vec<CrashWord> {
         let known = query.crashes_revision;
         known.map_or_else(Vec::new, |known| self.crashes.words_behind(known).collect())
     }
 
-    /// Takes in what a neighbour told, which with these knows all crashes up to `revision`.
+    /// Merges crashes from a neighbour; with them, all crashes up to `revision` are known.
     pub(super) fn merge_crashes(
         &mut self,
         announcements: &[CrashWord],
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -1,5 +1,6 @@
-//! How an entry host knows the document, the wanted weights, the backend servers and the other entry
-//! hosts: from the platform's store, and from its neighbours while the store does not answer it.
+//! The control state of an entry host: the document, the target versions, the backend servers and
+//! the other entry hosts. It follows the platform's store, and queries neighbours for what the
+//! store does not answer.
 
 mod backend_follow;
 mod backend_list;
--- a/src/sync/neighbour_exchange.rs
+++ b/src/sync/neighbour_exchange.rs
@@ -1,4 +1,4 @@
-//! What a process tells others that ask it, and takes in of what they tell.
+//! What a process reports to others in response to a query, and how it merges their reports.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::time::ClockTime;
 
 impl ControlState {
-    /// What this process knows already, for a neighbour.
+    /// A query that states what this process knows.
     pub(crate) fn query(&self) -> PeerQuery {
         PeerQuery {
             document: self.document_version(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The same for an entry host, which also has to know which requests crash backend servers.
+    /// The same for an entry host, which also needs the requests that crash backend servers.
     pub(super) fn entry_query(&self) -> PeerQuery {
         PeerQuery {
             crashes_revision: Some(self.crashes.revision()),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whether there is something that a process that asks has to know at once.
+    /// Whether there is a change that must be reported to the querying process at once.
     pub(crate) fn has_urgent_changes(&self, query: &PeerQuery) -> bool {
         let mut known = self.versions.all().iter();
         self.newer_document(query).is_some()
@@ -49,29 +49,28 @@
             })
     }
 
-    /// The document, if it is newer than that of the process that asks, which does not wait for it.
+    /// The document, if it is newer than that of the querying process and not deferred by it.
     fn newer_document(&self, query: &PeerQuery) -> Option<&CurrentDocument> {
-        let held = self.document.as_ref();
-        held.filter(|held| {
-            query.document < Some(held.catalog.version) && !query.can_wait_for_document
+        let current = self.document.as_ref();
+        current.filter(|current| {
+            query.document < Some(current.catalog.version) && !query.can_wait_for_document
         })
     }
 
-    /// Whether `announcements` tell more of what versions were named, and when, than is known.
+    /// Whether `announcements` contain unknown target versions or better update times.
     pub(crate) fn is_updated_by(&self, announcements: &[TargetAnnouncement]) -> bool {
         self.clock.is_known() && self.versions.is_updated_by(announcements)
     }
 
-    /// Takes in the versions that another process knows to be wanted.
+    /// Merges target versions announced by another process.
     pub(crate) fn merge_targets(&mut self, announcements: &[TargetAnnouncement], now: ClockTime) {
-        // Without the store's clock nobody can tell when these were named; they are told again.
+        // Update times mean nothing before the store's clock is known; they are announced again.
         if let Some(bounds) = self.clock.bounds(now) {
             self.versions.merge_targets(announcements, bounds.most);
         }
     }
 
-    /// What a neighbour that asks does not know yet, said at `now` after its question was held open for
-    /// `held`.
+    /// The response to `query` at `now`, after the query was held open for `held`.
     pub(crate) fn answer(&self, query: &PeerQuery, held: Duration, now: ClockTime) -> PeerView {
         let document = self.newer_document(query);
         let has_newer_backends = !query.follows && self.backends_revision > query.backends_revision;
@@ -80,7 +79,7 @@
             .then(|| self.backend_changes(query, now))
             .flatten();
         PeerView {
-            document: document.map(|held| held.text.to_vec()),
+            document: document.map(|current| current.text.to_vec()),
             clock: self.clock.bounds(now),
             held_ms: u64::try_from(held.as_millis()).unwrap_or(u64::MAX),
             targets: self.versions.all().to_vec(),
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Takes in what a neighbour knew beyond this process, asked and told within `span`.
+    /// Merges a neighbour's response to a query that was sent and answered within `span`.
     pub(crate) fn merge(&mut self, view: PeerView, span: QuerySpan) {
         if let Some(bounds) = view.clock {
             let sent_at = span.sent_at + Duration::from_millis(view.held_ms);
--- a/src/sync/neighbour_queries.rs
+++ b/src/sync/neighbour_queries.rs
@@ -1,4 +1,4 @@
-//! Asks neighbours what they know beyond this process.
+//! Queries neighbours for state that this process does not have.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,35 +15,34 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::AnswerPace;
 
-/// How often a neighbour is asked while the store answers, and while it does not.
+/// Interval between queries while the store answers (`QUERY_PAUSE`) and while it does not.
 const QUERY_PAUSE: Duration = Duration::from_secs(1);
 const QUERY_PAUSE_CUT_OFF: Duration = Duration::from_millis(250);
-/// After this long without an answer the store counts as away.
+/// The store counts as unavailable after this time without an answer.
 const STORE_UNAVAILABLE_AFTER: Duration = Duration::from_millis(500);
 const NEIGHBOUR_PACE: AnswerPace = AnswerPace {
     head: Duration::from_millis(400),
     idle: Duration::from_millis(400),
     whole: Duration::from_millis(2500),
 };
-/// How often a neighbour in the same data centre is asked, out of all times.
+/// Share of the queries that go to a neighbour in the same data centre.
 const NEAR_SHARE: f64 = 0.5;
 
-/// Where a neighbour stands.
+/// Where a neighbour is.
 #[derive(Clone, Copy, Debug)]
 enum NeighbourLocation {
     /// In the same data centre.
     Near,
-    /// Somewhere else, or nobody knows where.
+    /// In another data centre, or unknown.
     Elsewhere,
 }
 
 impl StoreWatch {
-    /// Asks a neighbour what it knows beyond this process: seldom while the store answers, often
-    /// while it does not.
+    /// Queries neighbours for state that this process does not have: rarely while the store
+    /// answers, often while it does not.
     ///
-    /// The store may turn this process away and serve its neighbours. A key that was taken away
-    /// would then go on being served here. The neighbour's document has a version, so that nothing
-    /// older replaces something newer.
+    /// The store may refuse this process and serve its neighbours; a revoked key would then stay
+    /// valid here. Documents have versions, so a neighbour's document never replaces a newer one.
     pub(crate) async fn query_neighbours(self) {
         loop {
             if let Some((address, place)) = self.choose_neighbour() {
@@ -60,18 +59,19 @@
         }
     }
 
-    /// Whether this process may not know what the store says.
+    /// Whether the store's state may be unknown to this process.
     ///
-    /// Each table is followed by itself, and a small one may be read over a link that does not carry the
-    /// operator's: then the store counts as there, and the document in force is old.
+    /// Tables are followed separately. A small one may get through a link that does not carry the
+    /// operator's table; the store then counts as available while the document in force is
+    /// outdated.
     fn is_cut_off(&self, now: ClockTime) -> bool {
         self.state.read(|state| {
             state.store_outage(now) >= STORE_UNAVAILABLE_AFTER || state.operator().is_overdue(now)
         })
     }
 
-    /// One in the same data centre as often as not: the link to the others may be as full as the one to the
-    /// store.
+    /// Chooses a neighbour at random, half of the time in the same data centre: the links to the
+    /// others may be as saturated as the one to the store.
     fn choose_neighbour(&self) -> Option<(SocketAddr, NeighbourLocation)> {
         let prefers_near = rand::rng().random_bool(NEAR_SHARE);
         let near = self.neighbours(|entry| entry.data_centre == self.own_entry.data_centre);
@@ -97,10 +97,11 @@
         Some((others[at], place))
     }
 
-    /// Whether a document is worth its way from a neighbour at `place`.
+    /// Whether a document should be requested from a neighbour at `place`.
     ///
-    /// Entry hosts that read the operator's table bring each document over the links between regions; the
-    /// others have it from them. Only where the store does not tell it to those does it come another way.
+    /// Entry hosts that read the operator's table transfer each document between regions once; the
+    /// others get it from them. Another transfer is needed only if the store does not answer those
+    /// readers.
     fn wants_document(&self, place: NeighbourLocation, now: ClockTime) -> bool {
         match place {
             NeighbourLocation::Near => true,
--- a/src/sync/operator_follow.rs
+++ b/src/sync/operator_follow.rs
@@ -1,5 +1,5 @@
-//! Follows the operator's table: at the store, or at the entry hosts of the data centre that read it there,
-//! and these tell the list of backend servers as well.
+//! Follows the operator's table, either at the store or through the entry hosts of the data centre
+//! that read it there. The latter report the list of backend servers as well.
 
 use std::time::Duration;
 
@@ -18,36 +18,38 @@
 use crate::time::clock_now;
 use crate::transport::AnswerPace;
 
-/// How long a reader holds a question open. A reader that is stuck is got round with the next one.
+/// How long a reader holds a query open. If a reader does not answer, the next one is queried.
 const FOLLOW_WAIT: Duration = Duration::from_millis(600);
-/// How an answer has to arrive, beyond that: a document of 2,000 routes takes 0.1 s of a link of 40 Mbit/s,
-/// and a reader sends it to all that ask, at once.
+/// Time limits of a response, in addition to the time that the query is held open. A document of
+/// 2,000 routes takes 0.1 s on a link of 40 Mbit/s, and a reader sends it to all followers at once.
 const FOLLOW_PACE: AnswerPace = AnswerPace {
     head: Duration::from_millis(300),
     idle: Duration::from_millis(300),
     whole: Duration::from_millis(2500),
 };
-/// The pause between two questions, and behind an answer that brings nothing and was not held open.
+/// Pause between two queries, and (`OUTDATED_PAUSE`) after a response of an outdated reader, which
+/// was not held open.
 const FOLLOW_PAUSE: Duration = Duration::from_millis(20);
 const OUTDATED_PAUSE: Duration = Duration::from_millis(150);
 
-/// How this process stands to the store while it reads the operator's table there itself.
+/// Progress of this process while it reads the operator's table from the store itself.
 struct ReaderProgress {
-    /// The revision behind which it goes on; none where it has to read the table, or has not begun.
+    /// The revision up to which changes were received; `None` if the full table has to be read or
+    /// reading has not begun.
     since: Option<u64>,
     context: FollowContext,
     backoff: RetryBackoff,
-    /// Whether the table has to be read as a whole, whatever is known of it.
+    /// Whether the full table has to be read even though its state is known from neighbours.
     is_full_read_due: bool,
     has_read_history: bool,
-    /// Whether this process read in its last turn.
+    /// Whether this process was a reader in the last step; `None` before the first.
     was_reader: Option<bool>,
 }
 
 impl StoreWatch {
-    /// Follows the operator's table, for as long as the process lives.
+    /// Follows the operator's table until the process ends.
     pub(crate) async fn follow_operator(self) {
-        // They name the entry hosts. Where they cannot be read, neighbours tell of them.
+        // These rows list the entry hosts. If they can't be read, neighbours report them.
         if let Err(error) = self.read_own_rows().await {
             log_event!(events::ENTRIES_UNREAD, "{error}");
         }
@@ -89,7 +91,7 @@
         }
     }
 
-    /// One step at the store.
+    /// One call to the store.
     async fn reader_step(&self, progress: &mut ReaderProgress) {
         if !progress.has_read_history {
             progress.has_read_history = true;
@@ -103,7 +105,7 @@
             && !progress.is_full_read_due
             && let Some(announcement) = self.state.read(|state| state.operator().announcement())
         {
-            // Neighbours told all until then.
+            // Neighbours reported everything up to this revision.
             progress.since = Some(announcement.revision);
             progress.context = FollowContext::after_answer(announcement.answered_at);
         }
@@ -124,7 +126,7 @@
                     .operator_mut()
                     .note_read(revision, *answered_at, known_at);
             }),
-            // Whoever asks has to know at once.
+            // Followers have to know of the failure at once.
             _ => self
                 .state
                 .change(|state| state.operator_mut().note_failure()),
@@ -133,7 +135,7 @@
             .await;
     }
 
-    /// Asks an entry host that reads.
+    /// Queries a reader.
     async fn query_reader(
         &self,
         entry: &EntryRecord,
--- a/src/sync/operator_status.rs
+++ b/src/sync/operator_status.rs
@@ -1,4 +1,5 @@
-//! As of when, and as of which revision, a process knows the operator's table, by whichever way.
+//! How recent this process's knowledge of the operator's table is, and whether it reads the table
+//! itself.
 
 use std::time::Duration;
 
@@ -9,49 +10,49 @@
 use crate::derives::plain;
 use crate::time::{ClockTime, StoreTime};
 
-/// How old the knowledge of a process becomes that follows the table by itself: a watch that is held open
-/// for 1.4 s, and half a second.
-const OWN_AGE_MAX: Duration = Duration::from_millis(1900);
-/// How old that of a process becomes that asks such a one: a question that is held open for 0.6 s more.
-const TOLD_AGE_MAX: Duration = Duration::from_millis(2500);
+/// Age that the knowledge of a reader reaches: a watch held open for 1.4 s, and half a second.
+const READER_AGE_MAX: Duration = Duration::from_millis(1900);
+/// Age that the knowledge of a follower reaches: a query held open for 0.6 s more.
+const FOLLOWER_AGE_MAX: Duration = Duration::from_millis(2500);
 
-/// What was last told of the table.
+/// The most recent knowledge of the table.
 #[apply(plain!)]
 #[derive(Copy)]
 struct TableKnowledge {
     answered_at: StoreTime,
-    /// The earliest that this can have been on this process's clock.
+    /// Earliest moment of `answered_at` on this process's clock.
     known_at: ClockTime,
     /// The store's revision as of which the table is known.
     revision: u64,
 }
 
-/// The reading.
+/// Status of the operator's table in this process.
 #[apply(plain!)]
 #[derive(Copy, Default)]
 pub(crate) struct OperatorStatus {
-    /// None before anything was told.
+    /// `None` before anything was received.
     knowledge: Option<TableKnowledge>,
-    /// Whether this process reads the table by itself, or tried to.
+    /// Whether this process reads the table itself, successfully or not.
     is_reader: bool,
-    /// Whether its last try failed.
+    /// Whether its last attempt failed.
     is_cut_off: bool,
 }
 
 impl OperatorStatus {
-    /// The store told this process of the table at `answered_at`, as of `revision`.
+    /// Records that the store answered this process at `answered_at` with the table as of
+    /// `revision`.
     pub(super) fn note_read(&mut self, revision: u64, answered_at: StoreTime, known_at: ClockTime) {
         self.take(revision, answered_at, known_at);
         self.is_reader = true;
     }
 
-    /// The store did not answer this process.
+    /// Records that the store did not answer this process.
     pub(super) fn note_failure(&mut self) {
         self.is_reader = true;
         self.is_cut_off = true;
     }
 
-    /// A neighbour told all that it knows, and this of it.
+    /// Takes over the status of a neighbour that has reported all that it knows of the table.
     pub(super) fn take_announcement(
         &mut self,
         announcement: OperatorAnnouncement,
@@ -75,7 +76,7 @@
         });
     }
 
-    /// What this process tells of it; none before it knew the table.
+    /// What this process announces about the table; `None` before it is known.
     pub(super) fn announcement(&self) -> Option<OperatorAnnouncement> {
         self.knowledge.map(|knowledge| OperatorAnnouncement {
             answered_at: knowledge.answered_at,
@@ -84,7 +85,7 @@
         })
     }
 
-    /// Whether the store does not answer this process for the table.
+    /// Whether the store does not answer this process about the table.
     pub(super) const fn is_cut_off(&self) -> bool {
         self.is_cut_off
     }
@@ -94,25 +95,25 @@
         self.is_reader
     }
 
-    /// Whether nothing has been known of the table for longer at `now` than while all goes well.
+    /// Whether the knowledge is older at `now` than it becomes in normal operation.
     pub(super) fn is_overdue(&self, now: ClockTime) -> bool {
         let age_max = if self.is_reader {
-            OWN_AGE_MAX
+            READER_AGE_MAX
         } else {
-            TOLD_AGE_MAX
+            FOLLOWER_AGE_MAX
         };
         self.knowledge
             .is_none_or(|knowledge| now.since(knowledge.known_at) >= age_max)
     }
 }
 
-/// What the announcement of a neighbour says of it at `now`, if it was true at `known_at` at the earliest.
+/// Rates a reader at `now` by its announcement, which was true at `known_at` or later.
 pub(super) fn classify_answer(
     announcement: &OperatorAnnouncement,
     known_at: ClockTime,
     now: ClockTime,
 ) -> ReaderAnswer {
-    if announcement.is_cut_off || now.since(known_at) >= TOLD_AGE_MAX {
+    if announcement.is_cut_off || now.since(known_at) >= FOLLOWER_AGE_MAX {
         ReaderAnswer::Outdated
     } else {
         ReaderAnswer::Current
--- a/src/sync/own_rows.rs
+++ b/src/sync/own_rows.rs
@@ -1,5 +1,4 @@
-//! The rows that the system keeps of itself in the store: which entry hosts there are, and which
-//! version of each model's weights was named last.
+//! The system's own rows in the store: the entry hosts, and the last target version of each model.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
@@ -11,33 +10,33 @@
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::platform::{StoreRow, TableView, read_object};
 
-/// Begins the keys of versions; those of entry hosts are their names, which hold no slash.
+/// Prefix of the keys of versions. The keys of entry hosts are their names, which contain no slash.
 const VERSION_KEY_PREFIX: &str = "weights/";
 
-/// A version that was named last, as it is recorded in the store.
+/// The last target version of a model, as recorded in the store.
 #[apply(plain!)]
 pub(crate) struct VersionRecord {
-    /// What was named.
+    /// The target.
     pub(crate) target: ModelVersion,
-    /// The store's revision of the row; 0 where there is none.
+    /// The store's revision of the row; 0 if there is none.
     pub(crate) revision: u64,
 }
 
-/// What the system's own rows say.
+/// The decoded own rows of the system.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnRows {
     pub(super) entries: Vec<EntryRecord>,
     pub(super) records: Vec<VersionRecord>,
-    /// The keys of the rows that were read, each with whether it did.
+    /// The keys of the rows that were read, each with the result of decoding.
     pub(super) read_results: Vec<(String, SwitchResult<()>)>,
-    /// Whether these are all rows that there are.
+    /// Whether these are all rows of the table.
     pub(super) is_complete: bool,
     /// The store's revision as of which they were read; 0 for single rows.
     pub(super) revision: u64,
 }
 
 impl OwnRows {
-    /// Reads the rows of `view`, which has all of them. Where one does not read, the others hold.
+    /// Decodes all rows of `view`, which is the full table. Unreadable rows are left out.
     pub(crate) fn of(view: &TableView) -> Self {
         let mut own = Self::of_rows(&view.rows);
         own.is_complete = true;
@@ -45,7 +44,7 @@
         own
     }
 
-    /// Reads some of the rows.
+    /// Decodes some of the rows.
     pub(super) fn of_rows(rows: &[StoreRow]) -> Self {
         let mut own = Self::default();
         for row in rows {
@@ -57,7 +56,7 @@
         own
     }
 
-    /// Just `record`, as it was written.
+    /// Only `record`, as it was written.
     pub(super) fn with_record(record: VersionRecord) -> Self {
         Self {
             read_results: vec![(version_key(&record.target.model), Ok(()))],
@@ -66,27 +65,33 @@
         }
     }
 
-    /// The models whose versions stand in rows that do not read.
+    /// The models whose version rows are unreadable.
     pub(super) fn faulty_records(&self) -> Vec<ByteString> {
         let faulty = self.read_results.iter().filter(|(_, read)| read.is_err());
         let models = faulty.filter_map(|(key, _)| key.strip_prefix(VERSION_KEY_PREFIX));
         models.map(ByteString::from).collect()
     }
 
-    /// A row counts only under the key that its writer gives it: taken for what it says, one that
-    /// somebody else wrote would replace the row of another entry host or model.
+    /// A row is valid only under the key that its writer uses. Otherwise a row written by another
+    /// writer would replace the row of another entry host or model.
     fn take(&mut self, row: &StoreRow, value: &[u8]) -> SwitchResult<()> {
         if let Some(model) = row.key.strip_prefix(VERSION_KEY_PREFIX) {
             let target: ModelVersion = read(value)?;
-            check(*target.model == *model, "it is of another model")?;
-            check(target.version > WeightsVersion(0), "versions begin with 1")?;
+            check(
+                *target.model == *model,
+                "the row's key is for another model",
+            )?;
+            check(
+                target.version > WeightsVersion(0),
+                "version 0 is invalid: versions begin with 1",
+            )?;
             self.records.push(VersionRecord {
                 target,
                 revision: row.revision,
             });
         } else {
             let entry: EntryRecord = read(value)?;
-            check(*entry.host == *row.key, "it is of another host")?;
+            check(*entry.host == *row.key, "the row's key is for another host")?;
             self.entries.push(entry);
         }
         Ok(())
--- a/src/sync/past_targets.rs
+++ b/src/sync/past_targets.rs
@@ -1,4 +1,4 @@
-//! Looks at a start which versions of weights were named in the last seconds.
+//! Reads from the store's history which versions were set as target in the seconds before a start.
 
 use std::time::Duration;
 
@@ -14,36 +14,37 @@
 use crate::platform::{TableName, WatchAnswer};
 use crate::time::clock_now;
 
-/// How many of the store's revisions are looked back at a start, one look behind the other, up to the first
-/// that it no longer knows. Backend servers write about once a second each, and the store keeps 20 s: 600 of
-/// them make 10,000, three that change nothing some ten.
+/// How many revisions are read back at a start, in successive reads up to the first that the store
+/// no longer has. The store keeps 20 s of history, in which 600 backend servers that write once a
+/// second make 10,000 revisions, and three that change nothing make about ten.
 const HISTORY_REVISIONS: [u64; 6] = [10, 30, 100, 400, 2_000, 12_000];
-/// Bytes of history that are read at a start before a slow look is the last one.
+/// Bytes of history after which a slow read is the last one.
 ///
-/// The history holds every document of its span. Beside a storm of large documents the looks of four entry
-/// hosts that started together took the link between two regions for two seconds, and no document came
-/// over it in time. This much takes 0.1 s of 26 Mbit/s.
+/// The history contains every document of its span. During a burst of large documents, the reads of
+/// four entry hosts that started together saturated the link between two regions for two seconds,
+/// and no document arrived over it in time. This amount takes 0.1 s at 26 Mbit/s.
 const HISTORY_BYTES: usize = 300_000;
-/// A look that takes longer came over a narrow way, or from a store that is slow. Entry hosts that have a wide
-/// one look back as far as the store knows, and tell their neighbours what was named.
+/// A read that takes longer came over a narrow link or from a slow store. Entry hosts with a wide
+/// link read the full history and report the target versions to their neighbours.
 const FAST_READ: Duration = Duration::from_millis(60);
-/// How long a start waits for the looks. They take 8 ms each while the store is well.
+/// How long a start waits for the history. A read takes 8 ms while the store is healthy.
 const HISTORY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often they are taken again when they fail, and the pause before each.
+/// How often a failed reading is repeated, and the pause before each attempt.
 const HISTORY_TRIES: u32 = 5;
 const HISTORY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Whether no look follows one that took `took`, when `bytes` were read in all.
+/// Whether a read that took `took` is the last one, with `bytes` read in total.
 pub(super) fn is_final_read(bytes: usize, took: Duration) -> bool {
     took > FAST_READ && bytes >= HISTORY_BYTES
 }
 
 impl StoreWatch {
-    /// Reads which versions were named in the last seconds, as far as the store still knows.
+    /// Reads which versions were set as target recently, as far back as the store's history
+    /// reaches.
     ///
-    /// A version that was named while no process lived is recorded nowhere. When an older naming was
-    /// then done late over it, every process that started brought the older weights back. One would
-    /// notice `[1102]` with an older version behind the starts.
+    /// A version that is set while no process runs is recorded nowhere. If an older update is then
+    /// executed late over it, every starting process would load the older weights again. The
+    /// symptom is `[1102]` with an older version after a restart.
     async fn read_past_targets(&self) -> SwitchResult<()> {
         if !self.state.read(ControlState::has_own_rows) {
             self.read_own_rows().await?;
@@ -64,9 +65,9 @@
         Ok(())
     }
 
-    /// The same before the operator's table is first read, which would show an older naming alone. A link
-    /// that does not carry the history must not keep this process from the newest document: then the look
-    /// goes on beside it.
+    /// Reads the history before the first read of the operator's table, which would show only the
+    /// older of two versions. If it does not arrive in time, because a link can't carry it, it is
+    /// read later in the background, so that this process gets the newest document without it.
     pub(super) async fn read_past_targets_first(&self) {
         match timeout(HISTORY_TIMEOUT, self.read_past_targets()).await {
             Ok(Ok(())) => return,
@@ -76,7 +77,7 @@
         tokio::spawn(self.clone().read_past_targets_later());
     }
 
-    /// The same beside the operator's table.
+    /// Reads the history in the background, with retries.
     pub(super) async fn read_past_targets_later(self) {
         for _ in 0..HISTORY_TRIES {
             sleep(HISTORY_PAUSE).await;
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Takes in the namings behind revision `since`; returns how many bytes were read, none when the store
-    /// no longer has that history.
+    /// Merges the target updates after revision `since`. Returns the number of bytes read, or
+    /// `None` if the store no longer has that history.
     async fn read_history(&self, since: u64) -> SwitchResult<Option<usize>> {
         let table = TableName::Operator;
         let sent_at = clock_now();
--- a/src/sync/peer_messages.rs
+++ b/src/sync/peer_messages.rs
@@ -1,7 +1,7 @@
-//! What entry hosts tell their neighbours and the hosts of backend servers.
+//! Messages by which entry hosts report to neighbours and to the hosts of backend servers.
 //!
-//! `POST /peer/view` takes a [`PeerQuery`] and answers with what is newer than it in a [`PeerView`]. The
-//! answer may wait until there is a newer document or a newer version of weights.
+//! `POST /peer/view` takes a [`PeerQuery`] and returns in a [`PeerView`] what is newer than the
+//! state in the query. The response may be held until there is a newer document or target version.
 
 use std::net::SocketAddr;
 
@@ -16,10 +16,10 @@
 use crate::quarantine::CrashWord;
 use crate::time::StoreTime;
 
-/// The path of the call.
+/// Path of the call.
 pub(crate) const VIEW_PATH: &str = "/peer/view";
 
-/// An entry host, as it enters itself in the store.
+/// An entry host, as it registers itself in the store.
 #[apply(message!)]
 #[derive(Eq, PartialOrd, Ord)]
 pub(crate) struct EntryRecord {
@@ -27,118 +27,120 @@
     pub(crate) host: ByteString,
     /// Its data centre.
     pub(crate) data_centre: ByteString,
-    /// Where it answers other processes over HTTP.
+    /// Address of its HTTP endpoint for other processes.
     pub(crate) control: SocketAddr,
-    /// Where it takes load reports as datagrams.
+    /// Address at which it receives load reports as datagrams.
     pub(crate) reports: SocketAddr,
 }
 
-/// What the asking process knows already.
+/// What the querying process knows already.
 #[apply(message!)]
 #[derive(Default)]
 pub(crate) struct PeerQuery {
     /// The version of its document.
     pub(crate) document: Option<CatalogVersion>,
-    /// Whether a newer one can wait for a later question. A host of a backend server needs little of it,
-    /// and a large document takes as long on its narrow link as a chunk of weights: in a storm of
-    /// documents they left half of the link to the weights, which came 1.5 s later.
+    /// Whether a newer document can wait for a later query. The host of a backend server needs
+    /// little of it, and a large document takes as long on its narrow link as a chunk of weights: a
+    /// burst of documents took half of the link and delayed the weights by 1.5 s.
     #[serde(default)]
     pub(crate) can_wait_for_document: bool,
-    /// The versions of weights that it knows to be wanted.
+    /// The target versions that it knows.
     #[serde(rename = "wanted")]
     pub(crate) targets: Vec<TargetAnnouncement>,
     /// The store's revision of its list of backend servers.
     pub(crate) backends_revision: u64,
-    /// How many entry hosts it knows.
+    /// The number of entry hosts that it knows.
     pub(crate) entries: usize,
-    /// For how many milliseconds the answer may wait for something urgent.
+    /// How long, in milliseconds, the response may be held until there is an urgent change.
     pub(crate) wait_ms: u64,
-    /// Whether it follows the operator's table by the answers.
+    /// Whether it follows the operator's table through the responses.
     #[serde(default)]
     pub(crate) follows: bool,
-    /// The digest of its list of backend servers, where another one is to be told at once.
+    /// Digest of its list of backend servers, if a different list is to be reported at once.
     #[serde(default)]
     pub(crate) backends_digest: Option<u64>,
-    /// The store's revision up to which it knows which requests crash backend servers; none where it need
-    /// not know.
+    /// The store's revision up to which it knows the requests that crash backend servers; `None` if
+    /// it doesn't need them.
     #[serde(default)]
     pub(crate) crashes_revision: Option<u64>,
 }
 
-/// What changed in the list of backend servers.
+/// Changes of the list of backend servers.
 #[apply(message!)]
 pub(crate) struct BackendChanges {
     /// The store's revision as of which the list is known.
     pub(crate) revision: u64,
-    /// Whether `entries` are all of them.
+    /// Whether `entries` is the full list.
     #[serde(rename = "is_whole")]
     pub(crate) is_complete: bool,
-    /// Those that changed behind the revision that whoever asks knows.
+    /// The entries that changed after the revision in the query.
     pub(crate) entries: Vec<BackendFacts>,
-    /// Those that went a short while ago.
+    /// The ids of those removed recently.
     #[serde(rename = "gone")]
     pub(crate) removed: Vec<ByteString>,
-    /// The digest of the whole list.
+    /// Digest of the full list.
     pub(crate) digest: u64,
-    /// When the store last told of the list.
+    /// When the store last reported the list, on its clock.
     #[serde(rename = "told_at")]
     pub(crate) answered_at: StoreTime,
 }
 
-/// How well the answering process knows the operator's table.
+/// How well the responding process knows the operator's table.
 #[apply(message!)]
 #[derive(Copy)]
 pub(crate) struct OperatorAnnouncement {
-    /// When the store last told of it.
+    /// When the store last reported the table, on its clock.
     #[serde(rename = "told_at")]
     pub(crate) answered_at: StoreTime,
-    /// The store's revision as of which it is known.
+    /// The store's revision as of which the table is known.
     pub(crate) revision: u64,
     /// Whether the store does not answer that process.
     pub(crate) is_cut_off: bool,
 }
 
-/// A version of weights with when it was named.
+/// A target version and when it was set.
 #[apply(message!)]
 pub(crate) struct TargetAnnouncement {
-    /// What is wanted.
+    /// The target.
     pub(crate) target: ModelVersion,
-    /// When it was named, on the store's clock: told from process to process, it stays the same however long
-    /// a word is on its way.
+    /// When it was set, on the store's clock, so that the value does not depend on how long the
+    /// announcement is in transit or how often it is forwarded.
     #[serde(rename = "named")]
     pub(crate) set_at: TargetUpdateTime,
 }
 
-/// What the answering process knows beyond that.
+/// What the responding process knows beyond the query.
 #[apply(message!)]
 #[derive(Default)]
 pub(crate) struct PeerView {
     /// The document, if it is newer.
     #[serde(with = "serde_bytes")]
     pub(crate) document: Option<Vec<u8>>,
-    /// What the store's clock shows as this is said, if that is known.
+    /// Bounds of the store's clock at the time of the response, if known.
     #[serde(default)]
     pub(crate) clock: Option<ClockBounds>,
-    /// For how many milliseconds the question was held open before.
+    /// How long, in milliseconds, the query was held open.
     #[serde(default)]
     pub(crate) held_ms: u64,
-    /// The versions of weights; also those that are known, since when they were named may not be.
+    /// All target versions. Those in the query are included because their update times may be
+    /// better known here.
     #[serde(rename = "wanted")]
     pub(crate) targets: Vec<TargetAnnouncement>,
     /// The list of backend servers with its revision, if that is newer.
     pub(crate) backends: Option<(u64, Vec<BackendFacts>)>,
     /// All entry hosts, if there are more.
     pub(crate) entries: Vec<EntryRecord>,
-    /// How well the operator's table is known; the rest of the answer is as of that revision.
+    /// How well the operator's table is known; the rest of the response is as of that revision.
     #[serde(default)]
     pub(crate) operator: Option<OperatorAnnouncement>,
-    /// What changed in the list of backend servers, for who follows it by the answers.
+    /// Changes of the list of backend servers, for a process that follows it through responses.
     #[serde(default)]
     pub(crate) backend_changes: Option<BackendChanges>,
-    /// Which requests were under way at backend servers that crashed, behind what is known.
+    /// The requests that were running on crashed backend servers, after the revision in the query.
     #[serde(default)]
     pub(crate) crashes: Vec<CrashWord>,
-    /// The store's revision up to which, with these, all are known; 0 for who need not know.
+    /// The store's revision up to which all crashes are known with these; 0 if they weren't
+    /// requested.
     #[serde(default)]
     pub(crate) crashes_revision: u64,
 }
--- a/src/sync/peer_routes.rs
+++ b/src/sync/peer_routes.rs
@@ -1,4 +1,4 @@
-//! What an entry host answers other processes of the system.
+//! The HTTP endpoint through which an entry host answers other processes of the system.
 
 use std::time::Duration;
 
@@ -14,10 +14,11 @@
 use crate::transport::{error_reply, message_reply, read_message};
 
 const QUERY_BYTES_MAX: usize = 64 * 1024;
-/// The longest wait of an answer; a connection that went silent meanwhile shows only at its end.
+/// The longest time a response is held. A connection that fails silently meanwhile is noticed only
+/// at the end.
 const WAIT_MAX: Duration = Duration::from_secs(2);
 
-/// The routes.
+/// The routes of the endpoint.
 pub(super) fn peer_routes(state: &SharedControlState) -> Router {
     let state = state.clone();
     let handler = move |request: Request| answer_view(state.clone(), request);
@@ -26,7 +27,7 @@
         .fallback(async || StatusCode::NOT_FOUND)
 }
 
-/// Waits until there is something that whoever asks has to know at once, as long as it allows.
+/// Waits until there is an urgent change for the querying process, for as long as the query allows.
 async fn await_urgent_changes(state: &SharedControlState, query: &PeerQuery) {
     let mut changes = state.changes();
     let news = async {
@@ -37,12 +38,12 @@
         }
     };
     let wait = Duration::from_millis(query.wait_ms).min(WAIT_MAX);
-    // Without news the answer tells what is less urgent.
+    // After a timeout the response contains the less urgent changes.
     let _ = timeout(wait, news).await;
 }
 
-/// Whoever asks may know a version that this process does not: entry hosts that have all started
-/// again, beside hosts of backend servers that lived on.
+/// Merges target versions that only the querying process knows. This happens when all entry hosts
+/// have restarted while hosts of backend servers kept running.
 fn merge_targets(state: &SharedControlState, query: &PeerQuery) {
     let now = clock_now();
     if state.read(|state| state.is_updated_by(&query.targets)) {
--- a/src/sync/read_order.rs
+++ b/src/sync/read_order.rs
@@ -1,8 +1,10 @@
-//! Which entry hosts of a data centre read the operator's table in the store, and whom the others ask,
-//! worked out by each for itself from the entry hosts that it knows and from how they answered.
+//! Decides which entry hosts of a data centre read the operator's table from the store, and which
+//! of them the others query. Each entry host computes this on its own, from the entry hosts that it
+//! knows and from how they answered.
 //!
-//! All sort the entry hosts in the same order, and everybody asks only such as stand before it: no two wait
-//! for each other, whatever each has seen fail. Where lists differ for a moment, one more reads.
+//! All rank the entry hosts in the same order, and each queries only hosts of a higher rank, so
+//! that no two wait for each other whatever failures each has seen. While their lists differ, there
+//! is one reader more.
 
 use std::time::Duration;
 
@@ -12,36 +14,38 @@
 use crate::routing::name_hash;
 use crate::time::ClockTime;
 
-/// Entry hosts of a data centre that read. One may be cut off, frozen or behind without anybody waiting for
-/// it; a third brings nothing but its bytes over the link between two regions.
+/// Entry hosts of a data centre that read. With two of them, one may be cut off, paused or outdated
+/// without a wait for the others; a third would only add its traffic to the link between two
+/// regions.
 const READERS: usize = 2;
-/// How long a neighbour is left out that failed; it doubles with each failure, up to the longest.
+/// How long a failed reader is excluded. The time doubles with each failure, up to `EXCLUSION_MAX`.
 const EXCLUSION: Duration = Duration::from_secs(2);
 const EXCLUSION_MAX: Duration = Duration::from_secs(16);
-/// Neighbours at a time that answer and are left out all the same, because the store does not answer them
-/// or what they know is old. Where a link is too narrow, each more that reads makes it narrower; and the
-/// store may turn away a third of all machines: of six, all are with a chance of two in a thousand.
+/// How many readers may be excluded at a time although they answer, because the store does not
+/// answer them or their knowledge is old. Each additional reader makes a narrow link narrower. The
+/// store may refuse a third of all hosts; the chance that it refuses all of six is two in a
+/// thousand.
 const OUTDATED_MAX: usize = 4;
-/// Neighbours in a row that give no answer, after which this process reads once by itself.
+/// Unresponsive readers in a row after which this process reads from the store once.
 const UNRESPONSIVE_MAX: u32 = 2;
 
 /// What this process does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadStep {
-    /// It asks the store.
+    /// It calls the store.
     Read,
-    /// It asks this neighbour.
+    /// It queries this reader.
     Query(EntryRecord),
 }
 
-/// How a neighbour answered.
+/// The result of a query to a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReaderAnswer {
-    /// It knows what the store says.
+    /// The reader knows the current state of the store.
     Current,
-    /// It answers, and the store does not answer it, or what it knows is old.
+    /// The reader answers, but the store does not answer it, or its knowledge is old.
     Outdated,
-    /// Nothing came, or nothing that reads.
+    /// There was no response, or an unreadable one.
     Unresponsive,
 }
 
@@ -53,19 +57,19 @@
     is_unresponsive: bool,
 }
 
-/// The order as one process sees it.
+/// The order of readers as seen by one process.
 #[derive(Clone, Debug)]
 pub(super) struct ReadOrder {
     host: ByteString,
     data_centre: ByteString,
     rank: u64,
-    /// Those that failed last, each at most once; only some of them still rest.
+    /// Readers whose last query failed, each at most once; the exclusion of some may be over.
     excluded: Vec<ExcludedReader>,
     next_reader: usize,
     unresponsive_in_row: u32,
 }
 
-/// Where the entry host called `host` stands: the greatest goes first.
+/// The rank of the entry host called `host`; the highest ranks read.
 pub(super) fn rank_of(host: &str) -> u64 {
     name_hash(&format!("{host}/reads"))
 }
@@ -78,13 +82,13 @@
             data_centre: me.data_centre.clone(),
             rank,
             excluded: Vec::new(),
-            // Half of those that ask begin with the first reader, half with the second.
+            // Half of the followers begin with the first reader, half with the second.
             next_reader: usize::from(rank & 1 == 0),
             unresponsive_in_row: 0,
         }
     }
 
-    /// What is to be done at `now`, if `entries` are all entry hosts that are known.
+    /// The next step at `now`, given all known entry hosts.
     pub(super) fn next(&mut self, entries: &[EntryRecord], now: ClockTime) -> ReadStep {
         if self.unresponsive_in_row >= UNRESPONSIVE_MAX {
             self.unresponsive_in_row = 0;
@@ -98,7 +102,7 @@
         ReadStep::Query(readers[self.next_reader % READERS].clone())
     }
 
-    /// The neighbour called `host` answered, or did not, at `now`.
+    /// Records the result of a query to the reader called `host` at `now`.
     pub(super) fn note(&mut self, host: &str, answer: ReaderAnswer, now: ClockTime) {
         let known = self
             .excluded
@@ -121,7 +125,7 @@
         });
     }
 
-    /// The readers, as far as they stand before this process.
+    /// The readers that have a higher rank than this process.
     fn readers_ahead(&self, entries: &[EntryRecord], now: ClockTime) -> Vec<EntryRecord> {
         let mut ahead: Vec<(u64, &EntryRecord)> = entries
             .iter()
--- a/src/sync/revision_times.rs
+++ b/src/sync/revision_times.rs
@@ -1,7 +1,7 @@
-//! Which revision the store had at which moments: what bounds when a row was written.
+//! The revisions that the store had at known times, which bound when a row was written.
 //!
-//! The store counts all its changes with one number and tells the newest with every answer, whatever table
-//! it is about. A row of a higher revision than an answer tells was written behind that answer.
+//! The store has one revision counter for all tables and reports the newest value with every
+//! answer. A row with a higher revision than an answer was written after that answer.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::derives::plain;
 use crate::time::StoreTime;
 
-/// Answers that are remembered. Three tables are followed, each with up to two answers a second, and a row is
-/// on its way for a few seconds.
+/// Answers that are remembered. Three tables are followed with up to two answers a second each, and
+/// a row is in transit for a few seconds at most.
 const TIMES_KEPT: usize = 64;
 
-/// How far two answers are apart at most while the store is there: a watch that brings nothing, its pause, and
-/// an answer that takes as long as it may.
+/// Longest time between two answers of a reachable store: a watch without changes, the pause after
+/// it, and the longest time for an answer.
 const ANSWER_GAP_MAX: Duration = Duration::from_millis(2500);
 
-/// What an answer tells.
+/// The newest revision of the store at one time.
 #[apply(plain!)]
 #[derive(Copy)]
 struct RevisionTime {
@@ -27,7 +27,7 @@
     answered_at: StoreTime,
 }
 
-/// The last answers, the oldest first.
+/// The last answers, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct RevisionTimes {
     /// Sorted by both of their fields.
@@ -35,19 +35,19 @@
 }
 
 impl RevisionTimes {
-    /// The store told at `answered_at` that `revision` is the newest.
+    /// Records that the store reported at `answered_at` that `revision` is its newest.
     pub(super) fn note(&mut self, revision: u64, answered_at: StoreTime) {
         let at = self
             .times
             .partition_point(|time| time.answered_at < answered_at);
-        let is_behind = self.times[..at]
+        let fits_previous = self.times[..at]
             .last()
             .is_none_or(|last| last.revision <= revision);
-        let is_before = self.times[at..]
+        let fits_next = self.times[at..]
             .first()
             .is_none_or(|next| next.revision >= revision);
-        // An answer of an older state says nothing of the rows behind it.
-        if is_behind && is_before {
+        // An answer from an older state of the store bounds nothing.
+        if fits_previous && fits_next {
             self.times.insert(
                 at,
                 RevisionTime {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// When the contact with the store began that lasts since, as of the newest answer.
+    /// Since when the store has answered without a gap, as of the newest answer.
     pub(super) fn contact_since(&self) -> Option<StoreTime> {
         let pairs = self.times.windows(2).rev();
         let mut apart =
@@ -72,8 +72,8 @@
             .map(|time| time.answered_at)
     }
 
-    /// What `set_at` is, if the row that names the version has at least `revision`: it may have been written
-    /// again since.
+    /// Bounds `set_at` for a version whose row has `revision`. The row may have been rewritten
+    /// since the update, so only the upper bound is applied.
     pub(super) fn cap(&self, set_at: TargetUpdateTime, revision: u64) -> TargetUpdateTime {
         let at = self.times.partition_point(|time| time.revision < revision);
         let Some(after) = self.times.get(at) else {
@@ -86,11 +86,11 @@
         }
     }
 
-    /// What `set_at` is, if the row that names the version was written with `revision`.
+    /// Bounds `set_at` for a version whose row was written with `revision`, from above and below.
     ///
-    /// An answer that is seconds on its way, over a link full of documents, tells of a change as if it were
-    /// new; so does the one behind it, of what was changed meanwhile. Taken for new, requests began on
-    /// older weights behind the bound.
+    /// An answer that spends seconds on a saturated link reports a change as if it were new, and so
+    /// does the next one for what changed meanwhile. Without these bounds, such a version counts as
+    /// new, and requests begin on older weights after the deadline.
     pub(super) fn narrow(&self, set_at: TargetUpdateTime, revision: u64) -> TargetUpdateTime {
         let at = self.times.partition_point(|time| time.revision < revision);
         let (Some(before), Some(after)) = (self.times[..at].last(), self.times.get(at)) else {
--- a/src/sync/shared_control_state.rs
+++ b/src/sync/shared_control_state.rs
@@ -1,4 +1,4 @@
-//! The control state as the tasks of a process share it.
+//! The control state as shared by the tasks of a process.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,7 +7,7 @@
 use super::control_state::ControlState;
 use super::snapshot::SharedSnapshot;
 
-/// The control state with the snapshot that is made of it. Clones share both.
+/// The control state and the snapshot made of it. Clones share both.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedControlState {
     state: Arc<Mutex<ControlState>>,
@@ -17,7 +17,7 @@
 }
 
 impl SharedControlState {
-    /// Where the traffic finds the newest snapshot.
+    /// The handle through which request handling reads the newest snapshot.
     pub(crate) fn snapshot(&self) -> SharedSnapshot {
         self.snapshot.clone()
     }
@@ -27,7 +27,8 @@
         reader(&self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Changes the control state and shows the traffic what came of it.
+    /// Changes the control state, publishes a new snapshot and notifies the tasks that wait for
+    /// changes.
     pub(crate) fn change(&self, change: impl FnOnce(&mut ControlState)) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut state);
@@ -36,12 +37,12 @@
         self.changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Changes what neither the traffic nor anybody that follows the changes sees.
+    /// Changes a part that is not in the snapshot and that no task waits for.
     pub(crate) fn note(&self, note: impl FnOnce(&mut ControlState)) {
         note(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Follows the changes.
+    /// A receiver that is notified of each change.
     pub(crate) fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the traffic sees of the control state: whole, immutable, replaced at once.
+//! The immutable snapshot of the control state that request handling uses; it is replaced as one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,33 +12,33 @@
 use crate::quarantine::CrashLedger;
 use crate::time::ClockTime;
 
-/// The control state as of one moment.
+/// The control state at one moment.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ControlSnapshot {
-    /// The document in force; none before the first was read.
+    /// The document in force; `None` before the first was read.
     pub(crate) catalog: Option<Arc<ServiceCatalog>>,
     /// The backend servers.
     pub(crate) fleet: Arc<FleetView>,
-    /// The versions of weights that were named lately, sorted by model and version.
+    /// The recent target versions, sorted by model and version.
     pub(crate) targets: Arc<Vec<WantedWeights>>,
     /// The entry hosts, sorted.
     pub(crate) entries: Arc<Vec<EntryRecord>>,
-    /// Which requests were under way at backend servers that crashed.
+    /// The requests that were running on backend servers that crashed.
     pub(crate) crashes: Arc<CrashLedger>,
     /// The store's clock.
     pub(crate) clock: StoreClock,
 }
 
 impl ControlSnapshot {
-    /// The newest version of `model`.
+    /// The newest target version of `model`.
     pub(crate) fn newest_version(&self, model: &str) -> Option<&WantedWeights> {
         let mut newest_first = self.targets.iter().rev();
         newest_first.find(|weights| *weights.target.model == *model)
     }
 
     /// The oldest version of `model` on which requests may begin at `now`, if they may begin on an
-    /// older one for `grace` after a version was named. Each version counts from its own naming: one
-    /// that a newer one follows soon must still have replaced those before it in time.
+    /// older one for `grace` after a version was set as target. Each version has its own deadline:
+    /// one that is soon followed by a newer one must still have replaced its predecessors in time.
     pub(crate) fn oldest_allowed_version(
         &self,
         model: &str,
@@ -54,8 +54,8 @@
             .map(|weights| weights.target.version)
     }
 
-    /// Until when requests may begin on version `held` of `model`, if a newer one must have replaced
-    /// it `bound` after it was named; none while nothing newer was named.
+    /// Until when requests may begin on version `held` of `model`, if a newer version must have
+    /// replaced it `bound` after it was set as target; `None` if there is no newer one.
     pub(crate) fn usable_until(
         &self,
         model: &str,
@@ -69,19 +69,19 @@
     }
 }
 
-/// Where the newest snapshot stands. Clones share it.
+/// The newest snapshot. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedSnapshot {
     newest: Arc<ArcSwap<ControlSnapshot>>,
 }
 
 impl SharedSnapshot {
-    /// The newest snapshot.
+    /// Returns the newest snapshot.
     pub(crate) fn load(&self) -> Arc<ControlSnapshot> {
         self.newest.load_full()
     }
 
-    /// Puts a newer one in its place.
+    /// Replaces the snapshot.
     pub(crate) fn store(&self, snapshot: ControlSnapshot) {
         self.newest.store(Arc::new(snapshot));
     }
--- a/src/sync/store_clock.rs
+++ b/src/sync/store_clock.rs
@@ -1,40 +1,41 @@
-//! Where the store's clock stands beside this process's own.
+//! Estimates the store's clock relative to this process's clock.
 //!
-//! Moments that processes tell each other are told on the store's clock, which all of them share: an age
-//! would have to grow by its time on the way, which nobody knows. Each process bounds how far the store's
-//! clock is ahead of its own by when a word about it was asked for and when it was heard. A word that is
-//! long on its way bounds it badly and takes nothing from a better one before.
+//! Processes exchange times on the store's clock, which they all share. An age instead would have
+//! to grow by its transit time, which is unknown. Each process bounds the offset of the store's
+//! clock by when it sent a query for it and when it received the response. A response with a long
+//! transit gives wide bounds and never loosens earlier, tighter ones.
 
 use macro_rules_attribute::apply;
 
 use crate::derives::{key, message, plain};
 use crate::time::{ClockTime, StoreTime};
 
-/// How much two steady clocks differ at most, in millionths. Oscillators keep within half of it.
+/// Largest drift between two steady clocks, in parts per million. Oscillators stay within half of
+/// it.
 const DRIFT_PER_MILLION: u64 = 200;
 
-/// The moments around a word, on this process's clock.
+/// When a query was sent and its response received, on this process's clock.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(crate) struct QuerySpan {
-    /// The word was not said before.
+    /// The responder read the store's clock not before this.
     pub(crate) sent_at: ClockTime,
-    /// It was not said after.
+    /// The responder read it not after this.
     pub(crate) received_at: ClockTime,
 }
 
-/// What the store's clock shows at the moment of the word, as far as whoever says it knows.
+/// Bounds of the store's clock at one moment, as far as the announcing process knows them.
 #[apply(message!)]
 #[derive(Copy)]
 pub(crate) struct ClockBounds {
-    /// At least this.
+    /// The clock shows at least this.
     pub(crate) least: StoreTime,
-    /// At most this.
+    /// The clock shows at most this.
     pub(crate) most: StoreTime,
 }
 
 impl ClockBounds {
-    /// The store's own word, told in whole milliseconds.
+    /// The bounds given by the store itself, which reports whole milliseconds.
     pub(super) fn from_store(answered_at: StoreTime) -> Self {
         Self {
             least: answered_at,
@@ -43,22 +44,22 @@
     }
 }
 
-/// Who says what the store's clock shows.
+/// Who reported the bounds.
 #[apply(key!)]
 pub(super) enum ClockSource {
     /// The store.
     Store,
-    /// Another process of the system, which may not have noticed yet that it stood still.
+    /// Another process of the system, which may have been paused without having noticed it yet.
     Neighbour,
 }
 
-/// By how many microseconds the store's clock is ahead.
+/// By how many microseconds the store's clock is ahead of this process's clock.
 #[apply(plain!)]
 #[derive(Copy)]
 struct ClockOffset {
     least: i64,
     most: i64,
-    /// When that was so.
+    /// When these bounds applied.
     at: ClockTime,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// What is left of it at `now`: clocks drift.
+    /// The bounds at `now`, widened by the possible drift since.
     fn at(self, now: ClockTime) -> Self {
         let passed = u64::try_from(now.since(self.at).as_micros()).unwrap_or(u64::MAX);
         let drift = passed.saturating_mul(DRIFT_PER_MILLION);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Both hold; none if they contradict each other.
+    /// The bounds that satisfy both; `None` if they contradict each other.
     fn intersect(self, other: Self) -> Option<Self> {
         let both = Self {
             least: self.least.max(other.least),
@@ -101,7 +102,7 @@
 }
 
 impl StoreClock {
-    /// `source` said `bounds` within `span`.
+    /// Merges `bounds`, which `source` reported within `span`.
     pub(super) fn note(&mut self, bounds: ClockBounds, span: QuerySpan, source: ClockSource) {
         let reported = ClockOffset::of(bounds, span);
         if reported.least > reported.most {
@@ -113,18 +114,19 @@
         };
         self.known = Some(match known.intersect(reported) {
             Some(both) => both,
-            // This process stood still, or whoever tells it did: then its store's time is behind.
+            // This process or the neighbour was paused. A paused neighbour reports a time that is
+            // too early.
             None if source == ClockSource::Store || reported.least > known.most => reported,
             None => known,
         });
     }
 
-    /// Whether anything was heard of it.
+    /// Whether any bounds are known.
     pub(super) const fn is_known(&self) -> bool {
         self.known.is_some()
     }
 
-    /// What it shows at `now`, for another process.
+    /// The bounds at `now`, to be announced to another process.
     pub(super) fn bounds(&self, now: ClockTime) -> Option<ClockBounds> {
         let known = self.known?.at(now);
         let shown = |ahead: i64| StoreTime(unsigned(signed(now.0).saturating_add(ahead)));
@@ -134,13 +136,15 @@
         })
     }
 
-    /// What it shows at `now` at the latest; this process's own clock as long as nothing was heard of it.
+    /// The latest time that the store's clock can show at `now`; this process's own clock while no
+    /// bounds are known.
     pub(crate) fn time(&self, now: ClockTime) -> StoreTime {
         self.bounds(now)
             .map_or(StoreTime(now.0), |bounds| bounds.most)
     }
 
-    /// The earliest moment on this process's clock that `moment` can be.
+    /// The earliest moment on this process's clock at which the store's clock can have shown
+    /// `moment`.
     pub(super) fn earliest(&self, moment: StoreTime) -> ClockTime {
         let ahead = self.known.map_or(i64::MAX, |known| known.most);
         ClockTime(unsigned(signed(moment.0).saturating_sub(ahead)))
--- a/src/sync/store_contact.rs
+++ b/src/sync/store_contact.rs
@@ -1,11 +1,12 @@
-//! What the store's answers tell beside their rows: its clock, and how long there has been contact.
+//! What the store's answers reveal in addition to their rows: its clock, and since when it has been
+//! reachable.
 
 use super::control_state::ControlState;
 use super::store_clock::{ClockBounds, ClockSource, QuerySpan};
 use crate::time::{ClockTime, StoreTime};
 
 impl ControlState {
-    /// The store said within `span` what its clock showed and that `revision` was its newest.
+    /// Records that the store reported within `span` its clock and `revision` as its newest.
     pub(crate) fn note_store_answer(
         &mut self,
         revision: u64,
@@ -17,29 +18,31 @@
         self.revision_times.note(revision, answered_at);
     }
 
-    /// The operator's table is followed up to an answer of `answered_at`, or not at all.
+    /// Records the answer up to which the operator's table was followed; `None` if it is not
+    /// followed.
     pub(crate) fn note_followed(&mut self, answered_at: Option<StoreTime>) {
         self.followed = answered_at;
     }
 
-    /// Up to which answer the operator's table was followed, if it is.
+    /// The time of the answer up to which the operator's table was followed, if it is followed.
     pub(crate) const fn followed(&self) -> Option<StoreTime> {
         self.followed
     }
 
-    /// When the contact with the store began that lasts since.
+    /// Since when the store has answered without a gap, on its clock.
     pub(crate) fn contact_since(&self) -> Option<StoreTime> {
         self.revision_times.contact_since()
     }
 
-    /// The latest that the store's clock may show at `now`; its zero before anything was heard of it.
+    /// The latest time that the store's clock can show at `now`; zero while its bounds are unknown.
     pub(crate) fn store_time(&self, now: ClockTime) -> StoreTime {
         self.clock
             .bounds(now)
             .map_or(StoreTime(0), |bounds| bounds.most)
     }
 
-    /// The earliest moment on this process's clock at which the store's clock can have shown `moment`.
+    /// The earliest moment on this process's clock at which the store's clock can have shown
+    /// `moment`.
     pub(super) fn earliest(&self, moment: StoreTime) -> ClockTime {
         self.clock.earliest(moment)
     }
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store's tables and asks neighbours, for as long as the process lives.
+//! The tasks that follow the store's tables until the process ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,62 +20,62 @@
 use crate::time::{ClockTime, StoreTime, clock_now};
 use crate::transport::PeerClient;
 
-/// How long the store holds a watch of the operator's table open. A connection may go silent for
-/// good while it waits, which only the end of this span shows; a document must be in force two
-/// seconds after it was accepted. Each call has a price, so the span is not shorter.
+/// How long the store holds a watch of the operator's table open. A connection that fails silently
+/// meanwhile is noticed only at the end of this time, and a document must be in force two seconds
+/// after it was accepted. Calls are charged, so the time is not shorter.
 const OPERATOR_WAIT: Duration = Duration::from_millis(1400);
 /// How long the store holds a watch of the backend servers' table open.
 const BACKENDS_WAIT: Duration = Duration::from_secs(1);
-/// The pause between two watches of the backend servers' table. Entries change all the time; without
-/// it the watch would return for each of them. A leaving backend server may get nothing two seconds
-/// after the store's word.
+/// Pause between two watches of the backend servers' table. Entries change all the time, and
+/// without the pause each change would end a watch. A leaving backend server may get no request
+/// later than two seconds after the store has its entry.
 const BACKENDS_PAUSE: Duration = Duration::from_millis(500);
-/// How often it is looked whether neighbours still tell the list.
+/// Interval at which it is checked whether readers still report the list.
 const REPORTED_PAUSE: Duration = Duration::from_millis(100);
-/// How long a start waits for a neighbour to tell it, and how often that is looked at.
+/// How long a start waits until a neighbour reports the list, and the interval of that check.
 const START_TIMEOUT: Duration = Duration::from_millis(400);
 const START_PAUSE: Duration = Duration::from_millis(20);
-/// The pause between two reads of the entry hosts' table.
+/// Pause between two reads of the entry hosts' table.
 const ENTRIES_PAUSE: Duration = Duration::from_secs(10);
-/// Entry hosts that read it within a pause; with more of them, those that neighbours tell read it less
-/// often.
+/// Entry hosts that may read this table within one pause. If there are more, those that don't read
+/// the store for their data centre read it less often.
 const ENTRIES_READERS: usize = 10;
-/// How long the store has for an answer beyond what it was asked to wait. It takes 4 ms usually, and
-/// some hundred when it is slow.
+/// Time limit of an answer of the store, in addition to the time that it holds a call open. Usually
+/// it takes 4 ms, and some hundred milliseconds when the store is slow.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(900);
-/// The first pause after a failure; it doubles with each, up to the longest.
+/// The first pause after a failure. It doubles with each failure, up to `FAILURE_PAUSE_MAX`.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(800);
-/// How often it is looked whether the wait for a lapsed entry is over.
+/// Interval at which expired grace periods of removed entries are handled.
 const EXPIRE_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the watching works with.
+/// What the tasks that follow the store work with.
 #[derive(Clone)]
 pub(crate) struct StoreWatch {
-    /// The store.
+    /// Client of the store.
     pub(crate) store: StoreClient,
-    /// The way to neighbours.
+    /// Client for neighbours.
     pub(crate) client: Arc<PeerClient>,
     /// The control state.
     pub(crate) state: SharedControlState,
-    /// What this entry host enters of itself.
+    /// The record of this entry host, which it writes to the store.
     pub(crate) own_entry: EntryRecord,
-    /// Where some entry hosts listen; may be stale.
+    /// Addresses of some entry hosts; may be outdated.
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
-/// What the next question for the operator's table stands behind.
+/// The state in which the next call for the operator's table is made.
 #[derive(Clone, Copy)]
 pub(super) struct FollowContext {
     pub(super) follow_state: FollowState,
-    /// The one before it failed.
+    /// Whether the previous call failed.
     pub(super) is_after_failure: bool,
-    /// The last answer about the table.
+    /// When the store last answered a call for the table, on its clock.
     pub(super) answered_at: Option<StoreTime>,
 }
 
 impl FollowContext {
-    /// The next step behind an answer of `answered_at`.
+    /// The state after an answer at `answered_at`.
     pub(super) const fn after_answer(answered_at: StoreTime) -> Self {
         Self {
             follow_state: FollowState::Followed(answered_at),
@@ -84,12 +84,12 @@
         }
     }
 
-    /// The next step, if this one fails; `contact` tells since when the store has answered other questions,
-    /// if it did meanwhile.
+    /// The state after a failure. `contact` is the time since when the store has answered other
+    /// calls, if it did meanwhile.
     const fn after_failure(self, contact: Option<StoreTime>) -> Self {
         Self {
             follow_state: self.follow_state.after_failure(contact),
-            // A start reads all that there is anyway.
+            // A starting process reads the full table anyway.
             is_after_failure: !matches!(self.follow_state, FollowState::Started),
             ..self
         }
@@ -97,7 +97,7 @@
 }
 
 impl StoreWatch {
-    /// The step behind `context`, which failed and began at `sent_at`.
+    /// The state after a call in state `context` failed that was sent at `sent_at`.
     pub(super) fn after_failure(
         &self,
         context: FollowContext,
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Since when the store has answered without telling of the operator's table.
+    /// Since when the store has answered, but not for the operator's table.
     fn contact_since(&self, context: FollowContext) -> Option<StoreTime> {
         let since = self.state.read(ControlState::contact_since);
         since.max(context.answered_at)
     }
 
-    /// Whether the store has answered any question since `sent_at`.
+    /// Whether the store has answered any call since `sent_at`.
     fn has_answered_since(&self, sent_at: ClockTime) -> bool {
         let answered = self.state.read(ControlState::store_answered);
         answered.is_some_and(|at| at >= sent_at)
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Takes in rows of the system's own that the store told of at `answered_at`.
+    /// Merges own rows of the system that the store reported at `answered_at`.
     pub(super) fn take_own_rows(&self, own: OwnRows, answered_at: StoreTime) {
         let update_time = self
             .own_follow_state()
@@ -138,7 +138,7 @@
             .change(|state| state.take_own_rows(own, update_time));
     }
 
-    /// Reads a whole table.
+    /// Reads a full table.
     pub(super) async fn read_table(&self, table: TableName) -> SwitchResult<TableView> {
         let sent_at = clock_now();
         let view = self.store.read_table(table, STORE_TIMEOUT).await?;
@@ -146,8 +146,8 @@
         Ok(view)
     }
 
-    /// The store was asked at `sent_at` and has just answered with `view`. Returns what its clock showed at
-    /// the question, at the latest.
+    /// Records an answer of the store to a call sent at `sent_at`. Returns the latest time that the
+    /// store's clock can have shown when the call was sent.
     pub(super) fn note_store_answer(&self, view: &TableView, sent_at: ClockTime) -> StoreTime {
         let received_at = clock_now();
         let span = QuerySpan {
@@ -159,8 +159,8 @@
         self.state.read(|state| state.store_time(sent_at))
     }
 
-    /// Follows the operator's table by one answer of the store, behind revision `since`; returns when the
-    /// store gave it.
+    /// Merges one answer of the store about changes of the operator's table after revision `since`;
+    /// returns the time of the answer on the store's clock.
     pub(super) async fn operator_step(
         &self,
         since: &mut Option<u64>,
@@ -172,7 +172,8 @@
             return Ok(answered_at);
         };
         if context.is_after_failure {
-            // The operator's row of a version that was named meanwhile may have gone back since.
+            // A version set meanwhile may have been overwritten by an older one in the operator's
+            // row since; the own rows hold the newer one.
             self.read_own_rows().await?;
         }
         let table = TableName::Operator;
@@ -182,10 +183,11 @@
             .watch_table(table, known, OPERATOR_WAIT, STORE_TIMEOUT)
             .await;
         if context.is_after_failure && watched.is_err() {
-            // The store answers, and the watch brings nothing: its answer holds every document since it last
-            // succeeded, and a link may not carry that in the time that the store is given; each try asks
-            // for more. One would notice an entry host that answers 404 for routes that were added seconds
-            // before while its neighbours serve them. A read holds the newest document alone.
+            // The store answers other calls, but the watch fails: its answer contains every
+            // document since the last one received, which may be more than the link carries within
+            // the time limit, and grows with each retry. The symptom is an entry host that answers
+            // 404 for routes that its neighbours have served for seconds. A full read contains only
+            // the newest document.
             *since = None;
         }
         let (revision, answered_at) = match watched? {
@@ -208,10 +210,11 @@
         Ok(answered_at)
     }
 
-    /// Reads the operator's table as a whole; returns its revision, and when the store told it.
+    /// Reads the full operator's table; returns its revision and the time of the answer on the
+    /// store's clock.
     ///
-    /// A process reads the system's own rows first: with a document it is ready, and would otherwise
-    /// believe an operator's row that has gone back.
+    /// The system's own rows are read first. With a document the process is ready, and without
+    /// these rows it would trust an operator's row that was overwritten by an older version.
     async fn read_operator(&self, context: FollowContext) -> SwitchResult<(u64, StoreTime)> {
         if !self.state.read(ControlState::knows_crashes) {
             self.read_crashes().await?;
@@ -220,21 +223,21 @@
             self.read_own_rows().await?;
         }
         let view = self.read_table(TableName::Operator).await?;
-        // A read does not wait for a change.
+        // A read is not held until a change, so its duration says nothing about the update time.
         let update_time = context.follow_state.update_time(view.told_at, view.told_at);
         self.state
             .change(|state| state.set_operator_rows(&view.rows, update_time));
         Ok((view.revision, view.told_at))
     }
 
-    /// Follows the backend servers' table.
+    /// Follows the backend servers' table until the process ends.
     pub(crate) async fn follow_backends(self) {
         let mut backoff = RetryBackoff::default();
         self.await_reported_backends().await;
         let mut is_complete = false;
         loop {
             if self.state.read(|state| state.is_list_reported(clock_now())) {
-                // What is told is whole as of its revision.
+                // A reported list is complete as of its revision.
                 is_complete = true;
                 sleep(REPORTED_PAUSE).await;
                 continue;
@@ -247,7 +250,7 @@
         }
     }
 
-    /// A start need not read the list if a neighbour tells it.
+    /// Waits at a start for a neighbour to report the list, which makes reading it unnecessary.
     async fn await_reported_backends(&self) {
         let begun = clock_now();
         let is_settled =
@@ -274,7 +277,7 @@
             }
         }
         let view = self.read_table(TableName::Backends).await?;
-        // A read that is older than what is known is tried again.
+        // If the answer is older than the known list, the table is read again.
         *is_complete = view.revision >= since;
         self.state.change(|state| {
             let now = clock_now();
@@ -294,7 +297,7 @@
         });
     }
 
-    /// Enters this entry host in the store, and reads who else is there.
+    /// Registers this entry host in the store, and reads the other entry hosts.
     pub(crate) async fn follow_entries(self) {
         let mut backoff = RetryBackoff::default();
         let mut is_entered = false;
@@ -322,20 +325,20 @@
         self.read_own_rows().await
     }
 
-    /// What is known of when versions were named that the system's own rows record.
+    /// The state for dating the versions that the system's own rows record.
     fn own_follow_state(&self) -> FollowState {
         if let Some(answered_at) = self.state.read(ControlState::followed) {
-            // A host near the store records a version before the watch tells it here.
+            // A host close to the store may record a version before the watch reports it here.
             FollowState::Followed(answered_at)
         } else if self.state.read(ControlState::has_own_rows) {
-            // What is new to a process that has lived was named while it was cut off.
+            // A version that is new to a running process was set while it was cut off.
             FollowState::Interrupted
         } else {
             FollowState::Started
         }
     }
 
-    /// Gives up backend servers whose entries did not come back, as soon as their time is over.
+    /// Removes backend servers whose entries did not return, as soon as the grace period is over.
     pub(crate) async fn expire_backends(self) {
         loop {
             sleep(EXPIRE_PAUSE).await;
@@ -365,11 +368,11 @@
     }
 }
 
-/// How long until the entry hosts are read again by a process that reads the store itself or not, if it
-/// knows `count` of them.
+/// Pause until this process reads the entry hosts again, depending on whether it reads the store
+/// for its data centre, and on the number of known entry hosts, `count`.
 ///
-/// Calls to the store must not grow with the number of entry hosts; those that come are told by
-/// neighbours meanwhile.
+/// Calls to the store must not grow with the number of entry hosts. Neighbours report new ones in
+/// between.
 pub(super) fn entries_pause(reads_store: bool, count: usize) -> Duration {
     if reads_store {
         return ENTRIES_PAUSE;
@@ -378,8 +381,8 @@
     ENTRIES_PAUSE.saturating_mul(parts.max(1))
 }
 
-/// The pause after a failure, with full jitter over its upper half: processes that failed together
-/// do not come back together.
+/// Pause after a failure, with jitter over its upper half, so that processes that failed together
+/// don't retry together.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBackoff {
     span: Duration,
--- a/src/sync/sync_thread.rs
+++ b/src/sync/sync_thread.rs
@@ -13,14 +13,14 @@
 use crate::platform::StoreClient;
 use crate::transport::{ClientLimits, HttpServer, PeerClient};
 
-/// What the control thread is told at its start.
+/// Settings of the control thread.
 #[derive(Clone, Debug)]
 pub(crate) struct SyncSettings {
-    /// This entry host.
+    /// The record of this entry host.
     pub(crate) me: EntryRecord,
-    /// The store.
+    /// Address of the store.
     pub(crate) store_address: SocketAddr,
-    /// Where some entry hosts listen; may be stale.
+    /// Addresses of some entry hosts; may be outdated.
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
--- a/src/sync/target_update_time.rs
+++ b/src/sync/target_update_time.rs
@@ -1,4 +1,4 @@
-//! When a version of weights was named, as far as a process can know.
+//! When a version was set as target, as far as a process can know.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -9,30 +9,31 @@
 use crate::fleet::NamingCertainty;
 use crate::time::StoreTime;
 
-/// How long ago a version is taken to have been named that a process finds at its start, as long as
-/// no neighbour knows better. Requests then begin on older weights for a second more.
+/// Assumed age of a target version that a process finds when it starts, unless a neighbour knows
+/// better. Requests then may begin on older weights for one more second.
 const ASSUMED_AGE_AT_START: Duration = Duration::from_secs(6);
-/// How long a version that is found behind a cut is taken to have been named.
+/// Assumed age of a target version that is found after an outage.
 const ASSUMED_AGE_AFTER_OUTAGE: Duration = Duration::from_millis(100);
-/// How long a question is on its way to the store. It is small, and goes against the stream of documents.
+/// Longest transit of a call to the store. Calls are small, and travel against the stream of
+/// documents.
 const QUERY_TRANSIT_MAX: Duration = Duration::from_millis(400);
 
-/// When a version of weights was named.
+/// When a version was set as target.
 #[apply(message!)]
 #[derive(Copy)]
 pub(crate) struct TargetUpdateTime {
-    /// The moment, or an earlier one; a guess where nobody saw it.
+    /// Not later than the update; an estimate if no process observed it.
     #[serde(rename = "at")]
     pub(crate) earliest: StoreTime,
-    /// One that is surely later, where somebody saw it; else the same.
+    /// Not earlier than the update if it was observed, else equal to `earliest`.
     #[serde(rename = "by")]
     pub(crate) latest: StoreTime,
-    /// How well it is known.
+    /// How well the time is known.
     pub(crate) certainty: NamingCertainty,
 }
 
 impl TargetUpdateTime {
-    /// A moment that nobody saw.
+    /// An estimate for an update that no process observed.
     pub(crate) const fn guessed(at: StoreTime, certainty: NamingCertainty) -> Self {
         Self {
             earliest: at,
@@ -41,12 +42,13 @@
         }
     }
 
-    /// What this time and `known` tell together.
+    /// Combines two estimates of the same update.
     ///
-    /// A process that starts finds a version in the store and does not know how long ago it was
-    /// named. Taken for new, requests began on older weights behind the bound; taken for old, all
-    /// were refused though the bound was seconds away. A neighbour that was there knows. Two that were
-    /// know it better together than each alone; the one nearer to the store says the most.
+    /// A process that starts finds a version in the store and does not know when it was set.
+    /// Assumed new, requests would begin on older weights after the deadline; assumed old, all
+    /// requests would be refused seconds before it. A neighbour that observed the update knows its
+    /// time. Two such neighbours together bound it more tightly than each alone, mostly by the
+    /// bounds of the one closer to the store.
     pub(super) fn combine(self, known: Self) -> Self {
         match self.certainty.cmp(&known.certainty) {
             Ordering::Greater => self,
@@ -65,26 +67,30 @@
     }
 }
 
-/// What is known of the moment at which versions that are found in the store were named.
+/// How well the operator's table has been followed, which decides how target versions found in it
+/// are dated.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum FollowState {
-    /// The process has just started; they may be old.
+    /// The process has just started; versions may be old.
     Started,
-    /// The table was followed up to an answer of this moment, and they are newer.
+    /// The table was followed up to an answer of this time on the store's clock; versions are
+    /// newer.
     Followed(StoreTime),
-    /// The store was away, or the way to it was cut. The bound of a version counts only while both are
-    /// there, and new weights cannot be told of meanwhile: they are taken for new. Taken for as old as
-    /// the outage, every request was refused at the store's return until the weights had been fetched.
+    /// The store was unavailable, or unreachable from this process. A version's deadline counts
+    /// only while the store is reachable, and new versions cannot be reported meanwhile, so
+    /// versions count as new. When they were dated back by the length of the outage, every request
+    /// was refused after the store's return until the new weights had been fetched.
     Interrupted,
 }
 
 impl FollowState {
-    /// What is known behind an answer that did not come. `contact` tells since when the store has answered,
-    /// if it answered other questions meanwhile.
+    /// The state after a failed call. `contact` is the time since when the store has answered, if
+    /// it answered other calls meanwhile.
     ///
-    /// Then it is not away: an answer full of documents did not get through a full link, and versions in
-    /// it are as old as they are. Taken for new, as behind a cut, requests began on older weights behind the
-    /// bound, wherever a whole region stood behind such a link.
+    /// With contact the store is not unavailable: an answer full of documents did not fit through a
+    /// saturated link, and the versions in it keep their age. If they counted as new, as after an
+    /// outage, requests began on older weights after the deadline wherever an entire region
+    /// depended on such a link.
     pub(super) const fn after_failure(self, contact: Option<StoreTime>) -> Self {
         match (self, contact) {
             (Self::Started, _) => Self::Started,
@@ -94,7 +100,7 @@
         }
     }
 
-    /// Up to which answer the table was followed, if it is.
+    /// The time of the answer up to which the table was followed, if it is followed.
     pub(super) const fn followed(self) -> Option<StoreTime> {
         match self {
             Self::Followed(answered_at) => Some(answered_at),
@@ -102,7 +108,8 @@
         }
     }
 
-    /// When what the store tells at `answered_at`, asked at `sent_by` at the latest, was named.
+    /// Dates a target version that the store reported at `answered_at` to a call sent at `sent_by`
+    /// at the latest, both on the store's clock.
     pub(super) fn update_time(
         self,
         sent_by: StoreTime,
@@ -114,7 +121,7 @@
                 NamingCertainty::Assumed,
             ),
             Self::Followed(answered_before) => {
-                // A question that waits at the store is answered at the change.
+                // The store answers a watch that it holds open as soon as the table changes.
                 let waited = answered_at.since(sent_by + QUERY_TRANSIT_MAX);
                 TargetUpdateTime {
                     earliest: (answered_before + waited).min(answered_at),
--- a/src/sync/target_versions.rs
+++ b/src/sync/target_versions.rs
@@ -1,8 +1,8 @@
-//! Which versions of weights were named and when, as far as a process can know, and which of them the
-//! store records.
+//! The target versions, when each was set as far as a process can know, and which of them the store
+//! records.
 //!
-//! Versions grow, and each binds from its own naming. Times are never later than the naming itself, as
-//! far as that can be known: older weights may be given up too early, but not served too long.
+//! Versions increase, and each has its own deadline. Update times are dated too early rather than
+//! too late: older weights may then be released too early, but are not used too long.
 
 use std::fmt;
 
@@ -18,27 +18,27 @@
 use crate::metrics;
 use crate::time::StoreTime;
 
-/// Versions of a model that are remembered with the time of their naming. Each binds from its own; a
-/// deployment names a few in a minute at most.
+/// Target versions of a model that are remembered with their update times. Each has its own
+/// deadline, and a deployment sets a few per minute at most.
 const VERSIONS_KEPT: usize = 8;
 
-/// Who said something, for the log and for what it is worth.
+/// Where an update comes from, for the log and for how far it is trusted.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum UpdateSource {
-    /// The store, with a change of the operator's row to this revision.
+    /// The store, by a change of the operator's row to this revision.
     Change(u64),
-    /// The store, with a change to this revision that another has followed since.
+    /// The store, by a change to this revision that has been followed by another.
     PastChange(u64),
-    /// The store, in the operator's row of this revision, read with the whole table.
+    /// The store, by the operator's row of this revision in a full read of the table.
     Table(u64),
-    /// The store, in the system's own row of this revision.
+    /// The store, by the system's own row of this revision.
     Record(u64),
     /// Another process of the system.
     Neighbour,
 }
 
 impl UpdateSource {
-    /// Whether it tells what stands in the operator's row now.
+    /// Whether the source reports the current content of the operator's row.
     pub(super) const fn is_current(self) -> bool {
         matches!(self, Self::Change(_) | Self::Table(_))
     }
@@ -56,24 +56,24 @@
     }
 }
 
-/// The versions.
+/// The target versions of all models.
 #[derive(Debug, Default)]
 pub(super) struct TargetVersions {
     /// Sorted by model and version.
     announcements: Vec<TargetAnnouncement>,
-    /// Those of them that the store has told of, sorted.
+    /// Those of them that the store has reported, sorted.
     reported: Vec<ModelVersion>,
-    /// The versions that the store's own rows record, sorted by model.
+    /// The versions that the system's own rows record, sorted by model.
     records: Vec<VersionRecord>,
 }
 
 impl TargetVersions {
-    /// All of them, sorted by model and version.
+    /// All target versions, sorted by model and version.
     pub(super) fn all(&self) -> &[TargetAnnouncement] {
         &self.announcements
     }
 
-    /// The same on this process's own clock, of which `clock` knows.
+    /// The same with update times on this process's clock.
     pub(super) fn on_local_clock(&self, clock: &StoreClock) -> Vec<WantedWeights> {
         let weights = |announcement: &TargetAnnouncement| WantedWeights {
             target: announcement.target.clone(),
@@ -83,7 +83,7 @@
         self.announcements.iter().map(weights).collect()
     }
 
-    /// `source` says that `target` was named, at `set_at` as far as it knows.
+    /// Merges a report of `source` that `target` was set, at `set_at` as far as the source knows.
     pub(super) fn add_target(
         &mut self,
         target: &ModelVersion,
@@ -111,7 +111,7 @@
         self.raise_assumed(&target.model);
         let is_reported = match source {
             UpdateSource::Neighbour => false,
-            // Behind a cut the watch has yet to tell of what was named meanwhile.
+            // After an outage the watch still has to report what was set meanwhile.
             UpdateSource::Record(_) => set_at.certainty == NamingCertainty::Assumed,
             UpdateSource::Change(_) | UpdateSource::PastChange(_) | UpdateSource::Table(_) => true,
         };
@@ -132,12 +132,12 @@
         }
     }
 
-    /// Whether `source` tells when `target` was named.
+    /// Whether `source` states when `target` was set.
     ///
-    /// A row that is read again, or written again by a naming that was repeated or late, says nothing
-    /// new of it. Taken for a naming of that moment, it allowed requests to begin on older weights
-    /// behind the bound, by as much as the version was old. So a change tells it only of a version of
-    /// which, and of newer ones, the store has not told before. A neighbour is believed.
+    /// A row that is read again, or rewritten by a repeated or late update, does not. Dated as new,
+    /// it let requests begin on older weights after the deadline, by the age of the version. So a
+    /// change states the time only of a version if the store has reported neither it nor a newer
+    /// one before. Neighbours are trusted.
     fn states_update_time(&self, target: &ModelVersion, source: UpdateSource) -> bool {
         match source {
             UpdateSource::Neighbour => true,
@@ -175,11 +175,11 @@
         self.drop_oldest(&target.model);
     }
 
-    /// When a version that is new to this process was named at the latest, if its place is `at`.
+    /// Caps the update time of a version that is new to this process and belongs at index `at`.
     ///
-    /// One that is older than another which is known was named before it, whenever its row was written.
-    /// Taken for new, a naming that was done late let requests begin on what it had replaced long
-    /// before.
+    /// A version older than a known one was set before that one, whenever its row was written.
+    /// Dated as new, an update that was executed late let requests begin on weights that had been
+    /// replaced long before.
     fn capped_update_time(
         &self,
         at: usize,
@@ -196,9 +196,9 @@
         }
     }
 
-    /// A version cannot have been named before an older one. Where that one's naming was witnessed and
-    /// this one's is assumed only, it bound up to six seconds too early: every entry host refused what
-    /// older weights could have answered.
+    /// Raises assumed update times to those of older witnessed versions, since a version can't have
+    /// been set before an older one. An assumed time may be up to six seconds too early,
+    /// which made every entry host refuse requests that older weights could have answered.
     fn raise_assumed(&mut self, model: &str) {
         let mut earliest = StoreTime(0);
         let of_model = self.announcements.iter_mut();
@@ -212,11 +212,12 @@
         }
     }
 
-    /// Keeps the newest versions of a model. The oldest of these binds from when the one before it did.
+    /// Drops the oldest version of a model beyond the limit, and passes its update time to the next
+    /// one.
     ///
-    /// Without that, versions named in quick succession let requests begin on the oldest weights behind
-    /// the bound: the version that had to replace them was forgotten, and those that were left were not
-    /// due yet.
+    /// Without that, versions set in quick succession let requests begin on the oldest weights
+    /// after the deadline: the version that had to replace them was dropped, and the remaining ones
+    /// were not due yet.
     fn drop_oldest(&mut self, model: &str) {
         let is_of = |announcement: &TargetAnnouncement| *announcement.target.model == *model;
         let count = self
@@ -229,12 +230,12 @@
             let oldest = self.announcements.remove(first);
             let next = &mut self.announcements[first];
             next.set_at.earliest = next.set_at.earliest.min(oldest.set_at.earliest);
-            // Whoever tells this version's own naming does not undo it.
+            // A neighbour that reports this version's own time does not undo this.
             next.set_at.latest = next.set_at.earliest;
         }
     }
 
-    /// The newest version of `model` that is known to be wanted.
+    /// The newest known target version of `model`.
     pub(super) fn newest(&self, model: &str) -> Option<WeightsVersion> {
         self.newest_announcement(model)
             .map(|announcement| announcement.target.version)
@@ -245,8 +246,8 @@
         newest_first.find(|announcement| *announcement.target.model == *model)
     }
 
-    /// Whether `announcements` name a newer version than is known, or say with more certainty when one was
-    /// named, be it only the one before.
+    /// Whether `announcements` contain a newer target version, or state an update time with more
+    /// certainty, including that of the previous version.
     pub(super) fn is_updated_by(&self, announcements: &[TargetAnnouncement]) -> bool {
         let has_news = |announcement: &TargetAnnouncement| match self.find(&announcement.target) {
             Ok(at) => {
@@ -270,7 +271,7 @@
         count.count() < VERSIONS_KEPT
     }
 
-    /// Takes in the versions that another process knows to be wanted, none of them named behind `latest`.
+    /// Merges target versions announced by another process, none of them set after `latest`.
     pub(super) fn merge_targets(
         &mut self,
         announcements: &[TargetAnnouncement],
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Takes in a version that the store records.
+    /// Merges a version that the store records.
     pub(super) fn take_record(&mut self, record: VersionRecord, set_at: TargetUpdateTime) {
         let source = UpdateSource::Record(record.revision);
         self.add_target(&record.target, set_at, source);
@@ -299,8 +300,8 @@
             .binary_search_by(|record| (*record.target.model).cmp(model))
     }
 
-    /// The row that records a version of `model` has `revision`, 0 when there is none, whatever stands
-    /// in it: one that somebody else wrote and that does not read is written over.
+    /// Records that the row for the version of `model` has `revision`, 0 if there is none. The
+    /// content does not matter: an unreadable row of another writer is overwritten.
     pub(super) fn note_record_row(&mut self, model: &ByteString, revision: u64) {
         match self.find_record(model) {
             Ok(at) if revision == 0 => {
@@ -318,13 +319,13 @@
         }
     }
 
-    /// The versions that are to be recorded in the store, each with the revision that its row has.
+    /// The versions to record in the store, each with the revision that its row has.
     ///
-    /// The operator's row of a version can go back: the store may do a naming that got no answer
-    /// seconds later, over a newer one. Processes that live stay with the newer version; when all of
-    /// them had started again, every engine was loaded with the older one. One would notice
-    /// `[1102]` with an older version behind the starts. The record only grows, since each write names
-    /// the revision that it replaces.
+    /// The operator's row of a version can revert, because the store may execute an update that got
+    /// no answer seconds later, over a newer one. Running processes keep the newer version, but
+    /// after all of them had restarted, every engine was loaded with the older one; the symptom is
+    /// `[1102]` with an older version after the restart. The record only increases, since each
+    /// write is conditional on the revision that it replaces.
     pub(super) fn unrecorded(&self) -> Vec<VersionRecord> {
         let models = self
             .announcements
@@ -335,10 +336,10 @@
             .collect()
     }
 
-    /// What is to be recorded of `announcement`, if anything is.
+    /// The record to write for `announcement`; `None` if the store has it already.
     fn record_of(&self, announcement: &TargetAnnouncement) -> Option<VersionRecord> {
         let target = &announcement.target;
-        // The first version is what a process believes that knows of none.
+        // Version 1 is what a process assumes without a target version.
         if target.version <= WeightsVersion(1) {
             return None;
         }
@@ -352,8 +353,8 @@
     }
 }
 
-/// Tells since when a version counts as named now. Requests begin on older weights until a span behind
-/// it is over, so that without a line nobody could tell why one began when it did.
+/// Logs the new update time of a version. How long requests may begin on older weights depends on
+/// it, which can't be explained later without this line.
 fn log_update_time(target: &ModelVersion, set_at: TargetUpdateTime, source: UpdateSource) {
     let (model, version) = (&target.model, target.version.0);
     let (certainty, slack) = (
@@ -367,15 +368,15 @@
     );
 }
 
-/// When a version was named, in milliseconds on the store's clock; for the log.
+/// The update time in milliseconds on the store's clock, for the log.
 const fn millis_of(set_at: TargetUpdateTime) -> u64 {
     set_at.earliest.0 / 1000
 }
 
-/// Tells that the store names an older version than was named before.
+/// Logs that the store reports an older target version than before.
 ///
-/// Its row was written over by an older naming that was done late. Processes that live stay with the
-/// newer version, and without a line nobody would know why the store says another.
+/// An older update was executed late over the newer one. Running processes keep the newer version,
+/// and this line explains why the store's content differs.
 fn log_older_target(target: &ModelVersion, known: Option<WeightsVersion>, source: UpdateSource) {
     if let (true, Some(known)) = (source.is_current(), known) {
         let (model, version) = (&target.model, target.version.0);
--- a/src/sync/tests/clock.rs
+++ b/src/sync/tests/clock.rs
@@ -11,11 +11,11 @@
 const CASES: u32 = 2000;
 const CASE_BYTES: u32 = 1024;
 const STEPS: u32 = 40;
-/// The clocks differ by up to half of what is allowed for, in millionths.
+/// Clocks drift by up to half of the allowed value, in parts per million.
 const DRIFT_MAX: u64 = 100;
 const TRANSIT_MAX_MS: u64 = 2500;
 
-/// The store's clock as it is, against that of a process.
+/// The store's clock, and how it relates to the clocks of the processes.
 #[derive(Clone, Copy)]
 struct SimulatedClock {
     ahead: u64,
@@ -27,7 +27,7 @@
         StoreTime(now.0 + self.ahead + now.0 / 1_000_000 * self.drift)
     }
 
-    /// The store's word of `now`, in whole milliseconds.
+    /// The bounds that the store reports at `now`, in whole milliseconds.
     fn bounds(self, now: ClockTime) -> ClockBounds {
         ClockBounds::from_store(StoreTime(self.at(now).0 / 1000 * 1000))
     }
@@ -37,8 +37,9 @@
     Ok(Duration::from_millis(u.int_in_range(0..=most)?))
 }
 
-/// Two processes ask the store, and each other, over ways of any length: the store's clock is always within
-/// what each takes for its bounds, and a moment on it never counts as later than it was.
+/// Two processes query the store and each other with random delays. The store's clock must always
+/// be within the bounds of each, and a time on it must never be mapped to a later moment than its
+/// real one.
 fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
     let simulated = SimulatedClock {
         ahead: u.int_in_range(0..=10_000_000_000)?,
@@ -73,10 +74,10 @@
                 );
             }
         }
-        // What is not heard anew is looked at within a second or so.
+        // Times that are not reported again are evaluated within about a second.
         let before = sent_at;
-        let believed = clocks[requester].earliest(simulated.at(before));
-        assert!(believed <= before, "{believed:?} is behind {before:?}");
+        let local = clocks[requester].earliest(simulated.at(before));
+        assert!(local <= before, "{local:?} is after {before:?}");
     }
     Ok(())
 }
@@ -86,8 +87,9 @@
     run_cases(CASES, CASE_BYTES, run_case);
 }
 
-/// An entry host took a version for named 60 ms later than it was, an hour behind its start: two clocks drift
-/// apart also in the tenths of a second between two words, and only whole seconds were counted.
+/// Guards against drift that is only counted in whole seconds: clocks also drift apart in the
+/// tenths of a second between two answers. An entry host dated a version 60 ms too late after an
+/// hour.
 #[test]
 fn drift_is_counted_between_frequent_answers() {
     let simulated = SimulatedClock {
@@ -110,8 +112,8 @@
     }
 }
 
-/// A process that stood still goes by what the store says next; a neighbour that did not notice yet that it
-/// stood still itself, and tells a time of before, is not believed.
+/// A process that was paused follows the next answer of the store. A neighbour that was paused
+/// without noticing it, and reports a time that is too early, is not trusted.
 #[test]
 fn a_paused_process_is_corrected_and_not_trusted() {
     let at = |millis| ClockTime::from_millis(millis);
@@ -124,13 +126,13 @@
     clock.note(shows(5_000), within(1_000, 1_010), ClockSource::Store);
     let outdated = shows(3_020);
     clock.note(outdated, within(1_015, 1_025), ClockSource::Neighbour);
-    // Clocks may have drifted apart by some microseconds since.
+    // The clocks may have drifted apart by some microseconds since.
     let is_just = |found: ClockTime, expected: ClockTime| {
         found <= expected && expected.since(found) <= Duration::from_micros(20)
     };
     let found = clock.earliest(StoreTime::from_millis(5_000));
     assert!(is_just(found, at(999)), "{found:?}");
-    // Its own clock lost three seconds.
+    // The process's own clock lost three seconds.
     clock.note(shows(8_100), within(1_100, 1_102), ClockSource::Store);
     let found = clock.earliest(StoreTime::from_millis(8_100));
     assert!(is_just(found, at(1_099)), "{found:?}");
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Entry hosts tell each other, through the store, which requests crash backend servers.
+//! Entry hosts share through the store which requests crash backend servers.
 
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -16,11 +16,12 @@
 use crate::test_support::{digest_of, free_address};
 use crate::time::clock_now;
 
-/// Within this every entry host knows what one of them saw.
+/// Within this time every entry host knows what one of them saw.
 const KNOWN_WITHIN: Duration = Duration::from_secs(2);
-/// Within this behind a cut an entry host knows and tells everything.
+/// Within this time after an outage an entry host knows and has reported everything.
 const CONTACT_SPAN: Duration = Duration::from_secs(3);
-/// Requests of an entry host that asks a neighbour, which is held open until there is news.
+/// Time after which each entry host has a query to a neighbour open, which is held until there is a
+/// change.
 const SETTLE_SPAN: Duration = Duration::from_secs(3);
 
 async fn populated_store() -> FakeStore {
@@ -38,7 +39,7 @@
     type Target = EntryProcess;
 
     fn deref(&self) -> &EntryProcess {
-        self.0.as_ref().expect("it runs")
+        self.0.as_ref().expect("the process is running")
     }
 }
 
@@ -88,10 +89,12 @@
 
 async fn wait_for_quarantine(process: &EntryProcess, body: &[u8]) {
     let learning = process.wait_for(|snapshot| has_quarantined(snapshot, body));
-    timeout(KNOWN_WITHIN, learning).await.expect("it learns");
+    timeout(KNOWN_WITHIN, learning)
+        .await
+        .expect("the change arrives in time");
 }
 
-/// Guards against entry hosts that each see one crash, so that none of them ever sees enough.
+/// Guards against entry hosts that each see one crash, so that none of them counts enough.
 #[tokio::test]
 async fn crashes_seen_by_different_entry_hosts_add_up() {
     let store = populated_store().await;
@@ -111,7 +114,7 @@
     }
 }
 
-/// Guards against processes that have all started again and send the request once more.
+/// Guards against sending a request again after all processes have restarted.
 #[tokio::test]
 async fn quarantine_survives_a_restart_of_all_processes() {
     let store = populated_store().await;
@@ -124,11 +127,11 @@
     drop(other);
     drop(process);
     let process = start_entry("e3", &store).await;
-    // It takes requests as soon as it has a document.
+    // A process accepts requests as soon as it has a document.
     assert!(has_quarantined(&process.state.snapshot().load(), b"deadly"));
 }
 
-/// Guards against crashes that nobody hears of because the store was away when they were seen.
+/// Guards against losing crashes that were seen while the store was unavailable.
 #[tokio::test]
 async fn crashes_during_an_outage_are_recorded_after_it() {
     let store = populated_store().await;
@@ -145,8 +148,8 @@
     }
 }
 
-/// Guards against an entry host whose way to the store went silent and that learns nothing, or tells nothing, in
-/// the seconds behind it.
+/// Guards against an entry host whose connection to the store failed silently, and that receives or
+/// reports nothing in the seconds after.
 #[tokio::test]
 async fn an_entry_host_that_was_cut_off_catches_up() {
     let store = populated_store().await;
@@ -160,15 +163,17 @@
         note_crash_at(&near, backend, b"near");
         note_crash_at(&far, backend, b"far");
     }
-    // Its neighbours tell it, whatever becomes of its own way.
+    // Neighbours report it, whatever happens to its own connection.
     wait_for_quarantine(&far, b"near").await;
     proxy.set(ProxyFault::None);
     let learning = near.wait_for(|snapshot| has_quarantined(snapshot, b"far"));
-    timeout(CONTACT_SPAN, learning).await.expect("it learns");
+    timeout(CONTACT_SPAN, learning)
+        .await
+        .expect("the change arrives in time");
 }
 
-/// Guards against a watch that stops for good where the store forgets its history, and against rows of other
-/// writers that hide those of entry hosts.
+/// Guards against a watch that ends for good when the store loses its history, and against rows of
+/// other writers that hide those of entry hosts.
 #[tokio::test]
 async fn crashes_are_read_after_lost_history_and_despite_unreadable_rows() {
     let store = populated_store().await;
@@ -184,7 +189,8 @@
     wait_for_quarantine(&second, b"deadly").await;
 }
 
-/// Guards against a quarantine that goes on at other entry hosts when the request was answered whole.
+/// Guards against a quarantine that continues at other entry hosts after the request was answered
+/// completely.
 #[tokio::test]
 async fn a_cleared_request_is_cleared_on_all_entry_hosts() {
     let store = populated_store().await;
@@ -198,11 +204,13 @@
         .state
         .change(|state| state.clear_request(digest_of(b"body")));
     let cleared = second.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared).await.expect("it learns");
+    timeout(KNOWN_WITHIN, cleared)
+        .await
+        .expect("the change arrives in time");
 }
 
-/// Guards against a request that is quarantined once more at a start, because the store did an earlier write late,
-/// behind the clearing.
+/// Guards against a request that is quarantined again after a start, because the store executed an
+/// earlier write late, after the clearing.
 #[tokio::test]
 async fn a_clearing_overrides_a_late_suspicion() {
     let store = populated_store().await;
@@ -217,7 +225,9 @@
         .state
         .change(|state| state.clear_request(digest_of(b"body")));
     let cleared = first.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared).await.expect("it learns");
+    timeout(KNOWN_WITHIN, cleared)
+        .await
+        .expect("the change arrives in time");
     for record in records {
         let text = crash_value(&record).expect("it encodes");
         let text = String::from_utf8(text).expect("it is JSON");
@@ -227,7 +237,7 @@
     assert!(!has_quarantined(&third.state.snapshot().load(), b"body"));
 }
 
-/// Guards against rows under keys that nobody looks for.
+/// Guards against rows under keys that no process reads.
 #[tokio::test]
 async fn a_crash_is_written_under_its_key() {
     let store = populated_store().await;
@@ -242,7 +252,9 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(KNOWN_WITHIN, kept).await.expect("it is written");
+    timeout(KNOWN_WITHIN, kept)
+        .await
+        .expect("the row is written in time");
     let text = store.text_of(TableName::Crashes, &key);
     assert_eq!(text.map(String::into_bytes), Some(expected));
 }
--- a/src/sync/tests/delayed_messages.rs
+++ b/src/sync/tests/delayed_messages.rs
@@ -1,5 +1,5 @@
-//! Drives the control states of several processes through words that are long on their way and overtake
-//! each other, and holds what each believes of a naming's moment against the moment itself.
+//! Runs the control states of several processes with messages that are delayed and overtake each
+//! other, and compares the update time of a target version that each assumes with the real one.
 
 use std::time::Duration;
 
@@ -16,22 +16,22 @@
 use crate::test_support::run_cases;
 use crate::time::{ClockTime, StoreTime};
 
-// ---- Everything that this driver asks of the code under test.
+// ---- All calls of this simulation to the code under test.
 
 /// An answer of the store.
 #[derive(Clone)]
 pub(super) struct StoreAnswer {
     pub(super) rows: Vec<StoreRow>,
-    /// Whether these are all rows of the table, not those that changed.
+    /// Whether `rows` is the full table, not only changes.
     pub(super) is_complete: bool,
     pub(super) revision: u64,
-    /// What the store's steady clock showed when it answered.
+    /// What the store's clock showed when it answered.
     pub(super) store_ms: u64,
-    /// When it was asked, on the clock of whoever did.
+    /// When the call was sent, on the caller's clock.
     pub(super) sent_at: ClockTime,
 }
 
-/// A process takes in what the store answered, at `now` on its own clock.
+/// Merges an answer of the store at `now` on the process's own clock.
 pub(super) fn take_store_answer(
     state: &SharedControlState,
     answer: &StoreAnswer,
@@ -51,8 +51,8 @@
     });
 }
 
-/// A process takes in an answer of the store about another table, which tells the store's clock and its
-/// revision then, at `now` on its own clock.
+/// Merges an answer of the store about another table, which contains only its clock and revision,
+/// at `now` on the process's own clock.
 pub(super) fn take_revision_answer(
     state: &SharedControlState,
     answer: &StoreAnswer,
@@ -69,26 +69,26 @@
     });
 }
 
-/// The question to a neighbour, which may hold the answer back for `wait`.
+/// A query to a neighbour, which may hold the response for `wait`.
 pub(super) fn make_query(state: &SharedControlState, wait: Duration) -> PeerQuery {
     let mut query = state.read(ControlState::query);
     query.wait_ms = u64::try_from(wait.as_millis()).unwrap_or(0);
     query
 }
 
-/// A neighbour takes in what it can learn from a question that came at `now`.
+/// Merges what a neighbour gets from a query that arrived at `now`.
 pub(super) fn take_query(state: &SharedControlState, query: &PeerQuery, now: ClockTime) {
     if state.read(|state| state.is_updated_by(&query.targets)) {
         state.change(|state| state.merge_targets(&query.targets, now));
     }
 }
 
-/// Whether the neighbour answers `query` at once.
+/// Whether the neighbour responds to `query` at once.
 pub(super) fn has_changes(state: &SharedControlState, query: &PeerQuery) -> bool {
     state.read(|state| state.has_urgent_changes(query))
 }
 
-/// The neighbour's answer to a question that came at `arrived_at`.
+/// The neighbour's response to a query that arrived at `arrived_at`.
 pub(super) fn make_answer(
     state: &SharedControlState,
     query: &PeerQuery,
@@ -98,7 +98,7 @@
     state.read(|state| state.answer(query, now.since(arrived_at), now))
 }
 
-/// A process takes in a neighbour's answer, at `now`, to a question of `sent_at`.
+/// Merges a neighbour's response, at `now`, to a query sent at `sent_at`.
 pub(super) fn take_answer(
     state: &SharedControlState,
     view: PeerView,
@@ -112,50 +112,52 @@
     state.change(|state| state.merge(view, span));
 }
 
-/// What a process believes at present of the versions that were named, on its own clock.
+/// The target versions that a process knows, with update times on its own clock.
 fn known_targets(state: &SharedControlState) -> Vec<WantedWeights> {
     state.snapshot().load().targets.to_vec()
 }
 
-// ---- What is held against what.
+// ---- Checks.
 
 const CASES: u32 = 200;
 const CASE_BYTES: u32 = 4096;
-/// Ages are told in whole milliseconds, cut off; a word goes through few processes.
+/// Ages are rounded down to whole milliseconds, and forwarded through few processes.
 const ROUNDING: Duration = Duration::from_millis(5);
-/// How much too early a version may be taken for named once all have exchanged words in calm.
+/// How much too early a version may be dated after all processes have exchanged messages without
+/// delays.
 const EARLY_MAX: Duration = Duration::from_secs(1);
 
 impl Simulation {
-    /// Whether an entry host has followed the store from before `acknowledged` on.
+    /// Whether an entry host has followed the store since before `acknowledged`.
     fn has_witness(&self, acknowledged: ClockTime) -> bool {
-        let mut touched = self
+        let mut followed = self
             .processes
             .iter()
             .filter_map(|process| process.followed_since);
-        touched.any(|since| since < acknowledged)
+        followed.any(|since| since < acknowledged)
     }
 
-    /// Whether one near the store has. One far from it cannot know within a second: its last word that the
-    /// version was not named yet may be as old as a question and two answers were on their way.
-    fn has_close_witness(&self, acknowledged: ClockTime) -> bool {
+    /// Whether an entry host close to the store has. A distant one cannot date an update within a
+    /// second: its last answer without the version may be older by the delay of a query and two
+    /// answers.
+    fn has_near_witness(&self, acknowledged: ClockTime) -> bool {
         let near = self
             .processes
             .iter()
             .filter(|process| process.store_delay == NEAR_DELAY_MAX);
-        let mut touched = near.filter_map(|process| process.followed_since);
-        touched.any(|since| since < acknowledged)
+        let mut followed = near.filter_map(|process| process.followed_since);
+        followed.any(|since| since < acknowledged)
     }
 
-    /// The versions that a process believes in, each with when it was acknowledged and when it is
-    /// believed to have been named, in real time.
-    fn believed(&self, at: usize) -> Vec<(WantedWeights, ClockTime, ClockTime)> {
+    /// The target versions that a process knows, each with the time of the acknowledgement and the
+    /// assumed update time, in real time.
+    fn dated(&self, at: usize) -> Vec<(WantedWeights, ClockTime, ClockTime)> {
         let process = &self.processes[at];
         let timed = |weights: WantedWeights| {
             let place = usize::try_from(weights.target.version.0).unwrap_or(0);
             let acknowledged = self.set_at[place - 2];
-            let believed = weights.named_at - process.ahead;
-            (weights, acknowledged, believed)
+            let dated = weights.named_at - process.ahead;
+            (weights, acknowledged, dated)
         };
         known_targets(&process.state)
             .into_iter()
@@ -166,7 +168,7 @@
     fn describe(
         &self,
         at: usize,
-        (weights, acknowledged, believed): &(WantedWeights, ClockTime, ClockTime),
+        (weights, acknowledged, dated): &(WantedWeights, ClockTime, ClockTime),
     ) -> String {
         let process = &self.processes[at];
         let answer = process.answer.as_ref();
@@ -178,41 +180,42 @@
             )
         });
         format!(
-            "process {at} (entry host: {}, way {} ms) takes {:?} for named {:?} late, {:?} early, \
-             {:?}, at {:?}; the store last told it {answer:?}",
+            "process {at} (entry host: {}, delay {} ms) dates {:?} {:?} too late, {:?} too early, \
+             {:?}, at {:?}; last answer of the store: {answer:?}",
             process.follows_store,
             process.store_delay,
             weights.target.version,
-            believed.since(*acknowledged),
-            acknowledged.since(*believed),
+            dated.since(*acknowledged),
+            acknowledged.since(*dated),
             weights.certainty,
             self.now,
         )
     }
 
-    /// A cut from the store, and what a process finds at its start, are no words that were delayed.
+    /// Checks a process after each message. Outages, and versions found at a start, are no delayed
+    /// messages and are excepted.
     fn check_now(&self, at: usize) {
-        for belief in self.believed(at) {
-            let (weights, acknowledged, believed) = &belief;
+        for target in self.dated(at) {
+            let (weights, acknowledged, dated) = &target;
             let is_found = self.processes[at].started >= *acknowledged;
             let is_assumed = weights.certainty == NamingCertainty::Assumed;
             if is_found || (is_assumed && self.restarted_at >= *acknowledged) {
                 continue;
             }
             let latest = (*acknowledged).max(self.reconnected_at);
-            let late = believed.since(latest);
-            assert!(late <= ROUNDING, "{}", self.describe(at, &belief));
+            let late = dated.since(latest);
+            assert!(late <= ROUNDING, "{}", self.describe(at, &target));
         }
     }
 
-    /// Once all have exchanged words in calm, whoever was cut off or started again knows as well, if
-    /// anybody does.
+    /// Checks a process after all have exchanged messages without delays: even one that was cut off
+    /// or restarted then has the right time, if any process has it.
     fn check_late(&self, at: usize) {
-        for belief in self.believed(at) {
-            let (_, acknowledged, believed) = &belief;
-            let late = believed.since(*acknowledged);
+        for target in self.dated(at) {
+            let (_, acknowledged, dated) = &target;
+            let late = dated.since(*acknowledged);
             let is_right = late <= ROUNDING || !self.has_witness(*acknowledged);
-            assert!(is_right, "{}", self.describe(at, &belief));
+            assert!(is_right, "{}", self.describe(at, &target));
         }
     }
 
@@ -221,23 +224,22 @@
             .set_at
             .last()
             .filter(|newest| self.has_witness(**newest));
-        let believed = self.believed(at);
-        let known = believed
-            .iter()
-            .map(|(weights, _, _)| weights.target.version.0);
+        let dated = self.dated(at);
+        let known = dated.iter().map(|(weights, _, _)| weights.target.version.0);
         if newest.is_some() {
             assert_eq!(known.max(), Some(self.revision()), "process {at}");
         }
-        for belief in believed {
-            let (_, acknowledged, believed) = &belief;
-            let early = acknowledged.since(*believed);
-            let is_right = early <= EARLY_MAX || !self.has_close_witness(*acknowledged);
-            assert!(is_right, "{}", self.describe(at, &belief));
+        for target in dated {
+            let (_, acknowledged, dated) = &target;
+            let early = acknowledged.since(*dated);
+            let is_right = early <= EARLY_MAX || !self.has_near_witness(*acknowledged);
+            assert!(is_right, "{}", self.describe(at, &target));
         }
     }
 }
 
-/// Drives one world; `check` holds at each word, `check_end` once all have exchanged words in calm.
+/// Runs one simulation. `check` is called after each message, `check_end` after all processes have
+/// exchanged messages without delays.
 fn run_simulation(u: &mut Unstructured<'_>, check: Check, check_end: Check) -> Result<()> {
     let mut simulation = Simulation::new(u)?;
     simulation.run(u, check)?;
@@ -247,11 +249,12 @@
     Ok(())
 }
 
-/// Symptom: requests began on older weights shortly behind the bound, sent by entry hosts far from the
-/// store. Events: a version was named while the links of their data centre were full, so that the
-/// store's answers were up to two seconds on their way and neighbours' some tenths of a second. Cause:
-/// they took the version for named a tenth of a second before its word came, or for as old as a
-/// neighbour had said when it sent its own, whatever the way had taken, and counted the bound from there.
+/// Guards against update times that are too late by the delay of messages. A version was set while
+/// the links of a data centre were saturated: answers of the store took up to two seconds, those of
+/// neighbours some tenths of a second. Entry hosts far from the store dated the version a tenth of
+/// a second before its arrival, or by the age that a neighbour had stated when it sent its
+/// response. They counted the deadline from there, and requests began on older weights shortly
+/// after it.
 #[test]
 fn no_process_dates_a_target_update_too_late() {
     run_cases(CASES, CASE_BYTES, |u| {
@@ -259,8 +262,8 @@
     });
 }
 
-/// The same words, the other side: taken for named far too early, a version would have older weights
-/// refused that may still answer.
+/// The opposite error: a version dated far too early would cause older weights to be refused that
+/// may still answer.
 #[test]
 fn no_process_dates_a_target_update_far_too_early_once_calm() {
     run_cases(CASES, CASE_BYTES, |u| {
--- a/src/sync/tests/delayed_process.rs
+++ b/src/sync/tests/delayed_process.rs
@@ -1,4 +1,4 @@
-//! One process in the world of delayed words, with its calls.
+//! One process of the simulation with delayed messages, and its calls.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::sync::target_update_time::FollowState;
 use crate::time::{ClockTime, StoreTime};
 
-/// The longest ways of the store's answers, in milliseconds.
+/// The longest delay of the store's answers, in milliseconds.
 const ANSWER_DELAY_MAX: u64 = 2300;
 pub(super) const NEAR_DELAY_MAX: u64 = 20;
 
@@ -17,37 +17,37 @@
     Duration::from_millis(millis)
 }
 
-/// One process, an entry host or a host of an engine.
+/// An entry host or the host of an engine.
 pub(super) struct Process {
     pub(super) state: SharedControlState,
-    /// What its clock shows beyond the real time.
+    /// How far its clock is ahead of real time.
     pub(super) ahead: Duration,
-    /// Counts its starts; words to a former one find nobody.
+    /// Counts its starts; messages to a former incarnation are dropped.
     pub(super) incarnation: u32,
     pub(super) started: ClockTime,
     pub(super) follows_store: bool,
-    /// The longest way of the store's answers to it, in milliseconds.
+    /// The longest delay of the store's answers to it, in milliseconds.
     pub(super) store_delay: u64,
     pub(super) unreachable_until: ClockTime,
     pub(super) follow_state: FollowState,
-    /// How far it has followed the operator's table; none before it was read.
+    /// The revision up to which it has followed the operator's table; `None` before it was read.
     pub(super) seen: Option<u64>,
-    /// Since when it has followed the store without a call that failed.
+    /// Since when it has followed the store without a failed call.
     pub(super) followed_since: Option<ClockTime>,
     pub(super) store_call: Call,
     pub(super) revision_call: Call,
     pub(super) peer_call: Call,
-    /// The last word of the store, for the message of a failure.
+    /// The last answer of the store, for failure messages.
     pub(super) answer: Option<StoreAnswer>,
 }
 
-/// The one call that is under way, or the pause before the next.
+/// The call that is open, or the pause before the next one.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Call {
-    /// Answers to former calls are thrown away.
+    /// Answers to former calls are dropped.
     pub(super) number: u32,
     pub(super) is_open: bool,
-    /// When it fails, or the next begins.
+    /// When the call fails, or the next one begins.
     pub(super) due: ClockTime,
 }
 
@@ -65,15 +65,15 @@
     }
 }
 
-/// Who asks, and in which of its calls.
+/// Identifies the process and the call that a message belongs to.
 #[derive(Clone, Copy)]
 pub(super) struct Caller {
     pub(super) at: usize,
     pub(super) incarnation: u32,
     pub(super) number: u32,
-    /// On its own clock.
+    /// On the caller's clock.
     pub(super) sent_at: ClockTime,
-    /// When the call fails, by the real time.
+    /// When the call fails, in real time.
     pub(super) fails: ClockTime,
 }
 
@@ -124,7 +124,7 @@
         call.is_open && (self.incarnation, call.number) == (caller.incarnation, caller.number)
     }
 
-    /// The pause before the next question about another table.
+    /// Begins the pause before the next call about another table.
     pub(super) fn end_revision_call(
         &mut self,
         now: ClockTime,
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// The pause before the next question to a neighbour.
+    /// Begins the pause before the next query to a neighbour.
     pub(super) fn end_peer_call(&mut self, now: ClockTime, u: &mut Unstructured<'_>) -> Result<()> {
         let pause = if self.follows_store {
             u.int_in_range(750..=1250)?
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    /// The store's answer came. Returns whether it is the first behind a cut.
+    /// Merges the store's answer. Returns whether it is the first one after an outage.
     pub(super) fn take_store_answer_at(&mut self, answer: StoreAnswer, now: ClockTime) -> bool {
         take_store_answer(&self.state, &answer, self.follow_state, self.clock(now));
         let reconnects = matches!(self.follow_state, FollowState::Interrupted);
--- a/src/sync/tests/delayed_simulation.rs
+++ b/src/sync/tests/delayed_simulation.rs
@@ -1,5 +1,5 @@
-//! The world of delayed words: a store with a clock, entry hosts near it and far from it, hosts of engines,
-//! and what is on its way between them.
+//! Simulates a store with a clock, entry hosts near it and far from it, hosts of engines, and the
+//! messages in transit between them.
 
 use std::time::Duration;
 
@@ -15,31 +15,31 @@
 use crate::sync::target_update_time::FollowState;
 use crate::time::ClockTime;
 
-/// How long words are delayed, and how long all is calm behind it.
+/// How long messages are delayed, and how long they are not delayed afterwards.
 const DELAYED_PHASE: Duration = Duration::from_secs(25);
 const CALM_PHASE: Duration = Duration::from_secs(8);
 const TICK: Duration = Duration::from_millis(5);
-/// Versions are forgotten beyond eight, and the oldest then counts from before its own naming.
+/// Beyond eight versions the oldest is dropped, and the next one then gets its update time.
 const UPDATES_MAX: usize = 6;
-/// The limits of the calls, as the processes have them.
+/// The limits of the calls, as in the processes.
 const WATCH_WAIT: Duration = Duration::from_millis(1400);
 const WATCH_WITHIN: Duration = Duration::from_millis(2300);
 const READ_WITHIN: Duration = Duration::from_millis(900);
 const ENTRY_WITHIN: Duration = Duration::from_millis(400);
 const POLL_WITHIN: Duration = Duration::from_millis(1300);
 const POLL_WAIT: Duration = Duration::from_millis(800);
-/// The longest way of a question, and of a neighbour's answer, in milliseconds.
+/// The longest delay of a query, and of a neighbour's response, in milliseconds.
 const QUERY_DELAY_MAX: u64 = 400;
 
-/// Holds what a process has just come to believe against the world.
+/// Compares the state of a process after a message with the simulation.
 pub(super) type Check = fn(&Simulation, usize);
 
-/// Something on its way or held back by whoever is to answer.
+/// A message in transit, or held by its receiver.
 enum Message {
     ToStore(Caller, Option<u64>),
     HeldByStore(Caller, u64),
     FromStore(Caller, StoreAnswer),
-    /// The other tables, whose answers are short.
+    /// Calls about other tables, whose answers are short.
     RevisionToStore(Caller),
     RevisionFromStore(Caller, StoreAnswer),
     ToPeer(Caller, usize, PeerQuery),
@@ -51,13 +51,13 @@
     pub(super) now: ClockTime,
     is_calm: bool,
     pub(super) processes: Vec<Process>,
-    /// Each word with when it arrives, or is held back no longer.
+    /// Each message with the time at which it arrives, or is no longer held.
     messages: Vec<(ClockTime, Message)>,
-    /// When each version was named, from version 2 on; its row has the same revision.
+    /// When each version was set, from version 2 on; its row has the same revision.
     pub(super) set_at: Vec<ClockTime>,
-    /// When a process last heard of the store again behind a cut.
+    /// When a process last received an answer of the store after an outage.
     pub(super) reconnected_at: ClockTime,
-    /// When a process last started again.
+    /// When a process last restarted.
     pub(super) restarted_at: ClockTime,
 }
 
@@ -65,7 +65,7 @@
     pub(super) fn new(u: &mut Unstructured<'_>) -> Result<Self> {
         let now = ClockTime::from_millis(1_000_000);
         let mut processes = Vec::new();
-        // One entry host is near the store always; hosts of engines follow entry hosts alone.
+        // One entry host is always near the store; hosts of engines follow only entry hosts.
         for at in 0..u.int_in_range(2..=4)? {
             processes.push(Process::new(u, now, (true, at == 0))?);
         }
@@ -83,7 +83,7 @@
         })
     }
 
-    /// A random way; short ones while all is calm.
+    /// A random delay, short in the calm phase.
     fn delay(&self, u: &mut Unstructured<'_>, longest: u64) -> Result<Duration> {
         let longest = if self.is_calm {
             longest.min(NEAR_DELAY_MAX)
@@ -107,7 +107,7 @@
 
     fn store_answer(&self, caller: Caller, since: Option<u64>) -> StoreAnswer {
         let rows = match since {
-            // A whole read shows the last naming alone, a watch every one.
+            // A full read contains only the last update, a watch each of them.
             None => std::iter::once(document(1))
                 .chain((self.revision() > 1).then(|| target_row(self.revision())))
                 .collect(),
@@ -140,19 +140,19 @@
         Ok(())
     }
 
-    /// Whether a word has arrived, or what it waited for is there.
+    /// Whether a message has arrived, or the change that it is held for has happened.
     fn is_deliverable(&self, (due, message): &(ClockTime, Message)) -> bool {
-        let is_news = match message {
+        let has_changed = match message {
             Message::HeldByStore(_, since) => self.revision() > *since,
             Message::HeldByPeer(_, (at, _, _), query) => {
                 has_changes(&self.processes[*at].state, query)
             }
             _ => false,
         };
-        *due <= self.now || is_news
+        *due <= self.now || has_changed
     }
 
-    /// Calls that are due begin, and those whose time is over fail.
+    /// Begins calls that are due, and fails calls whose time limit is over.
     fn begin_calls(&mut self, at: usize, u: &mut Unstructured<'_>) -> Result<()> {
         let now = self.now;
         let process = &mut self.processes[at];
@@ -293,8 +293,8 @@
         Ok(())
     }
 
-    /// The way of the store's answer, which comes within the time that whoever asked gives it: a link
-    /// that is slow is no cut.
+    /// The delay of the store's answer, which arrives within the caller's time limit: a slow link
+    /// is not an outage.
     fn answer_delay(&self, caller: Caller, u: &mut Unstructured<'_>) -> Result<Duration> {
         let left = (caller.fails - 2 * TICK).since(self.now).as_millis();
         let longest = self.processes[caller.at].store_delay;
@@ -314,7 +314,7 @@
         Ok(())
     }
 
-    /// Each process asks each entry host, over ways that take no time.
+    /// Each process queries each entry host, without delay.
     fn exchange_all(&self) {
         for requester in &self.processes {
             for responder in self
@@ -340,7 +340,7 @@
         }
     }
 
-    /// An entry host is cut off from the store for a while, or any process starts again.
+    /// Cuts an entry host off from the store for a while, or restarts a process.
     fn disturb(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let at = u.choose_index(self.processes.len())?;
         let now = self.now;
--- a/src/sync/tests/document_bursts.rs
+++ b/src/sync/tests/document_bursts.rs
@@ -1,4 +1,4 @@
-//! Documents that come in quick succession, over links that carry few of them.
+//! Bursts of documents over links that carry few of them.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use crate::sync::{ControlSnapshot, ControlState, TargetUpdateTime};
 use crate::time::clock_now;
 
-/// Versions of the document in one storm.
+/// Versions of the document in one burst.
 const BURST: u64 = 40;
-/// How long one of them takes over the link: ten of them, the shortest look back, take longer than the
-/// store is given for an answer, and the whole storm longer than a watch is held open.
+/// Time that one document takes on the link. Ten of them, the shortest history read, exceed the
+/// time limit of the store, and the whole burst takes longer than a watch is held open.
 const ROW_DELAY: Duration = Duration::from_millis(150);
 
 fn put_documents(store: &FakeStore, versions: std::ops::RangeInclusive<u64>) {
@@ -36,11 +36,11 @@
         .await;
 }
 
-/// Symptom: an entry host that had been killed answered 404, seconds behind the store's word, for routes
-/// that its neighbours served. Events: it started amid a storm of large documents and looked into the
-/// store's history, whose answer holds each of them; the link between the regions could not carry it in
-/// the time that the store is given; it asked for the same history again, which grew meanwhile. Cause:
-/// the table was followed only behind a look that had succeeded.
+/// Guards against a start that waits for the store's history. An entry host restarted during a
+/// burst of large documents and read the history, which contains each of them; the link between
+/// regions could not carry it within the time limit, and the host repeated the call while the
+/// history grew. The table was followed only after that read, so that the host answered 404 for
+/// routes that its neighbours had served for seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_start_follows_the_table_when_the_history_does_not_arrive() {
     let store = FakeStore::start().await;
@@ -52,28 +52,28 @@
         put_documents(&store, BURST + 1..=BURST + 1);
         wait_for_document(&process, BURST + 1).await;
     };
-    // One look that fails, and the bound of documents.
+    // One failed read, and the time limit of documents.
     let within = Duration::from_secs(3);
     let followed = timeout(within, followed).await;
-    assert!(followed.is_ok(), "it does not follow within {within:?}");
+    assert!(followed.is_ok(), "not followed within {within:?}");
     process.stop_abruptly();
 }
 
-/// Symptom: every engine was loaded with older weights behind a loss of power of all. Events: version 3 was
-/// named while no process lived, and an older naming was done late over it; 40 documents of 20 KB followed;
-/// an entry host that started looked back through 300 KB of history and found neither. Cause: the look ended
-/// by its bytes also where the way to the store is wide.
+/// Guards against ending the history reads by their size on a wide link. Version 3 was set while no
+/// process was running, an older update was executed after it, and 40 documents of 20 KB followed;
+/// a starting entry host read 300 KB of history and found neither. All engines were loaded with
+/// older weights after a loss of power of all hosts.
 #[test]
 fn only_a_slow_large_history_read_is_final() {
     let (quick, slow) = (Duration::from_millis(20), Duration::from_millis(200));
     let (many, few) = (2_000_000, 20_000);
     assert!(is_final_read(many, slow));
-    assert!(!is_final_read(many, quick), "the way is wide");
+    assert!(!is_final_read(many, quick), "the link is wide");
     assert!(!is_final_read(few, slow), "the store is slow");
 }
 
-/// Symptom and cause as in the first of these, for an entry host that lives and was cut off: its watch goes on where it
-/// had stopped, and the answer to it holds all documents since, more with each try.
+/// As the first test of this file, for a running entry host that was cut off: its watch continues
+/// from the last known revision, and the answer contains all documents since, more with each retry.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_watch_that_cannot_catch_up_reads_the_table_instead() {
     let store = FakeStore::start().await;
@@ -86,11 +86,10 @@
     process.stop_abruptly();
 }
 
-/// Symptom: every request was refused for four seconds behind an outage of the store. Events: a version was
-/// named during the outage; an entry host that started meanwhile took it for six seconds old and told its
-/// neighbours; these, which had lived through the outage, read the table instead of going on with their
-/// watch, and a read does not tell that the version is new. Cause: a watch that fails because the store is
-/// down was taken for one whose answer does not arrive.
+/// Guards against treating a watch that fails in an outage as one whose answer does not arrive. A
+/// version was set during an outage; an entry host that started meanwhile assumed that it was six
+/// seconds old and announced it. The running ones read the table instead of continuing the watch,
+/// and a read does not show that a version is new. Every request was refused for four seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_watch_resumes_after_an_outage_and_dates_a_version_as_new() {
     let store = FakeStore::start().await;
@@ -130,10 +129,10 @@
     process.stop_abruptly();
 }
 
-/// Symptom: new weights reached the hosts of engines 1.5 s later than their links allow, and no engine could
-/// answer meanwhile. Events: an operator's tool wrote a document of 460 routes ten times a second; each
-/// host's question was answered with each of them at once, over the link on which the chunks came. Cause:
-/// a host got every document as urgently as an entry host.
+/// Guards against responses to hosts for each document. An operator's tool wrote a document of 460
+/// routes ten times a second, and each held query was answered with each of them over the link that
+/// carried the chunks. New weights reached the hosts 1.5 s later than their links allow, and no
+/// engine could answer meanwhile.
 #[test]
 fn a_host_with_a_document_gets_no_response_for_each_newer_one() {
     let state = new_state();
@@ -151,6 +150,6 @@
     state.change(|state| state.change_operator_rows(&[target_row(2)], witnessed_at(START)));
     assert!(
         state.read(|state| state.has_urgent_changes(&query)),
-        "a version is told at once"
+        "a target version is reported at once"
     );
 }
