--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -1,4 +1,4 @@
-//! Drives entry hosts through random words about backend servers and versions: entries, reports,
+//! Drives entry hosts with random events about backend servers and versions: entries, reports,
 //! neighbours, restarts, outages and late writes, in any order.
 
 use std::sync::Arc;
@@ -22,13 +22,14 @@
 const CASE_BYTES: u32 = 2048;
 const STEPS: usize = 250;
 const ENTRIES: usize = 2;
-/// How long after a naming requests may begin on older weights, and how much earlier they stop.
+/// How long after an update requests may begin on older weights, and when entry hosts stop to begin
+/// them.
 const BOUND: Duration = Duration::from_secs(8);
 const OLDER_FOR: Duration = Duration::from_millis(7200);
-/// How long a process has lived that counts as in touch.
+/// Time after a start from which a process is checked against the deadline.
 const CONTACT: Duration = Duration::from_secs(3);
 
-/// What one entry host was told by a backend server's words, for the checks.
+/// What one entry host has received about a backend server, for the checks.
 #[derive(Clone, Copy, Default)]
 struct KnownServer {
     born: u64,
@@ -39,9 +40,9 @@
 struct EntryHost {
     state: SharedControlState,
     registry: SharedDesk,
-    /// How far it has followed the operator's table; none before it was read.
+    /// The revision up to which it has followed the operator's table; `None` before it was read.
     operator_seen: Option<u64>,
-    /// How far it has followed the backend servers' table.
+    /// The revision up to which it has followed the backend servers' table.
     backends_seen: Option<u64>,
     follow_state: FollowState,
     reaches_store: bool,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Follows the operator's table, if the store can be reached.
+    /// Follows the operator's table, if the store is reachable.
     fn follow_operator(&mut self, simulation: &Simulation) {
         if !self.reaches_store {
             self.note_store_failure();
@@ -114,7 +115,7 @@
         self.state.change(|state| state.take_own_rows(own, set_at));
     }
 
-    /// Follows the backend servers' table, if the store can be reached.
+    /// Follows the backend servers' table, if the store is reachable.
     fn follow_backends(&mut self, simulation: &Simulation) {
         if !self.reaches_store {
             self.note_store_failure();
@@ -137,7 +138,7 @@
         self.show();
     }
 
-    /// The traffic sees the newest state.
+    /// Makes the newest state visible to request handling.
     fn show(&self) {
         self.registry.lock().set_fleet(&self.snapshot().fleet);
     }
@@ -146,7 +147,7 @@
         self.state.snapshot().load()
     }
 
-    /// What its state says of the backend servers: never less than before.
+    /// Checks that its state of the backend servers does not return to an older one.
     fn check_entries(&mut self) {
         let snapshot = self.snapshot();
         for facts in &snapshot.fleet.backends {
@@ -158,11 +159,12 @@
                 known.born = born;
                 known.is_leaving = false;
             }
-            // An entry behind the report of a newer incarnation is passed over at the desk.
+            // Entries received after the report of a newer incarnation are ignored where backend
+            // servers are chosen.
             if born == known.born {
                 let is_leaving = facts.phase == BackendPhase::Leaving;
                 let is_back = known.is_leaving && !is_leaving;
-                assert!(!is_back, "a leaving backend server is back: {facts:?}");
+                assert!(!is_back, "a leaving backend server was revived: {facts:?}");
                 known.is_leaving = is_leaving;
             }
         }
@@ -200,7 +202,7 @@
         self.registry.lock().note_report(report, now);
     }
 
-    /// All backend servers that it would send to, with what it takes them for.
+    /// All backend servers that it would send to, with their start and the version that it assumes.
     fn picks(&self, least: Option<u64>, now: ClockTime) -> Vec<(String, u64, u64)> {
         let mut tried = Vec::new();
         let mut found = Vec::new();
@@ -298,7 +300,7 @@
         }
     }
 
-    /// Those that follow the store are told at once.
+    /// Entry hosts that follow the store receive changes at once.
     fn follow_all(&mut self) {
         for entry in &mut self.entries {
             if entry.reaches_store && entry.operator_seen.is_some() {
@@ -310,7 +312,7 @@
     fn set_target(&mut self, is_repeated: bool) {
         self.simulation.set_target(is_repeated);
         self.follow_all();
-        // The record is written within some milliseconds by whoever was told.
+        // An entry host that received the version records it within milliseconds.
         for at in 0..ENTRIES {
             self.record(at, false);
         }
@@ -337,7 +339,7 @@
         }
     }
 
-    /// One entry host requester another, which may learn from the question.
+    /// One entry host queries another, which may take versions from the query.
     fn query(&mut self, requester: usize) {
         let now = self.simulation.now;
         let responder_at = (requester + 1) % ENTRIES;
@@ -377,7 +379,7 @@
                 let reaches_store = host.reaches_store;
                 *host = EntryHost::start(now);
                 host.reaches_store = reaches_store;
-                // The balancer sends it nothing before it has read the store.
+                // The load balancer sends it no requests before it has read the store.
                 host.follow_operator(&self.simulation);
                 host.follow_backends(&self.simulation);
             }
@@ -391,8 +393,8 @@
         }
     }
 
-    /// No request begins on an older version behind the bound, while the entry host is in touch and no
-    /// way to the store was disturbed since.
+    /// Checks that no request begins on an older version after the deadline, while all entry hosts
+    /// reach the store and were not disturbed recently.
     fn check_version(&self, at: usize) {
         let (simulation, host) = (&self.simulation, &self.entries[at]);
         let is_cut = self.entries.iter().any(|entry| !entry.reaches_store);
@@ -401,7 +403,7 @@
         }
         let snapshot = host.snapshot();
         for (number, acknowledged) in (2_u64..).zip(&simulation.acknowledged) {
-            // One that was written over before any process was told of it is known to nobody.
+            // No process knows a version that was overwritten before any process received it.
             if !simulation.store.recorded.contains(&number) {
                 continue;
             }
@@ -420,14 +422,15 @@
         }
     }
 
-    /// Whoever gets a request is taken for what it said of itself, in its newest known incarnation.
+    /// Checks that a chosen backend server is used as it described itself, in its newest known
+    /// incarnation.
     fn check_picks(&mut self, at: usize) {
         let now = self.simulation.now;
         let picks = self.entries[at].picks(None, now);
         for (id, born, version) in picks {
             let servers = self.simulation.servers.iter();
             let real = servers.into_iter().find(|server| server.id == id);
-            let real = real.expect("only real ones are picked");
+            let real = real.expect("only existing backend servers are chosen");
             let was_so = real.held.contains(&(born, version));
             assert!(was_so, "{id} of {born} never held version {version}");
             let known = self.entries[at]
@@ -435,11 +438,12 @@
                 .copied()
                 .unwrap_or_default();
             assert!(born >= known.born, "{id}: a former incarnation is used");
-            assert!(!known.is_leaving, "{id} is_leaving and is used");
+            assert!(!known.is_leaving, "{id} is leaving and is used");
         }
     }
 
-    /// Everything works again: each backend server that is alive and holds the newest version is used.
+    /// Ends all disturbances, and checks that each running backend server with the newest version
+    /// is used.
     fn settle(&mut self) {
         let newest = self.simulation.newest();
         for host in &mut self.entries {
@@ -483,7 +487,10 @@
             let mut found: Vec<String> = picks.into_iter().map(|(id, _, _)| id).collect();
             expected.sort_unstable();
             found.sort_unstable();
-            assert_eq!(found, expected, "who holds the newest version is used");
+            assert_eq!(
+                found, expected,
+                "backend servers with the newest version are used"
+            );
         }
     }
 }
--- a/src/sync/tests/driver_simulation.rs
+++ b/src/sync/tests/driver_simulation.rs
@@ -1,5 +1,5 @@
-//! The world of the driver: backend servers as they really are, the store with writes that it does late,
-//! and reports that are on their way.
+//! The simulation behind the driver: backend servers in their real state, the store with writes
+//! that it executes late, and reports in transit.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 
 pub(super) const SERVERS: usize = 3;
 pub(super) const LAYERS: u32 = 16;
-/// How long after its call the store does a write at the latest that got no answer.
+/// When the store at the latest executes a write that got no answer, after the call.
 const LATE_MAX: Duration = Duration::from_secs(8);
 
-/// A backend server as it is.
+/// A backend server in its real state.
 pub(super) struct SimulatedServer {
     pub(super) id: String,
     pub(super) address: SocketAddr,
@@ -29,7 +29,7 @@
     pub(super) is_leaving: bool,
     /// The version that it holds; 0 for none.
     pub(super) version: u64,
-    /// What its incarnations held, ever.
+    /// All versions that its incarnations have held, as (start, version).
     pub(super) held: Vec<(u64, u64)>,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// It starts again under its name, with nothing.
+    /// Restarts under the same id, with no weights.
     pub(super) fn restart(&mut self, now: ClockTime) {
         self.born = (now.0 / 1000).max(self.born + 1);
         self.entry_number = 0;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Its next entry.
+    /// The value of its next entry.
     pub(super) fn next_entry(&mut self) -> String {
         self.entry_number += 1;
         let phase = if self.is_leaving {
@@ -79,7 +79,7 @@
         )
     }
 
-    /// What the process beside it would tell of it now.
+    /// The report that the process colocated with it would send now.
     pub(super) fn report(&self) -> LoadReport {
         let version = WeightsVersion(self.version);
         let mut holdings = EngineHoldings::default();
@@ -104,7 +104,7 @@
     }
 }
 
-/// A write that got no answer and is done some time later.
+/// A write that got no answer and is executed later.
 pub(super) enum LateWrite {
     Entry(usize, String),
     Target(u64),
@@ -117,12 +117,12 @@
     revision: u64,
     backends: Vec<StoreRow>,
     target: Option<StoreRow>,
-    /// The version that the naming's row holds.
+    /// The version in the target's row.
     pub(super) target_version: u64,
     pub(super) record: Option<VersionRecord>,
-    /// The versions that were ever recorded.
+    /// All versions that were recorded.
     pub(super) recorded: Vec<u64>,
-    /// With the moment of the call.
+    /// With the time of the call.
     pub(super) late: Vec<(ClockTime, LateWrite)>,
 }
 
@@ -145,7 +145,7 @@
         self.target_version = version;
     }
 
-    /// Writes a record if its row has the revision that was expected; else tells the row's.
+    /// Writes a record if its row has the expected revision; returns whether it did.
     pub(super) fn put_record(&mut self, mut record: VersionRecord) -> bool {
         let standing = self.record.as_ref().map_or(0, |known| known.revision);
         if standing != record.revision {
@@ -157,7 +157,7 @@
         true
     }
 
-    /// The backend servers' table: what changed behind `since`, or all that stands.
+    /// The backend servers' table: the changes after `since`, or the full table.
     pub(super) fn backends(&self, since: Option<u64>) -> TableView {
         let rows = self.backends.iter().filter(|row| match since {
             Some(since) => row.revision > since,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The operator's table: what changed behind `since`, or all that stands.
+    /// The operator's table: the changes after `since`, or the full table.
     pub(super) fn operator(&self, since: Option<u64>) -> TableView {
         let (key, text) = document_sample(1);
         let document = row(key, 1, Some(&text));
@@ -191,7 +191,7 @@
     pub(super) store: SimulatedStore,
     /// When each version was acknowledged, from version 2 on.
     pub(super) acknowledged: Vec<ClockTime>,
-    /// When the last way to the store that had been cut was there again.
+    /// When an interrupted connection to the store was last restored.
     pub(super) disturbed: ClockTime,
     pub(super) reports: Vec<LoadReport>,
 }
@@ -216,12 +216,12 @@
         simulation
     }
 
-    /// The version that was set last; 1 before any was.
+    /// The last version that was set as target; 1 before the first update.
     pub(super) fn newest(&self) -> u64 {
         1 + u64::try_from(self.acknowledged.len()).unwrap_or(0)
     }
 
-    /// Time passes. A late write is done within some seconds.
+    /// Advances the time. Late writes are executed within some seconds.
     pub(super) fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
         let now = self.now;
@@ -231,7 +231,7 @@
         }
     }
 
-    /// A backend server writes its entry, which is done at once.
+    /// A backend server writes its entry, which is executed at once.
     pub(super) fn write_entry(&mut self, at: usize) {
         if self.servers[at].is_alive {
             let text = self.servers[at].next_entry();
@@ -239,7 +239,7 @@
         }
     }
 
-    /// A backend server's entry gets no answer and is done later.
+    /// A backend server writes its entry, which gets no answer and is executed later.
     pub(super) fn write_entry_late(&mut self, at: usize) {
         if self.servers[at].is_alive {
             let text = self.servers[at].next_entry();
@@ -247,7 +247,7 @@
         }
     }
 
-    /// The operator names a newer version.
+    /// The operator sets a newer version.
     pub(super) fn set_target(&mut self, is_repeated: bool) {
         if is_repeated && self.newest() > 1 {
             let version = self.newest();
@@ -257,7 +257,7 @@
         self.store.set_target(self.newest());
     }
 
-    /// The store does a write that got no answer.
+    /// The store executes a write that got no answer.
     pub(super) fn finish_late(&mut self, at: usize) {
         match self.store.late.remove(at).1 {
             LateWrite::Entry(server, text) => {
--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -1,5 +1,5 @@
-//! Full links, forgotten history and repeated writes around the naming of a version: whatever a process finds,
-//! and however late, it does not take a version for named later than it was.
+//! Saturated links, lost history and repeated writes around a target update: whatever a process
+//! finds, and however late, it must not date the version later than it was set.
 
 use std::time::Duration;
 
@@ -15,21 +15,23 @@
 use crate::sync::{ControlState, SharedControlState};
 use crate::time::{ClockTime, StoreTime};
 
-/// How long a watch's answer with rows takes that does not come in time.
+/// Longer than the time limit of a watch's answer.
 const TOO_SLOW: Duration = Duration::from_secs(3);
 
-/// Some seconds behind its first word of it, `process` takes the version for named at `set_by` or before.
+/// Checks that `process` dates the version at `set_by` or earlier, some seconds after it first knew
+/// it.
 async fn check_late(process: &EntryProcess, set_by: ClockTime) {
     wait_for_second(process).await;
     sleep(Duration::from_secs(3)).await;
     let weights = wait_for_second(process).await;
     let late = weights.named_at.since(set_by);
-    assert!(late.is_zero(), "named {late:?} later than it was");
+    assert!(late.is_zero(), "dated {late:?} too late");
 }
 
-/// A region behind a full link took a version for new that had been named 1.7 s before. The watch of the
-/// operator's table did not come through; the system's own rows did, and told the version, which a host near
-/// the store had recorded. What they tell was taken for found behind a cut, in every process that lived.
+/// Guards against dating a version by the system's own rows as found after an outage. In a region
+/// behind a saturated link, the watch of the operator's table failed while these rows arrived, in
+/// which a host near the store had recorded the version. All running processes counted the version
+/// as new, 1.7 s late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_record_read_before_the_watch_answer_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
@@ -42,8 +44,9 @@
     process.stop_abruptly();
 }
 
-/// The store was away and came back; 0.9 s later a version was named. The operator's table, full of
-/// documents, came through two seconds behind that, and all in it counted as found behind the cut.
+/// Guards against dating by an outage a version that was set 0.9 s after it. The operator's table,
+/// full of documents, arrived two seconds after that, and everything in it counted as found after
+/// the outage.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_version_set_after_the_store_returned_is_not_dated_by_the_outage() {
     let store = FakeStore::start().await;
@@ -59,8 +62,8 @@
     process.stop_abruptly();
 }
 
-/// The store forgot its history while an answer was on its way. What was then read as a whole counted as found
-/// behind a cut, 0.6 s too late.
+/// Guards against dating a version by a lost history. The store lost it while an answer was in
+/// transit; the full read that followed counted as found after an outage, 0.6 s too late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn lost_history_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
@@ -85,19 +88,19 @@
     START + Duration::from_millis(millis)
 }
 
-/// The store tells at `now` that `revision` is its newest.
+/// Records that the store reported at `now` that `revision` is its newest.
 fn note_revision(state: &SharedControlState, revision: u64, now: ClockTime) {
     state.change(|state| state.note_store_answer(revision, store_time(now), at_once(now)));
 }
 
-/// A version counted as named 2.5 s later than it was: its naming was repeated, and the row that a whole read
-/// showed had the revision of the second write.
+/// Guards against dating a version by a second write of its row. An update was repeated, and the
+/// row in a full read had the revision of the second write: 2.5 s too late.
 #[test]
 fn a_rewritten_row_does_not_postdate_its_version() {
     let state = new_state();
     note_revision(&state, 10, at(0));
     let followed = FollowState::Followed(store_time(at(0)));
-    // Named at 0.5 s with revision 11, and again at 3.5 s with revision 30.
+    // Set at 0.5 s with revision 11, and again at 3.5 s with revision 30.
     for (revision, millis) in [(15, 1000), (20, 2000), (25, 3000), (35, 4000)] {
         note_revision(&state, revision, at(millis));
     }
@@ -108,26 +111,28 @@
     let rows = [document(2), target_row_at(2, 30)];
     state.change(|state| state.set_operator_rows(&rows, time));
     let snapshot = state.snapshot().load();
-    let weights = second(&snapshot).expect("it was read");
+    let weights = second(&snapshot).expect("the version is known");
     assert!(weights.named_at <= at(500), "{:?}", weights.named_at);
 }
 
-/// Every host took a version that it found behind a cut for named four seconds after the store's return: the
-/// operator's table came late, while an answer of another table had counted the change at the return.
+/// Guards against versions that are dated after an answer which already counted their revision.
+/// After an outage the operator's table arrived late, and every host dated a version four seconds
+/// after the store's return, although an answer about another table had included the change at the
+/// return.
 #[test]
 fn an_answer_about_another_table_bounds_the_time_after_an_outage() {
     let state = new_state();
     note_revision(&state, 10, at(0));
-    // The cut ends at 3 s.
+    // The outage ends at 3 s.
     note_revision(&state, 12, at(3000));
     note_revision(&state, 20, at(7000));
     let reported = store_time(at(7000));
     let time = FollowState::Interrupted.update_time(reported, reported);
     state.change(|state| state.change_operator_rows(&[target_row_at(2, 11)], time));
     let snapshot = state.snapshot().load();
-    let weights = second(&snapshot).expect("it was told");
+    let weights = second(&snapshot).expect("the version is known");
     assert!(weights.named_at <= at(3000), "{:?}", weights.named_at);
-    assert!(weights.named_at >= at(2800), "it is taken for new");
+    assert!(weights.named_at >= at(2800), "dated too early");
 }
 
 fn announcement(version: u64, at: u64, by: u64) -> TargetAnnouncement {
@@ -144,9 +149,10 @@
     }
 }
 
-/// Requests could begin on the oldest weights behind their bound: nine versions were named in quick succession,
-/// the eldest was forgotten and its time went over to the next, until a host that had not heard of the ninth
-/// told that one's own.
+/// Guards against losing the deadline of a dropped version. Nine versions were set in quick
+/// succession, the oldest was dropped and its update time passed to the next one, until a host
+/// without the ninth version announced that one's own time. Requests could then begin on the oldest
+/// weights after their deadline.
 #[test]
 fn a_dropped_version_passes_its_deadline_to_the_next_one() {
     let set_ms = |version: u64| START.0 / 1000 + version * 1000;
@@ -161,8 +167,8 @@
     assert_eq!(oldest.set_at.earliest, StoreTime::from_millis(set_ms(2)));
 }
 
-/// A process that knows nothing of the store's clock yet cannot tell when anything was: it refused all older
-/// weights at the first question that named a version, or let them answer for good.
+/// Guards against update times that are used before the store's clock is known. A process then
+/// refused all older weights at the first query with a version, or let them answer forever.
 #[test]
 fn announcements_are_ignored_until_the_store_clock_is_known() {
     let set_ms = START.0 / 1000;
@@ -176,7 +182,7 @@
         assert!(state.read(|state| state.is_updated_by(&announcements)));
         state.change(|state| state.merge_targets(&announcements, START));
         let snapshot = state.snapshot().load();
-        let weights = second(&snapshot).expect("it was told");
+        let weights = second(&snapshot).expect("the version is known");
         assert!(weights.named_at <= START);
     }
 }
--- a/src/sync/tests/incarnations.rs
+++ b/src/sync/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which word of a backend server the control state believes: incarnations, and entries that come late.
+//! Which entry of a backend server the control state uses: incarnations, and late entries.
 
 use std::time::Duration;
 
@@ -38,8 +38,9 @@
     (facts.born.map(|born| born.0), facts.phase)
 }
 
-/// A request reached a backend server seconds after it had said that it leaves. An earlier entry of its
-/// own had got no answer, and the store did it late, over the one that said so.
+/// Guards against a late entry that revives a leaving backend server. An earlier entry had got no
+/// answer, and the store executed it after the one that announced the end; a request reached the
+/// backend server seconds after that.
 #[test]
 fn a_late_earlier_entry_does_not_revive_a_leaving_backend() {
     for born in [None, Some(7)] {
@@ -51,8 +52,8 @@
     }
 }
 
-/// A backend server had ended and its entry was gone. An entry that it had written before was done late
-/// and brought it back for three heartbeats.
+/// Guards against a late entry that revives a removed backend server. It had ended and its entry
+/// was removed; an entry written before was executed late and revived it for three heartbeats.
 #[test]
 fn a_late_entry_does_not_revive_a_removed_backend() {
     for born in [None, Some(7)] {
@@ -61,14 +62,14 @@
         assert!(ids(&state).is_empty());
         take(&state, entry(born, 10, SERVING, 22));
         assert!(ids(&state).is_empty(), "born {born:?}");
-        // It lives after all: its entry had lapsed.
+        // It is running after all: its entry had lapsed.
         take(&state, entry(born, 12, SERVING, 23));
         assert_eq!(ids(&state), ["a"], "born {born:?}");
     }
 }
 
-/// A backend server that starts again under its name counts its entries anew. Taken for late, they would
-/// leave it out for as long as the former one had lived.
+/// A backend server that restarts under the same id numbers its entries anew. Treated as late, they
+/// would exclude it for as long as the former incarnation had run.
 #[test]
 fn late_entries_of_a_former_incarnation_are_ignored() {
     let state = state_with(entry(Some(7), 500, LEAVING, 20));
@@ -78,12 +79,15 @@
     assert_eq!(known(&state), (Some(9), BackendPhase::Serving));
     take(&state, row("a", 23, None));
     take(&state, entry(Some(7), 502, SERVING, 24));
-    assert!(ids(&state).is_empty(), "the former one is not back");
+    assert!(
+        ids(&state).is_empty(),
+        "the former incarnation is not revived"
+    );
     take(&state, entry(Some(12), 1, SERVING, 25));
     assert_eq!(known(&state), (Some(12), BackendPhase::Serving));
 }
 
-/// Neighbours pass entries on. One that lies behind must not bring a former incarnation back.
+/// Neighbours forward entries. An outdated neighbour must not revive a former incarnation.
 #[test]
 fn a_neighbour_with_a_former_incarnation_changes_nothing() {
     let state = state_with(entry(Some(9), 1, SERVING, 20));
--- a/src/sync/tests/late_messages.rs
+++ b/src/sync/tests/late_messages.rs
@@ -1,4 +1,5 @@
-//! Words that are long on their way: when a version of weights was named is not when it was heard of.
+//! Delayed messages: the time when a version was set as target is not the time when it was
+//! received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,10 +21,10 @@
 use crate::time::{ClockTime, StoreTime, clock_now};
 use crate::transport::{HttpServer, bind_listener};
 
-/// How long a word is on its way. Requests that wait at an engine are taken back a quarter of a second
-/// before the bound.
+/// Delay of a message. Requests that wait at an engine are withdrawn a quarter of a second before
+/// the deadline.
 const DELAY: Duration = Duration::from_millis(340);
-/// How long a process follows the store before a version is named.
+/// How long a process follows the store before a version is set.
 const FOLLOWED: Duration = Duration::from_millis(600);
 
 pub(super) fn put_document(store: &FakeStore, version: u64) {
@@ -31,7 +32,7 @@
     store.put(TableName::Operator, key, &text);
 }
 
-/// Names version 2; returns a moment at which the store has it already.
+/// Sets version 2; returns a time at which the store already has it.
 pub(super) fn set_target_version(store: &FakeStore) -> ClockTime {
     let (key, text) = naming_sample(2);
     store.put(TableName::Operator, key, &text);
@@ -43,11 +44,13 @@
     weights.find(|weights| weights.target.version == WeightsVersion(2))
 }
 
-/// What `process` believes of version 2 as soon as it knows it.
+/// The target version 2 of `process`, as soon as it knows it.
 pub(super) async fn wait_for_second(process: &EntryProcess) -> WantedWeights {
     let snapshot = process.wait_for(|snapshot| second(snapshot).is_some());
     let snapshot = snapshot.await;
-    second(&snapshot).expect("it was waited for").clone()
+    second(&snapshot)
+        .expect("the snapshot was waited for")
+        .clone()
 }
 
 /// An entry host that has followed the store for a while.
@@ -61,7 +64,7 @@
     process
 }
 
-/// Passes connections on to `target`; what comes back takes `delay`.
+/// Forwards connections to `target`; each answer is delayed by `delay`.
 async fn start_slow_proxy(target: SocketAddr, delay: Duration) -> SocketAddr {
     let listener = TcpListener::bind((target.ip(), 0)).await;
     let listener = listener.expect("a free port");
@@ -79,7 +82,7 @@
     let (mut far_reader, mut far_writer) = far.expect("the target listens").into_split();
     let (mut near_reader, mut near_writer) = near.into_split();
     let forth = tokio::spawn(async move {
-        // The connection's end is the end of this task, not a failure.
+        // An error only means that the connection has ended.
         let _ = tokio::io::copy(&mut near_reader, &mut far_writer).await;
     });
     let mut buffer = vec![0; 64 * 1024];
@@ -92,12 +95,12 @@
     forth.abort();
 }
 
-/// Entry hosts far from the store let requests begin on older weights behind their bound. Documents in
-/// quick succession filled the links between the regions, and the change that named a version took
-/// seconds to arrive. It was taken for a tenth of a second old: of a version named at 18.01 s, hosts near
-/// the store told `[1102] … version=2 from=store/… certainty=Witnessed` within 5 ms and took 17.92 s for its
-/// moment; those of the two other regions told it 2.7 to 3.2 s later, and all took 19.38 s for it until the
-/// bound. Nothing was taken back in time, and 405 requests began behind it.
+/// Guards against dating a version a tenth of a second before the store's answer arrives, whatever
+/// its delay. Documents in quick succession saturated the links between regions, and the change
+/// that set a version took seconds. A version was set at 18.01 s: hosts near the store logged
+/// `[1102] … version=2 from=store/… certainty=Witnessed` within 5 ms and dated it 17.92 s. Those of
+/// two other regions logged it 2.7 to 3.2 s later, and all dated it 19.38 s until the deadline. No
+/// request was withdrawn in time, and 405 requests began on older weights after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_store_answer_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
@@ -107,33 +110,34 @@
     let weights = wait_for_second(&process).await;
     assert_eq!(weights.certainty, NamingCertainty::Witnessed);
     let late = weights.named_at.since(set_by);
-    assert!(late.is_zero(), "named {late:?} later than it was");
+    assert!(late.is_zero(), "dated {late:?} too late");
     process.stop_abruptly();
 }
 
-/// The same, where the change waits in the store while the answer before it is on its way. The store
-/// answers the next question at once, so that the change looks new, and is as old as that way was long.
+/// The same for a change that waits in the store while the previous answer is in transit. The store
+/// answers the next call at once, so the change looks new, but is as old as that transit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_version_set_between_two_watches_dates_from_the_first_answer() {
     let store = FakeStore::start().await;
     let process = follower(&store).await;
     store.slow_watches(DELAY);
     put_document(&store, 2);
-    // The watch has its answer, which is on its way.
+    // The watch has received its answer, which is in transit.
     sleep(DELAY / 4).await;
     let set_by = set_target_version(&store);
     let weights = wait_for_second(&process).await;
     let late = weights.named_at.since(set_by);
-    assert!(late.is_zero(), "named {late:?} later than it was");
+    assert!(late.is_zero(), "dated {late:?} too late");
     process.stop_abruptly();
 }
 
-/// Two requests began on older weights 40 and 86 ms behind their bound, sent by hosts far from the store.
-/// All hosts of their region took the version for named 0.4 s later than it was, for up to eleven seconds,
-/// and told each other so; what waits at an engine is taken back a quarter of a second before the bound.
-/// They had it from neighbours near the store, whose answers were that long on the full links between the
-/// regions: `[1119] … from=neighbour certainty=Witnessed age_ms=…` put the moment at 18.40 s on host after
-/// host, and at 17.92 s once an answer came quickly. An age was told, and counted from the answer's arrival.
+/// Guards against ages that don't include their transit. Hosts far from the store got the version
+/// from neighbours near it, over links between regions that delayed responses by 0.4 s. The
+/// response stated an age, which was counted from its arrival: `[1119] … from=neighbour
+/// certainty=Witnessed age_ms=…` gave 18.40 s on host after host, and 17.92 s once a response came
+/// quickly. All hosts of the region dated the version 0.4 s late for up to eleven seconds and
+/// announced that to each other. Requests that wait at an engine are withdrawn a quarter of a
+/// second before the deadline, and two began on older weights 40 and 86 ms after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_neighbours_update_time_does_not_depend_on_transit() {
     let store = FakeStore::start().await;
@@ -155,15 +159,15 @@
     let weights = wait_for_second(&far).await;
     assert_eq!(weights.certainty, NamingCertainty::Witnessed);
     let late = weights.named_at.since(set_by);
-    assert!(late.is_zero(), "named {late:?} later than it was");
+    assert!(late.is_zero(), "dated {late:?} too late");
     near.stop_abruptly();
     far.stop_abruptly();
 }
 
-/// Every host of a region took a version for new that had been named five seconds before. Documents in quick
-/// succession kept the answers to their watches of the operator's table from arriving at all, and each
-/// believed itself cut off from the store, which answered all their other questions meanwhile: what is
-/// found behind a cut counts as new.
+/// Guards against treating a failed watch as an outage. Documents in quick succession kept the
+/// answers to the watches of the operator's table from arriving; each host of a region assumed that
+/// it was cut off from the store, which answered all its other calls. Versions found after an
+/// outage count as new, and one was dated five seconds late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_store_that_answers_about_other_tables_is_not_cut_off() {
     let store = FakeStore::start().await;
@@ -173,12 +177,12 @@
     let set_by = set_target_version(&store);
     let weights = wait_for_second(&process).await;
     let late = weights.named_at.since(set_by);
-    assert!(late.is_zero(), "named {late:?} later than it was");
+    assert!(late.is_zero(), "dated {late:?} too late");
     process.stop_abruptly();
 }
 
-/// Hosts of engines that had been told quickly could not tell an entry host, which they asked, that a version
-/// had been named earlier than it took it for: of words that are equally certain the first one stayed.
+/// Guards against keeping the first of two equally certain times. Hosts of engines that had
+/// received a version quickly could not correct the later time of an entry host in their queries.
 #[test]
 fn witnessed_times_are_combined() {
     let witnessed = |at, by| TargetUpdateTime {
@@ -200,7 +204,7 @@
     assert!(entry.read(|state| state.is_updated_by(&better)));
     entry.change(|state| state.merge_targets(&better, now));
     assert!(!entry.read(|state| state.is_updated_by(&better)));
-    // One that surely errs does not put the moment behind what another saw.
+    // A wrong time does not move the result after the bounds that another process observed.
     let wrong = [announcement(witnessed(80_000, 95_000))];
     entry.change(|state| state.merge_targets(&wrong, now));
     let known = entry.read(ControlState::query).targets;
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other processes that came to harm, and figures in them beyond all bounds.
+//! Corrupt messages of other processes, and extreme values in them.
 
 use std::time::Duration;
 
@@ -77,8 +77,8 @@
     SharedDesk::new(registry)
 }
 
-/// Symptom: the thread that takes load reports ended, or a backend server that said it has four billion
-/// requests was taken for an idle one: the sum of what runs and what waits began again at zero.
+/// Guards against overflow in the sum of running and waiting requests. It ended the thread that
+/// receives load reports, or made a backend server with four billion requests look idle.
 #[test]
 fn extreme_loads_count_as_full() {
     let load = LoadWord {
@@ -112,14 +112,14 @@
     let alone = new_state();
     alone.change(|state| state.merge_targets(&announcements, later));
     let snapshot = alone.snapshot().load();
-    let weights = snapshot.newest_version("m").expect("it was named");
+    let weights = snapshot.newest_version("m").expect("the version is known");
     assert_eq!(weights.named_at, ClockTime(0));
     state.change(|state| state.merge_targets(&announcements, later));
     let snapshot = state.snapshot().load();
-    let weights = snapshot.newest_version("m").expect("it was named");
+    let weights = snapshot.newest_version("m").expect("the version is known");
     assert_eq!(
         weights.named_at, START,
-        "not before version 2, whose naming was told"
+        "not before version 2, whose update time is known"
     );
     assert_eq!(
         snapshot.oldest_allowed_version("m", GRACE, later),
@@ -140,7 +140,7 @@
     assert!(answer.document.is_none() && answer.backends.is_none());
 }
 
-/// The bytes of one message of each kind.
+/// The encoded form of one message of each kind.
 fn messages() -> [Bytes; 4] {
     let state = populated_state();
     let query = state.read(ControlState::query);
@@ -160,7 +160,7 @@
     messages.map(|message| message.expect("it encodes"))
 }
 
-/// Takes in whatever reads from `bytes`, as a process would.
+/// Decodes `bytes` as each kind of message and merges what can be decoded.
 fn decode_and_merge(bytes: &[u8]) {
     let state = populated_state();
     let later = START + Duration::from_secs(20);
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -33,14 +33,14 @@
 const START: ClockTime = ClockTime::from_millis(100_000);
 const GRACE: Duration = Duration::from_secs(8);
 
-/// A process whose clock shows the same as the store's.
+/// A process whose clock equals the store's.
 fn new_state() -> SharedControlState {
     let state = SharedControlState::default();
     set_clock(&state, START);
     state
 }
 
-/// `state` hears at `now` what the store's clock shows.
+/// Reports the store's clock to `state` at `now`.
 fn set_clock(state: &SharedControlState, now: ClockTime) {
     let moment = store_time(now);
     let view = PeerView {
@@ -53,12 +53,12 @@
     state.change(|state| state.merge(view, at_once(now)));
 }
 
-/// What the store's clock shows at `now`.
+/// The store's clock at `now`.
 const fn store_time(now: ClockTime) -> StoreTime {
     StoreTime(now.0)
 }
 
-/// A question that is answered as it is asked.
+/// A query that is answered without delay.
 const fn at_once(now: ClockTime) -> QuerySpan {
     QuerySpan {
         sent_at: now,
@@ -70,7 +70,7 @@
     TargetUpdateTime::guessed(store_time(at), NamingCertainty::Witnessed)
 }
 
-/// What is taken for the naming of a version that the store tells of at `now`.
+/// The update time that is assumed for a version which the store reports at `now`.
 fn found_at(follow_state: FollowState, now: ClockTime) -> TargetUpdateTime {
     follow_state.update_time(store_time(now), store_time(now))
 }
@@ -116,9 +116,8 @@
     catalog.map_or(0, |catalog| catalog.version.0)
 }
 
-/// Symptom: a route that had been taken away answered again. The store forgot its history, the table
-/// was read as a whole from a copy that was seconds behind, and the older document replaced the
-/// newer one.
+/// Guards against an older document that replaces a newer one. The store lost its history, the full
+/// table was read from a replica that lagged by seconds, and a removed route answered again.
 #[test]
 fn an_older_document_never_replaces_a_newer_one() {
     let state = new_state();
@@ -139,8 +138,9 @@
     assert_eq!(version_of(&state), 9);
 }
 
-/// Symptom: requests began on the first version long after the second had to be everywhere. A third
-/// was named four seconds behind the second, and with it the time began anew.
+/// Guards against a deadline that starts anew with each version. A third version was set four
+/// seconds after the second, and requests began on the first long after the second had to be in
+/// force everywhere.
 #[test]
 fn each_version_has_its_own_deadline() {
     let state = new_state();
@@ -159,7 +159,11 @@
     assert_eq!(least(9), Some(WeightsVersion(2)));
     assert_eq!(least(12), Some(WeightsVersion(3)));
     let until = |held: u64| snapshot.usable_until("m", Some(WeightsVersion(held)), GRACE);
-    assert_eq!(until(1), Some(START + GRACE), "the second ends the first");
+    assert_eq!(
+        until(1),
+        Some(START + GRACE),
+        "version 2 replaces version 1"
+    );
     assert_eq!(until(2), Some(START + Duration::from_secs(12)));
     assert_eq!(until(3), None);
     let newest = snapshot
@@ -168,9 +172,9 @@
     assert_eq!(newest, Some(WeightsVersion(3)));
 }
 
-/// Symptom: every request was refused for six seconds after the store came back. Two versions had been
-/// named while it was away; they were taken for as old as the outage, so that older weights counted as
-/// overdue although nobody could have known of the new ones.
+/// Guards against dating versions back by the length of an outage. Two versions were set during it;
+/// older weights counted as overdue although no process could have known of the new ones, and every
+/// request was refused for six seconds.
 #[test]
 fn a_version_found_after_an_outage_counts_as_new() {
     let named_at = |follow_state: FollowState| found_at(follow_state, START).earliest;
@@ -188,9 +192,9 @@
     );
 }
 
-/// Symptom: every entry host refused all requests for five seconds. One of them had restarted and took
-/// the version that it found for old; the others, which had been cut off from the store and knew no
-/// moment either, took its assumption over.
+/// Guards against an assumed time that replaces a better one at other processes. A restarted entry
+/// host assumed that a version was old; the others, which had been cut off from the store and knew
+/// no time either, took that over, and all requests were refused for five seconds.
 #[test]
 fn an_assumed_update_time_does_not_spread() {
     let back = START + Duration::from_secs(20);
@@ -210,7 +214,7 @@
     exchange(&started, &resumed);
     for state in [resumed, started] {
         let snapshot = state.snapshot().load();
-        let weights = snapshot.newest_version("m").expect("it was named");
+        let weights = snapshot.newest_version("m").expect("the version is known");
         assert_eq!(store_time(weights.named_at), found.earliest);
     }
 }
@@ -222,8 +226,8 @@
     assert_eq!(now.since(before), Duration::from_mins(10));
 }
 
-/// Symptom: a request began on older weights behind the bound, sent by an entry host that had just
-/// started. It had found the version in the store and had counted from its own start.
+/// Guards against counting the deadline from a process's start. An entry host had just started and
+/// found the version in the store; a request began on older weights after the deadline.
 #[test]
 fn a_starting_process_takes_the_update_time_from_a_neighbour() {
     let witness = new_state();
@@ -241,20 +245,20 @@
         let view = witness.read(|witness| witness.answer(&query, Duration::ZERO, started_at));
         state.change(|state| state.merge(view, at_once(started_at)));
         let snapshot = state.snapshot().load();
-        let weights = snapshot.newest_version("m").expect("it was named");
+        let weights = snapshot.newest_version("m").expect("the version is known");
         assert_eq!(weights.named_at, START, "assumed {assumed} s");
     }
 }
 
-/// Symptom: all requests were refused for two seconds after the store came back. Every backend
-/// server's entry had lapsed while it was away, although all of them lived.
+/// Guards against removing all backend servers after an outage of the store, in which their entries
+/// lapsed although they were running. All requests were refused for two seconds.
 #[test]
 fn entries_lapsed_in_an_outage_may_return() {
     let state = new_state();
     state.change(|state| {
         state.note_store(START);
         state.set_backends(&view(vec![backend("a"), backend("b")], 5), START);
-        state.note_store_failure("silent");
+        state.note_store_failure("no answer");
     });
     let back = START + Duration::from_secs(20);
     state.change(|state| {
@@ -271,9 +275,9 @@
     assert_eq!(ids(&state), ["a"]);
 }
 
-/// Symptom: requests reached a backend server more than two seconds after its entry had gone. The
-/// process had been cut off from the store until three seconds before; the entry's end was taken for
-/// one that had lapsed in the outage, and its backend server was kept for a while.
+/// Guards against a grace period that lasts too long after an outage. A process had been cut off
+/// from the store until three seconds before; the removal of an entry counted as a lapse, and
+/// requests reached the backend server for more than two seconds.
 #[test]
 fn an_entry_removed_soon_after_an_outage_counts_after_the_grace_period() {
     let state = new_state();
--- a/src/sync/tests/read_orders.rs
+++ b/src/sync/tests/read_orders.rs
@@ -1,4 +1,4 @@
-//! Who reads and who asks, as one process works it out.
+//! Which processes read and which they query, as computed by one process.
 
 use std::time::Duration;
 
@@ -22,15 +22,15 @@
     }
 }
 
-/// `count` entry hosts of one data centre, the first in the order first.
+/// `count` entry hosts of one data centre, highest rank first.
 fn ordered(count: usize) -> Vec<EntryRecord> {
     let mut entries: Vec<EntryRecord> = (0..count).map(|number| entry(number, "a")).collect();
     entries.sort_unstable_by_key(|entry| std::cmp::Reverse(rank_of(&entry.host)));
     entries
 }
 
-/// Whom `order` asks in its next turns, sorted; none where it reads.
-fn sent_at(
+/// The readers that `order` queries in its next steps, sorted; `None` if it reads.
+fn queried(
     order: &mut ReadOrder,
     entries: &[EntryRecord],
     now: ClockTime,
@@ -46,22 +46,23 @@
     Some(found)
 }
 
-/// Documents reached far entry hosts 2.5 s late: all 17 of a data centre read each of them over one link.
+/// Guards against all entry hosts of a data centre reading each document over one link. With 17 of
+/// them, documents arrived 2.5 s late in distant data centres.
 #[test]
 fn two_entry_hosts_read_and_the_others_query_them_in_turn() {
     let mut entries = ordered(17);
     let readers = entries[..2].to_vec();
     let elsewhere: Vec<EntryRecord> = (100..120).map(|number| entry(number, "b")).collect();
-    let of_place = entries.clone();
+    let by_rank = entries.clone();
     entries.extend(elsewhere);
     entries.sort_unstable();
-    for (place, me) in of_place.iter().enumerate() {
+    for (place, me) in by_rank.iter().enumerate() {
         let mut order = ReadOrder::of(me);
-        let sent_at = sent_at(&mut order, &entries, START);
+        let queried = queried(&mut order, &entries, START);
         if place < 2 {
-            assert_eq!(sent_at, None, "{place} reads");
+            assert_eq!(queried, None, "{place} reads");
         } else {
-            assert_eq!(sent_at.as_ref(), Some(&readers), "{place} asks both");
+            assert_eq!(queried.as_ref(), Some(&readers), "{place} queries both");
         }
     }
 }
@@ -74,41 +75,41 @@
     assert_eq!(ReadOrder::of(&me).next(&alone, START), ReadStep::Read);
 }
 
-/// A reader was killed, and those that asked it had no documents until it was back.
+/// Guards against followers of a killed reader that get no documents until it returns.
 #[test]
 fn an_unresponsive_reader_is_replaced_and_queried_again_later() {
     let entries = ordered(5);
     let mut order = ReadOrder::of(&entries[4]);
     order.note(&entries[0].host, ReaderAnswer::Unresponsive, START);
     assert_eq!(
-        sent_at(&mut order, &entries, START),
+        queried(&mut order, &entries, START),
         Some(entries[1..3].to_vec())
     );
-    // The next in the order sees the same, and reads.
+    // The next one in the order sees the same failure, and reads.
     let mut next = ReadOrder::of(&entries[2]);
     next.note(&entries[0].host, ReaderAnswer::Unresponsive, START);
     assert_eq!(next.next(&entries, START), ReadStep::Read);
     let later = START + Duration::from_secs(2);
     assert_eq!(
-        sent_at(&mut order, &entries, later),
+        queried(&mut order, &entries, later),
         Some(entries[..2].to_vec())
     );
     order.note(&entries[1].host, ReaderAnswer::Current, later);
-    // It is still away: asking it again costs a turn, and is done less often.
+    // It is still unavailable. Each query to it costs a step, so it is queried less often.
     order.note(&entries[0].host, ReaderAnswer::Unresponsive, later);
     let soon = later + Duration::from_secs(3);
     assert_eq!(
-        sent_at(&mut order, &entries, soon),
+        queried(&mut order, &entries, soon),
         Some(entries[1..3].to_vec())
     );
     order.note(&entries[0].host, ReaderAnswer::Current, soon);
     assert_eq!(
-        sent_at(&mut order, &entries, soon),
+        queried(&mut order, &entries, soon),
         Some(entries[..2].to_vec())
     );
 }
 
-/// Half of a data centre was frozen, and each of those that did not answer took its time.
+/// Half of a data centre was paused, and each unresponsive reader cost a query's time limit.
 #[test]
 fn after_two_unresponsive_readers_a_process_reads_once() {
     let entries = ordered(9);
@@ -117,43 +118,43 @@
     order.note(&entries[1].host, ReaderAnswer::Unresponsive, START);
     assert_eq!(order.next(&entries, START), ReadStep::Read);
     assert_eq!(
-        sent_at(&mut order, &entries, START),
+        queried(&mut order, &entries, START),
         Some(entries[2..4].to_vec())
     );
 }
 
-/// The store turned the reader away and served all others; they went on asking it.
+/// The store refused the reader and served all others, which kept querying it.
 #[test]
 fn a_reader_cut_off_from_the_store_is_replaced() {
     let entries = ordered(5);
-    let mut reading = OperatorStatus::default();
-    reading.note_read(7, store_time(START), START);
-    reading.note_failure();
-    let announcement = reading.announcement().expect("it has read");
+    let mut status = OperatorStatus::default();
+    status.note_read(7, store_time(START), START);
+    status.note_failure();
+    let announcement = status.announcement().expect("the table was read");
     let answer = classify_answer(&announcement, START, START);
     assert_eq!(answer, ReaderAnswer::Outdated);
     let mut order = ReadOrder::of(&entries[4]);
     order.note(&entries[1].host, answer, START);
     let replaced = vec![entries[0].clone(), entries[2].clone()];
-    assert_eq!(sent_at(&mut order, &entries, START), Some(replaced));
+    assert_eq!(queried(&mut order, &entries, START), Some(replaced));
 }
 
-/// A reader's connection to the store went silent, or its answers came late: it answered at once and
-/// with old knowledge.
+/// A reader whose connection to the store fails silently, or is slow, answers at once with old
+/// knowledge.
 #[test]
 fn a_reader_with_old_knowledge_is_outdated() {
-    let mut reading = OperatorStatus::default();
-    assert_eq!(reading.announcement(), None, "it knows nothing");
-    reading.note_read(7, store_time(START), START);
-    let announcement = reading.announcement().expect("it has read");
+    let mut status = OperatorStatus::default();
+    assert_eq!(status.announcement(), None, "nothing is known yet");
+    status.note_read(7, store_time(START), START);
+    let announcement = status.announcement().expect("the table was read");
     let after =
         |millis: u64| classify_answer(&announcement, START, START + Duration::from_millis(millis));
-    // A watch is held open that long, and the store may be slow.
+    // A watch is held open for that long, and the store may be slow.
     assert_eq!(after(1900), ReaderAnswer::Current);
     assert_eq!(after(2600), ReaderAnswer::Outdated);
 }
 
-/// Where the link between two regions is too narrow, all of a data centre would read over it.
+/// On a link between regions that is too narrow, otherwise all of a data centre would read over it.
 #[test]
 fn at_most_four_outdated_readers_are_excluded() {
     let entries = ordered(17);
@@ -162,34 +163,34 @@
         order.note(&reader.host, ReaderAnswer::Outdated, START);
     }
     assert_eq!(
-        sent_at(&mut order, &entries, START),
+        queried(&mut order, &entries, START),
         Some(entries[4..6].to_vec())
     );
 }
 
-/// A process that is told by a neighbour knows no more than that one, and as of the same moment; as a reader it
-/// goes on from there.
+/// A follower knows no more than its reader, as of the same time, and continues from there when it
+/// becomes a reader.
 #[test]
 fn reported_knowledge_keeps_the_age_of_its_source() {
     let mut reader = OperatorStatus::default();
     reader.note_read(7, store_time(START), START);
-    let reported = reader.announcement().expect("it has read");
+    let announcement = reader.announcement().expect("the table was read");
     let mut follower = OperatorStatus::default();
-    follower.take_announcement(reported, START);
-    assert_eq!(follower.announcement(), Some(reported));
+    follower.take_announcement(announcement, START);
+    assert_eq!(follower.announcement(), Some(announcement));
     assert!(!follower.is_overdue(START + Duration::from_millis(2400)));
     assert!(follower.is_overdue(START + Duration::from_millis(2500)));
-    // An older word changes nothing.
+    // An older announcement changes nothing.
     let earlier = START - Duration::from_secs(3);
     let mut older = OperatorStatus::default();
     older.note_read(3, store_time(earlier), earlier);
-    follower.take_announcement(older.announcement().expect("it has read"), earlier);
-    assert_eq!(follower.announcement(), Some(reported));
+    follower.take_announcement(older.announcement().expect("the table was read"), earlier);
+    assert_eq!(follower.announcement(), Some(announcement));
     assert!(!follower.is_overdue(START + Duration::from_millis(2400)));
 }
 
-/// Whatever each has seen fail, nobody waits for somebody that waits for it: following whom each asks leads
-/// to one that reads.
+/// Whatever failures each process has seen, no two processes wait for each other: each queries only
+/// higher ranks, so the queries lead to a process that reads.
 #[test]
 fn queries_only_go_to_higher_ranks() {
     run_cases(CASES, CASE_BYTES, |u| {
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -1,5 +1,5 @@
-//! One data centre's entry hosts follow the operator's table as one, and what becomes of it when those that
-//! read it fail. A document has to be in force three seconds after it was accepted.
+//! Entry hosts of one data centre share the reading of the operator's table, and handle failures of
+//! the readers. A document has to be in force three seconds after it was accepted.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
 use crate::test_support::free_address;
 
 const ENTRIES: usize = 6;
-/// Within this a document is in force everywhere, whatever became of the readers.
+/// Within this time a document is in force everywhere, whatever happens to the readers.
 const BOUND: Duration = Duration::from_secs(3);
-/// Those that started before their readers were there ask these again behind a rest of 2 s.
+/// Entry hosts that started before their readers query them again after an exclusion of 2 s.
 const SETTLE: Duration = Duration::from_millis(2600);
 
-/// The entry hosts of a data centre, the first in the order first, each with its own way to the store.
+/// The entry hosts of a data centre, highest rank first, each with its own proxy to the store.
 struct TestDataCentre {
     store: FakeStore,
     proxies: Vec<StoreProxy>,
@@ -75,7 +75,7 @@
         self.store.put(TableName::Operator, key, &text);
     }
 
-    /// All that live, whatever became of their ways, have the newest document within `bound`.
+    /// Waits until all running processes have the newest document, within `bound`.
     async fn wait_for_document(&self, bound: Duration) {
         let version = CatalogVersion(self.version);
         let is_current = |snapshot: &ControlSnapshot| {
@@ -85,7 +85,7 @@
         self.wait_for_all(is_current, bound).await;
     }
 
-    /// All that live, whatever became of their ways, know `count` backend servers within `bound`.
+    /// Waits until all running processes know `count` backend servers, within `bound`.
     async fn wait_for_backends(&self, count: usize, bound: Duration) {
         let is_complete = |snapshot: &ControlSnapshot| snapshot.fleet.backends.len() == count;
         self.wait_for_all(is_complete, bound).await;
@@ -96,7 +96,10 @@
         for (place, process) in self.processes.iter().enumerate() {
             let Some(process) = process else { continue };
             let waited = timeout_at(until, process.wait_for(&is_ready)).await;
-            assert!(waited.is_ok(), "{place} does not know it within {bound:?}");
+            assert!(
+                waited.is_ok(),
+                "process {place} has not got it within {bound:?}"
+            );
         }
     }
 
@@ -113,8 +116,9 @@
     }
 }
 
-/// Far entry hosts had documents 2.5 s late, and then none for 11 s: each read every document itself, and
-/// the link between two regions was asked for one and a half times what it carries.
+/// Guards against each entry host reading every document itself. The link between two regions then
+/// needed one and a half times its capacity, and distant entry hosts got documents 2.5 s late, and
+/// then none for 11 s.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_is_read_by_two_and_reaches_all() {
     let mut data_centre = TestDataCentre::start().await;
@@ -126,17 +130,19 @@
             .await;
     }
     let reads = data_centre.store.rows_told(TableName::Operator) - before;
-    assert!(reads <= 10, "five documents were told {reads} times");
+    assert!(reads <= 10, "five documents were read {reads} times");
     data_centre.end();
 }
 
-/// Guards against more than one further reader beside one that stands still and answers again.
+/// Guards against more than one additional reader while a stalled reader is answering again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_reader_that_stands_still_costs_one_more_reader() {
     let mut data_centre = TestDataCentre::start().await;
     let before = data_centre.store.rows_told(TableName::Operator);
-    let reader = data_centre.processes[1].as_ref().expect("it lives");
-    // Longer than a question to it may take.
+    let reader = data_centre.processes[1]
+        .as_ref()
+        .expect("the process is running");
+    // Longer than the time limit of a query to it.
     reader.stall(Duration::from_millis(1200));
     sleep(Duration::from_millis(950)).await;
     for _ in 0..5 {
@@ -144,7 +150,7 @@
         data_centre.wait_for_document(BOUND).await;
     }
     let reads = data_centre.store.rows_told(TableName::Operator) - before;
-    assert!(reads <= 15, "five documents were told {reads} times");
+    assert!(reads <= 15, "five documents were read {reads} times");
     data_centre.end();
 }
 
@@ -166,7 +172,9 @@
     let mut data_centre = TestDataCentre::start().await;
     let mut stalled = Vec::new();
     for place in 0..2 {
-        let process = data_centre.processes[place].take().expect("it lives");
+        let process = data_centre.processes[place]
+            .take()
+            .expect("the process is running");
         process.stall(BOUND * 2);
         stalled.push(process);
     }
@@ -178,7 +186,7 @@
     }
 }
 
-/// The readers themselves have it from their neighbours.
+/// The readers themselves get the document from their neighbours.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_arrives_when_the_store_refuses_readers() {
     for fault in [ProxyFault::Refused, ProxyFault::Reset] {
@@ -208,8 +216,8 @@
     data_centre.end();
 }
 
-/// Each entry host read the list of backend servers itself, which took a sixth of the link between two regions
-/// and more calls to the store than all else.
+/// Guards against each entry host reading the list of backend servers itself, which took a sixth of
+/// the link between two regions and more calls to the store than everything else.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_backend_list_is_read_by_two_and_reaches_all() {
     let data_centre = TestDataCentre::start().await;
@@ -222,11 +230,11 @@
         data_centre.wait_for_backends(count, BOUND).await;
     }
     let reads = data_centre.store.rows_told(TableName::Backends) - before;
-    assert!(reads <= 8, "four entries were told {reads} times");
+    assert!(reads <= 8, "four entries were read {reads} times");
     data_centre.end();
 }
 
-/// A backend server that leaves may get nothing three seconds later.
+/// A leaving backend server may get no request three seconds later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_backend_list_arrives_when_readers_fail() {
     for fault in [ProxyFault::Refused, ProxyFault::Unresponsive] {
@@ -251,7 +259,8 @@
     data_centre.end();
 }
 
-/// Behind an outage everybody had taken itself for a reader, and all read the newest document at once.
+/// Guards against all entry hosts acting as readers after an outage, and reading the newest
+/// document at once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_written_in_an_outage_arrives_after_it() {
     let mut data_centre = TestDataCentre::start().await;
@@ -264,7 +273,7 @@
     data_centre.end();
 }
 
-/// The store forgot its history while the readers were cut off from it.
+/// The store lost its history while the readers were cut off from it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_arrives_after_lost_history() {
     let mut data_centre = TestDataCentre::start().await;
--- a/src/sync/tests/reported_lists.rs
+++ b/src/sync/tests/reported_lists.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers as a reader tells it to those that ask.
+//! The list of backend servers as a reader reports it to followers.
 
 use std::time::Duration;
 
@@ -16,14 +16,15 @@
 const CASES: u32 = 400;
 const CASE_BYTES: u32 = 512;
 const STEPS: u32 = 40;
-/// Questions until a list that differs is the reader's: one that finds it out, one for the whole.
+/// Queries until a differing list equals the reader's: one that detects the difference, one for the
+/// full list.
 const QUERIES_MAX: u32 = 2;
 
 fn entry(id: &str, revision: u64, number: u64, phase: BackendPhase) -> StoreRow {
     super::row(id, revision, Some(&entry_sample(Some(1), number, phase)))
 }
 
-/// One query of `follower` at `reader`, and what it led to.
+/// Sends one query from `follower` to `reader` and returns how the lists compare afterwards.
 fn query(
     follower: &SharedControlState,
     reader: &SharedControlState,
@@ -74,7 +75,7 @@
     assert_eq!(entries.len(), 1, "only the one that changed");
 }
 
-/// A backend server that leaves may get nothing three seconds later.
+/// A leaving backend server may get no request three seconds later.
 #[test]
 fn phase_changes_are_reported_at_once_and_heartbeats_are_not() {
     let reader = reader_with(vec![entry("a", 5, 1, BackendPhase::Serving)], 9);
@@ -93,10 +94,10 @@
     change(entry("a", 10, 2, BackendPhase::Serving), 10);
     assert!(!has_changes(), "a heartbeat");
     change(entry("a", 11, 3, BackendPhase::Leaving), 11);
-    assert!(has_changes(), "it leaves");
+    assert!(has_changes(), "it is leaving");
 }
 
-/// Two readers are asked by turns, and one is a moment behind the other: what it tells changes nothing.
+/// Two readers are queried in turn. If one lags, its response changes nothing.
 #[test]
 fn an_outdated_reader_changes_nothing() {
     let first = reader_with(vec![entry("a", 5, 1, BackendPhase::Serving)], 9);
@@ -126,7 +127,8 @@
     }));
 }
 
-/// An entry that somebody wrote over is dropped at once and leaves no trace in the list.
+/// An entry overwritten by another writer is dropped at once, and is neither a change nor a
+/// removal.
 #[test]
 fn a_dropped_entry_shows_in_the_digest() {
     let rows = ["a", "b"].map(|id| entry(id, 5, 1, BackendPhase::Serving));
@@ -147,7 +149,7 @@
     assert_eq!(ids(&follower), ["b"]);
 }
 
-/// The list of a process goes stale with its readers; then it reads for itself.
+/// The list becomes outdated together with its readers; then the process reads it itself.
 #[test]
 fn a_list_not_reported_for_a_while_is_read() {
     let reader = reader_with(vec![entry("a", 5, 1, BackendPhase::Serving)], 9);
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! What is left of what processes knew when all of them start again.
+//! What remains known after all processes have restarted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 
 const WAIT_MAX: Duration = Duration::from_secs(10);
 
-/// An entry host's control thread, which can lose power.
+/// An entry host's control thread, which can be stopped abruptly.
 pub(super) struct EntryProcess {
     runtime: Runtime,
     pub(super) state: SharedControlState,
@@ -36,7 +36,7 @@
         Self::start_with_seeds(name, store, Vec::new())
     }
 
-    /// The same, beside entry hosts that listen at `seeds`.
+    /// The same, with the addresses of other entry hosts.
     pub(super) fn start_with_seeds(
         name: &'static str,
         store: &FakeStore,
@@ -61,24 +61,24 @@
             .worker_threads(1)
             .enable_all()
             .build()
-            .expect("a thread can be had");
+            .expect("the runtime starts");
         let state = SharedControlState::default();
         let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
         runtime.spawn(run_sync(settings, state.clone(), drain));
         Self { runtime, state }
     }
 
-    /// It does nothing for `span`, and then goes on.
+    /// Stalls the process for `span`.
     pub(super) fn stall(&self, span: Duration) {
         self.runtime.spawn(async move { std::thread::sleep(span) });
     }
 
-    /// Nothing of it is left, and nothing is said on the way.
+    /// Stops the process without any last message.
     pub(super) fn stop_abruptly(self) {
         self.runtime.shutdown_background();
     }
 
-    /// What it believes as soon as `is_ready` holds.
+    /// Waits for a snapshot for which `is_ready` holds.
     pub(super) async fn wait_for(
         &self,
         is_ready: impl Fn(&ControlSnapshot) -> bool,
@@ -90,11 +90,14 @@
                 if is_ready(&snapshot) {
                     return snapshot;
                 }
-                changes.changed().await.expect("the book is held here");
+                changes
+                    .changed()
+                    .await
+                    .expect("the state has not been dropped");
             }
         };
         let waited = timeout(WAIT_MAX, waiting).await;
-        waited.expect("the process learns it from the store")
+        waited.expect("the process reaches the expected state")
     }
 }
 
@@ -113,7 +116,7 @@
     store.put(TableName::Operator, key, &text);
 }
 
-/// Waits until the store keeps that `version` was named.
+/// Waits until the store has the record of `version`.
 pub(super) async fn await_record(store: &FakeStore, version: u64) {
     let is_kept = || {
         let text = store.text_of(TableName::Own, "weights/m");
@@ -129,7 +132,7 @@
     waited.expect("the version is recorded");
 }
 
-/// What a process believes that starts beside `store`, as soon as it could take requests.
+/// The first usable snapshot of a process that starts now.
 async fn state_of_new_process(store: &FakeStore) -> Arc<ControlSnapshot> {
     let process = EntryProcess::start("new", store);
     let snapshot = process.wait_for(|snapshot| snapshot.catalog.is_some());
@@ -138,11 +141,11 @@
     snapshot
 }
 
-/// All hosts lost power, and from then on requests began on weights that had been replaced half a minute
-/// before. The naming of version 2 had got no answer; the store did it late, over the naming of version 3.
-/// Processes that lived stayed with version 3 and told `[1111] … version=2 known=3 from=store/75`. Those
-/// that started afterwards knew only the store's row, told `[1102] … version=2 from=store/75
-/// certainty=Assumed`, and 24 engines were loaded with version 2.
+/// Guards against losing a target version when all hosts lose power. The update to version 2 had
+/// got no answer, and the store executed it after the update to version 3. Running processes kept
+/// version 3 and logged `[1111] … version=2 known=3 from=store/75`. Those that started afterwards
+/// knew only the store's row and logged `[1102] … version=2 from=store/75 certainty=Assumed`; 24
+/// engines were loaded with version 2, replaced half a minute before.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_target_version_survives_a_late_older_update_and_a_full_restart() {
     let store = FakeStore::start().await;
@@ -162,9 +165,9 @@
     second.stop_abruptly();
 }
 
-/// A version that was named while the row of its record held what somebody else had written would be
-/// lost again with all processes; and a look for it after each change of the view, each of which is
-/// one, would keep the thread and the store busy for good.
+/// Guards against two faults with an unreadable record. A version set meanwhile would be lost when
+/// all processes end; and a check after each change of the control state, if each check caused a
+/// change, would never end.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_unreadable_record_is_overwritten_once() {
     let store = FakeStore::start().await;
@@ -176,7 +179,7 @@
     first.wait_for(|snapshot| newest(snapshot).is_some()).await;
     await_record(&store, 3).await;
     sleep(Duration::from_millis(300)).await;
-    // Its entry, a record where none was known, and one over what stood there.
+    // The entry, a record assuming that no row exists, and one that overwrites the row.
     assert!(store.change_calls() <= 4, "{}", store.change_calls());
     assert_eq!(store.changes_done(), 2, "its entry and one record");
     set_target_version(&store, 2);
@@ -187,8 +190,8 @@
     second.stop_abruptly();
 }
 
-/// All entry hosts were started again beside hosts of backend servers that lived on, and did not know
-/// the version that these had been told: a host that came new was told the older one.
+/// Guards against losing a version when all entry hosts restart while hosts of backend servers keep
+/// running and know it. New hosts then received the older version.
 #[test]
 fn an_entry_host_takes_a_version_from_a_query() {
     let witness = new_state();
@@ -201,18 +204,18 @@
     assert!(!started.read(|state| state.is_updated_by(&announcements)));
     let snapshot = started.snapshot().load();
     assert_eq!(newest(&snapshot), Some(WeightsVersion(3)));
-    let weights = snapshot.newest_version("m").expect("it was told");
+    let weights = snapshot.newest_version("m").expect("the version is known");
     assert_eq!(weights.named_at, START);
 }
 
 fn named_at(snapshot: &ControlSnapshot) -> ClockTime {
     let weights = snapshot.newest_version("m");
-    weights.expect("a version is wanted").named_at
+    weights.expect("a target version is known").named_at
 }
 
-/// Requests would begin on older weights up to six seconds behind the bound: a process that started took
-/// the version that it found for old, and then, when it read the system's own rows once more, for one
-/// that had been named that moment.
+/// Guards against dating a version as new when a record is read again. A starting process assumed
+/// at first that the version was old; requests then began on older weights up to six seconds after
+/// the deadline.
 #[test]
 fn a_record_read_again_does_not_postdate_a_version() {
     let state = new_state();
@@ -236,8 +239,8 @@
     );
 }
 
-/// The same by the operator's table: the store forgot its history soon after a start, the table was read
-/// as a whole once more, and a version of before counted as one that the process had just been told.
+/// The same for the operator's table: the store lost its history soon after a start, and the second
+/// full read dated an earlier version as new.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_table_read_again_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
@@ -259,8 +262,8 @@
     process.stop_abruptly();
 }
 
-/// A version named while all entry hosts were killed would bind too late: the hosts of backend servers
-/// beside them had been told when, the entry hosts that had started only assumed it.
+/// Guards against dating a version too late that was set while all entry hosts were down. The hosts
+/// of backend servers knew the time; the restarted entry hosts only assumed it.
 #[test]
 fn an_entry_host_takes_the_update_time_from_a_query() {
     let witness = new_state();
@@ -276,10 +279,10 @@
     assert_eq!(named_at(&started.snapshot().load()), START);
 }
 
-/// All entry hosts were without power when version 3 was named, and an older naming was done over it before
-/// the first of them was back: `[1102] … version=2 from=store/78 certainty=Assumed` on every one. Nobody
-/// had been told of version 3, so that nothing of the system's own recorded it. The store still knew each
-/// change of the last seconds.
+/// Guards against losing a version that no process received. All entry hosts were without power
+/// when version 3 was set, and an older update was executed after it before the first of them
+/// returned: all logged `[1102] … version=2 from=store/78 certainty=Assumed`. The own rows did not
+/// record version 3, but the store still had the changes of the last seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_overwritten_version_is_found_in_the_store_history() {
     let store = FakeStore::start().await;
@@ -294,7 +297,7 @@
     assert_eq!(newest(&snapshot), Some(WeightsVersion(3)));
 }
 
-/// A store that has forgotten its history tells what stored, and the process is ready with that.
+/// If the store has lost its history, the process becomes ready with the current rows.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_process_starts_when_the_store_has_lost_its_history() {
     let store = FakeStore::start().await;
@@ -305,9 +308,9 @@
     assert_eq!(newest(&snapshot), Some(WeightsVersion(2)));
 }
 
-/// Entry hosts refused every stream for four seconds too long. They had started and found a version, which
-/// they took for six seconds old; the hosts of engines had been told of the one before it only two seconds
-/// before that start, so that the newer one could not be older.
+/// Guards against dating a version before its predecessor. Entry hosts had restarted and assumed
+/// that the version they found was six seconds old, but the hosts of engines had received its
+/// predecessor only two seconds before that. Every stream was refused for four seconds too long.
 #[test]
 fn a_version_is_not_dated_before_its_predecessor() {
     let witness = new_state();
@@ -326,8 +329,8 @@
     assert_eq!(named_at(&witness.snapshot().load()), START);
 }
 
-/// A record of version 2 that a process had begun to write, and that the store did last, would bring the
-/// older weights back at the next restart of all.
+/// Guards against a record of version 2 that is executed last and would bring the older weights
+/// back when all processes restart.
 #[tokio::test]
 async fn a_late_record_does_not_replace_a_newer_one() {
     let store = FakeStore::start().await;
@@ -339,16 +342,17 @@
     let writing = client.write_row_at(TableName::Own, ("weights/m", 0), second, WAIT_MAX);
     let outcome = writing.await.expect("the store answers").outcome;
     let WriteOutcome::Refused { row: Some(row) } = outcome else {
-        panic!("it was done: {outcome:?}");
+        panic!("the write was executed: {outcome:?}");
     };
     assert_eq!(row.value.as_deref(), Some(third.as_bytes()));
     let stored = store.text_of(TableName::Own, "weights/m");
     assert_eq!(stored.as_deref(), Some(third));
 }
 
-/// Every stream was refused for five seconds behind an outage of the store. A process that had started
-/// meanwhile took the versions that it found at the store's return for six seconds old; the others heard of
-/// them from it first, and their own watches, which had been cut, told no more of them.
+/// Guards against an assumed time that hides a better one. During an outage a process had
+/// restarted; at the store's return it assumed that the versions were six seconds old and announced
+/// them first, before the others' interrupted watches returned. Every stream was refused for five
+/// seconds.
 #[test]
 fn an_interrupted_watch_overrides_an_assumed_time() {
     let back = START + Duration::from_secs(20);
@@ -359,7 +363,8 @@
     let interrupted = new_state();
     interrupted.change(|state| state.merge_targets(&announcements, back));
     let found = found_at(FollowState::Interrupted, back);
-    // The process that had started has recorded it, which is read before the watch goes on.
+    // The restarted process has recorded the version, and the record is read before the watch
+    // continues.
     let record = OwnRows::with_record(VersionRecord {
         target: announcements[0].target.clone(),
         revision: 8,
@@ -370,7 +375,7 @@
         store_time(named_at(&interrupted.snapshot().load())),
         found.earliest
     );
-    // The same row once more tells nothing.
+    // The same row again changes nothing.
     let later = back + Duration::from_secs(5);
     let followed = FollowState::Followed(store_time(back));
     let later = found_at(followed, later);
--- a/src/sync/tests/store_calls.rs
+++ b/src/sync/tests/store_calls.rs
@@ -5,7 +5,7 @@
 use crate::sync::store_watch::entries_pause;
 use crate::sync::version_recorder::record_delay;
 
-/// Reads of the entry hosts' table in a second, by all entry hosts of five data centres together.
+/// Reads of the entry hosts' table per second, by all entry hosts of five data centres.
 fn reads_per_s(count: usize) -> f64 {
     let readers = 10;
     let pauses = (0..count).map(|place| entries_pause(place < readers, count));
@@ -19,7 +19,7 @@
     assert_eq!(entries_pause(false, 6), Duration::from_secs(10));
 }
 
-/// Guards against a conditional write of each entry host for each version that is named.
+/// Guards against one conditional write per entry host for each target version.
 #[test]
 fn a_version_is_recorded_by_a_few_entry_hosts_at_a_time() {
     let within = |span: f64| {
@@ -30,6 +30,6 @@
     };
     assert_eq!(within(0.0), 3);
     assert!(within(4.0) <= 9 && within(8.0) <= 15, "{}", within(8.0));
-    // The first ones may be cut off from the store: others come within the bound of a version.
+    // The first ones may be cut off from the store, so others follow before a version's deadline.
     assert!(within(4.0) > 6);
 }
--- a/src/sync/tests/store_proxy.rs
+++ b/src/sync/tests/store_proxy.rs
@@ -1,4 +1,4 @@
-//! A way to the store, or to another process, that comes to harm while the others stay whole.
+//! A proxy to the store, or to another process, that can fail while other connections work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,22 +12,22 @@
 const BUFFER_BYTES: usize = 64 * 1024;
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 2\r\n\r\n{}";
 
-/// What becomes of the calls that come this way.
+/// What the proxy does to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProxyFault {
-    /// Nothing.
+    /// Forwards them.
     None,
-    /// They are answered 503.
+    /// Answers 503.
     Refused,
-    /// Their connections are closed, and new ones at once.
+    /// Closes connections, and new ones at once.
     Reset,
-    /// Nothing comes back, on old connections and on new ones.
+    /// Returns nothing, on existing and new connections.
     Unresponsive,
-    /// Each part of an answer takes that much longer.
+    /// Delays each part of an answer by this time.
     Slow(Duration),
 }
 
-/// The way; its clones are the same one.
+/// The proxy; clones share it.
 #[derive(Clone)]
 pub(super) struct StoreProxy {
     pub(super) address: SocketAddr,
@@ -35,7 +35,7 @@
 }
 
 impl StoreProxy {
-    /// A way to `target` that is whole.
+    /// Starts a working proxy to `target`.
     pub(super) async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind((target.ip(), 0)).await;
         let listener = listener.expect("a free port");
@@ -45,8 +45,8 @@
         };
         let fault = proxy.fault.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(pass(near, target, fault.subscribe()));
+            while let Ok((client_side, _)) = listener.accept().await {
+                tokio::spawn(pass(client_side, target, fault.subscribe()));
             }
         });
         proxy
@@ -57,37 +57,37 @@
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, mut fault: watch::Receiver<ProxyFault>) {
+async fn pass(client_side: TcpStream, target: SocketAddr, mut fault: watch::Receiver<ProxyFault>) {
     let far = TcpStream::connect(target).await;
     let (mut far_reader, mut far_writer) = far.expect("the target listens").into_split();
-    let (mut near_reader, mut near_writer) = near.into_split();
-    let mut sent_at = vec![0; BUFFER_BYTES];
-    let mut answered = vec![0; BUFFER_BYTES];
+    let (mut near_reader, mut near_writer) = client_side.into_split();
+    let mut request = vec![0; BUFFER_BYTES];
+    let mut response = vec![0; BUFFER_BYTES];
     loop {
-        let now = *fault.borrow_and_update();
-        if now == ProxyFault::Reset {
+        let current = *fault.borrow_and_update();
+        if current == ProxyFault::Reset {
             return;
         }
         tokio::select! {
-            read = near_reader.read(&mut sent_at) => {
+            read = near_reader.read(&mut request) => {
                 let Ok(read @ 1..) = read else { return };
-                let passed = match now {
+                let passed = match current {
                     ProxyFault::Refused => near_writer.write_all(REFUSAL).await,
                     ProxyFault::Unresponsive => Ok(()),
-                    _ => far_writer.write_all(&sent_at[..read]).await,
+                    _ => far_writer.write_all(&request[..read]).await,
                 };
                 if passed.is_err() {
                     return;
                 }
             }
-            read = far_reader.read(&mut answered) => {
+            read = far_reader.read(&mut response) => {
                 let Ok(read @ 1..) = read else { return };
-                match now {
+                match current {
                     ProxyFault::Slow(span) => sleep(span).await,
                     ProxyFault::Unresponsive => continue,
                     _ => {}
                 }
-                if near_writer.write_all(&answered[..read]).await.is_err() {
+                if near_writer.write_all(&response[..read]).await.is_err() {
                     return;
                 }
             }
--- a/src/sync/tests/unreadable.rs
+++ b/src/sync/tests/unreadable.rs
@@ -15,7 +15,7 @@
 
 const CASES: u32 = 1500;
 const CASE_BYTES: u32 = 512;
-/// What the store's client makes of bytes that do not decode.
+/// What the store's client returns for bytes that can't be decoded.
 const NO_BYTES: &str = "";
 
 fn steady_state(rows: Vec<StoreRow>) -> SharedControlState {
@@ -27,8 +27,8 @@
     state
 }
 
-/// Symptom: requests went on to an address after somebody else had written over the entry that named it:
-/// what the entry had said before stayed in force for as long as it did not read.
+/// Guards against an old address that stays in use. Another writer had overwritten the entry, and
+/// its earlier content stayed in force while it was unreadable.
 #[test]
 fn an_unreadable_entry_removes_its_backend_until_readable() {
     let later = START + Duration::from_secs(10);
@@ -47,8 +47,9 @@
     }
 }
 
-/// Symptom: requests went for a second and a half more to an address that no entry named. The entry had
-/// been written over soon after an outage and was taken for one that had lapsed in it.
+/// Guards against keeping a backend server in the grace period whose entry was overwritten. This
+/// happened soon after an outage, counted as a lapse, and requests went for another second and a
+/// half to an address that was in no entry.
 #[test]
 fn an_overwritten_entry_is_not_kept_as_lapsed() {
     let state = steady_state(vec![backend("a"), backend("b")]);
@@ -68,18 +69,18 @@
         state.change(|state| state.change_operator_rows(rows, witnessed_at(START)));
     };
     let (document_key, text) = document_sample(9);
-    let (naming_key, _) = naming_sample(1);
+    let (target_key, _) = naming_sample(1);
     take(&[document(7), target_row(2)]);
     for unreadable in [NO_BYTES, "{", "[]", "{\"x\":-1}"] {
         let rows = [
             row(document_key, 8, Some(unreadable)),
-            row(naming_key, 9, Some(unreadable)),
+            row(target_key, 9, Some(unreadable)),
         ];
         take(&rows);
         assert_eq!(version_of(&state), 7);
     }
     let (_, other) = naming_sample(5);
-    take(&[row(&format!("{naming_key}x"), 10, Some(&other))]);
+    take(&[row(&format!("{target_key}x"), 10, Some(&other))]);
     let newest = |state: &SharedControlState| {
         let snapshot = state.snapshot().load();
         snapshot
@@ -102,9 +103,9 @@
     OwnRows::of(&view(rows.collect(), 9))
 }
 
-/// Symptom: load reports of one entry host went to the address of another. A row under one name gave the
-/// name of the other, which it replaced; in the same way the record of one model's version was replaced
-/// by a row of another model.
+/// Guards against rows whose content belongs to another key. A row replaced the entry of another
+/// entry host, and load reports went to the wrong address; in the same way a row of another model
+/// replaced the record of a model's version.
 #[test]
 fn own_rows_count_only_under_their_keys() {
     let own = own_rows(&[
@@ -127,23 +128,23 @@
 #[test]
 fn an_unreadable_row_is_logged_once_at_its_begin_and_end() {
     let mut rows = UnreadableRows::default();
-    let error = SwitchError::new(ErrorKind::MessageInvalid, "it is spoilt");
+    let error = SwitchError::new(ErrorKind::MessageInvalid, "corrupt row");
     let table = TableName::Backends;
     let unreadable = RowStatus::Unreadable(&error);
     assert!(!rows.note(table, "a", RowStatus::Readable));
     assert!(rows.note(table, "a", unreadable));
-    assert!(!rows.note(table, "a", unreadable), "it is known");
+    assert!(!rows.note(table, "a", unreadable), "already known");
     assert!(
         rows.note(TableName::Own, "a", unreadable),
-        "it is another row"
+        "a row of another table"
     );
     rows.note(table, "a", RowStatus::Readable);
     assert_eq!(rows.len(), 1);
-    assert!(rows.note(table, "a", unreadable), "it begins anew");
+    assert!(rows.note(table, "a", unreadable), "newly unreadable");
     rows.note(table, "a", RowStatus::Removed);
     rows.note(table, "b", unreadable);
     rows.keep_listed(table, |_| false);
-    assert_eq!(rows.len(), 1, "the other table's row stays");
+    assert_eq!(rows.len(), 1, "the row of the other table stays");
     rows.note_own(&own_rows(&[]));
     assert_eq!(rows.len(), 0);
     rows.note_own(&own_rows(&[("e", json!(1)), ("f", entry_text("f"))]));
@@ -152,11 +153,11 @@
     assert_eq!(rows.len(), 1, "not all rows were read");
 }
 
-/// Symptom: a process grew for as long as somebody wrote rows that do not read.
+/// Guards against memory that grows as long as another writer writes unreadable rows.
 #[test]
 fn remembered_unreadable_rows_are_bounded() {
     let mut rows = UnreadableRows::default();
-    let error = SwitchError::new(ErrorKind::MessageInvalid, "it is spoilt");
+    let error = SwitchError::new(ErrorKind::MessageInvalid, "corrupt row");
     for at in 0..5000 {
         let key = format!("row {at}");
         rows.note(TableName::Own, &key, RowStatus::Unreadable(&error));
@@ -165,19 +166,19 @@
     let other = RowStatus::Unreadable(&error);
     assert!(
         rows.note(TableName::Operator, "document", other),
-        "it is not hidden"
+        "another table's row is not hidden"
     );
 }
 
-/// Symptom: an entry host was never ready, and its log told `[1103]` of a store that answered: one row in
-/// each table held bytes that do not decode. Nor was the version recorded that such a row stood in the
-/// place of.
+/// Guards against one undecodable row that blocks its table. With one such row in each table, an
+/// entry host never became ready and logged `[1103]` of a store that answered; nor was the version
+/// recorded whose row was undecodable.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_undecodable_row_stops_no_table() {
     let store = FakeStore::start().await;
     let tables = [TableName::Own, TableName::Operator, TableName::Backends];
     for table in tables {
-        store.put_raw(table, "spoilt", "%%%");
+        store.put_raw(table, "corrupt", "%%%");
     }
     store.put_raw(TableName::Own, "weights/m", "%%%");
     let (key, text) = document_sample(1);
@@ -190,14 +191,14 @@
     process.wait_for(is_ready).await;
     let (key, text) = naming_sample(2);
     store.put_raw(TableName::Operator, &format!("{key}x"), "%%%");
-    store.put_raw(TableName::Backends, "spoilt too", "%%%");
+    store.put_raw(TableName::Backends, "unreadable too", "%%%");
     store.put(TableName::Operator, key, &text);
     store.put(TableName::Backends, "b", &backend_sample());
     let is_reported = |snapshot: &crate::sync::ControlSnapshot| {
         snapshot.newest_version("m").is_some() && snapshot.fleet.backends.len() == 2
     };
     process.wait_for(is_reported).await;
-    // Over the spoilt row.
+    // Over the undecodable row.
     await_record(&store, 2).await;
     process.stop_abruptly();
 }
@@ -226,7 +227,7 @@
         let hosts: Vec<&str> = read.entries.iter().map(|entry| &*entry.host).collect();
         assert!(hosts == ["a", "z"] || hosts == ["a", "x", "z"], "{own}");
 
-        let (naming_key, _) = naming_sample(1);
+        let (target_key, _) = naming_sample(1);
         let (document_key, _) = document_sample(1);
         let unreadable = any_json(u)?.to_string();
         let bytes = Bytes::copy_from_slice(u.bytes(u.len())?);
@@ -238,7 +239,7 @@
             };
             let rows = [
                 unreadable_row(document_key),
-                unreadable_row(naming_key),
+                unreadable_row(target_key),
                 document(7),
                 target_row(2),
             ];
--- a/src/sync/unreadable_rows.rs
+++ b/src/sync/unreadable_rows.rs
@@ -1,4 +1,5 @@
-//! The store's rows that do not read, so that the log tells when one begins and when it ends.
+//! Tracks unreadable rows of the store, so that the log shows once when a row becomes unreadable
+//! and once when that ends.
 
 use macro_rules_attribute::apply;
 
@@ -10,26 +11,26 @@
 use crate::metrics;
 use crate::platform::TableName;
 
-/// Rows of one table that are remembered. Others may write any number of them; of those beyond this one
-/// only the counter tells. Each table has its own, so that many entries of backend servers do not hide
-/// that the document stopped reading.
+/// Limit of remembered rows per table, since other writers may write any number of them. Further
+/// ones only increase a counter. Each table has its own limit, so that many entries of backend
+/// servers don't hide an unreadable document.
 const ROWS_MAX: usize = 256;
-/// Characters of what others wrote that go into one line of the log.
+/// Limit of characters of foreign text in one log line.
 const EXCERPT_MAX: usize = 200;
 
-/// What was found in a row.
+/// State of a row that was read.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RowStatus<'a> {
-    /// What belongs there.
+    /// The row could be decoded.
     Readable,
-    /// Something else.
+    /// The row could not be decoded.
     Unreadable(&'a SwitchError),
-    /// There is no such row any more.
+    /// The row no longer exists.
     Removed,
 }
 
 impl<'a> RowStatus<'a> {
-    /// What came of reading it.
+    /// The state that follows from the result of decoding the row.
     pub(super) const fn of<T>(read: &'a SwitchResult<T>) -> Self {
         match read {
             Ok(_) => Self::Readable,
@@ -53,7 +54,7 @@
     key: String,
 }
 
-/// The rows that do not read.
+/// The unreadable rows.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreadableRows {
     /// Sorted.
@@ -61,7 +62,7 @@
 }
 
 impl UnreadableRows {
-    /// Takes in what was found in a row. Returns whether it has just begun not to read.
+    /// Records the state of a row. Returns true if it is newly unreadable and logged.
     pub(super) fn note(&mut self, table: TableName, key: &str, status: RowStatus<'_>) -> bool {
         let found = self
             .rows
@@ -94,7 +95,7 @@
         true
     }
 
-    /// Takes in a read of a whole table: rows that it does not list are gone.
+    /// Merges a full read of a table: rows that it does not list are removed.
     pub(super) fn keep_listed(&mut self, table: TableName, is_listed: impl Fn(&str) -> bool) {
         self.rows.retain(|row| {
             let stays = row.table != table || is_listed(&row.key);
@@ -105,7 +106,7 @@
         });
     }
 
-    /// Takes in what was found in the system's own rows.
+    /// Records the states of the system's own rows.
     pub(super) fn note_own(&mut self, own: &OwnRows) {
         for (key, read) in &own.read_results {
             self.note(TableName::Own, key, RowStatus::of(read));
@@ -116,7 +117,7 @@
         }
     }
 
-    /// How many there are.
+    /// The number of unreadable rows.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.rows.len()
@@ -141,7 +142,7 @@
     }
 }
 
-/// What others wrote, on one line and not too long for it.
+/// An excerpt of foreign text, escaped so that it fits on one log line.
 fn excerpt(text: &str) -> String {
     let start = text.chars().take(EXCERPT_MAX);
     start.flat_map(char::escape_debug).collect()
--- a/src/sync/version_recorder.rs
+++ b/src/sync/version_recorder.rs
@@ -1,4 +1,4 @@
-//! Records in the store which version of each model's weights was named last.
+//! Records the last target version of each model in the store.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,38 +15,40 @@
 use crate::platform::{TableName, WriteOutcome};
 use crate::routing::name_hash;
 
-/// The pause between two looks for versions that are to be recorded. A version that is named while all
-/// hosts are about to lose power must be in the store before; a write takes some 4 ms.
+/// Pause between two checks for versions to record. A version that is set just before all hosts
+/// lose power has to be in the store by then; a write takes about 4 ms.
 const RECORD_PAUSE: Duration = Duration::from_millis(20);
-/// Entry hosts that record a version at once. One may be cut off from the store, and one be killed.
+/// Entry hosts that record a version at once. One of them may be cut off from the store, and
+/// another may be killed.
 const FIRST_RECORDERS: usize = 3;
-/// When the others look whether it is recorded, in seconds: behind the first ones' time for an answer.
+/// When the other entry hosts check whether the version is recorded, in seconds: after the time
+/// limit of the first writes.
 const RECORD_DELAY: Range<f64> = 1.0..4.0;
-/// How many of the others do so within that time. The next ones come behind them: a look is a write,
-/// and the store must not get one of each entry host for each version.
+/// How many of the other entry hosts do so within that time; the next ones follow after it. A check
+/// is a write, and the store must not get one per entry host and version.
 const DELAYED_RECORDERS: usize = 6;
 
-/// When the entry host at `place` among the recorders looks whether a version is recorded, in seconds;
-/// none if it writes at once.
-pub(super) fn record_delay(place: usize) -> Option<Range<f64>> {
-    let rank = place.checked_sub(FIRST_RECORDERS)? / DELAYED_RECORDERS;
-    let waited = RECORD_DELAY.end * f64::from(u32::try_from(rank).unwrap_or(u32::MAX));
+/// The delay in seconds after which the recorder with rank `rank` checks whether a version is
+/// recorded; `None` if it writes at once.
+pub(super) fn record_delay(rank: usize) -> Option<Range<f64>> {
+    let batch = rank.checked_sub(FIRST_RECORDERS)? / DELAYED_RECORDERS;
+    let waited = RECORD_DELAY.end * f64::from(u32::try_from(batch).unwrap_or(u32::MAX));
     Some(RECORD_DELAY.start + waited..RECORD_DELAY.end + waited)
 }
 
 impl StoreWatch {
-    /// Records in the store which versions were named last, so that they outlive all processes.
+    /// Records target versions in the store, so that they survive the end of all processes.
     ///
-    /// Some entry hosts write at once; the others come later, in case that these are cut off from the
-    /// store, and spread. All at once they would hold up the operators' writes in the same part of the
-    /// store, 3 ms each.
+    /// Some entry hosts write at once. The others follow with random delays, in case the first are
+    /// cut off from the store. All at once they would delay the operators' writes to the same part
+    /// of the store by 3 ms each.
     pub(crate) async fn record_versions(self) {
         let mut changes = self.state.changes();
         let mut backoff = RetryBackoff::default();
         loop {
             let mut records = self.state.read(ControlState::unrecorded);
-            let places = records.iter().map(|record| self.recorder_rank(record));
-            if let Some(delay) = places.max().and_then(record_delay) {
+            let ranks = records.iter().map(|record| self.recorder_rank(record));
+            if let Some(delay) = ranks.max().and_then(record_delay) {
                 let delay = rand::rng().random_range(delay);
                 sleep(Duration::from_secs_f64(delay)).await;
                 records = self.state.read(ControlState::unrecorded);
@@ -68,8 +70,8 @@
         }
     }
 
-    /// How many entry hosts write a record before this one, in an order that differs from version to
-    /// version and needs no word between them.
+    /// The number of entry hosts that write a record before this one. The order is hashed from host
+    /// and version, so that the hosts need not agree on it.
     fn recorder_rank(&self, record: &VersionRecord) -> usize {
         let version = record.target.version.0;
         let rank = |host: &str| name_hash(&format!("{host}/{}/{version}", record.target.model));
@@ -81,8 +83,8 @@
         })
     }
 
-    /// Writes a record over the one that is known. Where another stands, that one is taken in; if it
-    /// is older still, the next look writes over it.
+    /// Writes a record over the known one. If the store holds a different one, that is merged; if
+    /// it is older too, the next check overwrites it.
     async fn record_version(&self, mut record: VersionRecord) -> SwitchResult<()> {
         let text = serde_json::to_vec(&record.target)
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
