--- a/src/gateway/crash_detector.rs
+++ b/src/gateway/crash_detector.rs
@@ -13,7 +13,7 @@
 use crate::fleet::{BackendFacts, BackendKey};
 use crate::metrics;
 use crate::quarantine::{BackendIncarnation, RecentAnswers, RequestDigest};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::time::{ClockTime, clock_now};
 
 /// How long requests are collected that were interrupted together with the first one.
@@ -33,7 +33,7 @@
 /// Detects crashes and records the requests that were in progress. Clones share their state.
 #[derive(Clone, Debug)]
 pub(super) struct CrashDetector {
-    control_state: SharedBook,
+    control_state: SharedControlState,
     /// Interrupted requests at backend servers that are being probed.
     interrupted: Arc<Mutex<Vec<InterruptedRequest>>>,
     answered: Arc<Mutex<RecentAnswers>>,
@@ -41,7 +41,7 @@
 
 impl CrashDetector {
     /// Creates a detector that records crashes in `control_state`.
-    pub(super) fn new(control_state: SharedBook) -> Self {
+    pub(super) fn new(control_state: SharedControlState) -> Self {
         Self {
             control_state,
             interrupted: Arc::default(),
--- a/src/gateway/report_relay.rs
+++ b/src/gateway/report_relay.rs
@@ -17,7 +17,7 @@
 use crate::load_reports::{
     DigestQueue, DigestReach, LEASE_RENEWAL, LimitDigest, LoadDigest, ReportDatagram, ReportLease,
 };
-use crate::sync::{ControlSnapshot, EntryRecord, SharedBook, ViewBook};
+use crate::sync::{ControlSnapshot, ControlState, EntryRecord, SharedControlState};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{decode_message, encode_datagram};
 
@@ -29,7 +29,7 @@
 /// Receives and forwards load reports and rate limits over UDP.
 pub(super) struct ReportRelay {
     gateway: Arc<GatewayState>,
-    control_state: SharedBook,
+    control_state: SharedControlState,
     me: EntryRecord,
     /// Port at which the hosts of backend servers receive leases.
     host_port: u16,
@@ -46,7 +46,7 @@
     /// `SettingInvalid` if the address cannot be bound.
     pub(super) async fn bind(
         gateway: Arc<GatewayState>,
-        control_state: SharedBook,
+        control_state: SharedControlState,
         me: EntryRecord,
     ) -> SwitchResult<Self> {
         let socket = UdpSocket::bind(me.reports).await.map_err(|fault| {
@@ -102,14 +102,14 @@
             Ok(ReportDatagram::Digest(digest)) => {
                 self.gateway.note_reports(digest.unpack(), now);
                 if digest.reach == DigestReach::DataCentre {
-                    let digest = digest.for_receivers();
+                    let digest = digest.into_receiver_only();
                     self.send_locally(&ReportDatagram::Digest(digest)).await;
                 }
             }
             Ok(ReportDatagram::Limits(digest)) => {
-                self.gateway.apply_limits(&digest.words);
+                self.gateway.apply_limits(&digest.limits);
                 if digest.reach == DigestReach::DataCentre {
-                    self.send_limits_locally(digest.words).await;
+                    self.send_limits_locally(digest.limits).await;
                 }
             }
             Err(error) => log_event!(events::REPORT_UNREADABLE, "from {peer}: {error}"),
@@ -125,7 +125,7 @@
             self.send_limits_locally(limits.to_vec()).await;
             let digest = LimitDigest {
                 reach: DigestReach::DataCentre,
-                words: limits.to_vec(),
+                limits: limits.to_vec(),
             };
             let snapshot = self.gateway.newest_snapshot();
             let receivers = one_per_data_centre(&snapshot.entries, &self.me.data_centre);
@@ -136,10 +136,7 @@
 
     async fn send_limits_locally(&self, limits: Vec<LimitAnnouncement>) {
         let reach = DigestReach::Receiver;
-        let digest = LimitDigest {
-            reach,
-            words: limits,
-        };
+        let digest = LimitDigest { reach, limits };
         self.send_locally(&ReportDatagram::Limits(digest)).await;
     }
 
@@ -147,7 +144,7 @@
     /// read the store are the relays: both use the same order of entry hosts, and the same
     /// neighbours replace a failed one.
     async fn renew_leases(&mut self) {
-        let is_relay = self.control_state.read(ViewBook::reads_store);
+        let is_relay = self.control_state.read(ControlState::reads_store);
         if std::mem::replace(&mut self.is_relay, is_relay) != is_relay {
             log_event!(events::RELAY_CHANGED, "relays={is_relay}");
             self.queue = DigestQueue::default();
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -158,8 +158,8 @@
         VersionRequirement::Model {
             model: model.clone(),
             layers: engine.layers,
-            minimum: snapshot.least_version(model, previous_version_span, now),
-            minimum_to_queue: snapshot.least_version(model, queue_span, now),
+            minimum: snapshot.oldest_allowed_version(model, previous_version_span, now),
+            minimum_to_queue: snapshot.oldest_allowed_version(model, queue_span, now),
         }
     }
 
@@ -178,7 +178,7 @@
         cancel_after: Duration,
     ) -> Option<ClockTime> {
         let model = self.head.model.as_ref()?;
-        version.and_then(|version| snapshot.held_until(model, Some(version), cancel_after))
+        version.and_then(|version| snapshot.usable_until(model, Some(version), cancel_after))
     }
 }
 
--- a/src/gateway/tests/cancelled_requests.rs
+++ b/src/gateway/tests/cancelled_requests.rs
@@ -141,7 +141,7 @@
         certainty: TargetTimeCertainty::Witnessed,
     };
     snapshot.store(ControlSnapshot {
-        wanted: Arc::new(vec![second]),
+        targets: Arc::new(vec![second]),
         ..known
     });
     let sent = timeout(Duration::from_secs(1), sending).await;
--- a/src/gateway/tests/crash_detector.rs
+++ b/src/gateway/tests/crash_detector.rs
@@ -13,7 +13,7 @@
 use crate::gateway::crash_detector::{CrashDetector, InterruptedRequest};
 use crate::overload::EntryHostId;
 use crate::quarantine::{BackendIncarnation, RecentAnswers};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::test_support::{digest_of, free_address};
 use crate::time::{ClockTime, clock_now};
 
@@ -57,7 +57,7 @@
 /// Returns how many of two requests are suspected that are interrupted at a backend server at
 /// `address`.
 async fn suspects_at(address: SocketAddr) -> usize {
-    let control_state = SharedBook::default();
+    let control_state = SharedControlState::default();
     let watch = CrashDetector::new(control_state.clone());
     let backend = facts(address);
     let key = key_of(&backend);
@@ -78,7 +78,7 @@
 /// failed at once.
 #[tokio::test]
 async fn a_recently_answered_request_is_not_suspected() {
-    let control_state = SharedBook::default();
+    let control_state = SharedControlState::default();
     let watch = CrashDetector::new(control_state.clone());
     let request = digest_of(b"");
     let now = clock_now();
--- a/src/gateway/tests/fake_backend.rs
+++ b/src/gateway/tests/fake_backend.rs
@@ -20,7 +20,7 @@
 use crate::gateway::gateway_state::GatewayState;
 use crate::platform::PlatformBounds;
 use crate::platform::samples::{ATTEMPT, BACKEND_ID, DEADLINE, NOT_RUN, SEAL};
-use crate::sync::{ControlSnapshot, SharedBook, SharedSnapshot};
+use crate::sync::{ControlSnapshot, SharedControlState, SharedSnapshot};
 use crate::transport::{HttpServer, bind_listener};
 
 /// How a fake backend server handles a request.
@@ -296,7 +296,7 @@
     pub(super) address: SocketAddr,
     pub(super) gateway: Arc<GatewayState>,
     /// Source of the crash records.
-    pub(super) control_state: SharedBook,
+    pub(super) control_state: SharedControlState,
 }
 
 impl EntryFixture {
@@ -333,7 +333,7 @@
             }),
             ..ControlSnapshot::default()
         });
-        let control_state = SharedBook::default();
+        let control_state = SharedControlState::default();
         let gateway = Arc::new(new_gateway_with(snapshot, bounds, control_state.clone()));
         let listener = bind_listener(([127, 0, 0, 1], 0).into())
             .await
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -29,7 +29,7 @@
 use crate::gateway::request_job::{RequestJob, route_request};
 use crate::overload::EntryHostId;
 use crate::platform::{PlatformBounds, RequestHead};
-use crate::sync::{ControlSnapshot, SharedBook, SharedSnapshot};
+use crate::sync::{ControlSnapshot, SharedControlState, SharedSnapshot};
 use crate::time::ClockTime;
 
 fn read_events(reader: &mut EventReader) -> Vec<(Option<u64>, String)> {
@@ -101,14 +101,14 @@
 };
 
 fn new_gateway(snapshot: SharedSnapshot, bounds: PlatformBounds) -> GatewayState {
-    new_gateway_with(snapshot, bounds, SharedBook::default())
+    new_gateway_with(snapshot, bounds, SharedControlState::default())
 }
 
 /// Creates a gateway that takes crash records from `control_state`.
 fn new_gateway_with(
     snapshot: SharedSnapshot,
     bounds: PlatformBounds,
-    control_state: SharedBook,
+    control_state: SharedControlState,
 ) -> GatewayState {
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
     let me = EntryHostId {
@@ -207,7 +207,7 @@
         version: WeightsVersion(2),
     };
     let snapshot = ControlSnapshot {
-        wanted: Arc::new(vec![TargetWeights {
+        targets: Arc::new(vec![TargetWeights {
             target,
             target_set_at,
             certainty: TargetTimeCertainty::Witnessed,
--- a/src/load_reports/digest_queue.rs
+++ b/src/load_reports/digest_queue.rs
@@ -1,8 +1,8 @@
-//! What a relay has to pass on, and when.
+//! Collects what a relay has to forward, and decides when.
 //!
-//! Load pattern: hundreds of hosts report five times a second to a hundred entry hosts. Sent directly
-//! that is a datagram for each pair of them; collected by relays it is one for each entry host and
-//! pause.
+//! Load pattern: hundreds of hosts report five times a second to a hundred entry hosts. Sent
+//! directly, that is one datagram per pair; collected by relays, it is one per entry host and
+//! interval.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,26 +14,27 @@
 use crate::fleet::LoadReport;
 use crate::time::ClockTime;
 
-/// How often the entry hosts of the own data centre get a digest, as often as hosts report.
+/// Interval of digests to entry hosts of the own data centre, equal to that of reports.
 const NEAR_PAUSE: Duration = Duration::from_millis(200);
-/// How often another data centre gets one: it has its own backend servers first.
+/// Interval of digests to another data centre, which sends requests to its own backend servers
+/// first.
 const FAR_PAUSE: Duration = Duration::from_millis(400);
-/// How soon a change of weights is passed on: requests that are sent to an engine meanwhile are
-/// turned away. Changes of several engines within this span go in one digest.
+/// Delay until a change of weights is forwarded; requests that reach the engine meanwhile are
+/// refused. Changes of several engines within it share a digest.
 const CHANGE_PAUSE: Duration = Duration::from_millis(10);
 /// How long a backend server that no longer reports is remembered.
-const REMEMBERED: Duration = Duration::from_secs(10);
+const REPORT_MEMORY: Duration = Duration::from_secs(10);
 
 /// The newest report of a backend server.
 #[apply(plain!)]
-struct HeldReport {
+struct LatestReport {
     report: LoadReport,
     at: ClockTime,
 }
 
-/// The reports that wait for the next digest to one kind of receivers.
+/// The reports that wait for the next digest to one kind of receiver.
 #[derive(Clone, Debug)]
-struct DigestLane {
+struct DigestBatch {
     reach: DigestReach,
     pause: Duration,
     /// Sorted.
@@ -41,7 +42,7 @@
     due: Option<ClockTime>,
 }
 
-impl DigestLane {
+impl DigestBatch {
     const fn new(reach: DigestReach, pause: Duration) -> Self {
         Self {
             reach,
@@ -66,69 +67,70 @@
     }
 }
 
-/// The reports of a relay.
+/// The reports that a relay collects.
 #[derive(Clone, Debug)]
 pub(crate) struct DigestQueue {
     /// Sorted by address.
-    held: Vec<HeldReport>,
-    lanes: [DigestLane; 2],
+    latest: Vec<LatestReport>,
+    batches: [DigestBatch; 2],
 }
 
 impl Default for DigestQueue {
     fn default() -> Self {
         Self {
-            held: Vec::new(),
-            lanes: [
-                DigestLane::new(DigestReach::Receiver, NEAR_PAUSE),
-                DigestLane::new(DigestReach::DataCentre, FAR_PAUSE),
+            latest: Vec::new(),
+            batches: [
+                DigestBatch::new(DigestReach::Receiver, NEAR_PAUSE),
+                DigestBatch::new(DigestReach::DataCentre, FAR_PAUSE),
             ],
         }
     }
 }
 
 impl DigestQueue {
-    /// A host reported at `now`.
+    /// Adds a report that a host sent at `now`.
     pub(crate) fn push(&mut self, report: LoadReport, now: ClockTime) {
         let address = report.address;
         let found = self
-            .held
-            .binary_search_by_key(&address, |held| held.report.address);
-        let held = HeldReport { report, at: now };
+            .latest
+            .binary_search_by_key(&address, |latest| latest.report.address);
+        let latest = LatestReport { report, at: now };
         let is_change = match found {
             Ok(at) => {
-                let is_change = held.report.changes_weights(&self.held[at].report);
-                self.held[at] = held;
+                let is_change = latest.report.changes_weights(&self.latest[at].report);
+                self.latest[at] = latest;
                 is_change
             }
             Err(at) => {
-                self.held.insert(at, held);
+                self.latest.insert(at, latest);
                 true
             }
         };
-        for lane in &mut self.lanes {
-            lane.push(address, is_change, now);
+        for batch in &mut self.batches {
+            batch.push(address, is_change, now);
         }
     }
 
-    /// When the next digest is due; none while nothing waits.
+    /// When the next digest is due; `None` if no report waits.
     pub(crate) fn due_at(&self) -> Option<ClockTime> {
-        self.lanes.iter().filter_map(|lane| lane.due).min()
+        self.batches.iter().filter_map(|batch| batch.due).min()
     }
 
     /// The digests that are due at `now`.
     pub(crate) fn take_due(&mut self, now: ClockTime) -> Vec<LoadDigest> {
-        self.held.retain(|held| now.since(held.at) < REMEMBERED);
+        self.latest
+            .retain(|latest| now.since(latest.at) < REPORT_MEMORY);
         let mut digests = Vec::new();
-        for lane in &mut self.lanes {
-            let Some(pending) = lane.take_due(now) else {
+        for batch in &mut self.batches {
+            let Some(pending) = batch.take_due(now) else {
                 continue;
             };
-            let reports = self.held.iter().map(|held| &held.report);
+            let reports = self.latest.iter().map(|latest| &latest.report);
             let reports: Vec<LoadReport> = reports
                 .filter(|report| pending.binary_search(&report.address).is_ok())
                 .cloned()
                 .collect();
-            digests.extend(LoadDigest::pack(&reports, lane.reach));
+            digests.extend(LoadDigest::pack(&reports, batch.reach));
         }
         digests
     }
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -19,7 +19,7 @@
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, TargetWeights, WeightsVersion};
 use crate::platform::{EngineClient, EngineReport, LoadOrder, OrderOutcome};
-use crate::sync::{ControlSnapshot, SharedBook};
+use crate::sync::{ControlSnapshot, SharedControlState};
 use crate::time::{ClockTime, clock_now};
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -47,7 +47,7 @@
 /// Loads complete versions into the engine.
 pub(super) struct EngineUpdater {
     pub(super) identity: HostIdentity,
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
     pub(super) engine: EngineClient,
     pub(super) store: ChunkStore,
     pub(super) monitor: Arc<EngineMonitor>,
@@ -208,7 +208,7 @@
             candidate.target.model == version.target.model
                 && Some(candidate.target.version) > served
         };
-        let due = snapshot.wanted.iter().find(is_newer_target);
+        let due = snapshot.targets.iter().find(is_newer_target);
         match (served, due) {
             (Some(_), Some(due)) => {
                 let others = plan_hosts(snapshot, &self.identity);
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -20,7 +20,7 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::platform::{EngineClient, PlatformSettings, StoreClient};
-use crate::sync::SharedBook;
+use crate::sync::SharedControlState;
 use crate::transport::{ClientLimits, HttpServer, PeerClient, start_metrics};
 use crate::weights::{HostLocation, LinkPacer};
 
@@ -72,7 +72,7 @@
     identity: HostIdentity,
     client: Arc<PeerClient>,
     engine: EngineClient,
-    book: SharedBook,
+    book: SharedControlState,
     store: ChunkStore,
     monitor: Arc<EngineMonitor>,
     waits: Arc<WaitPublisher>,
@@ -87,7 +87,7 @@
         let store = ChunkStore::new(identity.me.host.clone(), engine.clone());
         Ok(Self {
             client,
-            book: SharedBook::default(),
+            book: SharedControlState::default(),
             monitor: Arc::new(EngineMonitor::new(engine.clone(), store.clone())),
             waits: Arc::new(WaitPublisher::new(identity.service.clone())),
             pacer: LinkPacer::new(weights_rate(settings.link_bytes_per_s)),
--- a/src/replication/version_fetcher.rs
+++ b/src/replication/version_fetcher.rs
@@ -20,7 +20,7 @@
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::platform::{ChunkDigests, OriginClient};
-use crate::sync::{ControlSnapshot, SharedBook};
+use crate::sync::{ControlSnapshot, SharedControlState};
 use crate::time::clock_now;
 use crate::transport::PeerClient;
 use crate::weights::{HostLocation, LinkPacer, PeerHost};
@@ -84,7 +84,7 @@
     /// Transfer time of a chunk on this host's idle link.
     pub(super) chunk_span: Duration,
     pub(super) pacer: LinkPacer,
-    pub(super) book: SharedBook,
+    pub(super) book: SharedControlState,
     pub(super) client: Arc<PeerClient>,
     pub(super) store: ChunkStore,
     pub(super) monitor: Arc<EngineMonitor>,
--- a/src/replication/weights_retirement.rs
+++ b/src/replication/weights_retirement.rs
@@ -78,7 +78,7 @@
             .model_of(&snapshot)
             .and_then(|(model, layers)| {
                 let served = report.holdings.complete_version(&model, layers)?;
-                let newer = snapshot.wanted.iter().filter(|candidate| {
+                let newer = snapshot.targets.iter().filter(|candidate| {
                     // An assumed time may be earlier than the true one.
                     candidate.target.model == model
                         && candidate.target.version > served
--- a/src/sync/view_book.rs
+++ b/src/sync/control_state.rs
@@ -1,5 +1,5 @@
-//! The control state of one process: takes in what the store and the neighbours say, in whatever
-//! order it arrives, and never goes back.
+//! The control state of one process. It merges what the store and the neighbours report, in any
+//! order of arrival, and never returns to an older state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 
 use super::backend_list::{BackendList, LAPSE_GRACE};
 use super::events;
-use super::naming_time::NamingTime;
-use super::operator_reading::OperatorReading;
+use super::operator_status::OperatorStatus;
 use super::own_rows::{OwnRows, VersionRecord};
 use super::peer_messages::EntryRecord;
+use super::revision_times::RevisionTimes;
 use super::snapshot::ControlSnapshot;
 use super::store_clock::StoreClock;
-use super::store_marks::StoreMarks;
-use super::unreadable_rows::{RowReading, UnreadableRows};
-use super::wanted_versions::{WantedVersions, WordSource};
+use super::target_update_time::TargetUpdateTime;
+use super::target_versions::{TargetVersions, UpdateSource};
+use super::unreadable_rows::{RowStatus, UnreadableRows};
 use crate::catalog::{CatalogVersion, ServiceCatalog};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -29,58 +29,63 @@
 use crate::quarantine::CrashLedger;
 use crate::time::{ClockTime, StoreTime};
 
-/// How long after the store's return the entries that lapsed while it was away are back.
+/// After this time since the store returned, entries that lapsed during the outage have been
+/// written again.
 ///
-/// While the store is away, entries lapse although their backend servers live. Without the wait,
-/// every backend server would be given up at the store's return. From then on, an entry's end counts
-/// at once.
+/// During an outage entries lapse although their backend servers are running. Without this time,
+/// all backend servers would be removed when the store returns. Afterwards the removal of an entry
+/// takes effect at once.
 const SETTLED_SPAN: Duration = Duration::from_millis(2200);
 
 #[derive(Clone, Debug)]
-pub(super) struct DocumentHeld {
+pub(super) struct CurrentDocument {
     pub(super) catalog: Arc<ServiceCatalog>,
     pub(super) text: Bytes,
 }
 
 /// The control state.
 #[derive(Debug, Default)]
-pub(crate) struct ViewBook {
-    pub(super) document: Option<DocumentHeld>,
-    pub(super) versions: WantedVersions,
+pub(crate) struct ControlState {
+    pub(super) document: Option<CurrentDocument>,
+    pub(super) versions: TargetVersions,
     pub(super) clock: StoreClock,
-    pub(super) marks: StoreMarks,
-    /// The answer up to which the operator's table was followed, if it is.
+    pub(super) revision_times: RevisionTimes,
+    /// The time of the answer up to which the operator's table was followed, if it is followed.
     pub(super) followed: Option<StoreTime>,
     /// Whether the system's own rows were read.
     has_own_rows: bool,
-    /// The store's revision as of which they were.
+    /// The store's revision as of which they were read.
     own_revision: u64,
     pub(super) backends: BackendList,
-    /// When the store last told of the list, to whoever told it this process.
-    pub(super) backends_told: Option<StoreTime>,
-    /// The store's revision of the list of backend servers; none before it was read.
+    /// When the store last reported the list of backend servers, to this process or to the reader
+    /// that it follows.
+    pub(super) backends_answered_at: Option<StoreTime>,
+    /// The store's revision of the list of backend servers; 0 before it was read.
     pub(super) backends_revision: u64,
     /// Sorted.
     entries: Vec<EntryRecord>,
-    /// When the store last answered.
+    /// When the store last answered this process.
     store_answered: Option<ClockTime>,
-    /// When the store last began to answer again.
+    /// Since when the store has answered this process without a failure.
     pub(super) store_steady_since: Option<ClockTime>,
-    pub(super) operator: OperatorReading,
-    /// The store's rows that do not read.
+    pub(super) operator: OperatorStatus,
+    /// The unreadable rows of the store.
     pub(super) unreadable: UnreadableRows,
     pub(super) crashes: Arc<CrashLedger>,
 }
 
-impl ViewBook {
-    /// Whether requests can be taken: there is a document, and the backend servers are known.
+impl ControlState {
+    /// Whether the entry host can accept requests: there is a document, and the backend servers are
+    /// known.
     pub(crate) const fn is_usable(&self) -> bool {
         self.document.is_some() && self.backends_revision > 0
     }
 
     /// The version of the document in force.
     pub(crate) fn document_version(&self) -> Option<CatalogVersion> {
-        self.document.as_ref().map(|held| held.catalog.version)
+        self.document
+            .as_ref()
+            .map(|current| current.catalog.version)
     }
 
     /// The store's revision of the list of backend servers.
@@ -93,19 +98,19 @@
         &self.entries
     }
 
-    /// The store answered.
+    /// Records that the store answered.
     pub(crate) fn note_store(&mut self, now: ClockTime) {
         if self.store_steady_since.is_none() {
-            log_event!(events::STORE_BACK);
+            log_event!(events::STORE_REACHABLE);
             self.store_steady_since = Some(now);
         }
         self.store_answered = Some(now);
     }
 
-    /// The store did not answer, or refused.
+    /// Records that the store did not answer, or refused.
     pub(crate) fn note_store_failure(&mut self, detail: &str) {
         if self.store_steady_since.take().is_some() || self.store_answered.is_none() {
-            log_event!(events::STORE_LOST, "{detail}");
+            log_event!(events::STORE_UNREACHABLE, "{detail}");
         }
     }
 
@@ -115,7 +120,7 @@
     }
 
     /// How long the store has not answered, at `now`.
-    pub(crate) fn store_silence(&self, now: ClockTime) -> Duration {
+    pub(crate) fn store_outage(&self, now: ClockTime) -> Duration {
         match (self.store_answered, self.store_steady_since) {
             (Some(_), Some(_)) => Duration::ZERO,
             (Some(at), None) => now.since(at),
@@ -123,69 +128,68 @@
         }
     }
 
-    /// How well the operator's table is known.
-    pub(super) const fn operator(&self) -> &OperatorReading {
+    /// The status of the operator's table.
+    pub(super) const fn operator(&self) -> &OperatorStatus {
         &self.operator
     }
 
-    /// Whether this process reads the store itself, where others are told by their neighbours.
+    /// Whether this process reads the store itself, instead of following a reader.
     pub(crate) const fn reads_store(&self) -> bool {
-        self.operator.is_own()
+        self.operator.is_reader()
     }
 
-    /// The same, to be changed.
-    pub(super) const fn operator_mut(&mut self) -> &mut OperatorReading {
+    /// The status of the operator's table, mutable.
+    pub(super) const fn operator_mut(&mut self) -> &mut OperatorStatus {
         &mut self.operator
     }
 
-    /// From when on an entry's end counts at once; while the store does not answer, not before the
-    /// longest wait.
+    /// The time from which the removal of an entry takes effect at once. While the store does not
+    /// answer, it lies a full grace period ahead.
     fn settled_at(&self, now: ClockTime) -> ClockTime {
         let since = self.store_steady_since;
         since.map_or(now + LAPSE_GRACE, |since| since + SETTLED_SPAN)
     }
 
-    /// Takes in rows of the operator's table that have just changed. `named` tells when the versions of
-    /// weights in them were named.
-    pub(crate) fn take_operator_rows(&mut self, rows: &[StoreRow], named: NamingTime) {
-        self.take_operator(rows, named, WordSource::Change);
+    /// Merges changed rows of the operator's table. `set_at` dates the target versions in them.
+    pub(crate) fn change_operator_rows(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
+        self.merge_operator_rows(rows, set_at, UpdateSource::Change);
     }
 
-    /// Takes in the whole of the operator's table. `named` tells when versions of weights that are new
-    /// to this process were named.
-    pub(crate) fn read_operator_rows(&mut self, rows: &[StoreRow], named: NamingTime) {
-        self.take_operator(rows, named, WordSource::Table);
+    /// Merges the full operator's table. `set_at` dates the target versions that are new to this
+    /// process.
+    pub(crate) fn set_operator_rows(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
+        self.merge_operator_rows(rows, set_at, UpdateSource::Table);
     }
 
-    /// Takes in changes of the operator's table of before this process began to follow it, of which
-    /// others may have followed since. `named` tells when versions in them were named.
-    pub(crate) fn take_past_namings(&mut self, rows: &[StoreRow], named: NamingTime) {
+    /// Merges target updates from before this process began to follow the operator's table; later
+    /// ones may have followed them. `set_at` dates them.
+    pub(crate) fn take_past_targets(&mut self, rows: &[StoreRow], set_at: TargetUpdateTime) {
         for row in rows {
             if let (Some(value), OperatorRow::TargetVersion) =
                 (&row.value, OperatorRow::of(&row.key))
                 && let Ok(target) = read_target_version(&row.key, value)
             {
-                let source = WordSource::PastChange(row.revision);
-                self.versions.want(&target, named, source);
+                let source = UpdateSource::PastChange(row.revision);
+                self.versions.add_target(&target, set_at, source);
             }
         }
     }
 
-    fn take_operator(
+    fn merge_operator_rows(
         &mut self,
         rows: &[StoreRow],
-        named: NamingTime,
-        source_of: impl Fn(u64) -> WordSource,
+        set_at: TargetUpdateTime,
+        source_of: impl Fn(u64) -> UpdateSource,
     ) {
         for (at, row) in rows.iter().enumerate() {
             let table = TableName::Operator;
             let Some(value) = &row.value else {
-                self.unreadable.note(table, &row.key, RowReading::Gone);
+                self.unreadable.note(table, &row.key, RowStatus::Removed);
                 continue;
             };
             let is_past = rows[at + 1..].iter().any(|later| later.key == row.key);
             let source = if is_past {
-                WordSource::PastChange(row.revision)
+                UpdateSource::PastChange(row.revision)
             } else {
                 source_of(row.revision)
             };
@@ -193,44 +197,50 @@
             let read = match kind {
                 OperatorRow::Document => self.take_document(value.clone(), source),
                 OperatorRow::TargetVersion => {
-                    let named = self.place(named, row.revision, source);
+                    let set_at = self.place(set_at, row.revision, source);
                     read_target_version(&row.key, value)
-                        .map(|target| self.versions.want(&target, named, source))
+                        .map(|target| self.versions.add_target(&target, set_at, source))
                 }
                 OperatorRow::Other => Ok(()),
             };
-            let begins = self.unreadable.note(table, &row.key, RowReading::of(&read));
+            let begins = self.unreadable.note(table, &row.key, RowStatus::of(&read));
             if begins && kind == OperatorRow::Document {
                 note_document_fault(&read);
             }
         }
     }
 
-    /// When a version was named whose row `source` tells with `revision`, if it is `named` as far as the
-    /// table alone tells.
-    fn place(&self, named: NamingTime, revision: u64, source: WordSource) -> NamingTime {
-        match (named.certainty, source) {
-            // A process that starts has no answers of before.
-            (TargetTimeCertainty::Assumed, _) => named,
-            (TargetTimeCertainty::Witnessed, WordSource::Change(_) | WordSource::PastChange(_)) => {
-                self.marks.narrow(named, revision)
-            }
+    /// Bounds `set_at`, the date derived from the operator's table alone, by the revisions seen in
+    /// other answers. The version's row has `revision` and was reported by `source`.
+    fn place(
+        &self,
+        set_at: TargetUpdateTime,
+        revision: u64,
+        source: UpdateSource,
+    ) -> TargetUpdateTime {
+        match (set_at.certainty, source) {
+            // A starting process has no earlier answers.
+            (TargetTimeCertainty::Assumed, _) => set_at,
+            (
+                TargetTimeCertainty::Witnessed,
+                UpdateSource::Change(_) | UpdateSource::PastChange(_),
+            ) => self.revision_times.narrow(set_at, revision),
             (TargetTimeCertainty::Witnessed | TargetTimeCertainty::Resumed, _) => {
-                self.marks.cap(named, revision)
+                self.revision_times.cap(set_at, revision)
             }
         }
     }
 
-    /// Puts a document in force if it is newer than the one that is.
-    pub(super) fn take_document(&mut self, text: Bytes, source: WordSource) -> SwitchResult<()> {
+    /// Puts a document in force if it is newer than the current one.
+    pub(super) fn take_document(&mut self, text: Bytes, source: UpdateSource) -> SwitchResult<()> {
         let catalog = read_document(&text)?;
         if let Some(known) = self.document_version()
             && known >= catalog.version
         {
-            if known > catalog.version && source.stands() {
+            if known > catalog.version && source.is_current() {
                 let (version, known) = (catalog.version.0, known.0);
                 log_event!(
-                    events::DOCUMENT_BEHIND,
+                    events::DOCUMENT_OLDER,
                     "version={version} known={known} from={source}"
                 );
             }
@@ -243,14 +253,14 @@
             catalog.routes.rules().len(),
             catalog.accounts.len()
         );
-        self.document = Some(DocumentHeld {
+        self.document = Some(CurrentDocument {
             catalog: Arc::new(catalog),
             text,
         });
         Ok(())
     }
 
-    /// Takes in the whole table of backend servers.
+    /// Merges the full table of backend servers.
     pub(crate) fn set_backends(&mut self, view: &TableView, now: ClockTime) {
         if view.revision < self.backends_revision {
             log_event!(
@@ -267,17 +277,17 @@
         self.change_backends(view, now);
     }
 
-    /// Takes in what changed in the table of backend servers.
+    /// Merges changes of the table of backend servers.
     pub(crate) fn change_backends(&mut self, view: &TableView, now: ClockTime) {
         for row in &view.rows {
             let table = TableName::Backends;
             let Some(value) = &row.value else {
                 self.remove_backend(&row.key, now);
-                self.unreadable.note(table, &row.key, RowReading::Gone);
+                self.unreadable.note(table, &row.key, RowStatus::Removed);
                 continue;
             };
             let read = read_backend_row(&row.key, value);
-            self.unreadable.note(table, &row.key, RowReading::of(&read));
+            self.unreadable.note(table, &row.key, RowStatus::of(&read));
             match read {
                 Ok(facts) => self.backends.put(facts, row.revision),
                 Err(_) => self.backends.drop_entry(&row.key),
@@ -290,7 +300,7 @@
         self.backends_revision = self.backends_revision.max(revision);
     }
 
-    /// The entries of backend servers that a whole list does not have went.
+    /// Handles the removal of the entries that a full list does not contain.
     pub(super) fn remove_unlisted(&mut self, is_listed: impl Fn(&str) -> bool, now: ClockTime) {
         for id in self.backends.unlisted(is_listed) {
             self.remove_backend(&id, now);
@@ -302,34 +312,34 @@
         self.backends.remove(id, settled_at, now);
     }
 
-    /// Whether backend servers whose entries went are to be given up at `now`.
+    /// Whether the grace period of a removed entry is over at `now`.
     pub(crate) fn has_expired(&self, now: ClockTime) -> bool {
         self.backends.has_expired(now)
     }
 
-    /// Gives up backend servers whose entries did not come back.
+    /// Removes backend servers whose entries did not return within the grace period.
     pub(crate) fn expire(&mut self, now: ClockTime) {
         self.backends.expire(now);
     }
 
-    /// Takes in the system's own rows. `named` tells when recorded versions that are new to this
-    /// process were named.
-    pub(crate) fn take_own_rows(&mut self, own: OwnRows, named: NamingTime) {
+    /// Merges the system's own rows. `set_at` dates the recorded versions that are new to this
+    /// process.
+    pub(crate) fn take_own_rows(&mut self, own: OwnRows, set_at: TargetUpdateTime) {
         self.has_own_rows = true;
         self.own_revision = self.own_revision.max(own.revision);
         self.unreadable.note_own(&own);
         let faulty = own.faulty_records();
         self.add_entries(own.entries);
         for model in faulty {
-            // Somebody wrote over it: the version is recorded once more.
+            // Another writer has overwritten the record, so the version is recorded again.
             self.versions.note_record_row(&model, 0);
         }
         for record in own.records {
-            self.versions.take_record(record, named);
+            self.versions.take_record(record, set_at);
         }
     }
 
-    /// The store's revision as of which the system's own rows were read last.
+    /// The store's revision as of which the system's own rows were last read.
     pub(crate) const fn own_revision(&self) -> u64 {
         self.own_revision
     }
@@ -339,14 +349,14 @@
         self.has_own_rows
     }
 
-    /// The row that records a version of `model` has `revision`, 0 when there is none, whatever stands
-    /// in it: one that somebody else wrote and that does not read is written over.
+    /// Records that the row for the version of `model` has `revision`, 0 if there is none. The
+    /// content does not matter: an unreadable row of another writer is overwritten.
     pub(crate) fn note_record_row(&mut self, model: &ByteString, revision: u64) {
         self.versions.note_record_row(model, revision);
     }
 
-    /// The versions that are to be recorded in the store, each with the revision that its row has; none
-    /// while the store does not answer.
+    /// The versions to record in the store, each with the revision that its row has; none while the
+    /// store does not answer.
     pub(crate) fn unrecorded(&self) -> Vec<VersionRecord> {
         match self.store_steady_since {
             Some(_) => self.versions.unrecorded(),
@@ -354,7 +364,7 @@
         }
     }
 
-    /// Takes in the entry hosts that are known elsewhere.
+    /// Merges entry hosts known elsewhere.
     pub(crate) fn add_entries(&mut self, entries: Vec<EntryRecord>) {
         for entry in entries {
             let found = self
@@ -367,14 +377,17 @@
         }
     }
 
-    /// What the traffic sees of it.
+    /// The snapshot for request handling.
     pub(super) fn snapshot(&self) -> ControlSnapshot {
         ControlSnapshot {
-            catalog: self.document.as_ref().map(|held| held.catalog.clone()),
+            catalog: self
+                .document
+                .as_ref()
+                .map(|current| current.catalog.clone()),
             fleet: Arc::new(FleetView {
                 backends: self.backends.all().cloned().collect(),
             }),
-            wanted: Arc::new(self.versions.on_clock(&self.clock)),
+            targets: Arc::new(self.versions.on_local_clock(&self.clock)),
             entries: Arc::new(self.entries.clone()),
             crashes: self.crashes.clone(),
             clock: self.clock,
@@ -382,7 +395,7 @@
     }
 }
 
-/// Tells that a document does not read, if it does not.
+/// Logs the error if a document is unreadable.
 pub(super) fn note_document_fault(read: &SwitchResult<()>) {
     if let Err(error) = read {
         log_event!(events::DOCUMENT_UNREADABLE, "{error}");
--- a/src/sync/crash_book.rs
+++ b/src/sync/crash_state.rs
@@ -1,12 +1,12 @@
-//! Which requests crash backend servers, as the control state holds it.
+//! The part of the control state that holds which requests crashed backend servers.
 
 use std::sync::Arc;
 
+use super::control_state::ControlState;
 use super::crash_rows::read_crash;
 use super::events;
-use super::peer_messages::PeerAsk;
-use super::unreadable_rows::RowReading;
-use super::view_book::ViewBook;
+use super::peer_messages::PeerQuery;
+use super::unreadable_rows::RowStatus;
 use crate::events::log_event;
 use crate::metrics;
 use crate::platform::{TableName, TableView};
@@ -16,13 +16,13 @@
 };
 use crate::time::ClockTime;
 
-impl ViewBook {
-    /// Whether the store's rows were read or told.
+impl ControlState {
+    /// Whether the store's table of crashes was read, or received from a neighbour.
     pub(super) fn knows_crashes(&self) -> bool {
         self.crashes.revision() > 0
     }
 
-    /// This process saw that `backend` crashed with `requests` under way.
+    /// Records that this process saw `backend` crash while `requests` were running on it.
     pub(crate) fn note_crash(
         &mut self,
         backend: BackendIncarnation,
@@ -41,55 +41,57 @@
         }
     }
 
-    /// `request` was answered whole.
+    /// Records that `request` was answered completely, which clears it.
     pub(crate) fn clear_request(&mut self, request: RequestDigest) {
         Arc::make_mut(&mut self.crashes).clear(request);
     }
 
-    /// Takes in rows of the store that changed.
+    /// Merges changed rows of the store's table.
     pub(super) fn change_crashes(&mut self, view: &TableView, now: ClockTime) {
-        for word in self.read_crash_rows(view) {
-            self.take_crash_word(word, now);
+        for announcement in self.read_crash_rows(view) {
+            self.merge_crash(announcement, now);
         }
         let ledger = Arc::make_mut(&mut self.crashes);
         ledger.note_revision(view.revision);
         ledger.drop_expired(now);
     }
 
-    /// Takes in all rows of the store.
+    /// Merges the full table of the store.
     pub(super) fn set_crashes(&mut self, view: &TableView, now: ClockTime) {
-        let words = self.read_crash_rows(view);
+        let announcements = self.read_crash_rows(view);
         let is_listed = |key: &str| view.rows.iter().any(|row| row.key == key);
         self.unreadable.keep_listed(TableName::Crashes, is_listed);
-        Arc::make_mut(&mut self.crashes).keep_listed(&words, view.revision);
-        for word in words {
-            self.take_crash_word(word, now);
+        Arc::make_mut(&mut self.crashes).keep_listed(&announcements, view.revision);
+        for announcement in announcements {
+            self.merge_crash(announcement, now);
         }
     }
 
     fn read_crash_rows(&mut self, view: &TableView) -> Vec<StoredCrash> {
-        let mut words = Vec::new();
+        let mut announcements = Vec::new();
         for row in &view.rows {
             let Some(value) = &row.value else {
                 let table = TableName::Crashes;
-                self.unreadable.note(table, &row.key, RowReading::Gone);
+                self.unreadable.note(table, &row.key, RowStatus::Removed);
                 continue;
             };
             let read = read_crash(row, value);
-            let reading = RowReading::of(&read);
-            self.unreadable.note(TableName::Crashes, &row.key, reading);
-            words.extend(read);
+            let status = RowStatus::of(&read);
+            self.unreadable.note(TableName::Crashes, &row.key, status);
+            announcements.extend(read);
         }
-        words
+        announcements
     }
 
-    fn take_crash_word(&mut self, word: StoredCrash, now: ClockTime) {
-        let until = self.earliest(word.record.seen) + CRASH_RETENTION;
-        let request = word.record.request;
-        self.change_request(request, now, |ledger| ledger.merge_stored(word, until));
+    fn merge_crash(&mut self, announcement: StoredCrash, now: ClockTime) {
+        let until = self.earliest(announcement.record.seen) + CRASH_RETENTION;
+        let request = announcement.record.request;
+        self.change_request(request, now, |ledger| {
+            ledger.merge_stored(announcement, until);
+        });
     }
 
-    /// Makes a change that may quarantine `request`.
+    /// Applies a change that may quarantine `request`, and logs it if it does.
     fn change_request(
         &mut self,
         request: RequestDigest,
@@ -108,40 +110,40 @@
         }
     }
 
-    /// The records that are to be written to the store; none while it does not answer.
-    pub(super) fn unkept_crashes(&self) -> Vec<CrashRecord> {
+    /// The records that are to be written to the store; none while the store does not answer.
+    pub(super) fn unsaved_crashes(&self) -> Vec<CrashRecord> {
         match self.store_steady_since {
             Some(_) => self.crashes.unstored(),
             None => Vec::new(),
         }
     }
 
-    /// The store keeps `records` since `revision`.
-    pub(super) fn note_kept_crashes(&mut self, records: &[CrashRecord], revision: u64) {
+    /// Records that the store holds `records` since `revision`.
+    pub(super) fn note_saved_crashes(&mut self, records: &[CrashRecord], revision: u64) {
         Arc::make_mut(&mut self.crashes).mark_stored(records, revision);
     }
 
-    /// Whether there are crashes that a process that asks has to know.
-    pub(super) fn has_crash_news(&self, ask: &PeerAsk) -> bool {
-        let known = ask.crashes_revision;
+    /// Whether there are crashes that the querying process does not know.
+    pub(super) fn has_new_crashes(&self, query: &PeerQuery) -> bool {
+        let known = query.crashes_revision;
         known.is_some_and(|known| self.crashes.stored_after(known).next().is_some())
     }
 
-    /// The crashes that a process that asks does not know.
-    pub(super) fn crash_words(&self, ask: &PeerAsk) -> Vec<StoredCrash> {
-        let known = ask.crashes_revision;
+    /// The crashes that the querying process does not know.
+    pub(super) fn new_crashes(&self, query: &PeerQuery) -> Vec<StoredCrash> {
+        let known = query.crashes_revision;
         known.map_or_else(Vec::new, |known| self.crashes.stored_after(known).collect())
     }
 
-    /// Takes in what a neighbour told, which with these knows all crashes up to `revision`.
-    pub(super) fn take_crash_words(
+    /// Merges crashes from a neighbour; with them, all crashes up to `revision` are known.
+    pub(super) fn merge_crashes(
         &mut self,
-        words: &[StoredCrash],
+        announcements: &[StoredCrash],
         revision: u64,
         now: ClockTime,
     ) {
-        for word in words {
-            self.take_crash_word(*word, now);
+        for announcement in announcements {
+            self.merge_crash(*announcement, now);
         }
         if revision > self.crashes.revision() {
             let ledger = Arc::make_mut(&mut self.crashes);
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -1,41 +1,42 @@
-//! How an entry host knows the document, the wanted weights, the backend servers and the other entry
-//! hosts: from the platform's store, and from its neighbours while the store does not answer it.
+//! The control state of an entry host: the document, the target versions, the backend servers and
+//! the other entry hosts. It follows the platform's store, and queries neighbours for what the
+//! store does not answer.
 
 mod backend_follow;
 mod backend_list;
-mod crash_book;
+mod control_state;
 mod crash_follow;
 mod crash_rows;
+mod crash_state;
 pub(crate) mod events;
-mod naming_time;
-mod neighbour_asks;
-mod neighbour_words;
+mod neighbour_exchange;
+mod neighbour_queries;
 mod operator_follow;
-mod operator_reading;
+mod operator_status;
 mod own_rows;
-mod past_namings;
+mod past_targets;
 mod peer_messages;
 mod peer_routes;
 mod read_order;
-mod shared_book;
+mod revision_times;
+mod shared_control_state;
 mod snapshot;
 mod store_clock;
 mod store_contact;
-mod store_marks;
 mod store_watch;
 mod sync_thread;
+mod target_update_time;
+mod target_versions;
 #[cfg(test)]
 mod tests;
 mod unreadable_rows;
 mod version_recorder;
-mod view_book;
-mod wanted_versions;
 
-pub(crate) use naming_time::NamingTime;
+pub(crate) use control_state::ControlState;
 pub(crate) use own_rows::OwnRows;
 pub(crate) use peer_messages::{EntryRecord, PeerView, VIEW_PATH};
-pub(crate) use shared_book::SharedBook;
+pub(crate) use shared_control_state::SharedControlState;
 pub(crate) use snapshot::{ControlSnapshot, SharedSnapshot};
-pub(crate) use store_clock::{AskSpan, StoreClock};
+pub(crate) use store_clock::{QuerySpan, StoreClock};
 pub(crate) use sync_thread::{SyncSettings, start_sync};
-pub(crate) use view_book::ViewBook;
+pub(crate) use target_update_time::TargetUpdateTime;
--- /dev/null
+++ b/src/sync/neighbour_exchange.rs
@@ -0,0 +1,133 @@
+//! What a process reports to others in response to a query, and how it merges their reports.
+
+use std::time::Duration;
+
+use super::control_state::{ControlState, CurrentDocument, note_document_fault};
+use super::events;
+use super::peer_messages::{PeerQuery, PeerView, TargetAnnouncement};
+use super::store_clock::{ClockSource, QuerySpan};
+use super::target_versions::UpdateSource;
+use crate::events::log_event;
+use crate::fleet::BackendFacts;
+use crate::time::ClockTime;
+
+impl ControlState {
+    /// A query that states what this process knows.
+    pub(crate) fn query(&self) -> PeerQuery {
+        PeerQuery {
+            document: self.document_version(),
+            can_wait_for_document: false,
+            targets: self.versions.all().to_vec(),
+            backends_revision: self.backends_revision,
+            entries: self.entries().len(),
+            wait_ms: 0,
+            follows: false,
+            backends_digest: None,
+            crashes_revision: None,
+        }
+    }
+
+    /// The same for an entry host, which also needs the requests that crash backend servers.
+    pub(super) fn entry_query(&self) -> PeerQuery {
+        PeerQuery {
+            crashes_revision: Some(self.crashes.revision()),
+            ..self.query()
+        }
+    }
+
+    /// Whether there is a change that must be reported to the querying process at once.
+    pub(crate) fn has_urgent_changes(&self, query: &PeerQuery) -> bool {
+        let mut known = self.versions.all().iter();
+        self.newer_document(query).is_some()
+            || (query.follows && (self.operator.is_cut_off() || self.has_backend_changes(query)))
+            || self.has_new_crashes(query)
+            || known.any(|known| {
+                query
+                    .targets
+                    .iter()
+                    .all(|announcement| announcement.target != known.target)
+            })
+    }
+
+    /// The document, if it is newer than that of the querying process and not deferred by it.
+    fn newer_document(&self, query: &PeerQuery) -> Option<&CurrentDocument> {
+        let current = self.document.as_ref();
+        current.filter(|current| {
+            query.document < Some(current.catalog.version) && !query.can_wait_for_document
+        })
+    }
+
+    /// Whether `announcements` contain unknown target versions or better update times.
+    pub(crate) fn is_updated_by(&self, announcements: &[TargetAnnouncement]) -> bool {
+        self.clock.is_known() && self.versions.is_updated_by(announcements)
+    }
+
+    /// Merges target versions announced by another process.
+    pub(crate) fn merge_targets(&mut self, announcements: &[TargetAnnouncement], now: ClockTime) {
+        // Update times mean nothing before the store's clock is known; they are announced again.
+        if let Some(bounds) = self.clock.bounds(now) {
+            self.versions.merge_targets(announcements, bounds.most);
+        }
+    }
+
+    /// The response to `query` at `now`, after the query was held open for `held`.
+    pub(crate) fn answer(&self, query: &PeerQuery, held: Duration, now: ClockTime) -> PeerView {
+        let document = self.newer_document(query);
+        let has_newer_backends = !query.follows && self.backends_revision > query.backends_revision;
+        let changes = query
+            .follows
+            .then(|| self.backend_changes(query, now))
+            .flatten();
+        PeerView {
+            document: document.map(|current| current.text.to_vec()),
+            clock: self.clock.bounds(now),
+            held_ms: u64::try_from(held.as_millis()).unwrap_or(u64::MAX),
+            targets: self.versions.all().to_vec(),
+            backends: has_newer_backends.then(|| {
+                let facts = self.backends.listed().map(|facts| (**facts).clone());
+                (self.backends_revision, facts.collect())
+            }),
+            entries: if self.entries().len() > query.entries {
+                self.entries().to_vec()
+            } else {
+                Vec::new()
+            },
+            operator: self.operator.announcement(),
+            backend_changes: changes,
+            crashes: self.new_crashes(query),
+            crashes_revision: query
+                .crashes_revision
+                .map_or(0, |_| self.crashes.revision()),
+        }
+    }
+
+    /// Merges a neighbour's response to a query that was sent and answered within `span`.
+    pub(crate) fn merge(&mut self, view: PeerView, span: QuerySpan) {
+        if let Some(bounds) = view.clock {
+            let sent_at = span.sent_at + Duration::from_millis(view.held_ms);
+            let span = QuerySpan { sent_at, ..span };
+            self.clock.note(bounds, span, ClockSource::Neighbour);
+        }
+        if let Some(text) = view.document {
+            let read = self.take_document(text.into(), UpdateSource::Neighbour);
+            note_document_fault(&read);
+        }
+        self.merge_targets(&view.targets, span.received_at);
+        if let Some((revision, backends)) = view.backends
+            && revision > self.backends_revision
+        {
+            self.replace_backends(revision, backends, span.received_at);
+        }
+        self.add_entries(view.entries);
+        self.merge_crashes(&view.crashes, view.crashes_revision, span.received_at);
+    }
+
+    fn replace_backends(&mut self, revision: u64, backends: Vec<BackendFacts>, now: ClockTime) {
+        log_event!(events::NEIGHBOUR_NEWER, "backends revision={revision}");
+        self.remove_unlisted(|id| backends.iter().any(|facts| *facts.id == *id), now);
+        for facts in backends {
+            self.backends.put(facts, revision);
+        }
+        self.backends_revision = revision;
+    }
+}
--- a/src/sync/peer_routes.rs
+++ b/src/sync/peer_routes.rs
@@ -1,4 +1,4 @@
-//! What an entry host answers other processes of the system.
+//! The HTTP endpoint through which an entry host answers other processes of the system.
 
 use std::time::Duration;
 
@@ -8,56 +8,57 @@
 use volo_http::response::Response;
 use volo_http::server::route::{Router, post};
 
-use super::peer_messages::{PeerAsk, VIEW_PATH};
-use super::shared_book::SharedBook;
+use super::peer_messages::{PeerQuery, VIEW_PATH};
+use super::shared_control_state::SharedControlState;
 use crate::time::clock_now;
 use crate::transport::{error_reply, message_reply, read_message};
 
-const ASK_BYTES_MAX: usize = 64 * 1024;
-/// The longest wait of an answer; a connection that went silent meanwhile shows only at its end.
+const QUERY_BYTES_MAX: usize = 64 * 1024;
+/// The longest time a response is held. A connection that fails silently meanwhile is noticed only
+/// at the end.
 const WAIT_MAX: Duration = Duration::from_secs(2);
 
-/// The routes.
-pub(super) fn peer_routes(book: &SharedBook) -> Router {
-    let book = book.clone();
-    let handler = move |request: Request| answer_view(book.clone(), request);
+/// The routes of the endpoint.
+pub(super) fn peer_routes(state: &SharedControlState) -> Router {
+    let state = state.clone();
+    let handler = move |request: Request| answer_view(state.clone(), request);
     Router::new()
         .route(VIEW_PATH, post(handler))
         .fallback(async || StatusCode::NOT_FOUND)
 }
 
-/// Waits until there is something that whoever asks has to know at once, as long as it allows.
-async fn await_news(book: &SharedBook, ask: &PeerAsk) {
-    let mut changes = book.changes();
+/// Waits until there is an urgent change for the querying process, for as long as the query allows.
+async fn await_urgent_changes(state: &SharedControlState, query: &PeerQuery) {
+    let mut changes = state.changes();
     let news = async {
-        while !book.read(|book| book.has_urgent_news(ask)) {
+        while !state.read(|state| state.has_urgent_changes(query)) {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     };
-    let wait = Duration::from_millis(ask.wait_ms).min(WAIT_MAX);
-    // Without news the answer tells what is less urgent.
+    let wait = Duration::from_millis(query.wait_ms).min(WAIT_MAX);
+    // After a timeout the response contains the less urgent changes.
     let _ = timeout(wait, news).await;
 }
 
-/// Whoever asks may know a version that this process does not: entry hosts that have all started
-/// again, beside hosts of backend servers that lived on.
-fn take_words(book: &SharedBook, ask: &PeerAsk) {
+/// Merges target versions that only the querying process knows. This happens when all entry hosts
+/// have restarted while hosts of backend servers kept running.
+fn merge_targets(state: &SharedControlState, query: &PeerQuery) {
     let now = clock_now();
-    if book.read(|book| book.learns_from(&ask.wanted)) {
-        book.change(|book| book.take_words(&ask.wanted, now));
+    if state.read(|state| state.is_updated_by(&query.targets)) {
+        state.change(|state| state.merge_targets(&query.targets, now));
     }
 }
 
-async fn answer_view(book: SharedBook, request: Request) -> Response {
-    match read_message::<PeerAsk>(request.into_body(), ASK_BYTES_MAX).await {
-        Ok(ask) => {
-            let asked = clock_now();
-            take_words(&book, &ask);
-            await_news(&book, &ask).await;
+async fn answer_view(state: SharedControlState, request: Request) -> Response {
+    match read_message::<PeerQuery>(request.into_body(), QUERY_BYTES_MAX).await {
+        Ok(query) => {
+            let sent_at = clock_now();
+            merge_targets(&state, &query);
+            await_urgent_changes(&state, &query).await;
             let now = clock_now();
-            let view = book.read(|book| book.answer(&ask, now.since(asked), now));
+            let view = state.read(|state| state.answer(&query, now.since(sent_at), now));
             message_reply(&view)
         }
         Err(error) => error_reply(&error),
--- a/src/sync/store_contact.rs
+++ b/src/sync/store_contact.rs
@@ -1,38 +1,48 @@
-//! What the store's answers tell beside their rows: its clock, and how long there has been contact.
+//! What the store's answers reveal in addition to their rows: its clock, and since when it has been
+//! reachable.
 
-use super::store_clock::{AskSpan, ClockSource, ClockWord};
-use super::view_book::ViewBook;
+use super::control_state::ControlState;
+use super::store_clock::{ClockBounds, ClockSource, QuerySpan};
 use crate::time::{ClockTime, StoreTime};
 
-impl ViewBook {
-    /// The store said within `span` what its clock showed and that `revision` was its newest.
-    pub(crate) fn note_told(&mut self, revision: u64, told_at: StoreTime, span: AskSpan) {
-        let word = ClockWord::of_store(told_at);
-        self.clock.note(word, span, ClockSource::Store);
-        self.marks.note(revision, told_at);
+impl ControlState {
+    /// Records that the store reported within `span` its clock and `revision` as its newest.
+    pub(crate) fn note_store_answer(
+        &mut self,
+        revision: u64,
+        answered_at: StoreTime,
+        span: QuerySpan,
+    ) {
+        let bounds = ClockBounds::from_store(answered_at);
+        self.clock.note(bounds, span, ClockSource::Store);
+        self.revision_times.note(revision, answered_at);
     }
 
-    /// The operator's table is followed up to an answer of `told_at`, or not at all.
-    pub(crate) fn note_followed(&mut self, told_at: Option<StoreTime>) {
-        self.followed = told_at;
+    /// Records the answer up to which the operator's table was followed; `None` if it is not
+    /// followed.
+    pub(crate) fn note_followed(&mut self, answered_at: Option<StoreTime>) {
+        self.followed = answered_at;
     }
 
-    /// Up to which answer the operator's table was followed, if it is.
+    /// The time of the answer up to which the operator's table was followed, if it is followed.
     pub(crate) const fn followed(&self) -> Option<StoreTime> {
         self.followed
     }
 
-    /// When the contact with the store began that lasts since.
+    /// Since when the store has answered without a gap, on its clock.
     pub(crate) fn contact_since(&self) -> Option<StoreTime> {
-        self.marks.contact_since()
+        self.revision_times.contact_since()
     }
 
-    /// The latest that the store's clock may show at `now`; its zero before anything was heard of it.
+    /// The latest time that the store's clock can show at `now`; zero while its bounds are unknown.
     pub(crate) fn store_time(&self, now: ClockTime) -> StoreTime {
-        self.clock.word(now).map_or(StoreTime(0), |word| word.most)
+        self.clock
+            .bounds(now)
+            .map_or(StoreTime(0), |bounds| bounds.most)
     }
 
-    /// The earliest moment on this process's clock at which the store's clock can have shown `moment`.
+    /// The earliest moment on this process's clock at which the store's clock can have shown
+    /// `moment`.
     pub(super) fn earliest(&self, moment: StoreTime) -> ClockTime {
         self.clock.earliest(moment)
     }
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store's tables and asks neighbours, for as long as the process lives.
+//! The tasks that follow the store's tables until the process ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,115 +7,119 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
+use super::control_state::ControlState;
 use super::events;
-use super::naming_time::NamingKnowledge;
 use super::own_rows::OwnRows;
 use super::peer_messages::EntryRecord;
-use super::shared_book::SharedBook;
-use super::store_clock::AskSpan;
-use super::view_book::ViewBook;
+use super::shared_control_state::SharedControlState;
+use super::store_clock::QuerySpan;
+use super::target_update_time::FollowState;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::platform::{StoreClient, TableName, TableView, WatchResponse};
 use crate::time::{ClockTime, StoreTime, clock_now};
 use crate::transport::PeerClient;
 
-/// How long the store holds a watch of the operator's table open. A connection may go silent for
-/// good while it waits, which only the end of this span shows; a document must be in force two
-/// seconds after it was accepted. Each call has a price, so the span is not shorter.
+/// How long the store holds a watch of the operator's table open. A connection that fails silently
+/// meanwhile is noticed only at the end of this time, and a document must be in force two seconds
+/// after it was accepted. Calls are charged, so the time is not shorter.
 const OPERATOR_WAIT: Duration = Duration::from_millis(1400);
 /// How long the store holds a watch of the backend servers' table open.
 const BACKENDS_WAIT: Duration = Duration::from_secs(1);
-/// The pause between two watches of the backend servers' table. Entries change all the time; without
-/// it the watch would return for each of them. A leaving backend server may get nothing two seconds
-/// after the store's word.
+/// Pause between two watches of the backend servers' table. Entries change all the time, and
+/// without the pause each change would end a watch. A leaving backend server may get no request
+/// later than two seconds after the store has its entry.
 const BACKENDS_PAUSE: Duration = Duration::from_millis(500);
-/// How often it is looked whether neighbours still tell the list.
-const TOLD_PAUSE: Duration = Duration::from_millis(100);
-/// How long a start waits for a neighbour to tell it, and how often that is looked at.
-const START_WITHIN: Duration = Duration::from_millis(400);
+/// Interval at which it is checked whether readers still report the list.
+const REPORTED_PAUSE: Duration = Duration::from_millis(100);
+/// How long a start waits until a neighbour reports the list, and the interval of that check.
+const START_TIMEOUT: Duration = Duration::from_millis(400);
 const START_PAUSE: Duration = Duration::from_millis(20);
-/// The pause between two reads of the entry hosts' table.
+/// Pause between two reads of the entry hosts' table.
 const ENTRIES_PAUSE: Duration = Duration::from_secs(10);
-/// Entry hosts that read it within a pause; with more of them, those that neighbours tell read it less
-/// often.
+/// Entry hosts that may read this table within one pause. If there are more, those that don't read
+/// the store for their data centre read it less often.
 const ENTRIES_READERS: usize = 10;
-/// How long the store has for an answer beyond what it was asked to wait. It takes 4 ms usually, and
-/// some hundred when it is slow.
-pub(super) const STORE_WITHIN: Duration = Duration::from_millis(900);
-/// The first pause after a failure; it doubles with each, up to the longest.
+/// Time limit of an answer of the store, in addition to the time that it holds a call open. Usually
+/// it takes 4 ms, and some hundred milliseconds when the store is slow.
+pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(900);
+/// The first pause after a failure. It doubles with each failure, up to `FAILURE_PAUSE_MAX`.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(800);
-/// How often it is looked whether the wait for a lapsed entry is over.
+/// Interval at which expired grace periods of removed entries are handled.
 const EXPIRE_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the watching works with.
+/// What the tasks that follow the store work with.
 #[derive(Clone)]
 pub(crate) struct StoreWatch {
-    /// The store.
+    /// Client of the store.
     pub(crate) store: StoreClient,
-    /// The way to neighbours.
+    /// Client for neighbours.
     pub(crate) client: Arc<PeerClient>,
     /// The control state.
-    pub(crate) book: SharedBook,
-    /// What this entry host enters of itself.
-    pub(crate) me: EntryRecord,
-    /// Where some entry hosts listen; may be stale.
+    pub(crate) state: SharedControlState,
+    /// The record of this entry host, which it writes to the store.
+    pub(crate) own_entry: EntryRecord,
+    /// Addresses of some entry hosts; may be outdated.
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
-/// What the next question for the operator's table stands behind.
+/// The state in which the next call for the operator's table is made.
 #[derive(Clone, Copy)]
-pub(super) struct OperatorStep {
-    pub(super) knowledge: NamingKnowledge,
-    /// The one before it failed.
-    pub(super) is_behind_failure: bool,
-    /// The last answer about the table.
-    pub(super) told_at: Option<StoreTime>,
+pub(super) struct FollowContext {
+    pub(super) follow_state: FollowState,
+    /// Whether the previous call failed.
+    pub(super) is_after_failure: bool,
+    /// When the store last answered a call for the table, on its clock.
+    pub(super) answered_at: Option<StoreTime>,
 }
 
-impl OperatorStep {
-    /// The next step behind an answer of `told_at`.
-    pub(super) const fn behind_answer(told_at: StoreTime) -> Self {
+impl FollowContext {
+    /// The state after an answer at `answered_at`.
+    pub(super) const fn after_answer(answered_at: StoreTime) -> Self {
         Self {
-            knowledge: NamingKnowledge::Followed(told_at),
-            is_behind_failure: false,
-            told_at: Some(told_at),
+            follow_state: FollowState::Followed(answered_at),
+            is_after_failure: false,
+            answered_at: Some(answered_at),
         }
     }
 
-    /// The next step, if this one fails; `contact` tells since when the store has answered other questions,
-    /// if it did meanwhile.
-    const fn behind_failure(self, contact: Option<StoreTime>) -> Self {
+    /// The state after a failure. `contact` is the time since when the store has answered other
+    /// calls, if it did meanwhile.
+    const fn after_failure(self, contact: Option<StoreTime>) -> Self {
         Self {
-            knowledge: self.knowledge.behind_failure(contact),
-            // A start reads all that there is anyway.
-            is_behind_failure: !matches!(self.knowledge, NamingKnowledge::Started),
+            follow_state: self.follow_state.after_failure(contact),
+            // A starting process reads the full table anyway.
+            is_after_failure: !matches!(self.follow_state, FollowState::Started),
             ..self
         }
     }
 }
 
 impl StoreWatch {
-    /// The step behind `step`, which failed and began at `asked`.
-    pub(super) fn behind_failure(&self, step: OperatorStep, asked: ClockTime) -> OperatorStep {
-        if self.has_answered_since(asked) {
-            step.behind_failure(self.contact_since(step))
+    /// The state after a call in state `context` failed that was sent at `sent_at`.
+    pub(super) fn after_failure(
+        &self,
+        context: FollowContext,
+        sent_at: ClockTime,
+    ) -> FollowContext {
+        if self.has_answered_since(sent_at) {
+            context.after_failure(self.contact_since(context))
         } else {
-            step.behind_failure(None)
+            context.after_failure(None)
         }
     }
 
-    /// Since when the store has answered without telling of the operator's table.
-    fn contact_since(&self, step: OperatorStep) -> Option<StoreTime> {
-        let since = self.book.read(ViewBook::contact_since);
-        since.max(step.told_at)
+    /// Since when the store has answered, but not for the operator's table.
+    fn contact_since(&self, context: FollowContext) -> Option<StoreTime> {
+        let since = self.state.read(ControlState::contact_since);
+        since.max(context.answered_at)
     }
 
-    /// Whether the store has answered any question since `asked`.
-    fn has_answered_since(&self, asked: ClockTime) -> bool {
-        let answered = self.book.read(ViewBook::store_answered);
-        answered.is_some_and(|at| at >= asked)
+    /// Whether the store has answered any call since `sent_at`.
+    fn has_answered_since(&self, sent_at: ClockTime) -> bool {
+        let answered = self.state.read(ControlState::store_answered);
+        answered.is_some_and(|at| at >= sent_at)
     }
 
     /// Reads the system's own rows.
@@ -125,137 +129,147 @@
         Ok(())
     }
 
-    /// Takes in rows of the system's own that the store told of at `told_at`.
-    pub(super) fn take_own_rows(&self, own: OwnRows, told_at: StoreTime) {
-        let named = self.own_knowledge().naming_time(told_at, told_at);
-        self.book.change(|book| book.take_own_rows(own, named));
+    /// Merges own rows of the system that the store reported at `answered_at`.
+    pub(super) fn take_own_rows(&self, own: OwnRows, answered_at: StoreTime) {
+        let update_time = self
+            .own_follow_state()
+            .update_time(answered_at, answered_at);
+        self.state
+            .change(|state| state.take_own_rows(own, update_time));
     }
 
-    /// Reads a whole table.
+    /// Reads a full table.
     pub(super) async fn read_table(&self, table: TableName) -> SwitchResult<TableView> {
-        let asked = clock_now();
-        let view = self.store.read_table(table, STORE_WITHIN).await?;
-        self.note_told(&view, asked);
+        let sent_at = clock_now();
+        let view = self.store.read_table(table, STORE_TIMEOUT).await?;
+        self.note_store_answer(&view, sent_at);
         Ok(view)
     }
 
-    /// The store was asked at `asked` and has just answered with `view`. Returns what its clock showed at
-    /// the question, at the latest.
-    pub(super) fn note_told(&self, view: &TableView, asked: ClockTime) -> StoreTime {
-        let heard = clock_now();
-        let span = AskSpan { asked, heard };
-        self.book
-            .note(|book| book.note_told(view.revision, view.told_at, span));
-        self.book.read(|book| book.store_time(asked))
+    /// Records an answer of the store to a call sent at `sent_at`. Returns the latest time that the
+    /// store's clock can have shown when the call was sent.
+    pub(super) fn note_store_answer(&self, view: &TableView, sent_at: ClockTime) -> StoreTime {
+        let received_at = clock_now();
+        let span = QuerySpan {
+            sent_at,
+            received_at,
+        };
+        self.state
+            .note(|state| state.note_store_answer(view.revision, view.told_at, span));
+        self.state.read(|state| state.store_time(sent_at))
     }
 
-    /// Follows the operator's table by one answer of the store, behind revision `since`; returns when the
-    /// store gave it.
+    /// Merges one answer of the store about changes of the operator's table after revision `since`;
+    /// returns the time of the answer on the store's clock.
     pub(super) async fn operator_step(
         &self,
         since: &mut Option<u64>,
-        step: OperatorStep,
+        context: FollowContext,
     ) -> SwitchResult<StoreTime> {
         let Some(known) = *since else {
-            let (revision, told_at) = self.read_operator(step).await?;
+            let (revision, answered_at) = self.read_operator(context).await?;
             *since = Some(revision);
-            return Ok(told_at);
+            return Ok(answered_at);
         };
-        if step.is_behind_failure {
-            // The operator's row of a version that was named meanwhile may have gone back since.
+        if context.is_after_failure {
+            // A version set meanwhile may have been overwritten by an older one in the operator's
+            // row since; the own rows hold the newer one.
             self.read_own_rows().await?;
         }
         let table = TableName::Operator;
-        let asked = clock_now();
+        let sent_at = clock_now();
         let watched = self
             .store
-            .watch_table(table, known, OPERATOR_WAIT, STORE_WITHIN)
+            .watch_table(table, known, OPERATOR_WAIT, STORE_TIMEOUT)
             .await;
-        if step.is_behind_failure && watched.is_err() {
-            // The store answers, and the watch brings nothing: its answer holds every document since it last
-            // succeeded, and a link may not carry that in the time that the store is given; each try asks
-            // for more. One would notice an entry host that answers 404 for routes that were added seconds
-            // before while its neighbours serve them. A read holds the newest document alone.
+        if context.is_after_failure && watched.is_err() {
+            // The store answers other calls, but the watch fails: its answer contains every
+            // document since the last one received, which may be more than the link carries within
+            // the time limit, and grows with each retry. The symptom is an entry host that answers
+            // 404 for routes that its neighbours have served for seconds. A full read contains only
+            // the newest document.
             *since = None;
         }
-        let (revision, told_at) = match watched? {
+        let (revision, answered_at) = match watched? {
             WatchResponse::Changed(view) => {
-                let asked_by = self.note_told(&view, asked);
+                let sent_by = self.note_store_answer(&view, sent_at);
                 if !view.rows.is_empty() {
-                    let named = step.knowledge.naming_time(asked_by, view.told_at);
-                    self.book
-                        .change(|book| book.take_operator_rows(&view.rows, named));
+                    let update_time = context.follow_state.update_time(sent_by, view.told_at);
+                    self.state
+                        .change(|state| state.change_operator_rows(&view.rows, update_time));
                 }
                 (view.revision, view.told_at)
             }
             WatchResponse::HistoryExpired => {
                 log_event!(events::HISTORY_LOST, "table=operator");
-                let contact = self.contact_since(step);
-                self.read_operator(step.behind_failure(contact)).await?
+                let contact = self.contact_since(context);
+                self.read_operator(context.after_failure(contact)).await?
             }
         };
         *since = Some(known.max(revision));
-        Ok(told_at)
+        Ok(answered_at)
     }
 
-    /// Reads the operator's table as a whole; returns its revision, and when the store told it.
+    /// Reads the full operator's table; returns its revision and the time of the answer on the
+    /// store's clock.
     ///
-    /// A process reads the system's own rows first: with a document it is ready, and would otherwise
-    /// believe an operator's row that has gone back.
-    async fn read_operator(&self, step: OperatorStep) -> SwitchResult<(u64, StoreTime)> {
-        if !self.book.read(ViewBook::knows_crashes) {
+    /// The system's own rows are read first. With a document the process is ready, and without
+    /// these rows it would trust an operator's row that was overwritten by an older version.
+    async fn read_operator(&self, context: FollowContext) -> SwitchResult<(u64, StoreTime)> {
+        if !self.state.read(ControlState::knows_crashes) {
             self.read_crashes().await?;
         }
-        if step.is_behind_failure || !self.book.read(ViewBook::has_own_rows) {
+        if context.is_after_failure || !self.state.read(ControlState::has_own_rows) {
             self.read_own_rows().await?;
         }
         let view = self.read_table(TableName::Operator).await?;
-        // A read does not wait for a change.
-        let named = step.knowledge.naming_time(view.told_at, view.told_at);
-        self.book
-            .change(|book| book.read_operator_rows(&view.rows, named));
+        // A read is not held until a change, so its duration says nothing about the update time.
+        let update_time = context.follow_state.update_time(view.told_at, view.told_at);
+        self.state
+            .change(|state| state.set_operator_rows(&view.rows, update_time));
         Ok((view.revision, view.told_at))
     }
 
-    /// Follows the backend servers' table.
+    /// Follows the backend servers' table until the process ends.
     pub(crate) async fn follow_backends(self) {
-        let mut pause = FailurePause::default();
-        self.await_told_backends().await;
-        let mut is_whole = false;
+        let mut backoff = RetryBackoff::default();
+        self.await_reported_backends().await;
+        let mut is_complete = false;
         loop {
-            if self.book.read(|book| book.is_told_backends(clock_now())) {
-                // What is told is whole as of its revision.
-                is_whole = true;
-                sleep(TOLD_PAUSE).await;
+            if self.state.read(|state| state.is_list_reported(clock_now())) {
+                // A reported list is complete as of its revision.
+                is_complete = true;
+                sleep(REPORTED_PAUSE).await;
                 continue;
             }
-            let followed = self.backends_step(&mut is_whole).await;
-            self.note_outcome(&followed, &mut pause).await;
+            let followed = self.backends_step(&mut is_complete).await;
+            self.note_outcome(&followed, &mut backoff).await;
             if followed.is_ok() {
                 sleep(BACKENDS_PAUSE).await;
             }
         }
     }
 
-    /// A start need not read the list if a neighbour tells it.
-    async fn await_told_backends(&self) {
+    /// Waits at a start for a neighbour to report the list, which makes reading it unnecessary.
+    async fn await_reported_backends(&self) {
         let begun = clock_now();
-        let is_settled = |book: &ViewBook| book.operator().is_own() || book.backends_revision() > 0;
-        while !self.book.read(is_settled) && clock_now().since(begun) < START_WITHIN {
+        let is_settled =
+            |state: &ControlState| state.operator().is_reader() || state.backends_revision() > 0;
+        while !self.state.read(is_settled) && clock_now().since(begun) < START_TIMEOUT {
             sleep(START_PAUSE).await;
         }
     }
 
-    async fn backends_step(&self, is_whole: &mut bool) -> SwitchResult<()> {
-        let since = self.book.read(ViewBook::backends_revision);
-        if *is_whole {
-            let asked = clock_now();
+    async fn backends_step(&self, is_complete: &mut bool) -> SwitchResult<()> {
+        let since = self.state.read(ControlState::backends_revision);
+        if *is_complete {
+            let sent_at = clock_now();
             let watched =
                 self.store
-                    .watch_table(TableName::Backends, since, BACKENDS_WAIT, STORE_WITHIN);
+                    .watch_table(TableName::Backends, since, BACKENDS_WAIT, STORE_TIMEOUT);
             match watched.await? {
                 WatchResponse::Changed(view) => {
-                    self.note_told(&view, asked);
+                    self.note_store_answer(&view, sent_at);
                     self.change_backends(&view);
                     return Ok(());
                 }
@@ -263,37 +277,37 @@
             }
         }
         let view = self.read_table(TableName::Backends).await?;
-        // A read that is older than what is known is tried again.
-        *is_whole = view.revision >= since;
-        self.book.change(|book| {
+        // If the answer is older than the known list, the table is read again.
+        *is_complete = view.revision >= since;
+        self.state.change(|state| {
             let now = clock_now();
-            book.set_backends(&view, now);
-            book.note_backends(view.told_at);
-            book.expire(now);
+            state.set_backends(&view, now);
+            state.note_backends_answer(view.told_at);
+            state.expire(now);
         });
         Ok(())
     }
 
     fn change_backends(&self, view: &TableView) {
-        self.book.change(|book| {
+        self.state.change(|state| {
             let now = clock_now();
-            book.change_backends(view, now);
-            book.note_backends(view.told_at);
-            book.expire(now);
+            state.change_backends(view, now);
+            state.note_backends_answer(view.told_at);
+            state.expire(now);
         });
     }
 
-    /// Enters this entry host in the store, and reads who else is there.
+    /// Registers this entry host in the store, and reads the other entry hosts.
     pub(crate) async fn follow_entries(self) {
-        let mut pause = FailurePause::default();
+        let mut backoff = RetryBackoff::default();
         let mut is_entered = false;
         loop {
             let followed = self.entries_step(&mut is_entered).await;
-            self.note_outcome(&followed, &mut pause).await;
+            self.note_outcome(&followed, &mut backoff).await;
             if followed.is_ok() {
                 let pause = self
-                    .book
-                    .read(|book| entries_pause(book.reads_store(), book.entries().len()));
+                    .state
+                    .read(|state| entries_pause(state.reads_store(), state.entries().len()));
                 sleep(pause).await;
             }
         }
@@ -301,60 +315,67 @@
 
     async fn entries_step(&self, is_entered: &mut bool) -> SwitchResult<()> {
         if !*is_entered {
-            let text = serde_json::to_vec(&self.me).unwrap_or_default();
-            let written =
-                self.store
-                    .write_row(TableName::System, &self.me.host, &text, STORE_WITHIN);
+            let text = serde_json::to_vec(&self.own_entry).unwrap_or_default();
+            let written = self.store.write_row(
+                TableName::System,
+                &self.own_entry.host,
+                &text,
+                STORE_TIMEOUT,
+            );
             written.await?;
             *is_entered = true;
         }
         self.read_own_rows().await
     }
 
-    /// What is known of when versions were named that the system's own rows record.
-    fn own_knowledge(&self) -> NamingKnowledge {
-        if let Some(told_at) = self.book.read(ViewBook::followed) {
-            // A host near the store records a version before the watch tells it here.
-            NamingKnowledge::Followed(told_at)
-        } else if self.book.read(ViewBook::has_own_rows) {
-            // What is new to a process that has lived was named while it was cut off.
-            NamingKnowledge::Interrupted
+    /// The state for dating the versions that the system's own rows record.
+    fn own_follow_state(&self) -> FollowState {
+        if let Some(answered_at) = self.state.read(ControlState::followed) {
+            // A host close to the store may record a version before the watch reports it here.
+            FollowState::Followed(answered_at)
+        } else if self.state.read(ControlState::has_own_rows) {
+            // A version that is new to a running process was set while it was cut off.
+            FollowState::Interrupted
         } else {
-            NamingKnowledge::Started
+            FollowState::Started
         }
     }
 
-    /// Gives up backend servers whose entries did not come back, as soon as their time is over.
+    /// Removes backend servers whose entries did not return, as soon as the grace period is over.
     pub(crate) async fn expire_backends(self) {
         loop {
             sleep(EXPIRE_PAUSE).await;
             let now = clock_now();
-            if self.book.read(|book| book.has_expired(now)) {
-                self.book.change(|book| book.expire(now));
+            if self.state.read(|state| state.has_expired(now)) {
+                self.state.change(|state| state.expire(now));
             }
         }
     }
 
-    pub(super) async fn note_outcome(&self, outcome: &SwitchResult<()>, pause: &mut FailurePause) {
+    pub(super) async fn note_outcome(
+        &self,
+        outcome: &SwitchResult<()>,
+        backoff: &mut RetryBackoff,
+    ) {
         match outcome {
             Ok(()) => {
-                *pause = FailurePause::default();
-                self.book.change(|book| book.note_store(clock_now()));
+                *backoff = RetryBackoff::default();
+                self.state.change(|state| state.note_store(clock_now()));
             }
             Err(error) => {
                 let detail = error.to_string();
-                self.book.change(|book| book.note_store_failure(&detail));
-                sleep(pause.next()).await;
+                self.state.change(|state| state.note_store_failure(&detail));
+                sleep(backoff.next()).await;
             }
         }
     }
 }
 
-/// How long until the entry hosts are read again by a process that reads the store itself or not, if it
-/// knows `count` of them.
+/// Pause until this process reads the entry hosts again, depending on whether it reads the store
+/// for its data centre, and on the number of known entry hosts, `count`.
 ///
-/// Calls to the store must not grow with the number of entry hosts; those that come are told by
-/// neighbours meanwhile.
+/// Calls to the store must not grow with the number of entry hosts. Neighbours report new ones in
+/// between.
 pub(super) fn entries_pause(reads_store: bool, count: usize) -> Duration {
     if reads_store {
         return ENTRIES_PAUSE;
@@ -363,14 +384,14 @@
     ENTRIES_PAUSE.saturating_mul(parts.max(1))
 }
 
-/// The pause after a failure, with full jitter over its upper half: processes that failed together
-/// do not come back together.
+/// Pause after a failure, with jitter over its upper half, so that processes that failed together
+/// don't retry together.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FailurePause {
+pub(super) struct RetryBackoff {
     span: Duration,
 }
 
-impl Default for FailurePause {
+impl Default for RetryBackoff {
     fn default() -> Self {
         Self {
             span: FAILURE_PAUSE,
@@ -378,7 +399,7 @@
     }
 }
 
-impl FailurePause {
+impl RetryBackoff {
     pub(super) fn next(&mut self) -> Duration {
         let span = self.span;
         self.span = (span * 2).min(FAILURE_PAUSE_MAX);
--- a/src/sync/sync_thread.rs
+++ b/src/sync/sync_thread.rs
@@ -6,28 +6,28 @@
 use super::events;
 use super::peer_messages::EntryRecord;
 use super::peer_routes::peer_routes;
-use super::shared_book::SharedBook;
+use super::shared_control_state::SharedControlState;
 use super::store_watch::StoreWatch;
 use crate::daemon::DrainState;
 use crate::events::log_event;
 use crate::platform::StoreClient;
 use crate::transport::{ClientLimits, HttpServer, PeerClient};
 
-/// What the control thread is told at its start.
+/// Settings of the control thread.
 #[derive(Clone, Debug)]
 pub(crate) struct SyncSettings {
-    /// This entry host.
+    /// The record of this entry host.
     pub(crate) me: EntryRecord,
-    /// The store.
+    /// Address of the store.
     pub(crate) store_address: SocketAddr,
-    /// Where some entry hosts listen; may be stale.
+    /// Addresses of some entry hosts; may be outdated.
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
 /// Starts the control thread, which follows the store and answers other processes.
-pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedBook {
-    let book = SharedBook::default();
-    let shared = book.clone();
+pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedControlState {
+    let state = SharedControlState::default();
+    let shared = state.clone();
     let thread = std::thread::Builder::new().name("control".to_owned());
     let started = thread.spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -41,16 +41,16 @@
     if let Err(fault) = started {
         log_event!(events::THREAD_FAILED, "{fault}");
     }
-    book
+    state
 }
 
-pub(super) async fn run_sync(settings: SyncSettings, book: SharedBook, drain: DrainState) {
+pub(super) async fn run_sync(settings: SyncSettings, state: SharedControlState, drain: DrainState) {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let watch = StoreWatch {
         store: StoreClient::new(settings.store_address, client.clone()),
         client,
-        book: book.clone(),
-        me: settings.me.clone(),
+        state: state.clone(),
+        own_entry: settings.me.clone(),
         seeds: settings.seeds,
     };
     tokio::spawn(watch.clone().follow_operator());
@@ -60,8 +60,8 @@
     tokio::spawn(watch.clone().expire_backends());
     tokio::spawn(watch.clone().follow_crashes());
     tokio::spawn(watch.clone().record_crashes());
-    tokio::spawn(watch.ask_neighbours());
-    match HttpServer::bind(settings.me.control, peer_routes(&book)).await {
+    tokio::spawn(watch.query_neighbours());
+    match HttpServer::bind(settings.me.control, peer_routes(&state)).await {
         Ok(server) => server.run(drain).await,
         Err(error) => {
             log_event!(events::THREAD_FAILED, "{error}");
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Entry hosts tell each other, through the store, which requests crash backend servers.
+//! Entry hosts share through the store which requests crash backend servers.
 
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -7,23 +7,24 @@
 use tokio::time::{sleep, timeout};
 
 use super::restarts::EntryProcess;
-use super::store_gate::{GateHarm, StoreGate};
+use super::store_proxy::{ProxyFault, StoreProxy};
 use crate::platform::samples::{backend_sample, document_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::quarantine::BackendIncarnation;
-use crate::sync::crash_rows::{crash_key, crash_text};
+use crate::sync::crash_rows::{crash_key, crash_value};
 use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::{digest_of, free_address};
 use crate::time::clock_now;
 
-/// Within this every entry host knows what one of them saw.
+/// Within this time every entry host knows what one of them saw.
 const KNOWN_WITHIN: Duration = Duration::from_secs(2);
-/// Within this behind a cut an entry host knows and tells everything.
+/// Within this time after an outage an entry host knows and has reported everything.
 const CONTACT_SPAN: Duration = Duration::from_secs(3);
-/// Requests of an entry host that asks a neighbour, which is held open until there is news.
+/// Time after which each entry host has a query to a neighbour open, which is held until there is a
+/// change.
 const SETTLE_SPAN: Duration = Duration::from_secs(3);
 
-async fn store_in_use() -> FakeStore {
+async fn populated_store() -> FakeStore {
     let store = FakeStore::start().await;
     let (key, text) = document_sample(1);
     store.put(TableName::Operator, key, &text);
@@ -38,13 +39,16 @@
     type Target = EntryProcess;
 
     fn deref(&self) -> &EntryProcess {
-        self.0.as_ref().expect("it runs")
+        self.0.as_ref().expect("the process is running")
     }
 }
 
 impl Drop for TestEntry {
     fn drop(&mut self) {
-        self.0.take().into_iter().for_each(EntryProcess::lose_power);
+        self.0
+            .take()
+            .into_iter()
+            .for_each(EntryProcess::stop_abruptly);
     }
 }
 
@@ -66,16 +70,16 @@
         seeds: Vec::new(),
     });
     process
-        .believes(|snapshot| snapshot.catalog.is_some())
+        .wait_for(|snapshot| snapshot.catalog.is_some())
         .await;
     TestEntry(Some(process))
 }
 
-fn see_crash(process: &EntryProcess, backend: u64, body: &[u8]) {
+fn note_crash_at(process: &EntryProcess, backend: u64, body: &[u8]) {
     let (backend, now) = (BackendIncarnation(backend), clock_now());
     process
-        .book
-        .change(|book| book.note_crash(backend, &[digest_of(body)], now));
+        .state
+        .change(|state| state.note_crash(backend, &[digest_of(body)], now));
 }
 
 fn has_quarantined(snapshot: &ControlSnapshot, body: &[u8]) -> bool {
@@ -83,92 +87,96 @@
     left.is_some()
 }
 
-async fn learns(process: &EntryProcess, body: &[u8]) {
-    let learning = process.believes(|snapshot| has_quarantined(snapshot, body));
-    timeout(KNOWN_WITHIN, learning).await.expect("it learns");
+async fn wait_for_quarantine(process: &EntryProcess, body: &[u8]) {
+    let learning = process.wait_for(|snapshot| has_quarantined(snapshot, body));
+    timeout(KNOWN_WITHIN, learning)
+        .await
+        .expect("the change arrives in time");
 }
 
-/// Guards against entry hosts that each see one crash, so that none of them ever sees enough.
+/// Guards against entry hosts that each see one crash, so that none of them counts enough.
 #[tokio::test]
-async fn entry_hosts_that_see_one_crash_each_quarantine_together() {
-    let store = store_in_use().await;
+async fn crashes_seen_by_different_entry_hosts_add_up() {
+    let store = populated_store().await;
     let mut processes = Vec::new();
     for name in ["e1", "e2", "e3", "e4", "e5"] {
         processes.push(start_entry(name, &store).await);
     }
     sleep(SETTLE_SPAN).await;
     for (backend, process) in (1..=3).zip(&processes) {
-        see_crash(process, backend, b"deadly");
-        see_crash(process, backend, &backend.to_be_bytes());
+        note_crash_at(process, backend, b"deadly");
+        note_crash_at(process, backend, &backend.to_be_bytes());
     }
     for process in &processes {
-        learns(process, b"deadly").await;
-        let snapshot = process.book.snapshot().load();
+        wait_for_quarantine(process, b"deadly").await;
+        let snapshot = process.state.snapshot().load();
         assert!(!has_quarantined(&snapshot, &1_u64.to_be_bytes()));
     }
 }
 
-/// Guards against processes that have all started again and send the request once more.
+/// Guards against sending a request again after all processes have restarted.
 #[tokio::test]
-async fn what_is_quarantined_outlives_all_processes() {
-    let store = store_in_use().await;
+async fn quarantine_survives_a_restart_of_all_processes() {
+    let store = populated_store().await;
     let process = start_entry("e1", &store).await;
     for backend in 1..=3 {
-        see_crash(&process, backend, b"deadly");
+        note_crash_at(&process, backend, b"deadly");
     }
     let other = start_entry("e2", &store).await;
-    learns(&other, b"deadly").await;
+    wait_for_quarantine(&other, b"deadly").await;
     drop(other);
     drop(process);
     let process = start_entry("e3", &store).await;
-    // It takes requests as soon as it has a document.
-    assert!(has_quarantined(&process.book.snapshot().load(), b"deadly"));
+    // A process accepts requests as soon as it has a document.
+    assert!(has_quarantined(&process.state.snapshot().load(), b"deadly"));
 }
 
-/// Guards against crashes that nobody hears of because the store was away when they were seen.
+/// Guards against losing crashes that were seen while the store was unavailable.
 #[tokio::test]
-async fn crashes_of_an_outage_are_told_behind_it() {
-    let store = store_in_use().await;
+async fn crashes_during_an_outage_are_recorded_after_it() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     let second = start_entry("e2", &store).await;
     store.set_down(true);
-    see_crash(&first, 1, b"deadly");
-    see_crash(&second, 2, b"deadly");
+    note_crash_at(&first, 1, b"deadly");
+    note_crash_at(&second, 2, b"deadly");
     sleep(Duration::from_millis(500)).await;
-    see_crash(&first, 3, b"deadly");
+    note_crash_at(&first, 3, b"deadly");
     store.set_down(false);
     for process in [&first, &second] {
-        learns(process, b"deadly").await;
+        wait_for_quarantine(process, b"deadly").await;
     }
 }
 
-/// Guards against an entry host whose way to the store went silent and that learns nothing, or tells nothing, in
-/// the seconds behind it.
+/// Guards against an entry host whose connection to the store failed silently, and that receives or
+/// reports nothing in the seconds after.
 #[tokio::test]
 async fn an_entry_host_that_was_cut_off_catches_up() {
-    let store = store_in_use().await;
-    let gate = StoreGate::start(store.address).await;
+    let store = populated_store().await;
+    let proxy = StoreProxy::start(store.address).await;
     let near = start_entry("e1", &store).await;
-    let far = start_entry_at("e2", "b", gate.address).await;
+    let far = start_entry_at("e2", "b", proxy.address).await;
     sleep(SETTLE_SPAN).await;
-    gate.set(GateHarm::Silent);
+    proxy.set(ProxyFault::Unresponsive);
     sleep(SETTLE_SPAN).await;
     for backend in 1..=3 {
-        see_crash(&near, backend, b"near");
-        see_crash(&far, backend, b"far");
+        note_crash_at(&near, backend, b"near");
+        note_crash_at(&far, backend, b"far");
     }
-    // Its neighbours tell it, whatever becomes of its own way.
-    learns(&far, b"near").await;
-    gate.set(GateHarm::None);
-    let learning = near.believes(|snapshot| has_quarantined(snapshot, b"far"));
-    timeout(CONTACT_SPAN, learning).await.expect("it learns");
+    // Neighbours report it, whatever happens to its own connection.
+    wait_for_quarantine(&far, b"near").await;
+    proxy.set(ProxyFault::None);
+    let learning = near.wait_for(|snapshot| has_quarantined(snapshot, b"far"));
+    timeout(CONTACT_SPAN, learning)
+        .await
+        .expect("the change arrives in time");
 }
 
-/// Guards against a watch that stops for good where the store forgets its history, and against rows of other
-/// writers that hide those of entry hosts.
+/// Guards against a watch that ends for good when the store loses its history, and against rows of
+/// other writers that hide those of entry hosts.
 #[tokio::test]
-async fn crashes_are_read_behind_a_forgotten_history_and_beside_rows_that_do_not_read() {
-    let store = store_in_use().await;
+async fn crashes_are_read_after_lost_history_and_despite_unreadable_rows() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     let second = start_entry("e2", &store).await;
     for (key, text) in [("x", "{}"), ("0/0", "{\"verdict\":\"suspected\"}")] {
@@ -176,62 +184,67 @@
     }
     store.forget_history();
     for backend in 1..=3 {
-        see_crash(&first, backend, b"deadly");
+        note_crash_at(&first, backend, b"deadly");
     }
-    learns(&second, b"deadly").await;
+    wait_for_quarantine(&second, b"deadly").await;
 }
 
-/// Guards against a quarantine that goes on at other entry hosts when the request was answered whole.
+/// Guards against a quarantine that continues at other entry hosts after the request was answered
+/// completely.
 #[tokio::test]
-async fn a_request_that_is_cleared_is_cleared_everywhere() {
-    let store = store_in_use().await;
+async fn a_cleared_request_is_cleared_on_all_entry_hosts() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     let second = start_entry("e2", &store).await;
     for backend in 1..=3 {
-        see_crash(&first, backend, b"body");
+        note_crash_at(&first, backend, b"body");
     }
-    learns(&second, b"body").await;
+    wait_for_quarantine(&second, b"body").await;
     first
-        .book
-        .change(|book| book.clear_request(digest_of(b"body")));
-    let cleared = second.believes(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared).await.expect("it learns");
+        .state
+        .change(|state| state.clear_request(digest_of(b"body")));
+    let cleared = second.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
+    timeout(KNOWN_WITHIN, cleared)
+        .await
+        .expect("the change arrives in time");
 }
 
-/// Guards against a request that is quarantined once more at a start, because the store did an earlier write late,
-/// behind the clearing.
+/// Guards against a request that is quarantined again after a start, because the store executed an
+/// earlier write late, after the clearing.
 #[tokio::test]
-async fn a_clearing_outlives_a_late_suspicion() {
-    let store = store_in_use().await;
+async fn a_clearing_overrides_a_late_suspicion() {
+    let store = populated_store().await;
     let first = start_entry("e1", &store).await;
     for backend in 1..=3 {
-        see_crash(&first, backend, b"body");
+        note_crash_at(&first, backend, b"body");
     }
-    let records = first.book.read(|book| book.crashes.unstored());
+    let records = first.state.read(|state| state.crashes.unstored());
     let second = start_entry("e2", &store).await;
-    learns(&second, b"body").await;
+    wait_for_quarantine(&second, b"body").await;
     second
-        .book
-        .change(|book| book.clear_request(digest_of(b"body")));
-    let cleared = first.believes(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared).await.expect("it learns");
+        .state
+        .change(|state| state.clear_request(digest_of(b"body")));
+    let cleared = first.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
+    timeout(KNOWN_WITHIN, cleared)
+        .await
+        .expect("the change arrives in time");
     for record in records {
-        let text = crash_text(&record).expect("it encodes");
+        let text = crash_value(&record).expect("it encodes");
         let text = String::from_utf8(text).expect("it is JSON");
         store.put(TableName::Crashes, &crash_key(&record), &text);
     }
     let third = start_entry("e3", &store).await;
-    assert!(!has_quarantined(&third.book.snapshot().load(), b"body"));
+    assert!(!has_quarantined(&third.state.snapshot().load(), b"body"));
 }
 
-/// Guards against rows under keys that nobody looks for.
+/// Guards against rows under keys that no process reads.
 #[tokio::test]
-async fn a_crash_stands_under_its_key() {
-    let store = store_in_use().await;
+async fn a_crash_is_written_under_its_key() {
+    let store = populated_store().await;
     let process = start_entry("e1", &store).await;
-    see_crash(&process, 0xab, b"body");
-    let record = process.book.read(|book| book.crashes.unstored()[0]);
-    let expected = crash_text(&record).expect("it encodes");
+    note_crash_at(&process, 0xab, b"body");
+    let record = process.state.read(|state| state.crashes.unstored()[0]);
+    let expected = crash_value(&record).expect("it encodes");
     let key = crash_key(&record);
     assert!(key.ends_with("/00000000000000ab"), "{key}");
     let kept = async {
@@ -239,7 +252,9 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(KNOWN_WITHIN, kept).await.expect("it is written");
+    timeout(KNOWN_WITHIN, kept)
+        .await
+        .expect("the row is written in time");
     let text = store.text_of(TableName::Crashes, &key);
     assert_eq!(text.map(String::into_bytes), Some(expected));
 }
--- a/src/sync/unreadable_rows.rs
+++ b/src/sync/unreadable_rows.rs
@@ -1,4 +1,5 @@
-//! The store's rows that do not read, so that the log tells when one begins and when it ends.
+//! Tracks unreadable rows of the store, so that the log shows once when a row becomes unreadable
+//! and once when that ends.
 
 use macro_rules_attribute::apply;
 
@@ -10,129 +11,129 @@
 use crate::metrics;
 use crate::platform::TableName;
 
-/// Rows of one table that are remembered. Others may write any number of them; of those beyond this one
-/// only the counter tells. Each table has its own, so that many entries of backend servers do not hide
-/// that the document stopped reading.
+/// Limit of remembered rows per table, since other writers may write any number of them. Further
+/// ones only increase a counter. Each table has its own limit, so that many entries of backend
+/// servers don't hide an unreadable document.
 const ROWS_MAX: usize = 256;
-/// Characters of what others wrote that go into one line of the log.
-const SHOWN_MAX: usize = 200;
+/// Limit of characters of foreign text in one log line.
+const EXCERPT_MAX: usize = 200;
 
-/// What was found in a row.
+/// State of a row that was read.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum RowReading<'a> {
-    /// What belongs there.
-    Reads,
-    /// Something else.
+pub(super) enum RowStatus<'a> {
+    /// The row could be decoded.
+    Readable,
+    /// The row could not be decoded.
     Unreadable(&'a SwitchError),
-    /// There is no such row any more.
-    Gone,
+    /// The row no longer exists.
+    Removed,
 }
 
-impl<'a> RowReading<'a> {
-    /// What came of reading it.
+impl<'a> RowStatus<'a> {
+    /// The state that follows from the result of decoding the row.
     pub(super) const fn of<T>(read: &'a SwitchResult<T>) -> Self {
         match read {
-            Ok(_) => Self::Reads,
+            Ok(_) => Self::Readable,
             Err(error) => Self::Unreadable(error),
         }
     }
 
-    const fn word(self) -> &'static str {
+    const fn label(self) -> &'static str {
         match self {
-            Self::Reads => "reads",
+            Self::Readable => "reads",
             Self::Unreadable(_) => "does not read",
-            Self::Gone => "gone",
+            Self::Removed => "gone",
         }
     }
 }
 
 #[apply(plain!)]
 #[derive(Eq, PartialOrd, Ord)]
-struct RowName {
+struct RowKey {
     table: TableName,
     key: String,
 }
 
-/// The rows that do not read.
+/// The unreadable rows.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreadableRows {
     /// Sorted.
-    rows: Vec<RowName>,
+    rows: Vec<RowKey>,
 }
 
 impl UnreadableRows {
-    /// Takes in what was found in a row. Returns whether it has just begun not to read.
-    pub(super) fn note(&mut self, table: TableName, key: &str, reading: RowReading<'_>) -> bool {
+    /// Records the state of a row. Returns true if it is newly unreadable and logged.
+    pub(super) fn note(&mut self, table: TableName, key: &str, status: RowStatus<'_>) -> bool {
         let found = self
             .rows
             .binary_search_by(|row| (row.table, &*row.key).cmp(&(table, key)));
-        match (found, reading) {
-            (Err(at), RowReading::Unreadable(error)) => self.begin(at, (table, key), error),
-            (Ok(at), RowReading::Reads | RowReading::Gone) => {
+        match (found, status) {
+            (Err(at), RowStatus::Unreadable(error)) => self.add(at, (table, key), error),
+            (Ok(at), RowStatus::Readable | RowStatus::Removed) => {
                 self.rows.remove(at);
-                tell_end(table, key, reading);
+                log_end(table, key, status);
                 false
             }
             _ => false,
         }
     }
 
-    fn begin(&mut self, at: usize, (table, key): (TableName, &str), error: &SwitchError) -> bool {
+    fn add(&mut self, at: usize, (table, key): (TableName, &str), error: &SwitchError) -> bool {
         metrics::count_event("rows_unreadable", 1);
         let in_table = self.rows.iter().filter(|row| row.table == table);
         if in_table.count() >= ROWS_MAX {
             return false;
         }
-        let row = RowName {
+        let row = RowKey {
             table,
             key: key.to_owned(),
         };
         self.rows.insert(at, row);
-        let (table, key) = (table_word(table), shown(key));
-        let detail = shown(&error.to_string());
+        let (table, key) = (table_label(table), excerpt(key));
+        let detail = excerpt(&error.to_string());
         log_event!(events::ROW_UNREADABLE, "table={table} key={key} {detail}");
         true
     }
 
-    /// Takes in a read of a whole table: rows that it does not list are gone.
+    /// Merges a full read of a table: rows that it does not list are removed.
     pub(super) fn keep_listed(&mut self, table: TableName, is_listed: impl Fn(&str) -> bool) {
         self.rows.retain(|row| {
             let stays = row.table != table || is_listed(&row.key);
             if !stays {
-                tell_end(table, &row.key, RowReading::Gone);
+                log_end(table, &row.key, RowStatus::Removed);
             }
             stays
         });
     }
 
-    /// Takes in what was found in the system's own rows.
+    /// Records the states of the system's own rows.
     pub(super) fn note_own(&mut self, own: &OwnRows) {
-        for (key, read) in &own.readings {
-            self.note(TableName::System, key, RowReading::of(read));
+        for (key, read) in &own.read_results {
+            self.note(TableName::System, key, RowStatus::of(read));
         }
-        if own.is_whole {
-            let is_listed = |key: &str| own.readings.iter().any(|(listed, _)| listed == key);
+        if own.is_complete {
+            let is_listed = |key: &str| own.read_results.iter().any(|(listed, _)| listed == key);
             self.keep_listed(TableName::System, is_listed);
         }
     }
 
-    /// How many there are.
+    /// The number of unreadable rows.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.rows.len()
     }
 }
 
-fn tell_end(table: TableName, key: &str, reading: RowReading<'_>) {
-    let (table, key) = (table_word(table), shown(key));
+fn log_end(table: TableName, key: &str, status: RowStatus<'_>) {
+    let (table, key) = (table_label(table), excerpt(key));
     log_event!(
         events::ROW_READABLE,
         "table={table} key={key} {}",
-        reading.word()
+        status.label()
     );
 }
 
-const fn table_word(table: TableName) -> &'static str {
+const fn table_label(table: TableName) -> &'static str {
     match table {
         TableName::Operator => "operator",
         TableName::Backends => "backends",
@@ -141,8 +142,8 @@
     }
 }
 
-/// What others wrote, on one line and not too long for it.
-fn shown(text: &str) -> String {
-    let start = text.chars().take(SHOWN_MAX);
+/// An excerpt of foreign text, escaped so that it fits on one log line.
+fn excerpt(text: &str) -> String {
+    let start = text.chars().take(EXCERPT_MAX);
     start.flat_map(char::escape_debug).collect()
 }
