--- a/src/engines/engine_edge.rs
+++ b/src/engines/engine_adapter.rs
@@ -97,19 +97,19 @@
 
 /// Cache events since an earlier reading. Late and with gaps.
 #[apply(plain!)]
-pub(crate) struct CacheNews {
+pub(crate) struct CacheChanges {
     /// The events.
     pub(crate) events: Vec<CacheEvent>,
     /// What to ask from next time.
-    pub(crate) next: u64,
+    pub(crate) next_cursor: u64,
     /// Whether events were lost in between.
     pub(crate) has_gap: bool,
 }
 
 /// A model engine.
-pub(crate) trait EngineEdge: Send + Sync + 'static {
+pub(crate) trait EngineAdapter: Send + Sync + 'static {
     /// Asks what it is.
-    fn meet(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>>;
+    fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>>;
 
     /// Reads its state.
     fn read_state(&self) -> BoxFuture<'_, SwitchResult<EngineState>>;
@@ -128,5 +128,5 @@
     fn cancel<'a>(&'a self, request: &'a str) -> BoxFuture<'a, SwitchResult<()>>;
 
     /// Reads what changed in its prefix cache.
-    fn read_cache(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheNews>>;
+    fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>>;
 }
--- a/src/engines/json_state.rs
+++ b/src/engines/json_state.rs
@@ -11,7 +11,7 @@
 
 use super::engine_client::{CallLimit, EngineClient, parse_event, priority_number};
 use super::{
-    CacheEvent, CacheNews, EngineCall, EngineEdge, EnginePart, EngineProfile, EngineState,
+    CacheChanges, CacheEvent, EngineAdapter, EngineCall, EnginePart, EngineProfile, EngineState,
     EngineStream, LoadOrder,
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -20,7 +20,7 @@
 use crate::weights::WeightsDigest;
 
 /// An engine that speaks `json_state`.
-pub(crate) struct JsonStateEngine {
+pub(crate) struct JsonStateAdapter {
     client: EngineClient,
 }
 
@@ -84,7 +84,7 @@
     lost: bool,
 }
 
-impl JsonStateEngine {
+impl JsonStateAdapter {
     /// The engine at `address`.
     pub(crate) const fn new(address: SocketAddr, client: Arc<PeerClient>) -> Self {
         let client = EngineClient::new(address, client);
@@ -168,7 +168,7 @@
         answer.expect_success(ErrorKind::EngineFailed)
     }
 
-    async fn ask_cache(&self, after: u64) -> SwitchResult<CacheNews> {
+    async fn ask_cache(&self, after: u64) -> SwitchResult<CacheChanges> {
         let path = format!("/prefixes?since={after}");
         let answer = self
             .client
@@ -184,16 +184,16 @@
             .added
             .into_iter()
             .map(|prefix| CacheEvent { prefix, held: true });
-        Ok(CacheNews {
+        Ok(CacheChanges {
             events: dropped.chain(added).collect(),
-            next: text.cursor,
+            next_cursor: text.cursor,
             has_gap: text.lost,
         })
     }
 }
 
-impl EngineEdge for JsonStateEngine {
-    fn meet(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
+impl EngineAdapter for JsonStateAdapter {
+    fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
         self.ask_profile().boxed()
     }
 
@@ -218,7 +218,7 @@
         self.order_cancel(request).boxed()
     }
 
-    fn read_cache(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheNews>> {
+    fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>> {
         self.ask_cache(after).boxed()
     }
 }
--- a/src/engines/metrics_text.rs
+++ b/src/engines/metrics_text.rs
@@ -12,7 +12,7 @@
 
 use super::engine_client::{CallLimit, EngineClient, parse_event, priority_number};
 use super::{
-    CacheEvent, CacheNews, EngineCall, EngineEdge, EnginePart, EngineProfile, EngineState,
+    CacheChanges, CacheEvent, EngineAdapter, EngineCall, EnginePart, EngineProfile, EngineState,
     EngineStream, LoadOrder,
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -20,7 +20,7 @@
 use crate::transport::PeerClient;
 
 /// An engine that speaks `metrics_text`.
-pub(crate) struct MetricsTextEngine {
+pub(crate) struct MetricsTextAdapter {
     client: EngineClient,
     /// The model that completions name; the service.
     model: ByteString,
@@ -87,7 +87,7 @@
 
 const LAST_EVENT: &str = "[DONE]";
 
-impl MetricsTextEngine {
+impl MetricsTextAdapter {
     /// The engine at `address`, which serves `model`.
     pub(crate) const fn new(
         address: SocketAddr,
@@ -176,7 +176,7 @@
         answer.expect_success(ErrorKind::EngineFailed)
     }
 
-    async fn ask_cache(&self, after: u64) -> SwitchResult<CacheNews> {
+    async fn ask_cache(&self, after: u64) -> SwitchResult<CacheChanges> {
         let path = format!("/cache/events?after={after}");
         let answer = self
             .client
@@ -188,16 +188,16 @@
             prefix: text.prefix,
             held: text.held,
         };
-        Ok(CacheNews {
+        Ok(CacheChanges {
             events: text.events.into_iter().map(event).collect(),
-            next: text.next,
+            next_cursor: text.next,
             has_gap: text.gap,
         })
     }
 }
 
-impl EngineEdge for MetricsTextEngine {
-    fn meet(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
+impl EngineAdapter for MetricsTextAdapter {
+    fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
         self.ask_profile().boxed()
     }
 
@@ -221,7 +221,7 @@
         self.order_cancel(request).boxed()
     }
 
-    fn read_cache(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheNews>> {
+    fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>> {
         self.ask_cache(after).boxed()
     }
 }
--- a/src/engines/plain_edge.rs
+++ b/src/engines/plain_adapter.rs
@@ -31,7 +31,7 @@
     /// The whole body.
     pub(crate) body: Bytes,
     /// How long the service may take to begin its answer.
-    pub(crate) head_within: Duration,
+    pub(crate) head_timeout: Duration,
 }
 
 /// The answer's body, part by part.
@@ -47,7 +47,7 @@
 }
 
 /// A plain service.
-pub(crate) trait PlainEdge: Send + Sync + 'static {
+pub(crate) trait PlainAdapter: Send + Sync + 'static {
     /// Hands a call over. `ConnectFailed` and `BadRequest` mean that it does not run; after any
     /// other error it is not known.
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>>;
@@ -59,26 +59,29 @@
 /// moment in which a call is written to it; the call then fails without anyone knowing whether it
 /// ran, and an unrepeatable call must be answered "not known" though nothing was wrong. On
 /// loopback a fresh connection costs little.
-pub(crate) struct HttpPlain {
+pub(crate) struct HttpPlainAdapter {
     address: SocketAddr,
     client: Arc<PeerClient>,
 }
 
-impl HttpPlain {
+impl HttpPlainAdapter {
     /// The service at `address`.
     pub(crate) const fn new(address: SocketAddr, client: Arc<PeerClient>) -> Self {
         Self { address, client }
     }
 
     async fn hand_over(&self, call: PlainCall) -> SwitchResult<PlainAnswer> {
-        let head_within = call.head_within;
+        let head_timeout = call.head_timeout;
         let request = plain_request(call)?;
-        let answer = self.client.send(self.address, request, head_within).await?;
+        let answer = self
+            .client
+            .send(self.address, request, head_timeout)
+            .await?;
         Ok(read_answer(answer))
     }
 }
 
-impl PlainEdge for HttpPlain {
+impl PlainAdapter for HttpPlainAdapter {
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>> {
         self.hand_over(call).boxed()
     }
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -12,7 +12,7 @@
 use volo_http::server::Server;
 use volo_http::server::route::{Router, get, post};
 
-use super::{EngineCall, EngineEdge, EnginePart, JsonStateEngine, MetricsTextEngine};
+use super::{EngineAdapter, EngineCall, EnginePart, JsonStateAdapter, MetricsTextAdapter};
 use crate::documents::RequestPriority;
 use crate::errors::{ErrorKind, RunOutcome};
 use crate::transport::{ClientLimits, PeerClient};
@@ -65,7 +65,7 @@
     }
 }
 
-async fn parts_of(engine: &dyn EngineEdge) -> Vec<EnginePart> {
+async fn parts_of(engine: &dyn EngineAdapter) -> Vec<EnginePart> {
     let stream = engine.generate(call()).await.expect("it starts");
     let parts: Vec<_> = stream.collect().await;
     parts
@@ -104,7 +104,7 @@
         .route("/metrics", get(async move || metrics.clone()))
         .route("/v1/completions", post(async move || events(stream)));
     let server = TinyServer::start(router);
-    let engine = MetricsTextEngine::new(server.address, client(), "sky-writer".into());
+    let engine = MetricsTextAdapter::new(server.address, client(), "sky-writer".into());
     let state = engine.read_state().await.expect("it reads");
     assert_eq!((state.load.running, state.load.waiting), (3, 2));
     assert_eq!((state.fence, state.age_ms), (7, 1500));
@@ -122,8 +122,8 @@
         .route("/state", get(async move || state))
         .route("/generate", post(async move || events(stream)));
     let server = TinyServer::start(router);
-    let engine = JsonStateEngine::new(server.address, client());
-    let profile = engine.meet().await.expect("it reads");
+    let engine = JsonStateAdapter::new(server.address, client());
+    let profile = engine.read_profile().await.expect("it reads");
     assert_eq!((profile.checks_fencing, profile.running_max), (false, 6));
     let state = engine.read_state().await.expect("it reads");
     assert_eq!((state.load.waiting, state.serving), (4, None));
@@ -136,7 +136,7 @@
 async fn a_full_engine_did_not_run_the_request() {
     let full = async || (StatusCode::SERVICE_UNAVAILABLE, "{\"error\":\"full\"}");
     let server = TinyServer::start(Router::new().route("/v1/completions", post(full)));
-    let engine = MetricsTextEngine::new(server.address, client(), "sky-writer".into());
+    let engine = MetricsTextAdapter::new(server.address, client(), "sky-writer".into());
     let error = engine.generate(call()).await.err().expect("it is refused");
     assert_eq!(error.kind, ErrorKind::EngineRefused);
     assert_eq!(error.run_outcome(), RunOutcome::NotRun);
@@ -151,7 +151,7 @@
         .route("/control/role", post(stale))
         .route("/cache/events", get(async move || news));
     let server = TinyServer::start(router);
-    let engine = MetricsTextEngine::new(server.address, client(), "sky-writer".into());
+    let engine = MetricsTextAdapter::new(server.address, client(), "sky-writer".into());
     let error = engine.set_role("decode", 7).await.expect_err("8 was seen");
     assert_eq!(error.kind, ErrorKind::OrderStale);
     check_cache(&engine).await;
@@ -164,13 +164,13 @@
         .route("/role", post(async || "{}"))
         .route("/prefixes", get(async move || news));
     let server = TinyServer::start(router);
-    let engine = JsonStateEngine::new(server.address, client());
+    let engine = JsonStateAdapter::new(server.address, client());
     engine.set_role("decode", 7).await.expect("it takes any");
     check_cache(&engine).await;
 }
 
-async fn check_cache(engine: &dyn EngineEdge) {
-    let news = engine.read_cache(0).await.expect("it reads");
+async fn check_cache(engine: &dyn EngineAdapter) {
+    let news = engine.read_cache_changes(0).await.expect("it reads");
     let mut events: Vec<_> = news
         .events
         .iter()
@@ -179,5 +179,5 @@
     // The dialects tell what came and what went in different sequences.
     events.sort_unstable();
     assert_eq!(events, [("p1", true), ("p2", false)]);
-    assert_eq!((news.next, news.has_gap), (9, true));
+    assert_eq!((news.next_cursor, news.has_gap), (9, true));
 }
--- a/src/guard/backend_run.rs
+++ b/src/guard/backend_run.rs
@@ -14,7 +14,7 @@
 use crate::delivery::{AnswerDigest, RunPart};
 use crate::derives::plain;
 use crate::engines::{
-    EngineCall, EngineEdge, EnginePart, EngineStream, PlainAnswer, PlainCall, PlainEdge,
+    EngineAdapter, EngineCall, EnginePart, EngineStream, PlainAdapter, PlainAnswer, PlainCall,
 };
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
 use crate::events::log_event;
@@ -39,7 +39,7 @@
 
 /// Has `engine` generate `call`. `first_within` bounds the wait for the first token.
 pub(super) async fn run_generate(
-    engine: &Arc<dyn EngineEdge>,
+    engine: &Arc<dyn EngineAdapter>,
     pass: &ServingPass,
     call: EngineCall,
     first_within: Duration,
@@ -167,7 +167,7 @@
 
 /// Hands `call` to a plain service.
 pub(super) async fn run_forward(
-    service: &Arc<dyn PlainEdge>,
+    service: &Arc<dyn PlainAdapter>,
     call: PlainCall,
     second_try: SecondTry<'_>,
     sink: &PartSink,
@@ -199,14 +199,14 @@
 /// fail beside others that take their usual time. The first call is not given up, so that a service
 /// that is just slow answers it all the same.
 async fn ask_service(
-    service: &Arc<dyn PlainEdge>,
+    service: &Arc<dyn PlainAdapter>,
     call: PlainCall,
     second_try: SecondTry<'_>,
 ) -> SwitchResult<PlainAnswer> {
     let SecondTry::IfSilent(may_try) = second_try else {
         return service.forward(call).await;
     };
-    let patience = call.head_within / SECOND_TRY_PART;
+    let patience = call.head_timeout / SECOND_TRY_PART;
     let mut first = service.forward(call.clone());
     if let Ok(answer) = timeout(patience, &mut first).await {
         return answer;
@@ -215,9 +215,9 @@
         return first.await;
     }
     count_retry(ErrorKind::PeerSilent);
-    let head_within = call.head_within.saturating_sub(patience);
+    let head_timeout = call.head_timeout.saturating_sub(patience);
     let second = service.forward(PlainCall {
-        head_within,
+        head_timeout,
         ..call
     });
     match futures::future::select_ok([first, second]).await {
--- a/src/guard/run_edge.rs
+++ b/src/guard/run_edge.rs
@@ -17,7 +17,7 @@
 use super::shared::{BackendServer, GuardShared, GuardState};
 use crate::daemon::DrainState;
 use crate::delivery::{RunOrder, SettleOrder, SettleReply};
-use crate::engines::EngineEdge;
+use crate::engines::EngineAdapter;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::membership::{HostIdentity, StatusBoard};
@@ -158,9 +158,9 @@
 
 impl BackendWatch {
     /// Asks the engine; returns how many requests wait inside it, by its last report.
-    async fn check(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineEdge>) -> u32 {
+    async fn check(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineAdapter>) -> u32 {
         if !self.was_met {
-            self.meet(shared, engine).await;
+            self.read_profile(shared, engine).await;
         }
         match engine.read_state().await {
             Ok(state) => {
@@ -180,8 +180,8 @@
         }
     }
 
-    async fn meet(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineEdge>) {
-        let Ok(profile) = engine.meet().await else {
+    async fn read_profile(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineAdapter>) {
+        let Ok(profile) = engine.read_profile().await else {
             return;
         };
         self.was_met = true;
--- a/src/guard/run_task.rs
+++ b/src/guard/run_task.rs
@@ -170,7 +170,7 @@
                 path,
                 headers,
                 body,
-                head_within: first_within,
+                head_timeout: first_within,
             };
             let may_try = || shared.lock().second_tries.take();
             let second_try = match sink {
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -12,7 +12,7 @@
 use crate::daemon::DrainState;
 use crate::delivery::{AttemptId, RunOrder};
 use crate::documents::RequestPriority;
-use crate::engines::{EngineEdge, PlainEdge};
+use crate::engines::{EngineAdapter, PlainAdapter};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
 use crate::membership::{LoadReport, StatusBoard};
 use crate::time::{ClockTime, clock_now};
@@ -24,9 +24,9 @@
 #[derive(Clone)]
 pub(crate) enum BackendServer {
     /// A model engine.
-    Model(Arc<dyn EngineEdge>),
+    Model(Arc<dyn EngineAdapter>),
     /// A plain service.
-    Plain(Arc<dyn PlainEdge>),
+    Plain(Arc<dyn PlainAdapter>),
 }
 
 /// What all requests of this process share.
--- a/src/guard/tests/fakes.rs
+++ b/src/guard/tests/fakes.rs
@@ -14,7 +14,7 @@
     AnswerHead, AttemptId, RunCall, RunFrame, RunOrder, RunPart, SettleOrder, SettleReply,
 };
 use crate::documents::RequestPriority;
-use crate::engines::{PlainAnswer, PlainCall, PlainEdge};
+use crate::engines::{PlainAdapter, PlainAnswer, PlainCall};
 use crate::errors::SwitchResult;
 use crate::guard::part_sink::AttemptWriter;
 use crate::guard::run_edge::{GuardHandle, settle};
@@ -35,7 +35,7 @@
     pub(super) padding: AtomicU32,
 }
 
-impl PlainEdge for CountingPlain {
+impl PlainAdapter for CountingPlain {
     fn forward(&self, _call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>> {
         async move {
             let count = self.calls.fetch_add(1, Ordering::Relaxed) + 1;
--- a/src/guard/tests/forward.rs
+++ b/src/guard/tests/forward.rs
@@ -9,7 +9,7 @@
 
 use super::fakes::{CountingPlain, TestHost, body_of, wake_up};
 use crate::delivery::{RunOrder, RunPart};
-use crate::engines::{PlainAnswer, PlainCall, PlainEdge};
+use crate::engines::{PlainAdapter, PlainAnswer, PlainCall};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::guard::BackendServer;
 
@@ -20,11 +20,11 @@
     answering: CountingPlain,
 }
 
-impl PlainEdge for FirstSilent {
+impl PlainAdapter for FirstSilent {
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>> {
         async move {
             if self.connections.fetch_add(1, Ordering::Relaxed) == 0 {
-                tokio::time::sleep(call.head_within).await;
+                tokio::time::sleep(call.head_timeout).await;
                 return Err(SwitchError::new(ErrorKind::PeerSilent, "silent"));
             }
             self.answering.forward(call).await
@@ -43,7 +43,7 @@
 
 async fn ask(repeatable: bool) -> (Vec<RunPart>, u32) {
     let service = Arc::new(FirstSilent::default());
-    let backend = BackendServer::Plain(Arc::clone(&service) as Arc<dyn PlainEdge>);
+    let backend = BackendServer::Plain(Arc::clone(&service) as Arc<dyn PlainAdapter>);
     let host = TestHost::start("lima-1", backend);
     let mut reader = host.give(order(repeatable));
     // An unrepeatable call is not answered in this test's time: two words of life are enough.
--- a/src/guard/tests/streams.rs
+++ b/src/guard/tests/streams.rs
@@ -11,7 +11,7 @@
 use super::fakes::{TestHost, wake_up};
 use crate::delivery::{AnswerDigest, RunCall, RunOrder, RunPart};
 use crate::engines::{
-    CacheNews, EngineCall, EngineEdge, EnginePart, EngineProfile, EngineState, EngineStream,
+    CacheChanges, EngineAdapter, EngineCall, EnginePart, EngineProfile, EngineState, EngineStream,
     LoadOrder,
 };
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
@@ -69,8 +69,8 @@
     }
 }
 
-impl EngineEdge for ScriptEngine {
-    fn meet(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
+impl EngineAdapter for ScriptEngine {
+    fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
         let profile = EngineProfile {
             checks_fencing: false,
             running_max: 2,
@@ -110,10 +110,10 @@
         async { Ok(()) }.boxed()
     }
 
-    fn read_cache(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheNews>> {
-        let news = CacheNews {
+    fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>> {
+        let news = CacheChanges {
             events: Vec::new(),
-            next: after,
+            next_cursor: after,
             has_gap: false,
         };
         async move { Ok(news) }.boxed()
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -10,7 +10,7 @@
 use super::settings::{EngineDialect, HostSettings};
 use crate::control::{ControlEdges, ControlHandle, start_control};
 use crate::daemon::{DrainState, probe_routes};
-use crate::engines::{EngineEdge, HttpPlain, JsonStateEngine, MetricsTextEngine};
+use crate::engines::{EngineAdapter, HttpPlainAdapter, JsonStateAdapter, MetricsTextAdapter};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::guard::{BackendServer, GuardEdges, GuardLimits, ServingGate, start_guard};
 use crate::membership::StatusBoard;
@@ -111,7 +111,7 @@
 }
 
 struct WeightsParts {
-    engine: Arc<dyn EngineEdge>,
+    engine: Arc<dyn EngineAdapter>,
     control: ControlHandle,
     client: Arc<PeerClient>,
     gate: ServingGate,
@@ -154,12 +154,14 @@
     match settings.dialect {
         EngineDialect::MetricsText => {
             let model = settings.service.clone();
-            BackendServer::Model(Arc::new(MetricsTextEngine::new(address, client, model)))
+            BackendServer::Model(Arc::new(MetricsTextAdapter::new(address, client, model)))
         }
         EngineDialect::JsonState => {
-            BackendServer::Model(Arc::new(JsonStateEngine::new(address, client)))
+            BackendServer::Model(Arc::new(JsonStateAdapter::new(address, client)))
+        }
+        EngineDialect::Plain => {
+            BackendServer::Plain(Arc::new(HttpPlainAdapter::new(address, client)))
         }
-        EngineDialect::Plain => BackendServer::Plain(Arc::new(HttpPlain::new(address, client))),
     }
 }
 
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -16,12 +16,12 @@
 #[must_use]
 pub fn host_main() -> ExitCode {
     hold_stop_signals();
-    run_wrapped_host(std::env::args(), |routes| routes)
+    run_host_with_middleware(std::env::args(), |routes| routes)
 }
 
 /// Runs the host process with the settings in `arguments` and `wrap` around its routes, which is
 /// where the lab puts faults.
-pub(crate) fn run_wrapped_host(
+pub(crate) fn run_host_with_middleware(
     arguments: impl Iterator<Item = String>,
     wrap: impl FnOnce(Router) -> Router,
 ) -> ExitCode {
--- a/src/lab/weights/spoiling_host.rs
+++ b/src/lab/weights/spoiling_host.rs
@@ -15,7 +15,7 @@
 use volo_http::server::middleware::{Next, from_fn};
 use volo_http::server::response::IntoResponse;
 
-use crate::host::run_wrapped_host;
+use crate::host::run_host_with_middleware;
 use crate::transport::read_body;
 
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
@@ -50,7 +50,7 @@
     SPOILT_PERCENT.store(percent.unwrap_or(0), Ordering::Relaxed);
     let settings = matches.get_many::<String>("settings").unwrap_or_default();
     let arguments = std::iter::once("savory-host".to_owned()).chain(settings.cloned());
-    run_wrapped_host(arguments, |routes| routes.layer(from_fn(spoil)))
+    run_host_with_middleware(arguments, |routes| routes.layer(from_fn(spoil)))
 }
 
 async fn spoil(context: &mut ServerContext, request: Request, next: Next) -> Response {
--- a/src/weights/weights_thread.rs
+++ b/src/weights/weights_thread.rs
@@ -14,7 +14,7 @@
 use super::word_board::WordBoard;
 use crate::control::ControlHandle;
 use crate::daemon::DrainState;
-use crate::engines::EngineEdge;
+use crate::engines::EngineAdapter;
 use crate::guard::ServingGate;
 use crate::membership::StatusBoard;
 use crate::stores::{TableStore, WeightSource};
@@ -33,7 +33,7 @@
     /// The platform's table, for rollout permits.
     pub(crate) table: Arc<dyn TableStore>,
     /// The engine beside this process.
-    pub(crate) engine: Arc<dyn EngineEdge>,
+    pub(crate) engine: Arc<dyn EngineAdapter>,
     /// The way to other processes.
     pub(crate) client: Arc<PeerClient>,
     /// What the control thread knows.
