--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -1,4 +1,6 @@
-//! Model services: the completions protocol that model servers commonly speak.
+//! Requests to model services, in the completions protocol that model servers commonly implement:
+//! parses the request, starts it, and encodes the answer as one JSON document or as a stream of
+//! server-sent events.
 
 use std::sync::Arc;
 
@@ -11,32 +13,34 @@
 use volo_http::request::Request;
 use volo_http::response::Response;
 
-use super::caller_body::{BodyStep, CallerBody};
-use super::caller_head::CallerHead;
-use super::reply::{error_value, note_run};
-use super::traffic::{CallShape, EntryTraffic};
+use super::caller_headers::CallerHeaders;
+use super::entry_state::{EntryState, ServiceCall};
+use super::reply::{error_value, set_run_outcome};
+use super::response_body::{BodyStep, ResponseBody};
 use crate::delivery::{CallerPart, RunCall};
 use crate::documents::ServiceKind;
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
 use crate::membership::ServingVersion;
 use crate::transport::json_reply;
 
-const DEFAULT_TOKENS: u32 = 256;
+/// Token limit of requests that set no `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 256;
 const VERSION_HEADER: &str = "savory-version";
 const DIGEST_HEADER: &str = "savory-weights-digest";
-const DONE: &str = "data: [DONE]\n\n";
+/// The event that ends a complete stream.
+const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// Which of the two forms of the protocol a caller speaks.
+/// The two request forms of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CompletionForm {
-    /// `/v1/completions`, with a prompt.
+    /// `/v1/completions`: the request has a prompt.
     Text,
-    /// `/v1/chat/completions`, with messages.
+    /// `/v1/chat/completions`: the request has a list of messages.
     Chat,
 }
 
 #[derive(Deserialize)]
-struct CompletionAsk {
+struct CompletionRequest {
     model: ByteString,
     #[serde(default)]
     prompt: Option<ByteString>,
@@ -54,60 +58,73 @@
     content: String,
 }
 
-/// Answers one completion.
+/// Answers one completion request, whose id is `id`.
+///
+/// # Errors
+///
+/// The errors of parsing and admission, and of the run until its answer starts. Later errors of a
+/// streamed answer are sent as its last event.
 pub(super) async fn answer_completion(
-    traffic: &Arc<EntryTraffic>,
+    state: &Arc<EntryState>,
     request: Request,
     form: CompletionForm,
     id: &ByteString,
 ) -> SwitchResult<Response> {
     let (parts, body) = request.into_parts();
-    let head = CallerHead::read(&parts.headers)?;
-    let ask = read_ask(&traffic.read_body(body).await?)?;
-    let service = traffic.service(&ask.model)?;
+    let headers = CallerHeaders::parse(&parts.headers)?;
+    let completion = parse_body(&state.read_body(body).await?)?;
+    let service = state.service(&completion.model)?;
     if service.document.kind != ServiceKind::Model {
-        let detail = format!("\"{}\" is no model service", ask.model);
+        let detail = format!("\"{}\" is not a model service", completion.model);
         return Err(SwitchError::new(ErrorKind::BadRequest, detail));
     }
-    let shape = CallShape {
+    let call = ServiceCall {
         call: RunCall::Generate {
-            prompt: prompt_of(&ask, form)?,
-            max_tokens: ask.max_tokens.unwrap_or(DEFAULT_TOKENS),
+            prompt: prompt_of(&completion, form)?,
+            max_tokens: completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             resume_from: 0,
             resume_version: None,
         },
         repeatable: true,
     };
-    let mut answer = traffic.start(&service, &head, shape)?;
-    let serving = first_part(&mut answer).await?;
-    let text = AnswerText {
+    let mut answer = state.start(&service, &headers, call)?;
+    let serving = wait_for_start(&mut answer).await?;
+    let encoder = AnswerEncoder {
         form,
         id: id.clone(),
-        model: ask.model,
+        model: completion.model,
     };
-    let mut reply = if ask.stream {
-        text.stream(answer)
+    let mut reply = if completion.stream {
+        encoder.stream(answer)
     } else {
-        text.whole(answer).await?
+        encoder.collect(answer).await?
     };
-    note_run(&mut reply, RunOutcome::Run);
+    set_run_outcome(&mut reply, RunOutcome::Run);
     if let Some(serving) = serving {
-        note_version(reply.headers_mut(), &serving);
+        set_version_headers(reply.headers_mut(), &serving);
     }
     Ok(reply)
 }
 
-fn read_ask(body: &Bytes) -> SwitchResult<CompletionAsk> {
-    serde_json::from_slice(body)
-        .map_err(|fault| SwitchError::new(ErrorKind::BadRequest, format!("the body: {fault}")))
+fn parse_body(body: &Bytes) -> SwitchResult<CompletionRequest> {
+    serde_json::from_slice(body).map_err(|fault| {
+        SwitchError::new(
+            ErrorKind::BadRequest,
+            format!("invalid request body: {fault}"),
+        )
+    })
 }
 
-fn prompt_of(ask: &CompletionAsk, form: CompletionForm) -> SwitchResult<ByteString> {
+/// Returns the prompt; the messages of a chat become one line each.
+fn prompt_of(completion: &CompletionRequest, form: CompletionForm) -> SwitchResult<ByteString> {
     match form {
-        CompletionForm::Text => ask.prompt.clone().ok_or_else(|| missing("prompt")),
-        CompletionForm::Chat if ask.messages.is_empty() => Err(missing("messages")),
+        CompletionForm::Text => completion
+            .prompt
+            .clone()
+            .ok_or_else(|| missing_field("prompt")),
+        CompletionForm::Chat if completion.messages.is_empty() => Err(missing_field("messages")),
         CompletionForm::Chat => {
-            let lines = ask
+            let lines = completion
                 .messages
                 .iter()
                 .map(|message| format!("{}: {}\n", message.role, message.content));
@@ -116,29 +133,37 @@
     }
 }
 
-fn missing(field: &str) -> SwitchError {
+fn missing_field(field: &str) -> SwitchError {
     SwitchError::new(
         ErrorKind::BadRequest,
-        format!("the body: \"{field}\" is missing"),
+        format!("invalid request body: \"{field}\" is missing"),
     )
 }
 
-/// Waits until a backend server has the request; until then, a failure is a plain refusal.
-async fn first_part(
+/// Waits until a backend server has started the answer; returns the version that it serves.
+///
+/// # Errors
+///
+/// The error with which the request failed before that. Nothing has been sent to the caller yet, so
+/// it can be reported as an ordinary error response.
+async fn wait_for_start(
     answer: &mut mpsc::Receiver<CallerPart>,
 ) -> SwitchResult<Option<ServingVersion>> {
     match answer.recv().await {
         Some(CallerPart::Started(serving)) => Ok(serving),
         Some(CallerPart::Failed(error)) => Err(error),
-        _ => Err(broken_off()),
+        _ => Err(answer_interrupted()),
     }
 }
 
-fn broken_off() -> SwitchError {
-    SwitchError::new(ErrorKind::Internal, "the answer broke off")
+fn answer_interrupted() -> SwitchError {
+    SwitchError::new(
+        ErrorKind::Internal,
+        "the answer ended before it was complete",
+    )
 }
 
-fn note_version(headers: &mut HeaderMap, serving: &ServingVersion) {
+fn set_version_headers(headers: &mut HeaderMap, serving: &ServingVersion) {
     let digest = serving.digest.to_string();
     for (name, text) in [
         (VERSION_HEADER, &*serving.version),
@@ -150,15 +175,16 @@
     }
 }
 
-/// The text of one answer.
-struct AnswerText {
+/// Encodes one answer in the form of its request.
+struct AnswerEncoder {
     form: CompletionForm,
     id: ByteString,
     model: ByteString,
 }
 
-impl AnswerText {
-    async fn whole(&self, mut answer: mpsc::Receiver<CallerPart>) -> SwitchResult<Response> {
+impl AnswerEncoder {
+    /// Collects the complete answer into one JSON response.
+    async fn collect(&self, mut answer: mpsc::Receiver<CallerPart>) -> SwitchResult<Response> {
         let mut text = String::new();
         let mut tokens = 0_u32;
         loop {
@@ -168,18 +194,19 @@
                     tokens += 1;
                 }
                 Some(CallerPart::Whole { reason, .. }) => {
-                    let value = self.whole_value(&text, &reason, tokens);
+                    let value = self.complete_value(&text, &reason, tokens);
                     return Ok(json_reply(StatusCode::OK, &value));
                 }
                 Some(CallerPart::Failed(error)) => return Err(error),
                 Some(_) => {}
-                None => return Err(broken_off()),
+                None => return Err(answer_interrupted()),
             }
         }
     }
 
+    /// Returns a response that sends the answer as server-sent events while it arrives.
     fn stream(self, answer: mpsc::Receiver<CallerPart>) -> Response {
-        let body = CallerBody::of(answer, move |part| self.step(part));
+        let body = ResponseBody::from_parts(answer, move |part| self.encode(part));
         let mut reply = Response::new(body);
         let content_type = HeaderValue::from_static("text/event-stream");
         let headers = reply.headers_mut();
@@ -191,21 +218,22 @@
         reply
     }
 
-    /// One part as server-sent events. Only a whole answer ends with the final marker.
-    fn step(&self, part: CallerPart) -> BodyStep {
+    /// Encodes one part as server-sent events. Only a complete answer ends with [`DONE_EVENT`].
+    fn encode(&self, part: CallerPart) -> BodyStep {
         match part {
             CallerPart::Token(text) => {
-                BodyStep::Bytes(event(&self.chunk_value(Some(&text), None)).into())
+                BodyStep::Bytes(sse_event(&self.chunk_value(Some(&text), None)).into())
             }
             CallerPart::Whole { reason, .. } => {
-                let last = event(&self.chunk_value(None, Some(&reason)));
-                BodyStep::Last(format!("{last}{DONE}").into())
+                let last = sse_event(&self.chunk_value(None, Some(&reason)));
+                BodyStep::Last(format!("{last}{DONE_EVENT}").into())
             }
-            CallerPart::Failed(error) => BodyStep::Last(event(&error_value(&error)).into()),
+            CallerPart::Failed(error) => BodyStep::Last(sse_event(&error_value(&error)).into()),
             CallerPart::Started(_) | CallerPart::Head(_) | CallerPart::Body(_) => BodyStep::Skip,
         }
     }
 
+    /// The JSON of one stream event, with the next text or the reason for the end.
     fn chunk_value(&self, text: Option<&str>, reason: Option<&str>) -> serde_json::Value {
         match self.form {
             CompletionForm::Text => json!({
@@ -226,7 +254,8 @@
         }
     }
 
-    fn whole_value(&self, text: &str, reason: &str, tokens: u32) -> serde_json::Value {
+    /// The JSON of a complete answer.
+    fn complete_value(&self, text: &str, reason: &str, tokens: u32) -> serde_json::Value {
         let usage = json!({"completion_tokens": tokens});
         match self.form {
             CompletionForm::Text => json!({
@@ -250,6 +279,7 @@
     }
 }
 
-fn event(value: &serde_json::Value) -> String {
+/// Formats one server-sent event.
+fn sse_event(value: &serde_json::Value) -> String {
     format!("data: {value}\n\n")
 }
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -1,4 +1,5 @@
-//! The entry host's daemon: its parts put together.
+//! The main function of `savory-entry`: reads the settings, starts the control thread, and serves
+//! the caller, peer and administration listeners until a graceful stop ends.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -9,9 +10,9 @@
 use clap::Command;
 use tokio::time::sleep;
 
+use super::entry_state::EntryState;
 use super::routes::caller_routes;
 use super::settings::{EntrySettings, SPECS};
-use super::traffic::EntryTraffic;
 use crate::control::{ControlEdges, ControlHandle, start_control};
 use crate::daemon::{DrainState, hold_stop_signals, probe_routes, run_process};
 use crate::delivery::{HostCaller, events};
@@ -26,23 +27,23 @@
 use crate::transport::{ClientLimits, HttpServer, PeerClient, bind_listener};
 
 const NAME: &str = "savory-entry";
-const EXAMPLE: &str = "Example:
+const HELP_EXAMPLE: &str = "Example:
   savory-entry --host-name entry-1 --data-centre lima-hall-a --region peru \\
     --caller-address 10.0.0.1:8080 --peer-address 10.0.0.1:7000 --admin-address 10.0.0.1:9000 \\
     --operator-key-digest HEX --table-address 10.0.9.1:80 \\
     --list-address 10.0.9.1:82
 
 Each setting is also read from the environment: --host-name from SAVORY_HOST_NAME, and so on.";
-const READY_CHECK: Duration = Duration::from_millis(50);
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The program's main function.
+/// The main function of `savory-entry`. Exits with status 2 if a setting is invalid.
 #[must_use]
 pub fn entry_main() -> ExitCode {
     hold_stop_signals();
     let command = Command::new(NAME)
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Takes callers' requests, picks a backend server and relays the answer")
-        .after_help(EXAMPLE);
+        .about("Takes callers' requests, forwards them to backend servers and relays the answers")
+        .after_help(HELP_EXAMPLE);
     let matches = with_platform(SettingReader::command(command, SPECS)).get_matches();
     if let Some(arguments) = matches.subcommand_matches(PLATFORM_COMMAND) {
         return run_on_platform(NAME, arguments, run_gateway);
@@ -52,113 +53,113 @@
     let settings = EntrySettings::read(&mut reader);
     match reader.finish(settings) {
         Ok(_) if only_checks => {
-            println!("the settings are fine");
+            println!("the settings are valid");
             ExitCode::SUCCESS
         }
         Ok(settings) => {
             let threads = settings.common.traffic_threads;
             run_process(NAME, threads, run_entry(settings))
         }
-        Err(faults) => tell_faults(&faults),
+        Err(faults) => print_faults(&faults),
     }
 }
 
-fn tell_faults(faults: &SettingsFaults) -> ExitCode {
+fn print_faults(faults: &SettingsFaults) -> ExitCode {
     for fault in faults {
         eprintln!("{NAME}: {fault}");
     }
     ExitCode::from(2)
 }
 
-/// Runs until a graceful stop is done.
+/// Runs the entry host until its graceful stop has ended.
 async fn run_entry(mut settings: EntrySettings) -> SwitchResult<()> {
-    let callers = bind_listener(settings.caller_address).await?;
-    let peers = bind_listener(settings.common.peer_address).await?;
-    let admin = bind_listener(settings.admin_address).await?;
-    // With port 0 the address is known only now, and others have to be told the right one.
-    settings.common.peer_address = address_of(&peers)?;
+    let caller_listener = bind_listener(settings.caller_address).await?;
+    let peer_listener = bind_listener(settings.common.peer_address).await?;
+    let admin_listener = bind_listener(settings.admin_address).await?;
+    // With port 0 the system chooses the port; peers need the address that is actually bound.
+    settings.common.peer_address = bound_address(&peer_listener)?;
     let drain = settings.common.drain_state();
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
-    let (control, board) = start_own_control(&settings, &client, &drain);
-    let hosts = HostCaller::new(client, settings.silence);
-    let limit = settings.body_limit;
-    let traffic = Arc::new(EntryTraffic::new(
+    let (control, own_status) = start_control_thread(&settings, &client, &drain);
+    let host_caller = HostCaller::new(client, settings.silence_timeout);
+    let body_limit = settings.body_limit;
+    let state = Arc::new(EntryState::new(
         control.identity().clone(),
         control.snapshot(),
-        hosts,
+        host_caller,
         drain.clone(),
-        limit,
+        body_limit,
     ));
     let ready = Arc::new(AtomicBool::new(false));
-    let kept = traffic.clone();
-    tokio::spawn(async move { kept.keep_desks().await });
-    tokio::spawn(watch_ready(traffic.clone(), ready.clone()));
-    tokio::spawn(watch_leaving(
-        traffic.clone(),
-        board,
+    let refreshed = state.clone();
+    tokio::spawn(async move { refreshed.refresh_dispatchers().await });
+    tokio::spawn(watch_readiness(state.clone(), ready.clone()));
+    tokio::spawn(leave_on_drain(
+        state.clone(),
+        own_status,
         drain.clone(),
         settings.common.leave_linger,
     ));
     let probes = || probe_routes(drain.clone(), ready.clone());
-    let caller_router = caller_routes(&traffic).merge(probes());
+    let caller_router = caller_routes(&state).merge(probes());
     let admin_router = probes().merge(admin_routes(&control, &settings.operator_key_digest));
     let listening = format!(
         "listening caller={} peer={} admin={}",
-        address_of(&callers)?,
+        bound_address(&caller_listener)?,
         settings.common.peer_address,
-        address_of(&admin)?
+        bound_address(&admin_listener)?
     );
     println!("{listening}");
     log_event!(events::SERVING, "{listening}");
     tokio::join!(
-        HttpServer::on(callers, caller_router).run(drain.clone()),
-        HttpServer::on(peers, control.peer_routes()).run(drain.clone()),
-        HttpServer::on(admin, admin_router).run(drain.clone()),
+        HttpServer::on(caller_listener, caller_router).run(drain.clone()),
+        HttpServer::on(peer_listener, control.peer_routes()).run(drain.clone()),
+        HttpServer::on(admin_listener, admin_router).run(drain.clone()),
     );
     Ok(())
 }
 
-fn start_own_control(
+fn start_control_thread(
     settings: &EntrySettings,
     client: &Arc<PeerClient>,
     drain: &DrainState,
 ) -> (ControlHandle, StatusBoard) {
     let common = &settings.common;
     let identity = common.identity(HostRole::Entry, None);
-    let board = StatusBoard::new(identity.host.clone(), identity.incarnation);
+    let own_status = StatusBoard::new(identity.host.clone(), identity.incarnation);
     let edges = ControlEdges {
         table: common.table(),
         list: common.host_list(),
         client: client.clone(),
     };
-    let control = start_control(identity, edges, board.clone(), drain.clone());
-    (control, board)
+    let control = start_control(identity, edges, own_status.clone(), drain.clone());
+    (control, own_status)
 }
 
-/// Ready as soon as there is a service to take requests for.
-async fn watch_ready(traffic: Arc<EntryTraffic>, ready: Arc<AtomicBool>) {
-    while !traffic.has_services() {
-        sleep(READY_CHECK).await;
+/// Sets `ready` as soon as at least one service is configured.
+async fn watch_readiness(state: Arc<EntryState>, ready: Arc<AtomicBool>) {
+    while !state.has_services() {
+        sleep(READY_CHECK_INTERVAL).await;
     }
     ready.store(true, Ordering::Relaxed);
 }
 
-/// At the beginning of a graceful stop, says so; when the balancer has had time to notice, refuses
-/// what still comes.
-async fn watch_leaving(
-    traffic: Arc<EntryTraffic>,
-    board: StatusBoard,
+/// Waits for a graceful stop and then announces at once that this host is leaving. New requests are
+/// refused only after `linger`, when the load balancer has had time to stop sending them.
+async fn leave_on_drain(
+    state: Arc<EntryState>,
+    own_status: StatusBoard,
     drain: DrainState,
     linger: Duration,
 ) {
     drain.begun().await;
-    board.update(|status| status.leaving = true);
+    own_status.update(|status| status.leaving = true);
     sleep(linger).await;
-    traffic.refuse_new();
+    state.refuse_new();
     log_event!(events::ENTRY_REFUSING);
 }
 
-fn address_of(listener: &tokio::net::TcpListener) -> SwitchResult<SocketAddr> {
+fn bound_address(listener: &tokio::net::TcpListener) -> SwitchResult<SocketAddr> {
     listener.local_addr().map_err(|fault| {
         crate::errors::SwitchError::new(crate::errors::ErrorKind::Internal, fault.to_string())
     })
--- a/src/entry/plain_call.rs
+++ b/src/entry/plain_call.rs
@@ -1,4 +1,5 @@
-//! Plain services: method, path, headers and body are passed through.
+//! Requests to plain services: method, path, headers and body are forwarded to the service, and its
+//! response is forwarded to the caller.
 
 use std::sync::Arc;
 
@@ -10,21 +11,22 @@
 use volo_http::request::Request;
 use volo_http::response::Response;
 
-use super::caller_body::{BodyStep, CallerBody};
-use super::caller_head::CallerHead;
-use super::reply::note_run;
-use super::traffic::{CallShape, EntryTraffic};
+use super::caller_headers::CallerHeaders;
+use super::entry_state::{EntryState, ServiceCall};
+use super::reply::set_run_outcome;
+use super::response_body::{BodyStep, ResponseBody};
 use crate::delivery::{AnswerHead, CallerPart, RunCall};
 use crate::documents::{RouteSpec, ServiceDocument, ServiceKind};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
 
-/// The path that plain services are found under.
+/// The path under which plain services are served.
 pub(super) const PLAIN_ROOT: &str = "/services/";
 
-const OURS: &str = "savory-";
-/// Headers between two neighbours, which mean nothing beyond; and the account's key, which is for
-/// this system alone.
-const NOT_PASSED: [HeaderName; 12] = [
+/// Prefix of the headers that this system uses itself; they are not forwarded.
+const RESERVED_PREFIX: &str = "savory-";
+/// Headers that are not forwarded: those that apply to a single connection, and the account's key,
+/// which only this system may see.
+const NOT_FORWARDED: [HeaderName; 12] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -40,40 +42,45 @@
 ];
 
 /// Answers one call of a plain service.
+///
+/// # Errors
+///
+/// The errors of admission, and of the run until the response head arrives. Later errors abort the
+/// response body.
 pub(super) async fn answer_plain(
-    traffic: &Arc<EntryTraffic>,
+    state: &Arc<EntryState>,
     request: Request,
 ) -> SwitchResult<Response> {
     let (parts, body) = request.into_parts();
     let target = parts.uri.path_and_query().map_or("", |path| path.as_str());
     let (name, path) = split_target(target);
-    let head = CallerHead::read(&parts.headers)?;
-    let service = traffic.service(name)?;
+    let headers = CallerHeaders::parse(&parts.headers)?;
+    let service = state.service(name)?;
     if service.document.kind != ServiceKind::Plain {
         let detail = format!("\"{name}\" is a model service; its path is /v1/completions");
         return Err(SwitchError::new(ErrorKind::BadRequest, detail));
     }
-    let body = traffic.read_body(body).await?;
-    let shape = CallShape {
+    let body = state.read_body(body).await?;
+    let call = ServiceCall {
         call: RunCall::Forward {
             method: parts.method.as_str().into(),
             path: path.into(),
-            headers: passed_headers(&parts.headers),
+            headers: forwarded_headers(&parts.headers),
             body,
         },
         repeatable: is_repeatable(&service.document, &parts.method, path),
     };
-    let answer = traffic.start(&service, &head, shape)?;
-    let mut reply = reply_of(answer).await?;
-    note_run(&mut reply, RunOutcome::Run);
+    let answer = state.start(&service, &headers, call)?;
+    let mut reply = wait_for_head(answer).await?;
+    set_run_outcome(&mut reply, RunOutcome::Run);
     Ok(reply)
 }
 
-/// Service and path below it of `/services/SERVICE/PATH`.
+/// Splits `/services/SERVICE/PATH` into the service name and the path below it, with its query.
 fn split_target(target: &str) -> (&str, &str) {
-    let below = target.strip_prefix(PLAIN_ROOT).unwrap_or_default();
-    let end = below.find(['/', '?']).unwrap_or(below.len());
-    let (name, path) = below.split_at(end);
+    let rest = target.strip_prefix(PLAIN_ROOT).unwrap_or_default();
+    let end = rest.find(['/', '?']).unwrap_or(rest.len());
+    let (name, path) = rest.split_at(end);
     if path.is_empty() {
         (name, "/")
     } else {
@@ -81,31 +88,34 @@
     }
 }
 
-/// The first route of the document that fits; without one, only methods that change nothing may be
-/// repeated.
+/// Returns whether a call may run more than once: what the first matching route of the document
+/// says; without a matching route, only safe methods (such as GET) are repeatable.
 fn is_repeatable(document: &ServiceDocument, method: &Method, path: &str) -> bool {
-    let fits = |route: &&RouteSpec| {
-        let method_fits = route
+    let matches = |route: &&RouteSpec| {
+        let method_matches = route
             .method
             .as_ref()
-            .is_none_or(|wanted| **wanted == *method.as_str());
-        method_fits && path.starts_with(&*route.path_prefix)
+            .is_none_or(|expected| **expected == *method.as_str());
+        method_matches && path.starts_with(&*route.path_prefix)
     };
-    match document.routes.iter().find(fits) {
+    match document.routes.iter().find(matches) {
         Some(route) => route.repeatable,
         None => method.is_safe(),
     }
 }
 
-fn passed_headers(headers: &HeaderMap) -> Vec<(ByteString, Bytes)> {
-    let named = named_by_connection(headers);
-    let is_passed = |name: &HeaderName| {
-        !NOT_PASSED.contains(name)
-            && !name.as_str().starts_with(OURS)
-            && !named.iter().any(|other| other == name.as_str())
+/// Returns the request headers that the service gets.
+fn forwarded_headers(headers: &HeaderMap) -> Vec<(ByteString, Bytes)> {
+    let connection_headers = connection_headers(headers);
+    let is_forwarded = |name: &HeaderName| {
+        !NOT_FORWARDED.contains(name)
+            && !name.as_str().starts_with(RESERVED_PREFIX)
+            && !connection_headers
+                .iter()
+                .any(|other| other == name.as_str())
     };
-    let passed = headers.iter().filter(|(name, _)| is_passed(name));
-    passed
+    let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name));
+    forwarded
         .map(|(name, value)| {
             (
                 name.as_str().into(),
@@ -115,8 +125,8 @@
         .collect()
 }
 
-/// Headers that `connection` names are between neighbours too.
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+/// Returns the names of the headers that `connection` lists; they too apply to one connection only.
+fn connection_headers(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(header::CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
@@ -125,47 +135,56 @@
         .collect()
 }
 
-/// Waits for the head of the answer; until then, a failure is a plain refusal.
-async fn reply_of(mut answer: mpsc::Receiver<CallerPart>) -> SwitchResult<Response> {
+/// Waits for the response head and returns the response, whose body follows as it arrives.
+///
+/// # Errors
+///
+/// The error with which the request failed before the head arrived. Nothing has been sent to the
+/// caller yet, so it can be reported as an ordinary error response.
+async fn wait_for_head(mut answer: mpsc::Receiver<CallerPart>) -> SwitchResult<Response> {
     loop {
         match answer.recv().await {
-            Some(CallerPart::Head(head)) => return passed_reply(&head, answer),
+            Some(CallerPart::Head(head)) => return forwarded_reply(&head, answer),
             Some(CallerPart::Failed(error)) => return Err(error),
             Some(CallerPart::Started(_)) => {}
             _ => {
-                let detail = "the answer came without its head";
+                let detail = "the answer's first part was not a response head";
                 return Err(SwitchError::new(ErrorKind::AnswerDamaged, detail));
             }
         }
     }
 }
 
-fn passed_reply(head: &AnswerHead, answer: mpsc::Receiver<CallerPart>) -> SwitchResult<Response> {
-    let body = CallerBody::of(answer, plain_step);
+/// Builds the caller's response from the service's head and the parts that follow it.
+fn forwarded_reply(
+    head: &AnswerHead,
+    answer: mpsc::Receiver<CallerPart>,
+) -> SwitchResult<Response> {
+    let body = ResponseBody::from_parts(answer, encode_part);
     let mut reply = Response::new(body);
-    *reply.status_mut() = StatusCode::from_u16(head.status).map_err(|_| unreadable("status"))?;
+    *reply.status_mut() = StatusCode::from_u16(head.status).map_err(|_| invalid_head("status"))?;
     for (name, value) in &head.headers {
-        let name = HeaderName::from_bytes(name.as_bytes()).map_err(|_| unreadable("header"))?;
-        let value = HeaderValue::from_bytes(value).map_err(|_| unreadable("header"))?;
-        if !NOT_PASSED.contains(&name) && !name.as_str().starts_with(OURS) {
+        let name = HeaderName::from_bytes(name.as_bytes()).map_err(|_| invalid_head("header"))?;
+        let value = HeaderValue::from_bytes(value).map_err(|_| invalid_head("header"))?;
+        if !NOT_FORWARDED.contains(&name) && !name.as_str().starts_with(RESERVED_PREFIX) {
             reply.headers_mut().append(name, value);
         }
     }
     Ok(reply)
 }
 
-/// One part as bytes of the body. A failure breaks the connection off: a plain body has no other
-/// way to say that it is not whole.
-fn plain_step(part: CallerPart) -> BodyStep {
+/// Encodes one part as bytes of the body. A failure aborts the connection: a plain body has no
+/// other way to show that it is incomplete.
+fn encode_part(part: CallerPart) -> BodyStep {
     match part {
         CallerPart::Body(bytes) => BodyStep::Bytes(bytes),
         CallerPart::Whole { .. } => BodyStep::Last(Bytes::new()),
-        CallerPart::Failed(error) => BodyStep::Break(error.to_string()),
+        CallerPart::Failed(error) => BodyStep::Abort(error.to_string()),
         CallerPart::Started(_) | CallerPart::Head(_) | CallerPart::Token(_) => BodyStep::Skip,
     }
 }
 
-fn unreadable(what: &str) -> SwitchError {
-    let detail = format!("the backend server's {what} does not read");
+fn invalid_head(what: &str) -> SwitchError {
+    let detail = format!("the backend server sent an invalid response {what}");
     SwitchError::new(ErrorKind::AnswerDamaged, detail)
 }
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -1,35 +1,35 @@
-//! What answers to callers have in common.
+//! Error responses to callers, and the headers that every response carries.
 
 use bytestring::ByteString;
 use http::{HeaderMap, HeaderValue};
 use serde_json::json;
 use volo_http::response::Response;
 
-use super::caller_head::{REQUEST_ID, as_told};
+use super::caller_headers::{REQUEST_ID, error_for_caller};
 use crate::errors::{RunOutcome, SwitchError, answer_for};
 use crate::metrics;
 use crate::transport::{RUN_HEADER, error_reply};
 
-/// The error as the caller may be told it, counted.
+/// Returns the error response for a request with these headers, and counts the refusal.
 pub(super) fn refuse(error: SwitchError, headers: &HeaderMap) -> Response {
     metrics::count_refusal(error.kind, "entry");
-    error_reply(&as_told(error, headers))
+    error_reply(&error_for_caller(error, headers))
 }
 
-/// Names the request in its answer.
-pub(super) fn note_request(reply: &mut Response, id: &ByteString) {
+/// Sets the header that carries the request id.
+pub(super) fn set_request_id(reply: &mut Response, id: &ByteString) {
     if let Ok(value) = HeaderValue::from_str(id) {
         reply.headers_mut().insert(REQUEST_ID, value);
     }
 }
 
-/// Says in the answer whether the request ran.
-pub(super) fn note_run(reply: &mut Response, outcome: RunOutcome) {
+/// Sets the header that reports whether the request ran.
+pub(super) fn set_run_outcome(reply: &mut Response, outcome: RunOutcome) {
     let value = HeaderValue::from_static(outcome.as_str());
     reply.headers_mut().insert(RUN_HEADER, value);
 }
 
-/// The error as the last event of a stream that broke off.
+/// Returns the JSON of the error event that ends an interrupted stream, and counts the refusal.
 pub(super) fn error_value(error: &SwitchError) -> serde_json::Value {
     metrics::count_refusal(error.kind, "stream");
     let retry_after_ms = error.retry_wait().map(|wait| wait.as_millis());
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry host.
+//! The settings of `savory-entry`: their flags, defaults, permitted ranges and parsed values.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 const CALLER_ADDRESS: SettingSpec = SettingSpec::required(
     "caller-address",
     "IP:PORT",
-    "Where callers' requests come in",
+    "Address of the listener for callers' requests",
 );
 const ADMIN_ADDRESS: SettingSpec = SettingSpec::required(
     "admin-address",
     "IP:PORT",
-    "Where the administration API and the probes are served",
+    "Address of the listener for the administration API and the probes",
 );
 const OPERATOR_KEY_DIGEST: SettingSpec = SettingSpec::required(
     "operator-key-digest",
@@ -28,16 +28,16 @@
     "body-limit-bytes",
     "BYTES",
     "4194304",
-    "The largest body of a request",
+    "Largest accepted request body",
 );
-const SILENCE: SettingSpec = SettingSpec::optional(
+const SILENCE_TIMEOUT: SettingSpec = SettingSpec::optional(
     "silence-ms",
     "MILLISECONDS",
     "2000",
-    "How long a host may send nothing on a request before its connection counts as silent",
+    "How long a host may send nothing for a request before its connection is abandoned",
 );
 
-/// All settings of an entry host.
+/// Every setting of `savory-entry`.
 pub(super) const SPECS: &[SettingSpec] = &[
     HOST_NAME,
     DATA_CENTRE,
@@ -50,37 +50,41 @@
     LIST_ADDRESS,
     PLATFORM_TIMEOUT,
     BODY_LIMIT,
-    SILENCE,
+    SILENCE_TIMEOUT,
     TRAFFIC_THREADS,
     LEAVE_LINGER,
     LEAVE_LONGEST,
 ];
 
-/// Hosts send a frame every 500 ms; a limit below twice that takes slow ones for silent.
-const SILENCE_RANGE_MS: std::ops::RangeInclusive<u64> = 1_000..=60_000;
-const BODY_RANGE: std::ops::RangeInclusive<u64> = 1_024..=64 * 1024 * 1024;
-const DIGEST_DIGITS: usize = 64;
+/// Hosts send at least one frame every 500 ms for each request. A timeout below twice that interval
+/// would abandon connections to hosts that are merely slow.
+const SILENCE_TIMEOUT_RANGE_MS: std::ops::RangeInclusive<u64> = 1_000..=60_000;
+const BODY_RANGE_BYTES: std::ops::RangeInclusive<u64> = 1_024..=64 * 1024 * 1024;
+const DIGEST_HEX_DIGITS: usize = 64;
 
-/// An entry host's settings.
+/// The parsed settings of an entry host.
 pub(super) struct EntrySettings {
     pub(super) common: CommonSettings,
     pub(super) caller_address: SocketAddr,
     pub(super) admin_address: SocketAddr,
+    /// BLAKE3 digest of the operator key, as lower-case hex digits.
     pub(super) operator_key_digest: String,
+    /// Largest accepted request body, in bytes.
     pub(super) body_limit: usize,
-    pub(super) silence: Duration,
+    /// How long a host may send nothing for a request.
+    pub(super) silence_timeout: Duration,
 }
 
 impl EntrySettings {
-    /// Reads them all; faults stay with `reader`.
+    /// Reads all settings; invalid ones are recorded in `reader`.
     pub(super) fn read(reader: &mut SettingReader) -> Self {
         Self {
             common: CommonSettings::read(reader),
             caller_address: reader.address(CALLER_ADDRESS.flag),
             admin_address: reader.address(ADMIN_ADDRESS.flag),
             operator_key_digest: read_digest(reader),
-            body_limit: reader.count(BODY_LIMIT.flag, BODY_RANGE),
-            silence: reader.millis(SILENCE.flag, SILENCE_RANGE_MS),
+            body_limit: reader.count(BODY_LIMIT.flag, BODY_RANGE_BYTES),
+            silence_timeout: reader.millis(SILENCE_TIMEOUT.flag, SILENCE_TIMEOUT_RANGE_MS),
         }
     }
 }
@@ -89,10 +93,10 @@
     let flag = OPERATOR_KEY_DIGEST.flag;
     let text = reader.text(flag);
     let is_digest =
-        text.len() == DIGEST_DIGITS && text.bytes().all(|digit| digit.is_ascii_hexdigit());
+        text.len() == DIGEST_HEX_DIGITS && text.bytes().all(|digit| digit.is_ascii_hexdigit());
     if !text.is_empty() && !is_digest {
         reader.fault(format!(
-            "--{flag}: what was given is no digest; give the 64 hex digits of the key's BLAKE3 digest"
+            "--{flag}: not a digest; expected the 64 hex digits of the key's BLAKE3 digest"
         ));
     }
     text.to_ascii_lowercase()
--- a/src/entry/tests/answers.rs
+++ b/src/entry/tests/answers.rs
@@ -1,12 +1,14 @@
-//! Whole answers, and how cut ones end.
+//! Tests of complete answers, and of answers that are interrupted at a host.
 
-use super::fake_host::{FakeHost, HostWay, STREAM, TOKENS, ask, send, start_entry, token};
+use super::fake_host::{
+    FakeHost, HostBehaviour, STREAM_BODY, TOKENS, call, send, start_entry, token,
+};
 use crate::documents::ServiceKind;
 
 const COMPLETIONS: &str = "/v1/completions";
-const DONE: &str = "data: [DONE]";
+const DONE_EVENT: &str = "data: [DONE]";
 
-/// The tokens in a stream of server-sent events.
+/// Joins the tokens of a stream of server-sent events.
 fn tokens_of(stream: &str) -> String {
     let lines = stream
         .lines()
@@ -17,96 +19,97 @@
         .collect()
 }
 
-fn whole_text() -> String {
+fn complete_text() -> String {
     (0..TOKENS).map(token).collect()
 }
 
-/// Symptom: callers got an answer with a gap, or none. Events: the host dies in mid-stream. Cause:
-/// nobody went on behind the tokens that the caller had.
+/// Guards against answers that are lost or have a gap when a host fails in mid-stream: another host
+/// has to resume after the last token that the caller has received.
 #[tokio::test]
-async fn a_stream_goes_on_at_another_host() {
-    let dies = FakeHost::start("a", HostWay::CutAfter(2), true).await;
-    let whole = FakeHost::start("b", HostWay::Whole, false).await;
-    let entry = start_entry(ServiceKind::Model, &[&dies, &whole]).await;
-    let got = ask(entry, COMPLETIONS, STREAM, &[]).await;
-    assert_eq!(got.status, 200);
-    assert_eq!(tokens_of(&got.text), whole_text());
-    assert!(got.text.contains(DONE));
-    assert_eq!(whole.resume_from(), Some(2));
+async fn an_interrupted_stream_resumes_at_another_host() {
+    let failing = FakeHost::start("a", HostBehaviour::CutAfter(2), true).await;
+    let healthy = FakeHost::start("b", HostBehaviour::Complete, false).await;
+    let entry = start_entry(ServiceKind::Model, &[&failing, &healthy]).await;
+    let response = call(entry, COMPLETIONS, STREAM_BODY, &[]).await;
+    assert_eq!(response.status, 200);
+    assert_eq!(tokens_of(&response.text), complete_text());
+    assert!(response.text.contains(DONE_EVENT));
+    assert_eq!(healthy.resume_from(), Some(2));
 }
 
-/// Symptom: a caller took half a sky briefing for a whole one. Events: the stream breaks off, and no
-/// other host can go on. Cause: the answer to the caller ended as a whole one does.
+/// Guards against callers that mistake a truncated answer for a complete one: if a stream is
+/// interrupted and no other host can resume it, it must not end as a complete one does.
 #[tokio::test]
-async fn a_cut_stream_ends_in_an_error() {
-    let dies = FakeHost::start("a", HostWay::CutAfter(2), true).await;
-    let entry = start_entry(ServiceKind::Model, &[&dies]).await;
-    let got = ask(entry, COMPLETIONS, STREAM, &[]).await;
-    assert!(!got.text.contains(DONE));
-    assert!(got.text.contains("\"error\""));
+async fn an_interrupted_stream_without_another_host_ends_in_an_error() {
+    let failing = FakeHost::start("a", HostBehaviour::CutAfter(2), true).await;
+    let entry = start_entry(ServiceKind::Model, &[&failing]).await;
+    let response = call(entry, COMPLETIONS, STREAM_BODY, &[]).await;
+    assert!(!response.text.contains(DONE_EVENT));
+    assert!(response.text.contains("\"error\""));
 }
 
 #[tokio::test]
-async fn a_cut_plain_answer_breaks_off() {
-    let dies = FakeHost::start("a", HostWay::CutAfter(2), true).await;
-    let entry = start_entry(ServiceKind::Plain, &[&dies]).await;
-    let got = ask(entry, "/services/sky-writer/x", "", &[]).await;
-    assert_eq!(got.status, 201);
-    assert!(!got.is_whole);
+async fn an_interrupted_plain_answer_aborts_the_body() {
+    let failing = FakeHost::start("a", HostBehaviour::CutAfter(2), true).await;
+    let entry = start_entry(ServiceKind::Plain, &[&failing]).await;
+    let response = call(entry, "/services/sky-writer/x", "", &[]).await;
+    assert_eq!(response.status, 201);
+    assert!(!response.is_complete);
 }
 
-/// Symptom: one caller read another's answer. Events: frames of an earlier attempt come late on the
-/// same stream. Cause: they were not held against the attempt.
+/// Guards against callers that get parts of another caller's answer: frames of an earlier attempt
+/// that arrive late on the same stream have to be recognised by their attempt id.
 #[tokio::test]
 async fn frames_of_other_attempts_are_dropped() {
-    let crossed = FakeHost::start("a", HostWay::Crossed, true).await;
-    let entry = start_entry(ServiceKind::Model, &[&crossed]).await;
-    let got = ask(entry, COMPLETIONS, STREAM, &[]).await;
-    assert_eq!(tokens_of(&got.text), whole_text());
-    assert!(got.text.contains(DONE));
+    let host = FakeHost::start("a", HostBehaviour::MixedAttempts, true).await;
+    let entry = start_entry(ServiceKind::Model, &[&host]).await;
+    let response = call(entry, COMPLETIONS, STREAM_BODY, &[]).await;
+    assert_eq!(tokens_of(&response.text), complete_text());
+    assert!(response.text.contains(DONE_EVENT));
 }
 
-/// Symptom: requests hung until their deadline. Events: a connection to a host goes silent for good.
-/// Cause: nothing but the deadline ended the wait.
+/// Guards against requests that hang until their deadline because the connection to their host has
+/// stopped delivering data.
 #[tokio::test]
-async fn a_silent_connection_is_left_for_another_host() {
-    let silent = FakeHost::start("a", HostWay::Silent, true).await;
-    let whole = FakeHost::start("b", HostWay::Whole, false).await;
-    let entry = start_entry(ServiceKind::Model, &[&silent, &whole]).await;
-    let got = ask(entry, COMPLETIONS, STREAM, &[]).await;
-    assert_eq!(tokens_of(&got.text), whole_text());
-    // An unrepeatable call, too: the silent host says that it has not run.
-    let entry = start_entry(ServiceKind::Plain, &[&silent, &whole]).await;
-    let got = ask(entry, "/services/sky-writer/once", "", &[]).await;
-    assert_eq!((got.status, &*got.run), (201, "run"));
-    assert_eq!(got.text, whole_text());
+async fn a_request_moves_from_an_unresponsive_connection_to_another_host() {
+    let silent = FakeHost::start("a", HostBehaviour::Silent, true).await;
+    let healthy = FakeHost::start("b", HostBehaviour::Complete, false).await;
+    let entry = start_entry(ServiceKind::Model, &[&silent, &healthy]).await;
+    let response = call(entry, COMPLETIONS, STREAM_BODY, &[]).await;
+    assert_eq!(tokens_of(&response.text), complete_text());
+    // An unrepeatable call may move as well, because the silent host reports, when queried, that
+    // the call did not run.
+    let entry = start_entry(ServiceKind::Plain, &[&silent, &healthy]).await;
+    let response = call(entry, "/services/sky-writer/once", "", &[]).await;
+    assert_eq!((response.status, &*response.run), (201, "run"));
+    assert_eq!(response.text, complete_text());
 }
 
-/// Symptom: repeatable calls were held until their deadline and then failed. Events: the connection
-/// behind the host process goes silent; the host process itself is alive. Cause: its being alive was
-/// taken for progress.
+/// Guards against repeatable calls that wait until their deadline and then fail: the connection
+/// from the host process to its backend server stops delivering data, while the host process still
+/// sends keep-alive frames. These frames must not count as progress.
 #[tokio::test]
-async fn a_host_that_is_only_alive_does_not_hold_a_repeatable_request() {
-    let stuck = FakeHost::start("a", HostWay::OnlyAlive, true).await;
-    let whole = FakeHost::start("b", HostWay::Whole, false).await;
-    let entry = start_entry(ServiceKind::Plain, &[&stuck, &whole]).await;
+async fn keep_alive_frames_alone_do_not_delay_a_repeatable_call() {
+    let stalled = FakeHost::start("a", HostBehaviour::AliveOnly, true).await;
+    let healthy = FakeHost::start("b", HostBehaviour::Complete, false).await;
+    let entry = start_entry(ServiceKind::Plain, &[&stalled, &healthy]).await;
     let deadline = [("savory-deadline-ms", "3000")];
-    let got = ask(entry, "/services/sky-writer/again", "", &deadline).await;
-    assert_eq!((got.status, got.text), (201, whole_text()));
-    assert_eq!((stuck.order_count(), whole.order_count()), (1, 1));
+    let response = call(entry, "/services/sky-writer/again", "", &deadline).await;
+    assert_eq!((response.status, response.text), (201, complete_text()));
+    assert_eq!((stalled.order_count(), healthy.order_count()), (1, 1));
 }
 
 #[tokio::test]
-async fn the_host_learns_that_the_caller_has_left() {
-    let mut stuck = FakeHost::start("a", HostWay::OnlyAlive, true).await;
-    let entry = start_entry(ServiceKind::Model, &[&stuck]).await;
-    let asking = tokio::spawn(async move {
-        send(entry, COMPLETIONS, STREAM, &[]).await;
+async fn the_host_is_notified_when_the_caller_disconnects() {
+    let mut stalled = FakeHost::start("a", HostBehaviour::AliveOnly, true).await;
+    let entry = start_entry(ServiceKind::Model, &[&stalled]).await;
+    let caller = tokio::spawn(async move {
+        send(entry, COMPLETIONS, STREAM_BODY, &[]).await;
     });
-    while stuck.order_count() == 0 {
+    while stalled.order_count() == 0 {
         tokio::task::yield_now().await;
     }
-    asking.abort();
-    let noticed = stuck.left.wait_for(|left| *left == 1).await;
-    assert!(noticed.is_ok());
+    caller.abort();
+    let notified = stalled.disconnects.wait_for(|count| *count == 1).await;
+    assert!(notified.is_ok());
 }
--- a/src/entry/tests/fake_host.rs
+++ b/src/entry/tests/fake_host.rs
@@ -1,4 +1,4 @@
-//! An entry host with fake host processes behind it.
+//! Starts an entry host with fake host processes, and sends requests to it as a caller.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -18,8 +18,8 @@
     SettleOrder, SettleReply,
 };
 use crate::documents::{RouteSpec, ServiceDocument, ServiceKind};
+use crate::entry::entry_state::EntryState;
 use crate::entry::routes::caller_routes;
-use crate::entry::traffic::EntryTraffic;
 use crate::errors::{ErrorKind, RunOutcome};
 use crate::lab::picks::world::{document, entry, record};
 use crate::membership::{HostStatus, LoadReport, ServingVersion};
@@ -31,47 +31,53 @@
 use crate::weights::WeightsDigest;
 
 pub(super) const TOKENS: u32 = 5;
-const SILENCE: Duration = Duration::from_millis(300);
-const LIMIT: usize = 1 << 20;
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
+const BODY_BYTES_MAX: usize = 1 << 20;
 const SECRET: &str = "secret";
 
-/// What a fake host does with orders.
+/// How a fake host responds to a run order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum HostWay {
-    /// Answers in full.
-    Whole,
-    /// Answers in full, with a frame of another attempt before each of its own.
-    Crossed,
-    /// Breaks off after so many tokens, or bytes of a body.
+pub(super) enum HostBehaviour {
+    /// Sends the complete answer.
+    Complete,
+    /// Sends the complete answer, with a frame of another attempt before each of its own.
+    MixedAttempts,
+    /// Ends the stream after this many parts, without an end frame.
     CutAfter(u32),
-    /// Takes the order and says nothing; when asked, says that it has not run.
+    /// Accepts the order and sends nothing; reports `NotRun` when the outcome is queried.
     Silent,
-    /// Says that it is alive, and nothing else.
-    OnlyAlive,
-    /// Refuses.
+    /// Sends keep-alive frames only.
+    AliveOnly,
+    /// Refuses the order.
     Refuse,
 }
 
-/// One fake host.
+/// A fake host process that records the orders it gets.
 pub(super) struct FakeHost {
     pub(super) orders: Arc<Mutex<Vec<RunOrder>>>,
-    /// How many streams the entry host has left.
-    pub(super) left: watch::Receiver<u32>,
+    /// Number of answer streams that the entry host has closed.
+    pub(super) disconnects: watch::Receiver<u32>,
     member: MemberRecord,
 }
 
 impl FakeHost {
-    /// Starts one; `is_near` puts it into the entry host's data centre.
-    pub(super) async fn start(name: &'static str, way: HostWay, is_near: bool) -> Self {
+    /// Starts a fake host; `is_near` puts it into the entry host's data centre.
+    pub(super) async fn start(name: &'static str, behaviour: HostBehaviour, is_near: bool) -> Self {
         let listener = bind_listener(loopback()).await.expect("a free port");
         let orders = Arc::new(Mutex::new(Vec::new()));
-        let (left_sender, left) = watch::channel(0);
-        let kept = orders.clone();
-        let run =
-            move |request: Request| take_order(request, way, kept.clone(), left_sender.clone());
+        let (disconnects_sender, disconnects) = watch::channel(0);
+        let recorded = orders.clone();
+        let run = move |request: Request| {
+            take_order(
+                request,
+                behaviour,
+                recorded.clone(),
+                disconnects_sender.clone(),
+            )
+        };
         let settle = async |request: Request| {
-            let asked = read_message::<SettleOrder>(request.into_body(), LIMIT).await;
-            assert!(asked.is_ok());
+            let query = read_message::<SettleOrder>(request.into_body(), BODY_BYTES_MAX).await;
+            assert!(query.is_ok());
             message_reply(&SettleReply::NotRun)
         };
         let router = Router::new()
@@ -85,7 +91,7 @@
         tokio::spawn(HttpServer::on(listener, router).run(no_drain()));
         Self {
             orders,
-            left,
+            disconnects,
             member,
         }
     }
@@ -94,7 +100,7 @@
         self.orders.lock().expect("not poisoned").len()
     }
 
-    /// Where the first order goes on from.
+    /// The token index at which the first order resumes; `None` for a plain call.
     pub(super) fn resume_from(&self) -> Option<u32> {
         let orders = self.orders.lock().expect("not poisoned");
         match &orders.first()?.call {
@@ -104,7 +110,7 @@
     }
 }
 
-/// Starts an entry host before `hosts`; returns where callers reach it.
+/// Starts an entry host that knows `hosts`; returns the address of its caller listener.
 pub(super) async fn start_entry(kind: ServiceKind, hosts: &[&FakeHost]) -> SocketAddr {
     let snapshot = SharedSnapshot::default();
     let mut members: Vec<_> = hosts
@@ -122,14 +128,14 @@
         table_answers: true,
     });
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
-    let caller = HostCaller::new(client, SILENCE);
-    let traffic = EntryTraffic::new(entry(0), snapshot, caller, no_drain(), LIMIT);
-    let traffic = Arc::new(traffic);
-    let kept = traffic.clone();
-    tokio::spawn(async move { kept.keep_desks().await });
+    let host_caller = HostCaller::new(client, SILENCE_TIMEOUT);
+    let state = EntryState::new(entry(0), snapshot, host_caller, no_drain(), BODY_BYTES_MAX);
+    let state = Arc::new(state);
+    let refreshed = state.clone();
+    tokio::spawn(async move { refreshed.refresh_dispatchers().await });
     let listener = bind_listener(loopback()).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
-    tokio::spawn(HttpServer::on(listener, caller_routes(&traffic)).run(no_drain()));
+    tokio::spawn(HttpServer::on(listener, caller_routes(&state)).run(no_drain()));
     address
 }
 
@@ -147,62 +153,66 @@
     document
 }
 
-/// What a caller gets: status, headers, and the body or how far it came.
-pub(super) struct Got {
+/// The response that a caller receives.
+pub(super) struct CallerResponse {
     pub(super) status: u16,
+    /// The reported run outcome.
     pub(super) run: String,
+    /// The body as far as it arrived.
     pub(super) text: String,
-    pub(super) is_whole: bool,
+    /// Whether the body ended cleanly.
+    pub(super) is_complete: bool,
 }
 
-/// Sends a request with the account's headers and `more` beside them.
-pub(super) async fn ask(
+/// Sends a POST request with the account's headers and `headers`, and reads the whole response.
+pub(super) async fn call(
     entry: SocketAddr,
     path: &str,
     body: &str,
-    more: &[(&'static str, &str)],
-) -> Got {
-    let answer = send(entry, path, body, more).await;
-    let status = answer.status().as_u16();
-    let run = answer
-        .headers()
-        .get("savory-run")
-        .map_or("", |value| value.to_str().expect("ours are plain text"));
+    headers: &[(&'static str, &str)],
+) -> CallerResponse {
+    let response = send(entry, path, body, headers).await;
+    let status = response.status().as_u16();
+    let run = response.headers().get("savory-run").map_or("", |value| {
+        value.to_str().expect("the entry host sends plain text")
+    });
     let run = run.to_owned();
-    let mut body = answer.into_body();
+    let mut body = response.into_body();
     let mut text = String::new();
-    let is_whole = loop {
+    let is_complete = loop {
         match body.frame().await {
             None => break true,
             Some(Err(_)) => break false,
             Some(Ok(frame)) => {
                 let bytes = frame.into_data().unwrap_or_default();
-                text.push_str(std::str::from_utf8(&bytes).expect("plain text"));
+                text.push_str(std::str::from_utf8(&bytes).expect("the body is UTF-8"));
             }
         }
     };
-    Got {
+    CallerResponse {
         status,
         run,
         text,
-        is_whole,
+        is_complete,
     }
 }
 
-/// Sends a request and returns as soon as the head of the answer is there.
+/// Sends a POST request and returns as soon as the response head has arrived.
 pub(super) async fn send(
     entry: SocketAddr,
     path: &str,
     body: &str,
-    more: &[(&'static str, &str)],
+    headers: &[(&'static str, &str)],
 ) -> Response {
     let mut request = http::Request::post(path)
         .header("savory-account", "account-0000")
         .header("authorization", format!("Bearer {SECRET}"));
-    for (name, value) in more {
+    for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let request = request.body(Body::from(body.to_owned())).expect("it fits");
+    let request = request
+        .body(Body::from(body.to_owned()))
+        .expect("a valid request");
     let client = PeerClient::new(ClientLimits::default());
     client
         .send(entry, request, Duration::from_mins(1))
@@ -210,62 +220,63 @@
         .expect("the entry host answers")
 }
 
-/// The body of a completion for the service.
-pub(super) const STREAM: &str =
+/// The body of a streamed completion request.
+pub(super) const STREAM_BODY: &str =
     r#"{"model":"sky-writer","prompt":"p","max_tokens":5,"stream":true}"#;
 
-/// Some token of the answer.
+/// Returns the text of the token at `index` in the fake answer.
 pub(super) fn token(index: u32) -> String {
     format!("t{index} ")
 }
 
+/// Records a run order and answers it as `behaviour` says.
 async fn take_order(
     request: Request,
-    way: HostWay,
+    behaviour: HostBehaviour,
     orders: Arc<Mutex<Vec<RunOrder>>>,
-    left: watch::Sender<u32>,
+    disconnects: watch::Sender<u32>,
 ) -> Response {
-    let order: RunOrder = read_message(request.into_body(), LIMIT)
+    let order: RunOrder = read_message(request.into_body(), BODY_BYTES_MAX)
         .await
-        .expect("an order");
+        .expect("a valid run order");
     orders.lock().expect("not poisoned").push(order.clone());
     let (writer, body) = frame_channel(4);
     tokio::spawn(async move {
-        let line = HostLine {
+        let answer = FakeAnswer {
             attempt: order.attempt,
             writer,
         };
-        if line.answer(&order, way).await.is_none() {
-            left.send_modify(|left| *left += 1);
+        if answer.send_all(&order, behaviour).await.is_none() {
+            disconnects.send_modify(|count| *count += 1);
         }
     });
     Response::new(body)
 }
 
-/// The way back to the entry host.
-struct HostLine {
+/// The answer stream to the entry host.
+struct FakeAnswer {
     attempt: AttemptId,
     writer: FrameWriter,
 }
 
-impl HostLine {
+impl FakeAnswer {
     async fn send(&self, part: RunPart) -> Option<()> {
         let attempt = self.attempt;
         self.writer.write(&RunFrame { attempt, part }).await.ok()
     }
 
-    /// `None` when the entry host has left.
-    async fn answer(&self, order: &RunOrder, way: HostWay) -> Option<()> {
-        match way {
-            HostWay::Silent => {
+    /// Sends the answer as `behaviour` says; `None` if the entry host has closed the stream.
+    async fn send_all(&self, order: &RunOrder, behaviour: HostBehaviour) -> Option<()> {
+        match behaviour {
+            HostBehaviour::Silent => {
                 self.writer.closed().await;
                 return None;
             }
-            HostWay::OnlyAlive => loop {
+            HostBehaviour::AliveOnly => loop {
                 self.send(RunPart::Alive).await?;
-                tokio::time::sleep(SILENCE / 3).await;
+                tokio::time::sleep(SILENCE_TIMEOUT / 3).await;
             },
-            HostWay::Refuse => {
+            HostBehaviour::Refuse => {
                 return self
                     .send(RunPart::Refused {
                         kind: ErrorKind::BackendLeaving,
@@ -275,19 +286,20 @@
                     })
                     .await;
             }
-            HostWay::Whole | HostWay::Crossed | HostWay::CutAfter(_) => {}
+            HostBehaviour::Complete | HostBehaviour::MixedAttempts | HostBehaviour::CutAfter(_) => {
+            }
         }
         let mut hasher = blake3::Hasher::new();
         self.send(RunPart::Started {
             serving: Some(serving()),
         })
         .await?;
-        let from = self.head(order).await?;
-        for index in from..TOKENS {
-            if way == HostWay::CutAfter(index) {
+        let first = self.send_head(order).await?;
+        for index in first..TOKENS {
+            if behaviour == HostBehaviour::CutAfter(index) {
                 return Some(());
             }
-            if way == HostWay::Crossed {
+            if behaviour == HostBehaviour::MixedAttempts {
                 let attempt = AttemptId::fresh();
                 let part = part_of(order, index, "another's");
                 self.writer.write(&RunFrame { attempt, part }).await.ok()?;
@@ -304,8 +316,8 @@
         self.send(end).await
     }
 
-    /// What comes before the answer's parts; returns the first part's place.
-    async fn head(&self, order: &RunOrder) -> Option<u32> {
+    /// Sends the response head of a plain call; returns the index of the first part to send.
+    async fn send_head(&self, order: &RunOrder) -> Option<u32> {
         match &order.call {
             RunCall::Generate { resume_from, .. } => Some(*resume_from),
             RunCall::Forward { .. } => {
--- a/src/entry/tests/mod.rs
+++ b/src/entry/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry host's edges, over loopback, against a fake host process.
+//! Tests of the entry host's HTTP interface over loopback, with fake host processes.
 
 mod answers;
 mod fake_host;
--- a/src/entry/tests/refusals.rs
+++ b/src/entry/tests/refusals.rs
@@ -1,38 +1,50 @@
-//! What callers are told when nothing comes of a request.
+//! Tests of the error responses to requests that fail or are refused.
 
-use super::fake_host::{FakeHost, HostWay, ask, start_entry};
+use super::fake_host::{FakeHost, HostBehaviour, call, start_entry};
 use crate::documents::ServiceKind;
 
-const ONCE: &str = "/services/sky-writer/once";
+const UNREPEATABLE_PATH: &str = "/services/sky-writer/once";
 
 #[tokio::test]
-async fn a_refusal_of_all_hosts_says_not_run() {
-    let one = FakeHost::start("a", HostWay::Refuse, true).await;
-    let other = FakeHost::start("b", HostWay::Refuse, false).await;
+async fn a_call_that_all_hosts_refuse_is_reported_as_not_run() {
+    let one = FakeHost::start("a", HostBehaviour::Refuse, true).await;
+    let other = FakeHost::start("b", HostBehaviour::Refuse, false).await;
     let entry = start_entry(ServiceKind::Plain, &[&one, &other]).await;
-    let got = ask(entry, ONCE, "", &[("savory-deadline-ms", "2000")]).await;
-    assert_eq!((got.status, &*got.run), (503, "not_run"));
+    let response = call(
+        entry,
+        UNREPEATABLE_PATH,
+        "",
+        &[("savory-deadline-ms", "2000")],
+    )
+    .await;
+    assert_eq!((response.status, &*response.run), (503, "not_run"));
     assert_eq!(one.order_count() + other.order_count(), 2);
 }
 
-/// Symptom: a guest was woken twice. Events: a caller's keyed call runs, its answer is lost; the
-/// caller asks again, is refused as "not run", and makes a new key. Cause: this time nothing had
-/// run, but the first time it had.
+/// Guards against calls that run twice (a guest was woken twice): a call with an idempotency key
+/// runs, but its answer is lost. The caller retries and is refused with "not run", which holds for
+/// the retry only, and so sends the call again under a new key.
 #[tokio::test]
-async fn a_keyed_call_asked_again_is_not_told_not_run() {
-    // No host serves it, so that nothing can have run this time.
+async fn a_retry_with_an_idempotency_key_is_not_reported_as_not_run() {
+    // No host serves the service, so that neither call can have run.
     let entry = start_entry(ServiceKind::Plain, &[]).await;
-    let limit = ("savory-deadline-ms", "100");
+    let deadline = ("savory-deadline-ms", "100");
     let key = ("idempotency-key", "wake-1");
-    let again = ask(entry, ONCE, "", &[limit, key]).await;
-    assert_eq!((again.status, &*again.run), (503, "not_known"));
-    let first = ask(entry, ONCE, "", &[limit, key, ("savory-attempt", "1")]).await;
+    let retry = call(entry, UNREPEATABLE_PATH, "", &[deadline, key]).await;
+    assert_eq!((retry.status, &*retry.run), (503, "not_known"));
+    let first = call(
+        entry,
+        UNREPEATABLE_PATH,
+        "",
+        &[deadline, key, ("savory-attempt", "1")],
+    )
+    .await;
     assert_eq!((first.status, &*first.run), (503, "not_run"));
 }
 
 #[tokio::test]
-async fn wrong_requests_get_a_plain_word() {
-    let host = FakeHost::start("a", HostWay::Whole, true).await;
+async fn invalid_requests_get_specific_error_codes() {
+    let host = FakeHost::start("a", HostBehaviour::Complete, true).await;
     let entry = start_entry(ServiceKind::Model, &[&host]).await;
     let cases = [
         ("/v1/completions", "{", "", 400, "bad_request"),
@@ -50,24 +62,24 @@
             404,
             "service_unknown",
         ),
-        (ONCE, "", "", 400, "bad_request"),
+        (UNREPEATABLE_PATH, "", "", 400, "bad_request"),
         ("/nowhere", "", "", 404, "route_unknown"),
-        (ONCE, "", "at once", 400, "bad_header"),
+        (UNREPEATABLE_PATH, "", "at once", 400, "bad_header"),
     ];
     for (path, body, priority, status, code) in cases {
-        let more = [("savory-priority", priority)];
-        let more = if priority.is_empty() {
-            &more[..0]
+        let headers = [("savory-priority", priority)];
+        let headers = if priority.is_empty() {
+            &headers[..0]
         } else {
-            &more[..]
+            &headers[..]
         };
-        let got = ask(entry, path, body, more).await;
+        let response = call(entry, path, body, headers).await;
         assert_eq!(
-            (got.status, &*got.run),
+            (response.status, &*response.run),
             (status, "not_run"),
             "{path} {body}"
         );
-        assert!(got.text.contains(code), "{}", got.text);
+        assert!(response.text.contains(code), "{}", response.text);
     }
     assert_eq!(host.order_count(), 0);
 }
