--- a/src/engines/engine_adapter.rs
+++ b/src/engines/engine_adapter.rs
@@ -1,4 +1,4 @@
-//! The edge towards a model engine.
+//! The interface to a model engine, independent of the dialect that the engine speaks.
 
 use bytestring::ByteString;
 use futures::future::BoxFuture;
@@ -9,53 +9,53 @@
 use crate::errors::SwitchResult;
 use crate::membership::{LoadReport, ServingVersion};
 
-/// What an engine says when it is met.
+/// The fixed properties of an engine, read once.
 #[apply(plain!)]
 pub(crate) struct EngineProfile {
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the engine refuses orders with an outdated fencing number.
     pub(crate) checks_fencing: bool,
-    /// Requests that it runs at a time.
+    /// Number of requests that the engine can run concurrently.
     pub(crate) running_max: u32,
 }
 
-/// An engine's state. Reported with a lag.
+/// The state that an engine reports. It lags behind the actual state by `age_ms`.
 #[apply(plain!)]
 pub(crate) struct EngineState {
-    /// How busy it was.
+    /// The load.
     pub(crate) load: LoadReport,
-    /// What it serves.
+    /// The version that the engine serves; `None` if it has loaded none.
     pub(crate) serving: Option<ServingVersion>,
-    /// The greatest fencing number that it has seen; 0 when it keeps none.
+    /// The greatest fencing number that the engine has received; 0 if its dialect has none.
     pub(crate) fence: u64,
-    /// How old the report is, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub(crate) age_ms: u64,
 }
 
 /// An order to load a version.
 #[apply(plain!)]
 pub(crate) struct LoadOrder {
-    /// The order's fencing number.
+    /// The fencing number of the order.
     pub(crate) fence: u64,
-    /// The version.
+    /// The version to load.
     pub(crate) serving: ServingVersion,
-    /// Bytes of the whole version.
+    /// Size of the complete weights, in bytes.
     pub(crate) size: u64,
-    /// Where on loopback the engine reads the whole version.
+    /// Loopback URL from which the engine reads the complete weights.
     pub(crate) source_url: String,
 }
 
-/// A request to generate.
+/// A request to generate text.
 #[apply(plain!)]
 pub(crate) struct EngineCall {
-    /// Names it in its answer and when it is cancelled.
+    /// The request id, which the parts of the answer carry and which cancels the request.
     pub(crate) request: ByteString,
     /// The prompt.
     pub(crate) prompt: ByteString,
-    /// Tokens at most, counted from the beginning of the answer.
+    /// Largest number of tokens in the complete answer, including those that are skipped.
     pub(crate) max_tokens: u32,
-    /// Tokens to leave out at the beginning.
+    /// Number of tokens to skip at the beginning of the answer.
     pub(crate) resume_from: u32,
-    /// How urgent it is.
+    /// The priority.
     pub(crate) priority: RequestPriority,
 }
 
@@ -64,69 +64,81 @@
 pub(crate) enum EnginePart {
     /// A token.
     Token {
-        /// The request that the engine says it belongs to.
+        /// The request id that the engine reports for this part.
         request: ByteString,
-        /// Its place in the whole answer.
+        /// Index of the token in the complete answer.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: ByteString,
     },
     /// The end of the answer.
     Finish {
-        /// The request that the engine says it belongs to.
+        /// The request id that the engine reports for this part.
         request: ByteString,
-        /// Tokens of the whole answer.
+        /// Number of tokens in the complete answer.
         tokens: u32,
-        /// Why it ended.
+        /// The reason for the end, such as `stop` or `length`.
         reason: ByteString,
     },
 }
 
-/// An engine's answer, part by part. A stream that ends without `Finish` broke off.
+/// The parts of an engine's answer. If the stream ends without `Finish`, the answer is incomplete.
 pub(crate) type EngineStream =
     std::pin::Pin<Box<dyn futures::Stream<Item = SwitchResult<EnginePart>> + Send>>;
 
-/// What changed in an engine's prefix cache.
+/// One change of an engine's prefix cache.
 #[apply(plain!)]
 pub(crate) struct CacheEvent {
-    /// The prefix's hash, as the engine names it.
+    /// The hash of the prefix, in the engine's own form.
     pub(crate) prefix: ByteString,
-    /// Whether it is now held.
-    pub(crate) held: bool,
+    /// Whether the prefix is cached now; otherwise it has been evicted.
+    pub(crate) is_cached: bool,
 }
 
-/// Cache events since an earlier reading. Late and with gaps.
+/// The changes of the prefix cache since an earlier reading. They may be late and incomplete.
 #[apply(plain!)]
 pub(crate) struct CacheChanges {
-    /// The events.
+    /// The changes.
     pub(crate) events: Vec<CacheEvent>,
-    /// What to ask from next time.
+    /// Cursor from which to read next time.
     pub(crate) next_cursor: u64,
-    /// Whether events were lost in between.
+    /// Whether changes since the earlier reading were lost.
     pub(crate) has_gap: bool,
 }
 
 /// A model engine.
 pub(crate) trait EngineAdapter: Send + Sync + 'static {
-    /// Asks what it is.
+    /// Reads the engine's fixed properties.
     fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>>;
 
-    /// Reads its state.
+    /// Reads the engine's current state.
     fn read_state(&self) -> BoxFuture<'_, SwitchResult<EngineState>>;
 
-    /// Orders it to load a version; returns when it says that it is done. `OrderStale` when it has
-    /// seen a greater fencing number. After any other error the caller reads the state back.
+    /// Loads a version; returns when the engine reports that it has loaded it.
+    ///
+    /// # Errors
+    ///
+    /// `OrderStale` if the engine has received a greater fencing number. After any other error the
+    /// outcome is unknown, and the caller has to read the engine's state.
     fn load_version<'a>(&'a self, order: &'a LoadOrder) -> BoxFuture<'a, SwitchResult<()>>;
 
-    /// Changes its role.
+    /// Sets the engine's role.
+    ///
+    /// # Errors
+    ///
+    /// `OrderStale` if the engine checks fencing numbers and has received a greater one.
     fn set_role<'a>(&'a self, role: &'a str, fence: u64) -> BoxFuture<'a, SwitchResult<()>>;
 
-    /// Starts a request. `EngineRefused` and `ConnectFailed` mean that it does not run.
+    /// Starts a request.
+    ///
+    /// # Errors
+    ///
+    /// `EngineRefused` and `ConnectFailed` mean that the request did not run.
     fn generate(&self, call: EngineCall) -> BoxFuture<'_, SwitchResult<EngineStream>>;
 
-    /// Cancels a request.
+    /// Cancels the request with this id.
     fn cancel<'a>(&'a self, request: &'a str) -> BoxFuture<'a, SwitchResult<()>>;
 
-    /// Reads what changed in its prefix cache.
+    /// Reads the changes of the prefix cache after the cursor `after`.
     fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>>;
 }
--- a/src/engines/engine_client.rs
+++ b/src/engines/engine_client.rs
@@ -1,5 +1,5 @@
-//! The HTTP that both dialects share: JSON calls with a time limit, and answers as server-sent
-//! events.
+//! The HTTP client that both dialects share: JSON calls with a timeout, and answers that arrive as
+//! server-sent events.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,68 +19,71 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::transport::{PeerClient, read_body};
 
-const ANSWER_BYTES_MAX: usize = 4 * 1024 * 1024;
+const RESPONSE_BYTES_MAX: usize = 4 * 1024 * 1024;
 const JSON_TYPE: &str = "application/json";
-/// How long an engine may take to answer a question about its state.
-const STATE_WITHIN: Duration = Duration::from_secs(2);
-/// How long an engine may take to load a version.
-const LOAD_WITHIN: Duration = Duration::from_mins(15);
-/// How long an engine may take to begin to answer, and to its first token.
-const FIRST_WITHIN: Duration = Duration::from_secs(10);
-/// How long an engine may take between two parts of an answer. The entry host hears all the while
-/// that the host process is alive, and cannot see that the engine is not.
-const PART_WITHIN: Duration = Duration::from_secs(5);
-
-/// A client of the engine at one address.
+/// Time limit for queries of the state and for short commands.
+const STATE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit for loading a version.
+const LOAD_TIMEOUT: Duration = Duration::from_mins(15);
+/// Time limit for the response head, and again for the first token after it.
+const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit between two parts of an answer. It has to be enforced here: the entry host receives
+/// keep-alive frames from the host process meanwhile and cannot detect that the engine has stalled.
+const TOKEN_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// An HTTP client for the engine at one address.
 #[derive(Clone)]
 pub(super) struct EngineClient {
     address: SocketAddr,
     client: Arc<PeerClient>,
 }
 
-/// Which time limit a call has.
+/// The time limit of a call.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum CallLimit {
-    /// A question about its state, or a short order.
+pub(super) enum CallTimeout {
+    /// For a query of the state or a short command: [`STATE_TIMEOUT`].
     State,
-    /// An order to load a version.
+    /// For loading a version: [`LOAD_TIMEOUT`].
     Load,
 }
 
-impl CallLimit {
-    const fn within(self) -> Duration {
+impl CallTimeout {
+    const fn duration(self) -> Duration {
         match self {
-            Self::State => STATE_WITHIN,
-            Self::Load => LOAD_WITHIN,
+            Self::State => STATE_TIMEOUT,
+            Self::Load => LOAD_TIMEOUT,
         }
     }
 }
 
-/// A whole answer of an engine.
-pub(super) struct EngineAnswer {
+/// A response of an engine whose body has been read.
+pub(super) struct EngineResponse {
     pub(super) status: StatusCode,
     body: Bytes,
 }
 
-impl EngineAnswer {
-    /// The answer's JSON.
+impl EngineResponse {
+    /// Parses the body as JSON; `MessageInvalid` if it does not have this form.
     pub(super) fn json<T: DeserializeOwned>(&self) -> SwitchResult<T> {
-        serde_json::from_slice(&self.body).map_err(|fault| unreadable(&fault.to_string()))
+        serde_json::from_slice(&self.body).map_err(|fault| invalid_message(&fault.to_string()))
     }
 
-    /// The answer's text.
+    /// Returns the body as text; `MessageInvalid` if it is not UTF-8.
     pub(super) fn text(&self) -> SwitchResult<&str> {
-        std::str::from_utf8(&self.body).map_err(|fault| unreadable(&fault.to_string()))
+        std::str::from_utf8(&self.body).map_err(|fault| invalid_message(&fault.to_string()))
     }
 
-    /// The failure of a call that was answered with anything but success.
+    /// Returns an error of `kind` with the status and the body of this response.
     pub(super) fn failure(&self, kind: ErrorKind) -> SwitchError {
         let text = String::from_utf8_lossy(&self.body);
-        SwitchError::new(kind, format!("the engine answered {}: {text}", self.status))
+        SwitchError::new(
+            kind,
+            format!("the engine responded {}: {text}", self.status),
+        )
     }
 
-    /// Nothing when the call succeeded, else a failure of `kind`.
-    pub(super) fn expect_success(&self, kind: ErrorKind) -> SwitchResult<()> {
+    /// Returns an error of `kind` unless the status is a success.
+    pub(super) fn check_success(&self, kind: ErrorKind) -> SwitchResult<()> {
         if self.status.is_success() {
             Ok(())
         } else {
@@ -94,29 +97,43 @@
         Self { address, client }
     }
 
-    /// Sends a call without a body and reads its whole answer.
-    pub(super) async fn ask(
+    /// Sends a request without a body and reads the response.
+    ///
+    /// # Errors
+    ///
+    /// `PeerSilent` if the response is not complete within the timeout, and the errors of the
+    /// transport. A response without success is no error here.
+    pub(super) async fn request(
         &self,
         method: Method,
         path: &str,
-        limit: CallLimit,
-    ) -> SwitchResult<EngineAnswer> {
-        self.whole(method, path, Body::empty(), limit).await
+        call_timeout: CallTimeout,
+    ) -> SwitchResult<EngineResponse> {
+        self.send_and_read(method, path, Body::empty(), call_timeout)
+            .await
     }
 
-    /// Sends `message` as JSON and reads the whole answer.
+    /// Sends `message` as JSON and reads the response; errors as for [`Self::request`].
     pub(super) async fn post<Q: Serialize>(
         &self,
         path: &str,
         message: &Q,
-        limit: CallLimit,
-    ) -> SwitchResult<EngineAnswer> {
+        call_timeout: CallTimeout,
+    ) -> SwitchResult<EngineResponse> {
         let body = json_body(message)?;
-        self.whole(Method::POST, path, body, limit).await
+        self.send_and_read(Method::POST, path, body, call_timeout)
+            .await
     }
 
-    /// Sends `message` as JSON and reads the answer's events, each by `parse`, which gives `None`
-    /// for events that carry nothing.
+    /// Sends `message` as JSON and returns the answer as a stream of parts.
+    ///
+    /// `parse` turns the data of each event into a part; events for which it returns `None` are
+    /// skipped.
+    ///
+    /// # Errors
+    ///
+    /// For a response without success, the errors of [`start_failure`]; otherwise as for
+    /// [`Self::request`].
     pub(super) async fn stream<Q: Serialize>(
         &self,
         path: &str,
@@ -124,42 +141,47 @@
         parse: fn(&str) -> SwitchResult<Option<EnginePart>>,
     ) -> SwitchResult<EngineStream> {
         let request = json_request(Method::POST, path, json_body(message)?)?;
-        let answer = self.client.send(self.address, request, FIRST_WITHIN).await;
-        let answer = answer.map_err(|error| self.in_doubt(error))?;
-        if !answer.status().is_success() {
-            return Err(refusal(answer).await);
+        let response = self
+            .client
+            .send(self.address, request, FIRST_TOKEN_TIMEOUT)
+            .await;
+        let response = response.map_err(|error| self.drop_pool_if_silent(error))?;
+        if !response.status().is_success() {
+            return Err(start_failure(response).await);
         }
-        let reader = SseReader::into_sse(answer).map_err(|fault| unreadable(&fault.to_string()))?;
-        let state = Some((reader, FIRST_WITHIN));
+        let reader =
+            SseReader::into_sse(response).map_err(|fault| invalid_message(&fault.to_string()))?;
+        let state = Some((reader, FIRST_TOKEN_TIMEOUT));
         Ok(Box::pin(futures::stream::unfold(state, move |state| {
             next_part(state, parse)
         })))
     }
 
-    async fn whole(
+    async fn send_and_read(
         &self,
         method: Method,
         path: &str,
         body: Body,
-        limit: CallLimit,
-    ) -> SwitchResult<EngineAnswer> {
+        call_timeout: CallTimeout,
+    ) -> SwitchResult<EngineResponse> {
         let request = json_request(method, path, body)?;
-        let within = limit.within();
-        let whole = async {
-            let answer = self.client.send(self.address, request, within).await?;
-            let status = answer.status();
-            let body = read_body(answer.into_body(), ANSWER_BYTES_MAX).await?;
-            Ok(EngineAnswer { status, body })
+        let time_limit = call_timeout.duration();
+        let exchange = async {
+            let response = self.client.send(self.address, request, time_limit).await?;
+            let status = response.status();
+            let body = read_body(response.into_body(), RESPONSE_BYTES_MAX).await?;
+            Ok(EngineResponse { status, body })
         };
-        let outcome = timeout(within, whole).await.unwrap_or_else(|_| {
-            let detail = format!("the engine said nothing for {within:?}");
+        let outcome = timeout(time_limit, exchange).await.unwrap_or_else(|_| {
+            let detail = format!("the engine did not respond within {time_limit:?}");
             Err(SwitchError::new(ErrorKind::PeerSilent, detail))
         });
-        outcome.map_err(|error| self.in_doubt(error))
+        outcome.map_err(|error| self.drop_pool_if_silent(error))
     }
 
-    /// Forgets the open connections after one of them went silent.
-    fn in_doubt(&self, error: SwitchError) -> SwitchError {
+    /// Returns `error`. If it reports that the engine did not respond, drops all pooled connections
+    /// to it first, since they may have stopped delivering data too.
+    fn drop_pool_if_silent(&self, error: SwitchError) -> SwitchError {
         if error.kind == ErrorKind::PeerSilent {
             self.client.drop_pool(self.address);
         }
@@ -167,7 +189,7 @@
     }
 }
 
-/// An engine's number for a priority: the smaller goes first.
+/// Returns the number that engines use for a priority; smaller numbers are served first.
 pub(super) const fn priority_number(priority: RequestPriority) -> u8 {
     match priority {
         RequestPriority::Urgent => 0,
@@ -176,21 +198,22 @@
     }
 }
 
-/// An event of an engine's answer as JSON.
-pub(super) fn parse_event<T: DeserializeOwned>(data: &str) -> SwitchResult<T> {
-    serde_json::from_str(data).map_err(|fault| unreadable(&fault.to_string()))
+/// Parses the data of one event as JSON.
+pub(super) fn parse_json<T: DeserializeOwned>(data: &str) -> SwitchResult<T> {
+    serde_json::from_str(data).map_err(|fault| invalid_message(&fault.to_string()))
 }
 
-/// The rest of an answer, and how long its next part may take.
-type EventReader = (SseReader<Body>, Duration);
+/// The unread rest of an answer, and the time limit for its next part.
+type EventState = (SseReader<Body>, Duration);
 
+/// Reads events up to the next part; `None` at the end of the answer. An error ends the stream.
 async fn next_part(
-    state: Option<EventReader>,
+    state: Option<EventState>,
     parse: fn(&str) -> SwitchResult<Option<EnginePart>>,
-) -> Option<(SwitchResult<EnginePart>, Option<EventReader>)> {
-    let (mut reader, within) = state?;
+) -> Option<(SwitchResult<EnginePart>, Option<EventState>)> {
+    let (mut reader, time_limit) = state?;
     loop {
-        let event = match timeout(within, reader.read()).await {
+        let event = match timeout(time_limit, reader.read()).await {
             Ok(Ok(Some(event))) => event,
             Ok(Ok(None)) => return None,
             Ok(Err(fault)) => {
@@ -198,21 +221,23 @@
                 return Some((Err(error), None));
             }
             Err(_) => {
-                let detail = format!("the engine sent no token for {within:?}");
+                let detail = format!("the engine sent no token within {time_limit:?}");
                 return Some((Err(SwitchError::new(ErrorKind::EngineFailed, detail)), None));
             }
         };
         match event.data().map(parse) {
             None | Some(Ok(None)) => {}
-            Some(Ok(Some(part))) => return Some((Ok(part), Some((reader, PART_WITHIN)))),
+            Some(Ok(Some(part))) => return Some((Ok(part), Some((reader, TOKEN_TIMEOUT)))),
             Some(Err(error)) => return Some((Err(error), None)),
         }
     }
 }
 
-/// Why an engine did not begin to run a request.
-async fn refusal(answer: Response) -> SwitchError {
-    let status = answer.status();
+/// Returns the error for a request whose response is no success: `EngineRefused` for 503, 429 and
+/// 409, with which an engine refuses to start a request, `BadRequest` for other client errors, and
+/// `EngineFailed` for the rest.
+async fn start_failure(response: Response) -> SwitchError {
+    let status = response.status();
     let kind = match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::CONFLICT => {
             ErrorKind::EngineRefused
@@ -220,8 +245,8 @@
         status if status.is_client_error() => ErrorKind::BadRequest,
         _ => ErrorKind::EngineFailed,
     };
-    let body = read_body(answer.into_body(), ANSWER_BYTES_MAX).await;
-    EngineAnswer {
+    let body = read_body(response.into_body(), RESPONSE_BYTES_MAX).await;
+    EngineResponse {
         status,
         body: body.unwrap_or_default(),
     }
@@ -244,6 +269,6 @@
         .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
 }
 
-fn unreadable(detail: &str) -> SwitchError {
+fn invalid_message(detail: &str) -> SwitchError {
     SwitchError::new(ErrorKind::MessageInvalid, format!("engine: {detail}"))
 }
--- a/src/engines/json_state.rs
+++ b/src/engines/json_state.rs
@@ -1,4 +1,5 @@
-//! The `json_state` dialect: state as JSON, orders without fencing numbers.
+//! The `json_state` dialect: the engine reports its state as JSON, and orders carry no fencing
+//! numbers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +10,7 @@
 use http::Method;
 use serde::{Deserialize, Serialize};
 
-use super::engine_client::{CallLimit, EngineClient, parse_event, priority_number};
+use super::engine_client::{CallTimeout, EngineClient, parse_json, priority_number};
 use super::{
     CacheChanges, CacheEvent, EngineAdapter, EngineCall, EnginePart, EngineProfile, EngineState,
     EngineStream, LoadOrder,
@@ -19,34 +20,34 @@
 use crate::transport::PeerClient;
 use crate::weights::WeightsDigest;
 
-/// An engine that speaks `json_state`.
+/// The adapter for engines that speak `json_state`.
 pub(crate) struct JsonStateAdapter {
     client: EngineClient,
 }
 
 #[derive(Deserialize)]
-struct StateText {
+struct StateMessage {
     fencing: bool,
-    slots: SlotsText,
-    model: Option<ModelText>,
+    slots: SlotsMessage,
+    model: Option<ModelMessage>,
     age_ms: u64,
 }
 
 #[derive(Deserialize)]
-struct SlotsText {
+struct SlotsMessage {
     busy: u32,
     queued: u32,
     total: u32,
 }
 
 #[derive(Deserialize)]
-struct ModelText {
+struct ModelMessage {
     name: ByteString,
     sha: WeightsDigest,
 }
 
 #[derive(Serialize)]
-struct LoadText<'a> {
+struct LoadMessage<'a> {
     name: &'a str,
     sha: String,
     bytes: u64,
@@ -54,12 +55,12 @@
 }
 
 #[derive(Serialize)]
-struct RoleText<'a> {
+struct RoleMessage<'a> {
     role: &'a str,
 }
 
 #[derive(Serialize)]
-struct GenerateText<'a> {
+struct GenerateMessage<'a> {
     id: &'a str,
     text: &'a str,
     limit: u32,
@@ -68,7 +69,7 @@
 }
 
 #[derive(Deserialize)]
-struct EventText {
+struct EventMessage {
     id: ByteString,
     n: Option<u32>,
     t: Option<ByteString>,
@@ -77,7 +78,7 @@
 }
 
 #[derive(Deserialize)]
-struct PrefixesText {
+struct PrefixesMessage {
     added: Vec<ByteString>,
     dropped: Vec<ByteString>,
     cursor: u64,
@@ -85,38 +86,38 @@
 }
 
 impl JsonStateAdapter {
-    /// The engine at `address`.
+    /// Creates an adapter for the engine at `address`.
     pub(crate) const fn new(address: SocketAddr, client: Arc<PeerClient>) -> Self {
         let client = EngineClient::new(address, client);
         Self { client }
     }
 
-    async fn ask_text(&self) -> SwitchResult<StateText> {
-        let answer = self
+    async fn fetch_state_message(&self) -> SwitchResult<StateMessage> {
+        let response = self
             .client
-            .ask(Method::GET, "/state", CallLimit::State)
+            .request(Method::GET, "/state", CallTimeout::State)
             .await?;
-        answer.expect_success(ErrorKind::EngineFailed)?;
-        answer.json()
+        response.check_success(ErrorKind::EngineFailed)?;
+        response.json()
     }
 
-    async fn ask_profile(&self) -> SwitchResult<EngineProfile> {
-        let text = self.ask_text().await?;
+    async fn fetch_profile(&self) -> SwitchResult<EngineProfile> {
+        let message = self.fetch_state_message().await?;
         Ok(EngineProfile {
-            checks_fencing: text.fencing,
-            running_max: text.slots.total,
+            checks_fencing: message.fencing,
+            running_max: message.slots.total,
         })
     }
 
-    async fn ask_state(&self) -> SwitchResult<EngineState> {
-        let text = self.ask_text().await?;
+    async fn fetch_state(&self) -> SwitchResult<EngineState> {
+        let message = self.fetch_state_message().await?;
         let load = LoadReport {
-            running: text.slots.busy,
-            waiting: text.slots.queued,
-            capacity: text.slots.total,
-            queue_room: text.slots.total.saturating_sub(text.slots.busy),
+            running: message.slots.busy,
+            waiting: message.slots.queued,
+            capacity: message.slots.total,
+            queue_room: message.slots.total.saturating_sub(message.slots.busy),
         };
-        let serving = text.model.map(|model| ServingVersion {
+        let serving = message.model.map(|model| ServingVersion {
             version: model.name,
             digest: model.sha,
         });
@@ -124,107 +125,111 @@
             load,
             serving,
             fence: 0,
-            age_ms: text.age_ms,
+            age_ms: message.age_ms,
         })
     }
 
-    async fn order_load(&self, order: &LoadOrder) -> SwitchResult<()> {
-        let text = LoadText {
+    async fn send_load(&self, order: &LoadOrder) -> SwitchResult<()> {
+        let message = LoadMessage {
             name: &order.serving.version,
             sha: order.serving.digest.to_string(),
             bytes: order.size,
             from: &order.source_url,
         };
-        let answer = self
+        let response = self
             .client
-            .post("/models/load", &text, CallLimit::Load)
+            .post("/models/load", &message, CallTimeout::Load)
             .await?;
-        answer.expect_success(ErrorKind::ActivationFailed)
+        response.check_success(ErrorKind::ActivationFailed)
     }
 
-    async fn order_role(&self, role: &str) -> SwitchResult<()> {
-        let text = RoleText { role };
-        let answer = self.client.post("/role", &text, CallLimit::State).await?;
-        answer.expect_success(ErrorKind::EngineFailed)
+    async fn send_role(&self, role: &str) -> SwitchResult<()> {
+        let message = RoleMessage { role };
+        let response = self
+            .client
+            .post("/role", &message, CallTimeout::State)
+            .await?;
+        response.check_success(ErrorKind::EngineFailed)
     }
 
-    async fn start(&self, call: EngineCall) -> SwitchResult<EngineStream> {
-        let text = GenerateText {
+    async fn start_generation(&self, call: EngineCall) -> SwitchResult<EngineStream> {
+        let message = GenerateMessage {
             id: &call.request,
             text: &call.prompt,
             limit: call.max_tokens,
             skip: call.resume_from,
             prio: priority_number(call.priority),
         };
-        self.client.stream("/generate", &text, read_event).await
+        self.client.stream("/generate", &message, parse_part).await
     }
 
-    async fn order_cancel(&self, request: &str) -> SwitchResult<()> {
+    async fn send_cancel(&self, request: &str) -> SwitchResult<()> {
         let path = format!("/generate/{request}");
-        let answer = self
+        let response = self
             .client
-            .ask(Method::DELETE, &path, CallLimit::State)
+            .request(Method::DELETE, &path, CallTimeout::State)
             .await?;
-        answer.expect_success(ErrorKind::EngineFailed)
+        response.check_success(ErrorKind::EngineFailed)
     }
 
-    async fn ask_cache(&self, after: u64) -> SwitchResult<CacheChanges> {
+    async fn fetch_cache_changes(&self, after: u64) -> SwitchResult<CacheChanges> {
         let path = format!("/prefixes?since={after}");
-        let answer = self
+        let response = self
             .client
-            .ask(Method::GET, &path, CallLimit::State)
+            .request(Method::GET, &path, CallTimeout::State)
             .await?;
-        answer.expect_success(ErrorKind::EngineFailed)?;
-        let text: PrefixesText = answer.json()?;
-        let dropped = text.dropped.into_iter().map(|prefix| CacheEvent {
+        response.check_success(ErrorKind::EngineFailed)?;
+        let message: PrefixesMessage = response.json()?;
+        let dropped = message.dropped.into_iter().map(|prefix| CacheEvent {
+            prefix,
+            is_cached: false,
+        });
+        let added = message.added.into_iter().map(|prefix| CacheEvent {
             prefix,
-            held: false,
+            is_cached: true,
         });
-        let added = text
-            .added
-            .into_iter()
-            .map(|prefix| CacheEvent { prefix, held: true });
         Ok(CacheChanges {
             events: dropped.chain(added).collect(),
-            next_cursor: text.cursor,
-            has_gap: text.lost,
+            next_cursor: message.cursor,
+            has_gap: message.lost,
         })
     }
 }
 
 impl EngineAdapter for JsonStateAdapter {
     fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
-        self.ask_profile().boxed()
+        self.fetch_profile().boxed()
     }
 
     fn read_state(&self) -> BoxFuture<'_, SwitchResult<EngineState>> {
-        self.ask_state().boxed()
+        self.fetch_state().boxed()
     }
 
     fn load_version<'a>(&'a self, order: &'a LoadOrder) -> BoxFuture<'a, SwitchResult<()>> {
-        self.order_load(order).boxed()
+        self.send_load(order).boxed()
     }
 
-    /// The dialect has no fencing numbers: the host process is the only one that gives orders.
+    /// Ignores the fencing number: the dialect has none, because only the host process sends orders
+    /// to such an engine.
     fn set_role<'a>(&'a self, role: &'a str, _fence: u64) -> BoxFuture<'a, SwitchResult<()>> {
-        self.order_role(role).boxed()
+        self.send_role(role).boxed()
     }
 
     fn generate(&self, call: EngineCall) -> BoxFuture<'_, SwitchResult<EngineStream>> {
-        self.start(call).boxed()
+        self.start_generation(call).boxed()
     }
 
     fn cancel<'a>(&'a self, request: &'a str) -> BoxFuture<'a, SwitchResult<()>> {
-        self.order_cancel(request).boxed()
+        self.send_cancel(request).boxed()
     }
 
     fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>> {
-        self.ask_cache(after).boxed()
+        self.fetch_cache_changes(after).boxed()
     }
 }
 
-fn read_event(data: &str) -> SwitchResult<Option<EnginePart>> {
-    let event: EventText = parse_event(data)?;
+fn parse_part(data: &str) -> SwitchResult<Option<EnginePart>> {
+    let event: EventMessage = parse_json(data)?;
     match (event.n, event.t, event.done, event.count) {
         (Some(index), Some(text), None, None) => Ok(Some(EnginePart::Token {
             request: event.id,
@@ -238,7 +243,7 @@
         })),
         _ => Err(SwitchError::new(
             ErrorKind::MessageInvalid,
-            "engine: an event is neither a token nor an end",
+            "engine: an event is neither a token nor the end of the answer",
         )),
     }
 }
--- a/src/engines/metrics_text.rs
+++ b/src/engines/metrics_text.rs
@@ -1,4 +1,5 @@
-//! The `metrics_text` dialect: state as Prometheus text, orders with fencing numbers.
+//! The `metrics_text` dialect: the engine reports its state as Prometheus text, and orders carry
+//! fencing numbers.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -10,7 +11,7 @@
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use super::engine_client::{CallLimit, EngineClient, parse_event, priority_number};
+use super::engine_client::{CallTimeout, EngineClient, parse_json, priority_number};
 use super::{
     CacheChanges, CacheEvent, EngineAdapter, EngineCall, EnginePart, EngineProfile, EngineState,
     EngineStream, LoadOrder,
@@ -19,21 +20,21 @@
 use crate::membership::{LoadReport, ServingVersion};
 use crate::transport::PeerClient;
 
-/// An engine that speaks `metrics_text`.
+/// The adapter for engines that speak `metrics_text`.
 pub(crate) struct MetricsTextAdapter {
     client: EngineClient,
-    /// The model that completions name; the service.
+    /// The name of the service, sent as `model` in each completion request.
     model: ByteString,
 }
 
 #[derive(Deserialize)]
-struct VersionText {
+struct VersionMessage {
     checks_fencing: bool,
     max_running: u32,
 }
 
 #[derive(Serialize)]
-struct LoadText<'a> {
+struct LoadMessage<'a> {
     version: &'a str,
     digest: String,
     size: u64,
@@ -42,13 +43,13 @@
 }
 
 #[derive(Serialize)]
-struct RoleText<'a> {
+struct RoleMessage<'a> {
     role: &'a str,
     fence: u64,
 }
 
 #[derive(Serialize)]
-struct CompletionText<'a> {
+struct CompletionMessage<'a> {
     request_id: &'a str,
     model: &'a str,
     prompt: &'a str,
@@ -59,12 +60,12 @@
 }
 
 #[derive(Serialize)]
-struct CancelText<'a> {
+struct CancelMessage<'a> {
     request_id: &'a str,
 }
 
 #[derive(Deserialize)]
-struct EventText {
+struct EventMessage {
     request_id: ByteString,
     index: Option<u32>,
     text: Option<ByteString>,
@@ -73,22 +74,23 @@
 }
 
 #[derive(Deserialize)]
-struct CacheText {
-    events: Vec<PrefixText>,
+struct CacheMessage {
+    events: Vec<PrefixMessage>,
     next: u64,
     gap: bool,
 }
 
 #[derive(Deserialize)]
-struct PrefixText {
+struct PrefixMessage {
     prefix: ByteString,
     held: bool,
 }
 
-const LAST_EVENT: &str = "[DONE]";
+/// Data of the event that follows the last part of an answer.
+const DONE_EVENT_DATA: &str = "[DONE]";
 
 impl MetricsTextAdapter {
-    /// The engine at `address`, which serves `model`.
+    /// Creates an adapter for the engine at `address`, which serves the service `model`.
     pub(crate) const fn new(
         address: SocketAddr,
         client: Arc<PeerClient>,
@@ -98,60 +100,60 @@
         Self { client, model }
     }
 
-    async fn ask_profile(&self) -> SwitchResult<EngineProfile> {
-        let answer = self
+    async fn fetch_profile(&self) -> SwitchResult<EngineProfile> {
+        let response = self
             .client
-            .ask(Method::GET, "/version", CallLimit::State)
+            .request(Method::GET, "/version", CallTimeout::State)
             .await?;
-        answer.expect_success(ErrorKind::EngineFailed)?;
-        let text: VersionText = answer.json()?;
+        response.check_success(ErrorKind::EngineFailed)?;
+        let message: VersionMessage = response.json()?;
         Ok(EngineProfile {
-            checks_fencing: text.checks_fencing,
-            running_max: text.max_running,
+            checks_fencing: message.checks_fencing,
+            running_max: message.max_running,
         })
     }
 
-    async fn ask_state(&self) -> SwitchResult<EngineState> {
-        let answer = self
+    async fn fetch_state(&self) -> SwitchResult<EngineState> {
+        let response = self
             .client
-            .ask(Method::GET, "/metrics", CallLimit::State)
+            .request(Method::GET, "/metrics", CallTimeout::State)
             .await?;
-        answer.expect_success(ErrorKind::EngineFailed)?;
-        read_metrics(answer.text()?)
+        response.check_success(ErrorKind::EngineFailed)?;
+        parse_state(response.text()?)
     }
 
-    async fn order_load(&self, order: &LoadOrder) -> SwitchResult<()> {
-        let text = LoadText {
+    async fn send_load(&self, order: &LoadOrder) -> SwitchResult<()> {
+        let message = LoadMessage {
             version: &order.serving.version,
             digest: order.serving.digest.to_string(),
             size: order.size,
             source: &order.source_url,
             fence: order.fence,
         };
-        let answer = self
+        let response = self
             .client
-            .post("/control/load", &text, CallLimit::Load)
+            .post("/control/load", &message, CallTimeout::Load)
             .await?;
-        match answer.status {
-            StatusCode::CONFLICT => Err(answer.failure(ErrorKind::OrderStale)),
-            _ => answer.expect_success(ErrorKind::ActivationFailed),
+        match response.status {
+            StatusCode::CONFLICT => Err(response.failure(ErrorKind::OrderStale)),
+            _ => response.check_success(ErrorKind::ActivationFailed),
         }
     }
 
-    async fn order_role(&self, role: &str, fence: u64) -> SwitchResult<()> {
-        let text = RoleText { role, fence };
-        let answer = self
+    async fn send_role(&self, role: &str, fence: u64) -> SwitchResult<()> {
+        let message = RoleMessage { role, fence };
+        let response = self
             .client
-            .post("/control/role", &text, CallLimit::State)
+            .post("/control/role", &message, CallTimeout::State)
             .await?;
-        match answer.status {
-            StatusCode::CONFLICT => Err(answer.failure(ErrorKind::OrderStale)),
-            _ => answer.expect_success(ErrorKind::EngineFailed),
+        match response.status {
+            StatusCode::CONFLICT => Err(response.failure(ErrorKind::OrderStale)),
+            _ => response.check_success(ErrorKind::EngineFailed),
         }
     }
 
-    async fn start(&self, call: EngineCall) -> SwitchResult<EngineStream> {
-        let text = CompletionText {
+    async fn start_generation(&self, call: EngineCall) -> SwitchResult<EngineStream> {
+        let message = CompletionMessage {
             request_id: &call.request,
             model: &self.model,
             prompt: &call.prompt,
@@ -161,76 +163,76 @@
             stream: true,
         };
         self.client
-            .stream("/v1/completions", &text, read_event)
+            .stream("/v1/completions", &message, parse_part)
             .await
     }
 
-    async fn order_cancel(&self, request: &str) -> SwitchResult<()> {
-        let text = CancelText {
+    async fn send_cancel(&self, request: &str) -> SwitchResult<()> {
+        let message = CancelMessage {
             request_id: request,
         };
-        let answer = self
+        let response = self
             .client
-            .post("/control/cancel", &text, CallLimit::State)
+            .post("/control/cancel", &message, CallTimeout::State)
             .await?;
-        answer.expect_success(ErrorKind::EngineFailed)
+        response.check_success(ErrorKind::EngineFailed)
     }
 
-    async fn ask_cache(&self, after: u64) -> SwitchResult<CacheChanges> {
+    async fn fetch_cache_changes(&self, after: u64) -> SwitchResult<CacheChanges> {
         let path = format!("/cache/events?after={after}");
-        let answer = self
+        let response = self
             .client
-            .ask(Method::GET, &path, CallLimit::State)
+            .request(Method::GET, &path, CallTimeout::State)
             .await?;
-        answer.expect_success(ErrorKind::EngineFailed)?;
-        let text: CacheText = answer.json()?;
-        let event = |text: PrefixText| CacheEvent {
-            prefix: text.prefix,
-            held: text.held,
+        response.check_success(ErrorKind::EngineFailed)?;
+        let message: CacheMessage = response.json()?;
+        let event = |message: PrefixMessage| CacheEvent {
+            prefix: message.prefix,
+            is_cached: message.held,
         };
         Ok(CacheChanges {
-            events: text.events.into_iter().map(event).collect(),
-            next_cursor: text.next,
-            has_gap: text.gap,
+            events: message.events.into_iter().map(event).collect(),
+            next_cursor: message.next,
+            has_gap: message.gap,
         })
     }
 }
 
 impl EngineAdapter for MetricsTextAdapter {
     fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>> {
-        self.ask_profile().boxed()
+        self.fetch_profile().boxed()
     }
 
     fn read_state(&self) -> BoxFuture<'_, SwitchResult<EngineState>> {
-        self.ask_state().boxed()
+        self.fetch_state().boxed()
     }
 
     fn load_version<'a>(&'a self, order: &'a LoadOrder) -> BoxFuture<'a, SwitchResult<()>> {
-        self.order_load(order).boxed()
+        self.send_load(order).boxed()
     }
 
     fn set_role<'a>(&'a self, role: &'a str, fence: u64) -> BoxFuture<'a, SwitchResult<()>> {
-        self.order_role(role, fence).boxed()
+        self.send_role(role, fence).boxed()
     }
 
     fn generate(&self, call: EngineCall) -> BoxFuture<'_, SwitchResult<EngineStream>> {
-        self.start(call).boxed()
+        self.start_generation(call).boxed()
     }
 
     fn cancel<'a>(&'a self, request: &'a str) -> BoxFuture<'a, SwitchResult<()>> {
-        self.order_cancel(request).boxed()
+        self.send_cancel(request).boxed()
     }
 
     fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>> {
-        self.ask_cache(after).boxed()
+        self.fetch_cache_changes(after).boxed()
     }
 }
 
-fn read_event(data: &str) -> SwitchResult<Option<EnginePart>> {
-    if data == LAST_EVENT {
+fn parse_part(data: &str) -> SwitchResult<Option<EnginePart>> {
+    if data == DONE_EVENT_DATA {
         return Ok(None);
     }
-    let event: EventText = parse_event(data)?;
+    let event: EventMessage = parse_json(data)?;
     match (event.index, event.text, event.finish_reason, event.tokens) {
         (Some(index), Some(text), None, None) => Ok(Some(EnginePart::Token {
             request: event.request_id,
@@ -244,47 +246,53 @@
         })),
         _ => Err(SwitchError::new(
             ErrorKind::MessageInvalid,
-            "engine: an event is neither a token nor an end",
+            "engine: an event is neither a token nor the end of the answer",
         )),
     }
 }
 
-/// The state in an engine's metrics.
-fn read_metrics(text: &str) -> SwitchResult<EngineState> {
-    let running = number(text, "engine_requests_running")?;
-    let capacity: u32 = number(text, "engine_max_running")?;
+/// Parses the engine's state from its metrics.
+fn parse_state(text: &str) -> SwitchResult<EngineState> {
+    let running = metric_value(text, "engine_requests_running")?;
+    let capacity: u32 = metric_value(text, "engine_max_running")?;
     let load = LoadReport {
         running,
-        waiting: number(text, "engine_requests_waiting")?,
+        waiting: metric_value(text, "engine_requests_waiting")?,
         capacity,
         queue_room: capacity.saturating_sub(running),
     };
     Ok(EngineState {
         load,
-        serving: read_serving(text)?,
-        fence: number(text, "engine_load_fence")?,
-        age_ms: number(text, "engine_report_age_ms")?,
+        serving: parse_serving(text)?,
+        fence: metric_value(text, "engine_load_fence")?,
+        age_ms: metric_value(text, "engine_report_age_ms")?,
     })
 }
 
-fn number<T: FromStr>(text: &str, name: &str) -> SwitchResult<T> {
+/// Returns the value of the metric `name`, which has no labels.
+fn metric_value<T: FromStr>(text: &str, name: &str) -> SwitchResult<T> {
     let value = text.lines().find_map(|line| {
         let rest = line.strip_prefix(name)?;
         rest.strip_prefix(' ')?.trim().parse().ok()
     });
     value.ok_or_else(|| {
-        let detail = format!("engine: no number {name} in its metrics");
+        let detail = format!("engine: its metrics have no valid value of {name}");
         SwitchError::new(ErrorKind::MessageInvalid, detail)
     })
 }
 
-fn read_serving(text: &str) -> SwitchResult<Option<ServingVersion>> {
-    const NAME: &str = "engine_weights_info{";
-    let Some(labels) = text.lines().find_map(|line| line.strip_prefix(NAME)) else {
+/// Parses the loaded version from the labels of `engine_weights_info`; `None` if that metric is
+/// absent.
+fn parse_serving(text: &str) -> SwitchResult<Option<ServingVersion>> {
+    const METRIC_PREFIX: &str = "engine_weights_info{";
+    let Some(labels) = text
+        .lines()
+        .find_map(|line| line.strip_prefix(METRIC_PREFIX))
+    else {
         return Ok(None);
     };
-    let version = label(labels, "version=\"");
-    let digest = label(labels, "digest=\"").and_then(|digest| digest.parse().ok());
+    let version = label_value(labels, "version=\"");
+    let digest = label_value(labels, "digest=\"").and_then(|digest| digest.parse().ok());
     match (version, digest) {
         (Some(version), Some(digest)) => Ok(Some(ServingVersion {
             version: version.into(),
@@ -292,12 +300,13 @@
         })),
         _ => Err(SwitchError::new(
             ErrorKind::MessageInvalid,
-            "engine: the loaded version does not read",
+            "engine: the labels of engine_weights_info are invalid",
         )),
     }
 }
 
-fn label<'a>(labels: &'a str, opening: &str) -> Option<&'a str> {
+/// Returns the value of the label that starts with `opening`, such as `version="`.
+fn label_value<'a>(labels: &'a str, opening: &str) -> Option<&'a str> {
     let value = labels.split_once(opening)?.1;
     value.split_once('"').map(|(value, _)| value)
 }
--- a/src/engines/mod.rs
+++ b/src/engines/mod.rs
@@ -1,8 +1,9 @@
-//! Engines: what a model engine can be asked, two vendors' dialects of it, and plain services.
+//! Adapters to backend servers: the interface to model engines with its implementations for two
+//! vendors' dialects, and the interface to plain services.
 
 #[cfg_attr(
     not(test),
-    expect(dead_code, reason = "nothing decides by roles and cache news yet")
+    expect(dead_code, reason = "no component uses roles and cache changes yet")
 )]
 mod engine_adapter;
 mod engine_client;
--- a/src/engines/plain_adapter.rs
+++ b/src/engines/plain_adapter.rs
@@ -1,4 +1,4 @@
-//! The edge towards a plain service, and its HTTP client.
+//! The interface to a plain service, and its implementation over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,72 +22,78 @@
 /// A call to a plain service.
 #[apply(plain!)]
 pub(crate) struct PlainCall {
-    /// The method.
+    /// The HTTP method.
     pub(crate) method: ByteString,
-    /// Path and query.
+    /// The path with its query.
     pub(crate) path: ByteString,
-    /// The headers that are passed on.
+    /// The forwarded headers.
     pub(crate) headers: Vec<(ByteString, Bytes)>,
-    /// The whole body.
+    /// The complete body.
     pub(crate) body: Bytes,
-    /// How long the service may take to begin its answer.
+    /// Time limit for the response head.
     pub(crate) head_timeout: Duration,
 }
 
-/// The answer's body, part by part.
+/// The body of an answer, in the parts in which it arrives. An error as last item means that the
+/// answer is incomplete.
 pub(crate) type PlainBody =
     std::pin::Pin<Box<dyn futures::Stream<Item = SwitchResult<Bytes>> + Send>>;
 
-/// An answer of a plain service.
+/// The answer of a plain service.
 pub(crate) struct PlainAnswer {
-    /// Its head.
+    /// Status and headers.
     pub(crate) head: AnswerHead,
-    /// Its body; a stream that ends with an error broke off.
+    /// The body.
     pub(crate) body: PlainBody,
 }
 
 /// A plain service.
 pub(crate) trait PlainAdapter: Send + Sync + 'static {
-    /// Hands a call over. `ConnectFailed` and `BadRequest` mean that it does not run; after any
-    /// other error it is not known.
+    /// Forwards a call to the service and returns its answer.
+    ///
+    /// # Errors
+    ///
+    /// `ConnectFailed` and `BadRequest` mean that the call did not run; after any other error this
+    /// is not known.
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>>;
 }
 
 /// A plain service over HTTP.
 ///
-/// Each call gets a connection of its own. A kept connection may be closed by the service in the
-/// moment in which a call is written to it; the call then fails without anyone knowing whether it
-/// ran, and an unrepeatable call must be answered "not known" though nothing was wrong. On
-/// loopback a fresh connection costs little.
+/// Each call uses a new connection. The service may close a persistent connection at the moment at
+/// which a call is written to it. Whether that call ran is then unknown, and if it is unrepeatable,
+/// the caller gets the outcome "not known" although nothing was wrong. A new connection on loopback
+/// costs little.
 pub(crate) struct HttpPlainAdapter {
     address: SocketAddr,
     client: Arc<PeerClient>,
 }
 
 impl HttpPlainAdapter {
-    /// The service at `address`.
+    /// Creates an adapter for the service at `address`.
     pub(crate) const fn new(address: SocketAddr, client: Arc<PeerClient>) -> Self {
         Self { address, client }
     }
 
-    async fn hand_over(&self, call: PlainCall) -> SwitchResult<PlainAnswer> {
+    async fn send_call(&self, call: PlainCall) -> SwitchResult<PlainAnswer> {
         let head_timeout = call.head_timeout;
-        let request = plain_request(call)?;
-        let answer = self
+        let request = http_request(call)?;
+        let response = self
             .client
             .send(self.address, request, head_timeout)
             .await?;
-        Ok(read_answer(answer))
+        Ok(answer_from(response))
     }
 }
 
 impl PlainAdapter for HttpPlainAdapter {
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>> {
-        self.hand_over(call).boxed()
+        self.send_call(call).boxed()
     }
 }
 
-fn plain_request(call: PlainCall) -> SwitchResult<http::Request<Body>> {
+/// Builds the HTTP request. `BadRequest` if a part of the call is not valid HTTP.
+fn http_request(call: PlainCall) -> SwitchResult<http::Request<Body>> {
     let mut builder = http::Request::builder()
         .method(&*call.method)
         .uri(&*call.path);
@@ -100,8 +106,9 @@
         .map_err(|fault| SwitchError::new(ErrorKind::BadRequest, fault.to_string()))
 }
 
-fn read_answer(answer: Response) -> PlainAnswer {
-    let headers = answer
+/// Converts the response, without its `connection` header.
+fn answer_from(response: Response) -> PlainAnswer {
+    let headers = response
         .headers()
         .iter()
         .filter(|(name, _)| **name != CONNECTION)
@@ -113,10 +120,10 @@
         })
         .collect();
     let head = AnswerHead {
-        status: answer.status().as_u16(),
+        status: response.status().as_u16(),
         headers,
     };
-    let body = answer.into_body().into_data_stream().map(|part| {
+    let body = response.into_body().into_data_stream().map(|part| {
         part.map_err(|fault| SwitchError::new(ErrorKind::AnswerCut, fault.to_string()))
     });
     PlainAnswer {
