--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -1,4 +1,5 @@
-//! The composition of the host process.
+//! Creates and connects the components of the host process, and runs its server until a graceful
+//! stop ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,40 +21,40 @@
 use crate::transport::{ClientLimits, HttpServer, PeerClient, bind_listener};
 use crate::weights::{WeightsEdges, WeightsHandle, WeightsLimits, ahead_of_weights, start_weights};
 
-/// How long a read from the origin may take; its link is shared by all hosts that read, so that one
-/// chunk may take far longer than the platform's other answers.
-const ORIGIN_READ_WITHIN: Duration = Duration::from_secs(20);
+/// Time limit for one read from the origin. All hosts that read share the origin's link, so one
+/// chunk may take far longer than other responses of the platform.
+const ORIGIN_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs the host process until its graceful stop is done.
+/// Runs the host process until its graceful stop has ended. `add_middleware` wraps its routes.
 pub(super) async fn run_host(
     settings: HostSettings,
-    wrap: impl FnOnce(Router) -> Router,
+    add_middleware: impl FnOnce(Router) -> Router,
 ) -> SwitchResult<()> {
     let listener = bind_listener(settings.common.peer_address).await?;
     let address = listener
         .local_addr()
         .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
-    let host = HostParts::start(&settings, address);
-    let server = HttpServer::on(listener, wrap(host.routes));
+    let host = HostComponents::start(&settings, address);
+    let server = HttpServer::on(listener, add_middleware(host.routes));
     println!("listening peer={address}");
-    tokio::spawn(tell_leaving(host.drain.clone(), host.board));
+    tokio::spawn(announce_leaving(host.drain.clone(), host.own_status));
     server.run(host.drain).await;
     Ok(())
 }
 
-/// What runs in the process.
-struct HostParts {
+/// The components of the process that [`run_host`] needs once they have started.
+struct HostComponents {
     routes: Router,
-    board: StatusBoard,
+    own_status: StatusBoard,
     drain: DrainState,
 }
 
-impl HostParts {
+impl HostComponents {
     fn start(settings: &HostSettings, address: SocketAddr) -> Self {
         let common = &settings.common;
         let mut identity = common.identity(HostRole::Backend, Some(settings.service.clone()));
         identity.peer_address = address;
-        let board = StatusBoard::new(identity.host.clone(), identity.incarnation);
+        let own_status = StatusBoard::new(identity.host.clone(), identity.incarnation);
         let drain = common.drain_state();
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
         let edges = ControlEdges {
@@ -61,22 +62,22 @@
             list: common.host_list(),
             client: Arc::clone(&client),
         };
-        let control = start_control(identity.clone(), edges, board.clone(), drain.clone());
+        let control = start_control(identity.clone(), edges, own_status.clone(), drain.clone());
         let gate = ServingGate::default();
         let backend = backend_server(settings);
         let mut routes = probe_routes(drain.clone(), Arc::new(AtomicBool::new(true)))
             .merge(control.peer_routes());
         let mut pacer = None;
         if let BackendServer::Model(engine) = &backend {
-            let parts = WeightsParts {
+            let context = WeightsContext {
                 engine: Arc::clone(engine),
                 control,
                 client,
                 gate: gate.clone(),
-                board: board.clone(),
+                own_status: own_status.clone(),
                 drain: drain.clone(),
             };
-            let weights = start_host_weights(settings, parts);
+            let weights = start_host_weights(settings, context);
             pacer = weights.as_ref().map(|weights| weights.link_pacer().clone());
             if let Some(weights) = weights {
                 routes = routes
@@ -88,7 +89,7 @@
             identity,
             backend,
             gate,
-            board: board.clone(),
+            board: own_status.clone(),
             drain: drain.clone(),
         };
         let limits = GuardLimits {
@@ -97,35 +98,37 @@
             engine_check: settings.engine_check,
         };
         let guard = start_guard(edges, limits);
-        let live = match pacer {
+        let run_routes = match pacer {
             Some(pacer) => ahead_of_weights(guard.peer_routes(), pacer),
             None => guard.peer_routes(),
         };
-        routes = routes.merge(live);
+        routes = routes.merge(run_routes);
         Self {
             routes,
-            board,
+            own_status,
             drain,
         }
     }
 }
 
-struct WeightsParts {
+/// What the weights thread uses of the other components.
+struct WeightsContext {
     engine: Arc<dyn EngineAdapter>,
     control: ControlHandle,
     client: Arc<PeerClient>,
     gate: ServingGate,
-    board: StatusBoard,
+    own_status: StatusBoard,
     drain: DrainState,
 }
 
-/// Starts the weights' edge; none without an origin, which the settings allow only plain services.
-fn start_host_weights(settings: &HostSettings, parts: WeightsParts) -> Option<WeightsHandle> {
+/// Starts the weights thread. Returns `None` without an origin address, which the settings permit
+/// only for plain services.
+fn start_host_weights(settings: &HostSettings, context: WeightsContext) -> Option<WeightsHandle> {
     let source = |address: SocketAddr| -> Arc<dyn WeightSource> {
         let client = CommonSettings::patient_client(
             address,
             ErrorKind::OriginUnavailable,
-            ORIGIN_READ_WITHIN,
+            ORIGIN_READ_TIMEOUT,
         );
         Arc::new(HttpWeights(client))
     };
@@ -134,12 +137,12 @@
         origin,
         store: settings.store_address.map(source),
         table: settings.common.table(),
-        engine: parts.engine,
-        client: parts.client,
-        control: parts.control,
-        gate: parts.gate,
-        board: parts.board,
-        drain: parts.drain,
+        engine: context.engine,
+        client: context.client,
+        control: context.control,
+        gate: context.gate,
+        board: context.own_status,
+        drain: context.drain,
     };
     let limits = WeightsLimits {
         link_bytes_per_second: settings.link_bytes_per_second,
@@ -148,6 +151,7 @@
     Some(start_weights(edges, limits))
 }
 
+/// Creates the adapter for the backend server's dialect.
 fn backend_server(settings: &HostSettings) -> BackendServer {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let address = settings.engine_address;
@@ -165,8 +169,8 @@
     }
 }
 
-/// Says at once that the process is leaving, when its graceful stop begins.
-async fn tell_leaving(drain: DrainState, board: StatusBoard) {
+/// Announces that this host is leaving as soon as its graceful stop begins.
+async fn announce_leaving(drain: DrainState, own_status: StatusBoard) {
     drain.begun().await;
-    board.update(|status| status.leaving = true);
+    own_status.update(|status| status.leaving = true);
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,4 +1,5 @@
-//! The host process: one small process beside each backend server.
+//! The host process (`savory-host`): one small process runs next to each backend server, loads its
+//! weights and controls the requests that reach it.
 
 mod daemon;
 mod settings;
@@ -12,18 +13,18 @@
 use crate::replication::run_backend_host;
 use settings::HostSettings;
 
-/// The program's main function.
+/// The main function of `savory-host`. Exits with a failure status if a setting is invalid.
 #[must_use]
 pub fn host_main() -> ExitCode {
     hold_stop_signals();
     run_host_with_middleware(std::env::args(), |routes| routes)
 }
 
-/// Runs the host process with the settings in `arguments` and `wrap` around its routes, which is
-/// where the lab puts faults.
+/// Runs the host process with the settings in `arguments`. `add_middleware` wraps its routes; the
+/// lab uses it to inject faults.
 pub(crate) fn run_host_with_middleware(
     arguments: impl Iterator<Item = String>,
-    wrap: impl FnOnce(Router) -> Router,
+    add_middleware: impl FnOnce(Router) -> Router,
 ) -> ExitCode {
     let matches = with_platform(HostSettings::command()).get_matches_from(arguments);
     if let Some(arguments) = matches.subcommand_matches(PLATFORM_COMMAND) {
@@ -38,12 +39,16 @@
             ExitCode::FAILURE
         }
         Ok(_) if only_checks => {
-            println!("the settings are fine");
+            println!("the settings are valid");
             ExitCode::SUCCESS
         }
         Ok(settings) => {
             let threads = settings.common.traffic_threads;
-            run_process("savory-host", threads, daemon::run_host(settings, wrap))
+            run_process(
+                "savory-host",
+                threads,
+                daemon::run_host(settings, add_middleware),
+            )
         }
     }
 }
--- a/src/host/settings.rs
+++ b/src/host/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of `savory-host`.
+//! The settings of `savory-host`: their flags, defaults, permitted ranges and parsed values.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,59 +19,59 @@
 const SERVICE: SettingSpec = SettingSpec::required(
     "service",
     "NAME",
-    "The service whose backend server stands on this host",
+    "The service whose backend server runs on this host",
 );
 const ENGINE_DIALECT: SettingSpec = SettingSpec::required(
     "engine-dialect",
     "metrics_text|json_state|plain",
-    "What the backend server speaks; plain for a plain service",
+    "Protocol of the backend server; plain for a plain service",
 );
 const ENGINE_ADDRESS: SettingSpec = SettingSpec::required(
     "engine-address",
     "IP:PORT",
-    "Where the backend server listens",
+    "Address at which the backend server listens",
 );
 const ORIGIN_ADDRESS: SettingSpec = SettingSpec::optional(
     "origin-address",
     "IP:PORT",
     "",
-    "The origin of weights; required for model engines",
+    "Address of the origin of weights; required for model engines",
 );
 const STORE_ADDRESS: SettingSpec = SettingSpec::optional(
     "store-address",
     "IP:PORT",
     "",
-    "The platform's weight store, where there is one",
+    "Address of the platform's weight store, if it has one",
 );
 const LINK_BYTES: SettingSpec = SettingSpec::optional(
     "link-bytes-per-second",
     "BYTES",
     "0",
-    "What this host's link takes in each direction; 0 for no pacing",
+    "Capacity of this host's network link in each direction; 0 disables pacing",
 );
 const MEMORY_BYTES: SettingSpec = SettingSpec::optional(
     "memory-bytes",
     "BYTES",
     "17179869184",
-    "Bytes of weights that this process may hold",
+    "Memory that this process may use for weights",
 );
 const ENGINE_CHECK: SettingSpec = SettingSpec::optional(
     "engine-check-ms",
     "MILLISECONDS",
     "250",
-    "How often the backend server's state is read",
+    "Interval at which the backend server's state is read",
 );
 const RUNNING_MAX: SettingSpec = SettingSpec::optional(
     "running-max",
     "NUMBER",
     "16",
-    "Calls that a plain service runs at a time; engines say theirs",
+    "Concurrent calls of a plain service; engines report their own limit",
 );
 const WAITING_MAX: SettingSpec = SettingSpec::optional(
     "waiting-max",
     "NUMBER",
     "64",
-    "Requests that wait on this host at most",
+    "Largest number of requests that wait on this host",
 );
 /// Every setting of `savory-host`.
 pub(super) const SPECS: &[SettingSpec] = &[
@@ -97,7 +97,7 @@
     WAITING_MAX,
 ];
 
-const EXAMPLE: &str = "Example:
+const HELP_EXAMPLE: &str = "Example:
   savory-host --host-name lima-a-07 --data-centre lima-hall-a --region lima \\
     --peer-address 10.3.0.7:7400 --table-address 10.3.0.2:7000 \\
     --list-address 10.3.0.2:7002 \\
@@ -105,24 +105,24 @@
 
 Each flag is also an environment variable: --host-name is SAVORY_HOST_NAME.";
 
-/// What a backend server speaks.
+/// The protocol that a backend server speaks.
 #[apply(key!)]
 pub(super) enum EngineDialect {
-    /// State as Prometheus text.
+    /// A model engine that reports its state as Prometheus text.
     MetricsText,
-    /// State as JSON.
+    /// A model engine that reports its state as JSON.
     JsonState,
     /// A plain service.
     Plain,
 }
 
-/// The given text names no dialect.
+/// The error for a text that names no dialect.
 #[derive(Debug)]
 pub(super) struct UnknownDialect;
 
 impl fmt::Display for UnknownDialect {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("no such dialect")
+        formatter.write_str("unknown dialect")
     }
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// The settings of `savory-host`.
+/// The parsed settings of `savory-host`.
 pub(super) struct HostSettings {
     pub(super) common: CommonSettings,
     pub(super) service: ByteString,
@@ -147,24 +147,30 @@
     pub(super) engine_address: SocketAddr,
     pub(super) origin_address: Option<SocketAddr>,
     pub(super) store_address: Option<SocketAddr>,
+    /// Capacity of the host's link in each direction; 0 disables pacing.
     pub(super) link_bytes_per_second: u64,
+    /// Memory that this process may use for weights.
     pub(super) memory_bytes: u64,
+    /// Interval at which the backend server's state is read.
     pub(super) engine_check: Duration,
+    /// Largest number of concurrent calls of a plain service.
     pub(super) running_max: u32,
+    /// Largest number of requests that wait on this host.
     pub(super) waiting_max: usize,
 }
 
 impl HostSettings {
-    /// The command line.
+    /// Returns the definition of the command line.
     pub(super) fn command() -> Command {
         let command = Command::new("savory-host")
             .version(env!("CARGO_PKG_VERSION"))
-            .about("Runs beside one backend server: brings its weights, guards its requests")
-            .after_help(EXAMPLE);
+            .about("Runs next to one backend server: loads its weights and controls its requests")
+            .after_help(HELP_EXAMPLE);
         SettingReader::command(command, SPECS)
     }
 
-    /// Reads and checks every setting. Also says whether that was all that was asked.
+    /// Reads and checks every setting. The second value is whether the command line asks only for
+    /// this check.
     pub(super) fn read(matches: ArgMatches) -> (Result<Self, SettingsFaults>, bool) {
         let mut reader = SettingReader::new(matches, SPECS);
         let only_checks = reader.only_checks();
@@ -178,7 +184,7 @@
             link_bytes_per_second: reader.number(LINK_BYTES.flag, 0..=u64::MAX),
             memory_bytes: reader.number(MEMORY_BYTES.flag, 1..=u64::MAX),
             engine_check: reader.millis(ENGINE_CHECK.flag, 10..=60_000),
-            running_max: small(reader.number(RUNNING_MAX.flag, 1..=100_000)),
+            running_max: saturating_u32(reader.number(RUNNING_MAX.flag, 1..=100_000)),
             waiting_max: reader.count(WAITING_MAX.flag, 0..=100_000),
         };
         let needs_origin = settings.dialect != EngineDialect::Plain;
@@ -192,6 +198,6 @@
     }
 }
 
-fn small(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
