--- a/src/engines/engine_adapter.rs
+++ b/src/engines/engine_adapter.rs
@@ -106,7 +106,7 @@
     pub(crate) has_gap: bool,
 }
 
-/// A model engine.
+/// The interface to a model engine.
 pub(crate) trait EngineAdapter: Send + Sync + 'static {
     /// Reads the engine's fixed properties.
     fn read_profile(&self) -> BoxFuture<'_, SwitchResult<EngineProfile>>;
--- a/src/engines/engine_client.rs
+++ b/src/engines/engine_client.rs
@@ -63,7 +63,7 @@
 }
 
 impl EngineResponse {
-    /// Parses the body as JSON; `MessageInvalid` if it does not have this form.
+    /// Parses the body as JSON; `MessageInvalid` if it is not valid JSON for `T`.
     pub(super) fn json<T: DeserializeOwned>(&self) -> SwitchResult<T> {
         serde_json::from_slice(&self.body).map_err(|fault| invalid_message(&fault.to_string()))
     }
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// `PeerSilent` if the response is not complete within the timeout, and the errors of the
-    /// transport. A response without success is no error here.
+    /// transport. A response with an error status is returned like any other.
     pub(super) async fn request(
         &self,
         method: Method,
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// For a response without success, the errors of [`start_failure`]; otherwise as for
+    /// For a response with an error status, those of [`start_failure`]; otherwise as for
     /// [`Self::request`].
     pub(super) async fn stream<Q: Serialize>(
         &self,
@@ -233,8 +233,8 @@
     }
 }
 
-/// Returns the error for a request whose response is no success: `EngineRefused` for 503, 429 and
-/// 409, with which an engine refuses to start a request, `BadRequest` for other client errors, and
+/// Returns the error for a response with an error status: `EngineRefused` for 503, 429 and 409, by
+/// which an engine refuses to start a request, `BadRequest` for other client errors, and
 /// `EngineFailed` for the rest.
 async fn start_failure(response: Response) -> SwitchError {
     let status = response.status();
--- a/src/engines/plain_adapter.rs
+++ b/src/engines/plain_adapter.rs
@@ -47,7 +47,7 @@
     pub(crate) body: PlainBody,
 }
 
-/// A plain service.
+/// The interface to a plain service.
 pub(crate) trait PlainAdapter: Send + Sync + 'static {
     /// Forwards a call to the service and returns its answer.
     ///
@@ -58,7 +58,7 @@
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>>;
 }
 
-/// A plain service over HTTP.
+/// An adapter for plain services that speak HTTP.
 ///
 /// Each call uses a new connection. The service may close a persistent connection at the moment at
 /// which a call is written to it. Whether that call ran is then unknown, and if it is unrepeatable,
--- a/src/entry/caller_headers.rs
+++ b/src/entry/caller_headers.rs
@@ -29,6 +29,7 @@
     /// The account's key; never logged.
     pub(super) secret: ByteString,
     pub(super) priority: RequestPriority,
+    /// Requested deadline, in milliseconds from now; capped at what the service permits.
     pub(super) deadline_ms: Option<u64>,
     /// Calls of one account with the same order key are sent one at a time, in order of arrival.
     pub(super) order_key: Option<ByteString>,
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -79,7 +79,7 @@
         return Err(SwitchError::new(ErrorKind::BadRequest, detail));
     }
     let call = ServiceCall {
-        call: RunCall::Generate {
+        run_call: RunCall::Generate {
             prompt: prompt_of(&completion, form)?,
             max_tokens: completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             resume_from: 0,
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -50,7 +50,7 @@
 
 /// The call that a request makes to its service.
 pub(super) struct ServiceCall {
-    pub(super) call: RunCall,
+    pub(super) run_call: RunCall,
     /// Whether the call may run more than once.
     pub(super) repeatable: bool,
 }
@@ -154,7 +154,7 @@
             deadline: now + Duration::from_millis(deadline_ms),
             stream_end: now + Duration::from_millis(deadline_ms + deadlines.stream_ms),
             repeatable: call.repeatable,
-            call: call.call,
+            call: call.run_call,
             service: service.clone(),
         };
         let order = headers
--- a/src/entry/plain_call.rs
+++ b/src/entry/plain_call.rs
@@ -62,7 +62,7 @@
     }
     let body = state.read_body(body).await?;
     let call = ServiceCall {
-        call: RunCall::Forward {
+        run_call: RunCall::Forward {
             method: parts.method.as_str().into(),
             path: path.into(),
             headers: forwarded_headers(&parts.headers),
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// The components of the process that [`run_host`] needs once they have started.
+/// The handles to the started components that [`run_host`] needs.
 struct HostComponents {
     routes: Router,
     own_status: StatusBoard,
@@ -111,7 +111,7 @@
     }
 }
 
-/// What the weights thread uses of the other components.
+/// The other components that the weights thread uses.
 struct WeightsContext {
     engine: Arc<dyn EngineAdapter>,
     control: ControlHandle,
--- a/src/host/settings.rs
+++ b/src/host/settings.rs
@@ -147,9 +147,9 @@
     pub(super) engine_address: SocketAddr,
     pub(super) origin_address: Option<SocketAddr>,
     pub(super) store_address: Option<SocketAddr>,
-    /// Capacity of the host's link in each direction; 0 disables pacing.
+    /// Capacity of the host's link in each direction, in bytes per second; 0 disables pacing.
     pub(super) link_bytes_per_second: u64,
-    /// Memory that this process may use for weights.
+    /// Memory that this process may use for weights, in bytes.
     pub(super) memory_bytes: u64,
     /// Interval at which the backend server's state is read.
     pub(super) engine_check: Duration,
@@ -169,8 +169,8 @@
         SettingReader::command(command, SPECS)
     }
 
-    /// Reads and checks every setting. The second value is whether the command line asks only for
-    /// this check.
+    /// Reads and checks every setting. Also returns whether the command line requests only this
+    /// check, so that the process is not to start.
     pub(super) fn read(matches: ArgMatches) -> (Result<Self, SettingsFaults>, bool) {
         let mut reader = SettingReader::new(matches, SPECS);
         let only_checks = reader.only_checks();
