--- a/src/weights/weights_tasks.rs
+++ b/src/weights/weights_tasks.rs
@@ -14,7 +14,7 @@
 use super::version_routes;
 use crate::control::ControlHandle;
 use crate::daemon::DrainState;
-use crate::engines::EngineEdge;
+use crate::engines::EngineAdapter;
 use crate::guard::ServingGate;
 use crate::membership::StatusBoard;
 use crate::stores::{TableStore, WeightSource};
@@ -33,7 +33,7 @@
     /// The platform's table, which holds the rollout permits.
     pub(crate) table: Arc<dyn TableStore>,
     /// The engine colocated with this process.
-    pub(crate) engine: Arc<dyn EngineEdge>,
+    pub(crate) engine: Arc<dyn EngineAdapter>,
     /// Client for other processes.
     pub(crate) client: Arc<PeerClient>,
     /// The state of the control thread.
