--- a/src/delivery/answer_check.rs
+++ b/src/delivery/answer_check.rs
@@ -24,7 +24,7 @@
     /// The next bytes of a plain service's body.
     Body(Vec<u8>),
     /// The whole answer has come, and its digest fits.
-    Whole {
+    Complete {
         /// Why a model ended.
         reason: ByteString,
         /// How busy the host is.
@@ -96,7 +96,7 @@
             } => {
                 self.check_digest(digest)?;
                 self.ended = true;
-                Ok(CheckedPart::Whole { reason, load })
+                Ok(CheckedPart::Complete { reason, load })
             }
             RunPart::Broken { kind, detail } => {
                 self.ended = true;
@@ -106,7 +106,7 @@
     }
 
     /// The error for a body that ended without a last frame.
-    pub(crate) fn cut(&self) -> SwitchError {
+    pub(crate) fn truncation_error(&self) -> SwitchError {
         let detail = if self.started {
             "the answer ended without its last frame"
         } else {
--- a/src/delivery/attempt_plan.rs
+++ b/src/delivery/attempt_plan.rs
@@ -6,20 +6,20 @@
 use macro_rules_attribute::apply;
 
 use super::backoff::retry_wait;
-use super::messages::SettleReply;
+use super::messages::OutcomeReply;
 use crate::derives::{key, plain};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError};
 use crate::time::ClockTime;
 use crate::weights::WeightsDigest;
 
 /// An attempt gets this part of the time that is left to the deadline, as a divisor.
-const ATTEMPT_PART: u32 = 3;
+const ATTEMPT_TIME_DIVISOR: u32 = 3;
 /// What an attempt gets at least.
-const ATTEMPT_SHORTEST: Duration = Duration::from_secs(1);
+const ATTEMPT_TIME_MIN: Duration = Duration::from_secs(1);
 
 /// What does not change between a request's attempts.
 #[apply(key!)]
-pub(crate) struct PlanTraits {
+pub(crate) struct AttemptPolicy {
     /// Whether it may run again when it is not known whether it ran.
     pub(crate) repeatable: bool,
     /// Attempts at most.
@@ -39,7 +39,7 @@
         wait: Duration,
     },
     /// Ask the host, on a fresh connection, what became of the attempt.
-    Settle,
+    QueryOutcome,
     /// Tell the caller.
     GiveUp(SwitchError),
 }
@@ -47,27 +47,27 @@
 /// One request's attempts so far.
 #[derive(Debug)]
 pub(crate) struct AttemptPlan {
-    traits: PlanTraits,
+    policy: AttemptPolicy,
     attempts: u32,
     /// Whether an earlier attempt may have run.
     may_have_run: bool,
     /// Whether the newest attempt may have run: from its sending until a word that it has not.
-    in_doubt: bool,
+    is_uncertain: bool,
     /// Whether the caller has part of the answer.
-    passed_on: bool,
+    has_delivered: bool,
     tokens: u32,
     version: Option<WeightsDigest>,
 }
 
 impl AttemptPlan {
     /// The plan of a request that has not been sent yet.
-    pub(crate) const fn new(traits: PlanTraits) -> Self {
+    pub(crate) const fn new(policy: AttemptPolicy) -> Self {
         Self {
-            traits,
+            policy,
             attempts: 0,
             may_have_run: false,
-            in_doubt: false,
-            passed_on: false,
+            is_uncertain: false,
+            has_delivered: false,
             tokens: 0,
             version: None,
         }
@@ -81,15 +81,15 @@
     /// twice.
     pub(crate) fn begin_attempt(&mut self) {
         assert!(
-            self.traits.repeatable || !(self.may_have_run || self.in_doubt),
+            self.policy.repeatable || !(self.may_have_run || self.is_uncertain),
             "an unrepeatable call was about to be sent twice"
         );
-        self.may_have_run |= self.in_doubt;
+        self.may_have_run |= self.is_uncertain;
         if self.tokens == 0 {
             self.version = None;
         }
         self.attempts += 1;
-        self.in_doubt = true;
+        self.is_uncertain = true;
     }
 
     /// Notes which version of the weights the attempt runs on. Once the caller has tokens of one
@@ -104,13 +104,13 @@
 
     /// Notes that a token was passed on to the caller.
     pub(crate) const fn note_token(&mut self) {
-        self.passed_on = true;
+        self.has_delivered = true;
         self.tokens += 1;
     }
 
     /// Notes that the head of a plain answer was passed on to the caller.
     pub(crate) const fn note_head(&mut self) {
-        self.passed_on = true;
+        self.has_delivered = true;
     }
 
     /// Attempts that were sent.
@@ -119,8 +119,8 @@
     }
 
     /// Whether the caller has part of the answer.
-    pub(crate) const fn has_passed_on(&self) -> bool {
-        self.passed_on
+    pub(crate) const fn has_delivered_part(&self) -> bool {
+        self.has_delivered
     }
 
     /// Tokens that the caller has.
@@ -134,11 +134,11 @@
     }
 
     /// When the next byte is too late.
-    pub(crate) const fn limit(&self) -> ClockTime {
-        if self.passed_on {
-            self.traits.stream_end
+    pub(crate) const fn time_limit(&self) -> ClockTime {
+        if self.has_delivered {
+            self.policy.stream_end
         } else {
-            self.traits.deadline
+            self.policy.deadline
         }
     }
 
@@ -148,13 +148,13 @@
     /// server, is silent for good. The request would be held until its deadline, and nothing would
     /// be left of its time for another host. A repeatable one is given a part of it and tried
     /// elsewhere.
-    pub(crate) fn attempt_limit(&self, now: ClockTime) -> ClockTime {
-        let has_retries = self.attempts < self.traits.attempts_max;
-        if self.passed_on || !self.traits.repeatable || !has_retries {
-            return self.limit();
+    pub(crate) fn attempt_time_limit(&self, now: ClockTime) -> ClockTime {
+        let has_retries = self.attempts < self.policy.attempts_max;
+        if self.has_delivered || !self.policy.repeatable || !has_retries {
+            return self.time_limit();
         }
-        let part = self.traits.deadline.since(now) / ATTEMPT_PART;
-        (now + part.max(ATTEMPT_SHORTEST)).min(self.limit())
+        let part = self.policy.deadline.since(now) / ATTEMPT_TIME_DIVISOR;
+        (now + part.max(ATTEMPT_TIME_MIN)).min(self.time_limit())
     }
 
     /// Decides after `error`, the end of an attempt. `jitter` is random.
@@ -165,33 +165,33 @@
         jitter: u32,
     ) -> NextStep {
         if error.run_outcome() == RunOutcome::NotRun {
-            self.in_doubt = false;
+            self.is_uncertain = false;
         }
         if is_final(error.kind) {
             return self.give_up(error);
         }
-        if self.in_doubt && !self.traits.repeatable {
-            return self.settle_or_give_up(error);
+        if self.is_uncertain && !self.policy.repeatable {
+            return self.query_or_give_up(error);
         }
         self.retry_or_give_up(error, now, jitter)
     }
 
     /// Decides after the host's word about an attempt that ended with `error`. `None`: the host
     /// gave no word.
-    pub(crate) fn after_settling(
+    pub(crate) fn after_outcome_reply(
         &mut self,
         error: SwitchError,
-        reply: Option<&SettleReply>,
+        reply: Option<&OutcomeReply>,
         now: ClockTime,
         jitter: u32,
     ) -> NextStep {
         match reply {
-            Some(SettleReply::NotRun) => {
-                self.in_doubt = false;
+            Some(OutcomeReply::NotRun) => {
+                self.is_uncertain = false;
                 let error = error.with_outcome(RunOutcome::NotRun);
                 self.retry_or_give_up(error, now, jitter)
             }
-            Some(SettleReply::Running | SettleReply::Ran | SettleReply::NotKnown) | None => {
+            Some(OutcomeReply::Running | OutcomeReply::Ran | OutcomeReply::NotKnown) | None => {
                 self.give_up(error)
             }
         }
@@ -199,7 +199,7 @@
 
     /// The error that the caller gets: "not run" exactly when no attempt can have run.
     pub(crate) fn conclude(&self, error: SwitchError) -> SwitchError {
-        let may_have_run = self.may_have_run || self.in_doubt;
+        let may_have_run = self.may_have_run || self.is_uncertain;
         match (may_have_run, error.run_outcome()) {
             (true, RunOutcome::NotRun) => error.with_outcome(RunOutcome::NotKnown),
             (false, RunOutcome::NotKnown) => error.with_outcome(RunOutcome::NotRun),
@@ -207,19 +207,19 @@
         }
     }
 
-    fn settle_or_give_up(&self, error: SwitchError) -> NextStep {
-        if can_settle(error.kind) {
-            NextStep::Settle
+    fn query_or_give_up(&self, error: SwitchError) -> NextStep {
+        if can_query_outcome(error.kind) {
+            NextStep::QueryOutcome
         } else {
             self.give_up(error)
         }
     }
 
     fn retry_or_give_up(&self, error: SwitchError, now: ClockTime, jitter: u32) -> NextStep {
-        let can_go_on = (!self.passed_on || self.can_resume(&error)) && self.may_run_again();
+        let can_go_on = (!self.has_delivered || self.can_resume(&error)) && self.may_run_again();
         let wait = retry_wait(self.attempts, jitter, error.retry_after);
-        let in_time = now + wait < self.limit();
-        if can_go_on && in_time && self.attempts < self.traits.attempts_max {
+        let in_time = now + wait < self.time_limit();
+        if can_go_on && in_time && self.attempts < self.policy.attempts_max {
             NextStep::Retry { wait }
         } else {
             self.give_up(error)
@@ -228,15 +228,15 @@
 
     /// An unrepeatable call that may have run goes to nobody else, who could run it again.
     const fn may_run_again(&self) -> bool {
-        let may_have_run = self.may_have_run || self.in_doubt;
-        self.traits.repeatable || !may_have_run
+        let may_have_run = self.may_have_run || self.is_uncertain;
+        self.policy.repeatable || !may_have_run
     }
 
     /// A model's answer goes on behind the tokens that the caller has, on the version that made
     /// them. A plain answer cannot be gone on with, nor can one of which the caller may have
     /// damaged parts: it would come to a clean end with the damage inside.
     fn can_resume(&self, error: &SwitchError) -> bool {
-        self.traits.repeatable
+        self.policy.repeatable
             && self.resume_version().is_some()
             && error.kind != ErrorKind::AnswerDamaged
     }
@@ -247,7 +247,7 @@
 }
 
 /// Whether the host can be asked what became of the attempt.
-const fn can_settle(kind: ErrorKind) -> bool {
+const fn can_query_outcome(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::PeerSilent
--- a/src/delivery/placed_attempt.rs
+++ b/src/delivery/backend_slot.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::service_desk::ServiceDesk;
+use super::service_dispatcher::ServiceDispatcher;
 use crate::errors::ErrorKind;
 use crate::membership::LoadReport;
 use crate::routing::PickedBackend;
@@ -10,25 +10,25 @@
 
 /// A backend server's room that one attempt holds until it ends. Dropping it gives the room back
 /// without a word about the backend server.
-pub(crate) struct PlacedAttempt {
-    desk: Arc<ServiceDesk>,
+pub(crate) struct BackendSlot {
+    dispatcher: Arc<ServiceDispatcher>,
     picked: PickedBackend,
-    since: ClockTime,
+    acquired_at: ClockTime,
     cost: u64,
     has_ended: bool,
 }
 
-impl PlacedAttempt {
+impl BackendSlot {
     pub(super) const fn new(
-        desk: Arc<ServiceDesk>,
+        dispatcher: Arc<ServiceDispatcher>,
         picked: PickedBackend,
-        since: ClockTime,
+        acquired_at: ClockTime,
         cost: u64,
     ) -> Self {
         Self {
-            desk,
+            dispatcher,
             picked,
-            since,
+            acquired_at,
             cost,
             has_ended: false,
         }
@@ -42,31 +42,34 @@
     /// The attempt ended well.
     pub(crate) fn succeeded(mut self, load: LoadReport, now: ClockTime) {
         self.has_ended = true;
-        let took = now.since(self.since);
-        let mut state = self.desk.lock();
+        let took = now.since(self.acquired_at);
+        let mut state = self.dispatcher.lock();
         state
             .backends
             .note_success(self.picked.key, took, self.cost, Some(load), now);
         drop(state);
-        self.desk.dispatch(now);
+        self.dispatcher.dispatch(now);
     }
 
     /// The attempt failed.
     pub(crate) fn failed(mut self, kind: ErrorKind, now: ClockTime) {
         self.has_ended = true;
-        let mut state = self.desk.lock();
+        let mut state = self.dispatcher.lock();
         state.backends.note_failure(self.picked.key, kind, now);
         drop(state);
-        self.desk.dispatch(now);
+        self.dispatcher.dispatch(now);
     }
 }
 
-impl Drop for PlacedAttempt {
+impl Drop for BackendSlot {
     fn drop(&mut self) {
         if !self.has_ended {
             let now = clock_now();
-            self.desk.lock().backends.note_nothing(self.picked.key, now);
-            self.desk.dispatch(now);
+            self.dispatcher
+                .lock()
+                .backends
+                .note_inconclusive(self.picked.key, now);
+            self.dispatcher.dispatch(now);
         }
     }
 }
--- a/src/delivery/host_call.rs
+++ b/src/delivery/host_client.rs
@@ -9,7 +9,7 @@
 
 use super::answer_check::{AnswerCheck, CheckedPart};
 use super::events;
-use super::messages::{RunCall, RunFrame, RunOrder, SettleOrder, SettleReply};
+use super::messages::{OutcomeQuery, OutcomeReply, RunCall, RunFrame, RunOrder};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::metrics;
@@ -20,13 +20,13 @@
 
 /// The way to host processes.
 #[derive(Clone)]
-pub(crate) struct HostCaller {
+pub(crate) struct HostClient {
     client: Arc<PeerClient>,
     /// Hosts send a frame every 500 ms; one that sends none for this long is taken for silent.
     silence: Duration,
 }
 
-impl HostCaller {
+impl HostClient {
     /// A caller that takes a host for silent after `silence`.
     pub(crate) const fn new(client: Arc<PeerClient>, silence: Duration) -> Self {
         Self { client, silence }
@@ -57,11 +57,11 @@
 
     /// Asks the host process at `peer` what became of an attempt, on a fresh connection: the one
     /// on which the answer was lost may be silent for good. `None` when it gives no word.
-    pub(crate) async fn settle(
+    pub(crate) async fn query_outcome(
         &self,
         peer: SocketAddr,
-        order: &SettleOrder,
-    ) -> Option<SettleReply> {
+        order: &OutcomeQuery,
+    ) -> Option<OutcomeReply> {
         self.client.drop_pool(peer);
         let asked = self
             .client
@@ -70,7 +70,7 @@
         match asked {
             Ok(reply) => Some(reply),
             Err(error) => {
-                log_event!(events::NOT_SETTLED, "{peer}: {error}");
+                log_event!(events::OUTCOME_UNANSWERED, "{peer}: {error}");
                 None
             }
         }
@@ -83,14 +83,14 @@
         if error.kind == ErrorKind::PeerSilent {
             self.client.drop_pool(peer);
             metrics::count_event("silent_connection", 1);
-            log_event!(events::CONNECTION_SILENT, "{peer}");
+            log_event!(events::CONNECTION_UNRESPONSIVE, "{peer}");
         }
     }
 }
 
 /// The frames of one attempt. Dropping it before the end cancels the attempt.
 pub(crate) struct RunStream {
-    caller: HostCaller,
+    caller: HostClient,
     peer: SocketAddr,
     frames: FrameReader,
     check: AnswerCheck,
@@ -117,7 +117,7 @@
         let read = timeout(self.caller.silence, self.frames.next::<RunFrame>()).await;
         match read {
             Ok(Ok(Some(frame))) => self.check.take(frame),
-            Ok(Ok(None)) => Err(self.check.cut()),
+            Ok(Ok(None)) => Err(self.check.truncation_error()),
             Ok(Err(error)) if error.kind == ErrorKind::MessageInvalid => {
                 // The table's row for this kind says "not run", which holds for a refused order,
                 // not for an answer that cannot be read.
--- a/src/delivery/messages.rs
+++ b/src/delivery/messages.rs
@@ -1,6 +1,6 @@
 //! What an entry host and a host process say to each other about one attempt. `POST /peer/run`
-//! takes a [`RunOrder`] and answers with [`RunFrame`]s; `POST /peer/settle` takes a
-//! [`SettleOrder`] and answers with a [`SettleReply`].
+//! takes a [`RunOrder`] and answers with [`RunFrame`]s; `POST /peer/query_outcome` takes a
+//! [`OutcomeQuery`] and answers with a [`OutcomeReply`].
 
 use bytes::Bytes;
 use bytestring::ByteString;
@@ -26,7 +26,7 @@
     }
 
     /// When it was made, in wall-clock milliseconds of the entry host; 0 when it does not say.
-    pub(crate) fn made_ms(self) -> u64 {
+    pub(crate) fn created_ms(self) -> u64 {
         let Some(made) = self.0.get_timestamp() else {
             return 0;
         };
@@ -171,7 +171,7 @@
 /// Asks what became of an attempt whose answer was lost. The host process that has not seen the
 /// attempt remembers that it must not run, should it still arrive: only then is "not run" true.
 #[apply(message!)]
-pub(crate) struct SettleOrder {
+pub(crate) struct OutcomeQuery {
     /// The attempt.
     pub(crate) attempt: AttemptId,
     /// The process that it was sent to.
@@ -181,7 +181,7 @@
 /// What became of an attempt.
 #[apply(message!)]
 #[derive(Eq)]
-pub(crate) enum SettleReply {
+pub(crate) enum OutcomeReply {
     /// It has not run and will not.
     NotRun,
     /// It was handed to the backend server and may still run.
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -3,25 +3,25 @@
 
 mod answer_check;
 mod attempt_plan;
+mod backend_slot;
 mod backoff;
 pub(crate) mod events;
-mod host_call;
+mod host_client;
 mod messages;
-mod order_book;
-mod placed_attempt;
+mod order_tracker;
 mod request_job;
-mod request_run;
-mod service_desk;
+mod request_runner;
+mod service_dispatcher;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use answer_check::{AnswerCheck, CheckedPart};
-pub(crate) use attempt_plan::{AttemptPlan, NextStep, PlanTraits};
-pub(crate) use host_call::HostCaller;
+pub(crate) use attempt_plan::{AttemptPlan, AttemptPolicy, NextStep};
+pub(crate) use host_client::HostClient;
 pub(crate) use messages::{
-    AnswerDigest, AnswerHead, AttemptId, RunCall, RunFrame, RunOrder, RunPart, SettleOrder,
-    SettleReply,
+    AnswerDigest, AnswerHead, AttemptId, OutcomeQuery, OutcomeReply, RunCall, RunFrame, RunOrder,
+    RunPart,
 };
-pub(crate) use request_job::{CALLER_PARTS, CallerPart, RequestJob};
-pub(crate) use request_run::RequestRun;
-pub(crate) use service_desk::{AdmissionPass, ServiceDesk};
+pub(crate) use request_job::{CALLER_BUFFER_PARTS, CallerPart, RequestJob};
+pub(crate) use request_runner::RequestRunner;
+pub(crate) use service_dispatcher::{AdmissionPass, ServiceDispatcher};
--- a/src/delivery/order_book.rs
+++ b/src/delivery/order_tracker.rs
@@ -6,8 +6,8 @@
 
 /// One call's turn among those with its order key.
 #[apply(key!)]
-pub(crate) struct OrderTurn {
-    order: u64,
+pub(crate) struct OrderTicket {
+    order_key: u64,
     number: u64,
 }
 
@@ -18,38 +18,40 @@
 /// cancels nothing, then the wake-up runs. One would notice guests woken who had cancelled. A call
 /// therefore goes only when every earlier one with its order key has ended here.
 #[derive(Debug, Default)]
-pub(super) struct OrderBook {
+pub(super) struct OrderTracker {
     /// Sorted.
-    turns: Vec<OrderTurn>,
+    tickets: Vec<OrderTicket>,
     next: u64,
 }
 
-impl OrderBook {
-    /// Gives a call with the order key hashed to `order` its turn.
-    pub(super) fn enter(&mut self, order: u64) -> OrderTurn {
-        let turn = OrderTurn {
-            order,
+impl OrderTracker {
+    /// Gives a call with the order key hashed to `order_key` its turn.
+    pub(super) fn enter(&mut self, order_key: u64) -> OrderTicket {
+        let ticket = OrderTicket {
+            order_key,
             number: self.next,
         };
         self.next += 1;
-        if let Err(place) = self.turns.binary_search(&turn) {
-            self.turns.insert(place, turn);
+        if let Err(place) = self.tickets.binary_search(&ticket) {
+            self.tickets.insert(place, ticket);
         }
-        turn
+        ticket
     }
 
     /// Whether every earlier call with the same order key has ended.
-    pub(super) fn may_go(&self, turn: OrderTurn) -> bool {
-        match self.turns.binary_search(&turn) {
-            Ok(place) | Err(place) => place == 0 || self.turns[place - 1].order != turn.order,
+    pub(super) fn is_next(&self, ticket: OrderTicket) -> bool {
+        match self.tickets.binary_search(&ticket) {
+            Ok(place) | Err(place) => {
+                place == 0 || self.tickets[place - 1].order_key != ticket.order_key
+            }
         }
     }
 
     /// The call has ended. Returns whether it was still in the book.
-    pub(super) fn leave(&mut self, turn: OrderTurn) -> bool {
-        let found = self.turns.binary_search(&turn);
+    pub(super) fn leave(&mut self, ticket: OrderTicket) -> bool {
+        let found = self.tickets.binary_search(&ticket);
         if let Ok(place) = found {
-            self.turns.remove(place);
+            self.tickets.remove(place);
         }
         found.is_ok()
     }
--- a/src/delivery/request_job.rs
+++ b/src/delivery/request_job.rs
@@ -17,11 +17,11 @@
 use crate::time::ClockTime;
 
 /// Bytes of a prompt that name its beginning.
-const PREFIX_BYTES: usize = 256;
+const PREFIX_BYTES_MAX: usize = 256;
 /// Bytes of a prompt that make a token, roughly.
 const BYTES_PER_TOKEN: u64 = 4;
 /// What a plain service's call counts as, in tokens.
-const PLAIN_COST: u64 = 64;
+const PLAIN_COST_TOKENS: u64 = 64;
 
 /// One request, read and checked.
 #[derive(Clone, Debug)]
@@ -52,7 +52,7 @@
             RunCall::Generate {
                 prompt, max_tokens, ..
             } => prompt.len() as u64 / BYTES_PER_TOKEN + u64::from(*max_tokens) + 1,
-            RunCall::Forward { .. } => PLAIN_COST,
+            RunCall::Forward { .. } => PLAIN_COST_TOKENS,
         }
     }
 
@@ -60,7 +60,7 @@
     pub(super) fn prefix(&self) -> Option<u64> {
         match &self.call {
             RunCall::Generate { prompt, .. } if self.service.document.prefix_affinity => {
-                let end = prompt.floor_char_boundary(PREFIX_BYTES);
+                let end = prompt.floor_char_boundary(PREFIX_BYTES_MAX);
                 Some(name_hash(&prompt[..end]))
             }
             _ => None,
@@ -80,7 +80,7 @@
     /// The next bytes of a plain service's body.
     Body(Bytes),
     /// The answer is whole.
-    Whole {
+    Complete {
         /// Why a model ended.
         reason: ByteString,
     },
@@ -92,4 +92,4 @@
 pub(crate) type CallerSink = mpsc::Sender<CallerPart>;
 
 /// Parts that wait for a slow caller before the backend server's answer is read no further.
-pub(crate) const CALLER_PARTS: usize = 64;
+pub(crate) const CALLER_BUFFER_PARTS: usize = 64;
--- a/src/delivery/request_run.rs
+++ b/src/delivery/request_runner.rs
@@ -3,27 +3,27 @@
 use tokio::time::sleep;
 
 use super::answer_check::CheckedPart;
-use super::attempt_plan::{AttemptPlan, NextStep, PlanTraits};
+use super::attempt_plan::{AttemptPlan, AttemptPolicy, NextStep};
+use super::backend_slot::BackendSlot;
 use super::events;
-use super::host_call::{HostCaller, RunStream};
-use super::messages::{AttemptId, RunCall, RunOrder, SettleOrder};
-use super::placed_attempt::PlacedAttempt;
+use super::host_client::{HostClient, RunStream};
+use super::messages::{AttemptId, OutcomeQuery, RunCall, RunOrder};
 use super::request_job::{CallerPart, CallerSink, RequestJob};
-use super::service_desk::{AdmissionPass, PlaceWish};
+use super::service_dispatcher::{AdmissionPass, SlotRequest};
 use crate::admission::RetryCause;
 use crate::documents::RequestPriority;
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::membership::{LoadReport, ServingVersion};
 use crate::metrics;
-use crate::routing::{BackendKey, PickTarget, PickWish, PickedBackend};
+use crate::routing::{BackendKey, PickCriteria, PickTarget, PickedBackend};
 use crate::time::{ClockTime, clock_now};
 
 /// One request under way.
-pub(crate) struct RequestRun {
+pub(crate) struct RequestRunner {
     job: RequestJob,
     pass: AdmissionPass,
-    hosts: HostCaller,
+    hosts: HostClient,
     sink: CallerSink,
     plan: AttemptPlan,
     avoid: Option<BackendKey>,
@@ -31,28 +31,28 @@
     has_started: bool,
     /// The version that it runs on.
     serving: Option<ServingVersion>,
-    has_told_start: bool,
+    has_reported_start: bool,
 }
 
 /// How an attempt ended.
 enum AttemptEnd {
     /// The caller has the whole answer.
-    Whole,
+    Complete,
     /// The caller has left.
     CallerGone,
     /// It failed.
     Failed(SwitchError),
 }
 
-impl RequestRun {
+impl RequestRunner {
     /// A run of `job` that feeds `sink`.
     pub(crate) fn new(
         job: RequestJob,
         pass: AdmissionPass,
-        hosts: HostCaller,
+        hosts: HostClient,
         sink: CallerSink,
     ) -> Self {
-        let traits = PlanTraits {
+        let policy = AttemptPolicy {
             repeatable: job.repeatable,
             attempts_max: job.service.document.retry.attempts_max,
             deadline: job.deadline,
@@ -63,11 +63,11 @@
             pass,
             hosts,
             sink,
-            plan: AttemptPlan::new(traits),
+            plan: AttemptPlan::new(policy),
             avoid: None,
             has_started: false,
             serving: None,
-            has_told_start: false,
+            has_reported_start: false,
         }
     }
 
@@ -82,7 +82,7 @@
         };
         let failure = self.plan.conclude(failure);
         if failure.run_outcome() == RunOutcome::NotKnown && !self.job.repeatable {
-            log_event!(events::OUTCOME_NOT_KNOWN, "{failure}");
+            log_event!(events::OUTCOME_UNKNOWN, "{failure}");
         }
         // A caller that has left does not mind.
         let _ = self.sink.send(CallerPart::Failed(failure)).await;
@@ -90,11 +90,11 @@
 
     /// Places and runs one attempt. `Err(None)`: another attempt is due.
     async fn run_attempt(&mut self) -> Result<(), Option<SwitchError>> {
-        let wish = self.place_wish();
+        let request = self.slot_request();
         let asked = clock_now();
-        let placing = self.pass.place(&wish);
+        let placing = self.pass.place(&request);
         let placed = tokio::select! {
-            placed = placing => placed.map_err(|error| Some(refused(error)))?,
+            placed = placing => placed.map_err(|error| Some(count_routing_refusal(error)))?,
             () = self.sink.closed() => return Ok(()),
         };
         metrics::record_seconds("placing", clock_now().since(asked).as_secs_f64());
@@ -104,29 +104,29 @@
         self.has_started = false;
         self.serving = None;
         match self.carry_out(&order, placed).await {
-            AttemptEnd::Whole | AttemptEnd::CallerGone => Ok(()),
-            AttemptEnd::Failed(error) => Err(self.follow(error, &order, &picked).await),
+            AttemptEnd::Complete | AttemptEnd::CallerGone => Ok(()),
+            AttemptEnd::Failed(error) => Err(self.follow_failure(error, &order, &picked).await),
         }
     }
 
-    fn place_wish(&self) -> PlaceWish {
-        let pick = self.pick_wish();
+    fn slot_request(&self) -> SlotRequest {
+        let pick = self.pick_criteria();
         let is_retry = self.plan.attempts() > 0;
-        PlaceWish {
+        SlotRequest {
             pick,
             priority: self.job.priority,
             cost: self.job.cost(),
             skips_fair_queue: is_retry || pick.target != PickTarget::Any,
-            limit: self.plan.limit(),
+            time_limit: self.plan.time_limit(),
         }
     }
 
-    fn pick_wish(&self) -> PickWish {
+    fn pick_criteria(&self) -> PickCriteria {
         let target = match self.plan.resume_version() {
             Some(version) => PickTarget::Version(version),
             None => PickTarget::Any,
         };
-        PickWish {
+        PickCriteria {
             target,
             urgent: self.job.priority == RequestPriority::Urgent,
             prefix: self.job.prefix(),
@@ -136,7 +136,7 @@
 
     fn order(&self, picked: &PickedBackend) -> RunOrder {
         let job = &self.job;
-        let left = self.plan.limit().since(clock_now());
+        let left = self.plan.time_limit().since(clock_now());
         RunOrder {
             attempt: AttemptId::fresh(),
             request: job.request.clone(),
@@ -146,12 +146,12 @@
             priority: job.priority,
             deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
             repeatable: job.repeatable,
-            call: self.call_now(),
+            call: self.current_call(),
         }
     }
 
     /// The call, going on behind what the caller has.
-    fn call_now(&self) -> RunCall {
+    fn current_call(&self) -> RunCall {
         match self.job.call.clone() {
             RunCall::Generate {
                 prompt, max_tokens, ..
@@ -165,7 +165,7 @@
         }
     }
 
-    async fn carry_out(&mut self, order: &RunOrder, placed: PlacedAttempt) -> AttemptEnd {
+    async fn carry_out(&mut self, order: &RunOrder, placed: BackendSlot) -> AttemptEnd {
         let peer = placed.picked().peer;
         let hosts = self.hosts.clone();
         let ended = tokio::select! {
@@ -173,13 +173,13 @@
                 Ok(stream) => self.pass_on(stream).await,
                 Err(error) => Err(error),
             },
-            () = self.sink.closed() => Err(caller_gone()),
+            () = self.sink.closed() => Err(caller_left()),
         };
         let now = clock_now();
         match ended {
             Ok(load) => {
                 placed.succeeded(load, now);
-                AttemptEnd::Whole
+                AttemptEnd::Complete
             }
             Err(error) if error.kind == ErrorKind::CallerGone => AttemptEnd::CallerGone,
             Err(error) => {
@@ -192,19 +192,19 @@
     /// Passes an attempt's answer on to the caller. Returning drops the stream: when the caller has
     /// left or the time is over, the host learns of it by that.
     async fn pass_on(&mut self, mut stream: RunStream) -> SwitchResult<LoadReport> {
-        let first_limit = self.plan.attempt_limit(clock_now());
+        let first_limit = self.plan.attempt_time_limit(clock_now());
         loop {
-            let has_part = self.plan.has_passed_on();
-            let limit = if has_part {
-                self.plan.limit()
+            let has_part = self.plan.has_delivered_part();
+            let time_limit = if has_part {
+                self.plan.time_limit()
             } else {
                 first_limit
             };
-            let left = limit.since(clock_now());
+            let left = time_limit.since(clock_now());
             let part = tokio::select! {
                 part = stream.next() => part?,
-                () = self.sink.closed() => return Err(caller_gone()),
-                () = sleep(left) => return Err(self.too_late(limit)),
+                () = self.sink.closed() => return Err(caller_left()),
+                () = sleep(left) => return Err(self.timeout_error(time_limit)),
             };
             if let Some(load) = self.take_part(part).await? {
                 return Ok(load);
@@ -218,19 +218,19 @@
             CheckedPart::Alive | CheckedPart::Foreign => {}
             CheckedPart::Started(serving) => self.take_start(serving)?,
             CheckedPart::Head(head) => {
-                self.tell_start().await?;
+                self.report_start().await?;
                 self.plan.note_head();
                 self.send(CallerPart::Head(head)).await?;
             }
             CheckedPart::Token(text) => {
-                self.tell_start().await?;
+                self.report_start().await?;
                 self.plan.note_token();
                 self.send(CallerPart::Token(text)).await?;
             }
             CheckedPart::Body(bytes) => self.send(CallerPart::Body(bytes.into())).await?,
-            CheckedPart::Whole { reason, load } => {
-                self.tell_start().await?;
-                self.send(CallerPart::Whole { reason }).await?;
+            CheckedPart::Complete { reason, load } => {
+                self.report_start().await?;
+                self.send(CallerPart::Complete { reason }).await?;
                 return Ok(Some(load));
             }
         }
@@ -253,21 +253,21 @@
     /// Tells the caller which version answers, before the first part of the answer and not before:
     /// an attempt that fails without one may be followed by another on another version, or by a
     /// plain refusal.
-    async fn tell_start(&mut self) -> SwitchResult<()> {
-        if self.has_told_start {
+    async fn report_start(&mut self) -> SwitchResult<()> {
+        if self.has_reported_start {
             return Ok(());
         }
-        self.has_told_start = true;
+        self.has_reported_start = true;
         let serving = self.serving.take();
         self.send(CallerPart::Started(serving)).await
     }
 
     async fn send(&self, part: CallerPart) -> SwitchResult<()> {
-        self.sink.send(part).await.map_err(|_| caller_gone())
+        self.sink.send(part).await.map_err(|_| caller_left())
     }
 
     /// Follows a failed attempt; returns the error that the caller gets, if it was the last.
-    async fn follow(
+    async fn follow_failure(
         &mut self,
         error: SwitchError,
         order: &RunOrder,
@@ -278,13 +278,13 @@
             .plan
             .after_failure(error.clone(), clock_now(), rand::random());
         let step = match step {
-            NextStep::Settle => self.settle(error, order, picked).await,
+            NextStep::QueryOutcome => self.query_outcome(error, order, picked).await,
             step => step,
         };
         let wait = match step {
             NextStep::Retry { wait } => wait,
             NextStep::GiveUp(error) => return Some(error),
-            NextStep::Settle => return Some(self.plan.conclude(settled_twice())),
+            NextStep::QueryOutcome => return Some(self.plan.conclude(second_query_error())),
         };
         let cause = if self.has_started {
             RetryCause::Interrupted
@@ -302,23 +302,23 @@
         None
     }
 
-    async fn settle(
+    async fn query_outcome(
         &mut self,
         error: SwitchError,
         order: &RunOrder,
         picked: &PickedBackend,
     ) -> NextStep {
-        let question = SettleOrder {
+        let question = OutcomeQuery {
             attempt: order.attempt,
             incarnation: order.incarnation,
         };
-        let reply = self.hosts.settle(picked.peer, &question).await;
+        let reply = self.hosts.query_outcome(picked.peer, &question).await;
         self.plan
-            .after_settling(error, reply.as_ref(), clock_now(), rand::random())
+            .after_outcome_reply(error, reply.as_ref(), clock_now(), rand::random())
     }
 
-    fn too_late(&self, limit: ClockTime) -> SwitchError {
-        if limit < self.plan.limit() {
+    fn timeout_error(&self, time_limit: ClockTime) -> SwitchError {
+        if time_limit < self.plan.time_limit() {
             let detail = "the host is alive, but no answer came in the attempt's part of the time";
             // One that still waits at the host says nothing against it.
             let kind = if self.has_started {
@@ -328,7 +328,7 @@
             };
             return SwitchError::new(kind, detail);
         }
-        let detail = if self.plan.has_passed_on() {
+        let detail = if self.plan.has_delivered_part() {
             "the answer took longer than a stream may"
         } else {
             "no answer came by the deadline"
@@ -337,16 +337,16 @@
     }
 }
 
-fn caller_gone() -> SwitchError {
+fn caller_left() -> SwitchError {
     SwitchError::new(ErrorKind::CallerGone, "the caller left")
 }
 
-fn settled_twice() -> SwitchError {
+fn second_query_error() -> SwitchError {
     SwitchError::new(ErrorKind::Internal, "an attempt was to be settled twice")
 }
 
 /// Counts a refusal for want of a backend server.
-fn refused(error: SwitchError) -> SwitchError {
+fn count_routing_refusal(error: SwitchError) -> SwitchError {
     metrics::count_refusal(error.kind, "routing");
     error
 }
--- a/src/delivery/service_desk.rs
+++ b/src/delivery/service_dispatcher.rs
@@ -9,8 +9,8 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::order_book::{OrderBook, OrderTurn};
-use super::placed_attempt::PlacedAttempt;
+use super::backend_slot::BackendSlot;
+use super::order_tracker::{OrderTicket, OrderTracker};
 use crate::admission::{
     AccountKey, AdmissionState, DispatchOutcome, QueuedRequest, RetryCause, TicketKey,
 };
@@ -20,18 +20,18 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::membership::HostIdentity;
 use crate::metrics;
-use crate::routing::{BackendPool, NoPick, PickWish, PickedBackend, entry_count};
+use crate::routing::{BackendPool, PickCriteria, PickFailure, PickedBackend, entry_count};
 use crate::time::{ClockTime, clock_now};
 
 /// How long a request waits while no backend server could take it at all. One that restarts or
 /// changes its version is back soon; for what takes longer the caller is told.
-const NOBODY_LIMIT: Duration = Duration::from_secs(2);
+const NONE_ELIGIBLE_WAIT: Duration = Duration::from_secs(2);
 
 /// What a request wants of its place.
 #[apply(key!)]
-pub(crate) struct PlaceWish {
+pub(crate) struct SlotRequest {
     /// Where it may go.
-    pub(crate) pick: PickWish,
+    pub(crate) pick: PickCriteria,
     /// How urgent it is.
     pub(crate) priority: RequestPriority,
     /// Its estimated cost, in tokens.
@@ -39,49 +39,49 @@
     /// Whether it goes before first attempts.
     pub(crate) skips_fair_queue: bool,
     /// When waiting longer is no use.
-    pub(crate) limit: ClockTime,
+    pub(crate) time_limit: ClockTime,
 }
 
 /// What decides where a waiting request may go.
 #[apply(key!)]
-struct WaitTarget {
-    pick: PickWish,
-    turn: Option<OrderTurn>,
+struct DispatchTarget {
+    pick: PickCriteria,
+    order_ticket: Option<OrderTicket>,
 }
 
 /// Who waits for the place of a ticket.
-struct TicketWaiter {
+struct SlotWaiter {
     ticket: TicketKey,
     cost: u64,
-    sender: oneshot::Sender<PlacedAttempt>,
+    sender: oneshot::Sender<BackendSlot>,
     /// What stood in the way last.
-    obstacle: NoPick,
+    last_failure: PickFailure,
 }
 
 /// The state shared by all requests for one service.
-pub(crate) struct ServiceDesk {
+pub(crate) struct ServiceDispatcher {
     name: ByteString,
-    state: Mutex<DeskState>,
+    state: Mutex<DispatcherState>,
 }
 
-pub(super) struct DeskState {
-    admission: AdmissionState<WaitTarget>,
+pub(super) struct DispatcherState {
+    admission: AdmissionState<DispatchTarget>,
     pub(super) backends: BackendPool,
-    orders: OrderBook,
+    orders: OrderTracker,
     /// By the ticket's place.
-    waiters: Vec<Option<TicketWaiter>>,
+    waiters: Vec<Option<SlotWaiter>>,
     generation: Option<u64>,
 }
 
-impl ServiceDesk {
+impl ServiceDispatcher {
     /// The desk of service `name`; `seed` makes its random choices.
     pub(crate) fn new(name: ByteString, seed: u64) -> Self {
         Self {
             name,
-            state: Mutex::new(DeskState {
+            state: Mutex::new(DispatcherState {
                 admission: AdmissionState::new(),
                 backends: BackendPool::new(seed),
-                orders: OrderBook::default(),
+                orders: OrderTracker::default(),
                 waiters: Vec::new(),
                 generation: None,
             }),
@@ -118,12 +118,12 @@
     ) -> SwitchResult<AdmissionPass> {
         let mut state = self.lock();
         let account = state.admission.admit(account, priority, now)?;
-        let turn = order.map(|order| state.orders.enter(order));
+        let order_ticket = order.map(|order| state.orders.enter(order));
         drop(state);
         Ok(AdmissionPass {
-            desk: self.clone(),
+            dispatcher: self.clone(),
             account,
-            turn,
+            order_ticket,
         })
     }
 
@@ -132,7 +132,7 @@
         let placed = self.lock().dispatch(now);
         // Outside of the lock: a waiter that has left drops its place, which takes the lock.
         for (waiter, picked) in placed {
-            let attempt = PlacedAttempt::new(self.clone(), picked, now, waiter.cost);
+            let attempt = BackendSlot::new(self.clone(), picked, now, waiter.cost);
             let _ = waiter.sender.send(attempt);
         }
     }
@@ -148,12 +148,12 @@
         }
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, DeskState> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, DispatcherState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl DeskState {
+impl DispatcherState {
     fn refresh(
         &mut self,
         snapshot: &ControlSnapshot,
@@ -170,7 +170,7 @@
         self.backends.refresh(snapshot, document, identity, now);
     }
 
-    fn dispatch(&mut self, now: ClockTime) -> Vec<(TicketWaiter, PickedBackend)> {
+    fn dispatch(&mut self, now: ClockTime) -> Vec<(SlotWaiter, PickedBackend)> {
         let mut placed = Vec::new();
         if self.admission.is_empty() {
             return placed;
@@ -182,10 +182,13 @@
             waiters,
             ..
         } = self;
-        admission.dispatch(now, |ticket, wish| {
+        admission.dispatch(now, |ticket, request| {
             let slot = &mut waiters[ticket.place()];
-            let target = &wish.target;
-            if target.turn.is_some_and(|turn| !orders.may_go(turn)) {
+            let target = &request.target;
+            if target
+                .order_ticket
+                .is_some_and(|order_ticket| !orders.is_next(order_ticket))
+            {
                 return DispatchOutcome::Full;
             }
             match backends.pick(&target.pick, now) {
@@ -195,9 +198,9 @@
                     placed.push((waiter, picked));
                     DispatchOutcome::Placed
                 }
-                Err(obstacle) => {
+                Err(last_failure) => {
                     if let Some(waiter) = slot {
-                        waiter.obstacle = obstacle;
+                        waiter.last_failure = last_failure;
                     }
                     DispatchOutcome::Full
                 }
@@ -206,40 +209,40 @@
         placed
     }
 
-    fn add_waiter(&mut self, ticket: TicketKey, cost: u64, sender: oneshot::Sender<PlacedAttempt>) {
+    fn add_waiter(&mut self, ticket: TicketKey, cost: u64, sender: oneshot::Sender<BackendSlot>) {
         let place = ticket.place();
         if place >= self.waiters.len() {
             self.waiters.resize_with(place + 1, || None);
         }
-        self.waiters[place] = Some(TicketWaiter {
+        self.waiters[place] = Some(SlotWaiter {
             ticket,
             cost,
             sender,
-            obstacle: NoPick::Full,
+            last_failure: PickFailure::Full,
         });
     }
 
     /// Takes a request that waits no longer out. Returns what stood in its way, unless it has just
     /// been placed.
-    fn give_up(&mut self, ticket: TicketKey) -> Option<NoPick> {
+    fn give_up(&mut self, ticket: TicketKey) -> Option<PickFailure> {
         if !self.admission.dequeue(ticket) {
             return None;
         }
         let waiter = self.waiters[ticket.place()].take();
-        waiter.map(|waiter| waiter.obstacle)
+        waiter.map(|waiter| waiter.last_failure)
     }
 
-    fn obstacle(&self, ticket: TicketKey) -> Option<NoPick> {
+    fn last_failure(&self, ticket: TicketKey) -> Option<PickFailure> {
         let waiter = self.waiters[ticket.place()].as_ref()?;
-        (waiter.ticket == ticket).then_some(waiter.obstacle)
+        (waiter.ticket == ticket).then_some(waiter.last_failure)
     }
 }
 
 /// One request's leave to be here: holds its account's limits until it is dropped.
 pub(crate) struct AdmissionPass {
-    desk: Arc<ServiceDesk>,
+    dispatcher: Arc<ServiceDispatcher>,
     account: AccountKey,
-    turn: Option<OrderTurn>,
+    order_ticket: Option<OrderTicket>,
 }
 
 impl AdmissionPass {
@@ -248,67 +251,70 @@
     /// # Errors
     ///
     /// `QueueFull` and `DeadlineUnreachable` at once; later `DeadlineUnreachable` or `NoBackend`.
-    pub(crate) async fn place(&self, wish: &PlaceWish) -> SwitchResult<PlacedAttempt> {
+    pub(crate) async fn place(&self, request: &SlotRequest) -> SwitchResult<BackendSlot> {
         let now = clock_now();
         let (sender, mut receiver) = oneshot::channel();
-        let ticket = self.enqueue(wish, sender, now)?;
+        let ticket = self.enqueue(request, sender, now)?;
         let guard = WaitGuard { pass: self, ticket };
-        self.desk.dispatch(now);
-        let left = wish.limit.since(now);
-        if let Ok(placed) = timeout(left.min(NOBODY_LIMIT), &mut receiver).await {
-            return placed.map_err(|_| lost_waiter());
+        self.dispatcher.dispatch(now);
+        let left = request.time_limit.since(now);
+        if let Ok(placed) = timeout(left.min(NONE_ELIGIBLE_WAIT), &mut receiver).await {
+            return placed.map_err(|_| dropped_waiter_error());
         }
-        let obstacle = self.desk.lock().obstacle(ticket);
-        if obstacle != Some(NoPick::Nobody)
-            && let Ok(placed) = timeout(left.saturating_sub(NOBODY_LIMIT), &mut receiver).await
+        let last_failure = self.dispatcher.lock().last_failure(ticket);
+        if last_failure != Some(PickFailure::NoneEligible)
+            && let Ok(placed) =
+                timeout(left.saturating_sub(NONE_ELIGIBLE_WAIT), &mut receiver).await
         {
-            return placed.map_err(|_| lost_waiter());
+            return placed.map_err(|_| dropped_waiter_error());
         }
         match guard.give_up() {
-            Some(obstacle) => Err(refusal(obstacle)),
+            Some(last_failure) => Err(pick_error(last_failure)),
             // It was placed in this very moment.
-            None => receiver.await.map_err(|_| lost_waiter()),
+            None => receiver.await.map_err(|_| dropped_waiter_error()),
         }
     }
 
     /// Takes one retry from the budgets, if both have one.
     pub(crate) fn spend_retry(&self, cause: RetryCause) -> bool {
-        let mut state = self.desk.lock();
+        let mut state = self.dispatcher.lock();
         state.admission.spend_retry(self.account, cause)
     }
 
     fn enqueue(
         &self,
-        wish: &PlaceWish,
-        sender: oneshot::Sender<PlacedAttempt>,
+        request: &SlotRequest,
+        sender: oneshot::Sender<BackendSlot>,
         now: ClockTime,
     ) -> SwitchResult<TicketKey> {
-        let mut state = self.desk.lock();
+        let mut state = self.dispatcher.lock();
         let wait = QueuedRequest {
             account: self.account,
-            priority: wish.priority,
-            cost: wish.cost,
-            deadline: wish.limit,
-            skips_fair_queue: wish.skips_fair_queue,
-            target: WaitTarget {
-                pick: wish.pick,
-                turn: self.turn,
+            priority: request.priority,
+            cost: request.cost,
+            deadline: request.time_limit,
+            skips_fair_queue: request.skips_fair_queue,
+            target: DispatchTarget {
+                pick: request.pick,
+                order_ticket: self.order_ticket,
             },
         };
         let ticket = state.admission.enqueue(wait, now)?;
-        state.add_waiter(ticket, wish.cost, sender);
+        state.add_waiter(ticket, request.cost, sender);
         Ok(ticket)
     }
 }
 
 impl Drop for AdmissionPass {
     fn drop(&mut self) {
-        let mut state = self.desk.lock();
+        let mut state = self.dispatcher.lock();
         state.admission.release(self.account);
-        let was_first = self.turn.is_some_and(|turn| state.orders.leave(turn));
+        let was_first = self
+            .order_ticket
+            .is_some_and(|order_ticket| state.orders.leave(order_ticket));
         drop(state);
         if was_first {
-            self.desk.dispatch(clock_now());
+            self.dispatcher.dispatch(clock_now());
         }
     }
 }
@@ -320,8 +326,8 @@
 }
 
 impl WaitGuard<'_> {
-    fn give_up(&self) -> Option<NoPick> {
-        self.pass.desk.lock().give_up(self.ticket)
+    fn give_up(&self) -> Option<PickFailure> {
+        self.pass.dispatcher.lock().give_up(self.ticket)
     }
 }
 
@@ -331,19 +337,19 @@
     }
 }
 
-fn refusal(obstacle: NoPick) -> SwitchError {
-    match obstacle {
-        NoPick::Nobody => {
+fn pick_error(last_failure: PickFailure) -> SwitchError {
+    match last_failure {
+        PickFailure::NoneEligible => {
             let detail = "no backend server can take it";
             SwitchError::new(ErrorKind::NoBackend, detail)
         }
-        NoPick::Full => {
+        PickFailure::Full => {
             let detail = "no backend server had room in time";
             SwitchError::new(ErrorKind::DeadlineUnreachable, detail)
         }
     }
 }
 
-fn lost_waiter() -> SwitchError {
+fn dropped_waiter_error() -> SwitchError {
     SwitchError::new(ErrorKind::Internal, "a waiting request lost its place")
 }
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::backoff::retry_wait;
-use super::order_book::OrderBook;
+use super::order_tracker::OrderTracker;
 use super::{
-    AnswerCheck, AttemptId, AttemptPlan, NextStep, PlanTraits, RunFrame, RunPart, SettleReply,
+    AnswerCheck, AttemptId, AttemptPlan, AttemptPolicy, NextStep, OutcomeReply, RunFrame, RunPart,
 };
 use crate::errors::{ErrorKind, RunOutcome, SwitchError};
 use crate::lab::soak::delivery::run_case;
@@ -50,19 +50,19 @@
 /// cancel, which is urgent, goes past it. Cause: priority was put before the order of the key.
 #[test]
 fn calls_of_one_order_key_go_one_after_the_other() {
-    let mut book = OrderBook::default();
-    let wake_up = book.enter(7);
-    let other = book.enter(9);
-    let cancel = book.enter(7);
-    assert!(book.may_go(wake_up) && book.may_go(other));
-    assert!(!book.may_go(cancel));
-    assert!(book.leave(wake_up));
-    assert!(book.may_go(cancel));
-    assert!(!book.leave(wake_up));
+    let mut tracker = OrderTracker::default();
+    let wake_up = tracker.enter(7);
+    let other = tracker.enter(9);
+    let cancel = tracker.enter(7);
+    assert!(tracker.is_next(wake_up) && tracker.is_next(other));
+    assert!(!tracker.is_next(cancel));
+    assert!(tracker.leave(wake_up));
+    assert!(tracker.is_next(cancel));
+    assert!(!tracker.leave(wake_up));
 }
 
 fn plan_of(repeatable: bool) -> AttemptPlan {
-    AttemptPlan::new(PlanTraits {
+    AttemptPlan::new(AttemptPolicy {
         repeatable,
         attempts_max: 3,
         deadline: ClockTime::from_millis(5_000),
@@ -82,8 +82,8 @@
 fn a_silent_attempt_that_never_ran_is_tried_elsewhere() {
     let mut plan = plan_of(false);
     plan.begin_attempt();
-    assert_eq!(plan.after_failure(silent(), NOW, 0), NextStep::Settle);
-    let step = plan.after_settling(silent(), Some(&SettleReply::NotRun), NOW, 0);
+    assert_eq!(plan.after_failure(silent(), NOW, 0), NextStep::QueryOutcome);
+    let step = plan.after_outcome_reply(silent(), Some(&OutcomeReply::NotRun), NOW, 0);
     assert!(matches!(step, NextStep::Retry { .. }), "{step:?}");
 }
 
@@ -92,14 +92,14 @@
 #[test]
 fn an_unrepeatable_call_that_ran_is_sent_to_nobody_else() {
     for reply in [
-        SettleReply::Ran,
-        SettleReply::Running,
-        SettleReply::NotKnown,
+        OutcomeReply::Ran,
+        OutcomeReply::Running,
+        OutcomeReply::NotKnown,
     ] {
         let mut plan = plan_of(false);
         plan.begin_attempt();
-        assert_eq!(plan.after_failure(silent(), NOW, 0), NextStep::Settle);
-        let step = plan.after_settling(silent(), Some(&reply), NOW, 0);
+        assert_eq!(plan.after_failure(silent(), NOW, 0), NextStep::QueryOutcome);
+        let step = plan.after_outcome_reply(silent(), Some(&reply), NOW, 0);
         let NextStep::GiveUp(error) = step else {
             panic!("{step:?}");
         };
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -167,7 +167,7 @@
                     text.push_str(&token);
                     tokens += 1;
                 }
-                Some(CallerPart::Whole { reason, .. }) => {
+                Some(CallerPart::Complete { reason, .. }) => {
                     let value = self.whole_value(&text, &reason, tokens);
                     return Ok(json_reply(StatusCode::OK, &value));
                 }
@@ -197,7 +197,7 @@
             CallerPart::Token(text) => {
                 BodyStep::Bytes(event(&self.chunk_value(Some(&text), None)).into())
             }
-            CallerPart::Whole { reason, .. } => {
+            CallerPart::Complete { reason, .. } => {
                 let last = event(&self.chunk_value(None, Some(&reason)));
                 BodyStep::Last(format!("{last}{DONE}").into())
             }
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -14,7 +14,7 @@
 use super::traffic::EntryTraffic;
 use crate::control::{ControlEdges, ControlHandle, start_control};
 use crate::daemon::{DrainState, hold_stop_signals, probe_routes, run_process};
-use crate::delivery::{HostCaller, events};
+use crate::delivery::{HostClient, events};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::gateway::run_gateway;
@@ -80,7 +80,7 @@
     let drain = settings.common.drain_state();
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let (control, board) = start_own_control(&settings, &client, &drain);
-    let hosts = HostCaller::new(client, settings.silence);
+    let hosts = HostClient::new(client, settings.silence);
     let limit = settings.body_limit;
     let traffic = Arc::new(EntryTraffic::new(
         control.identity().clone(),
--- a/src/entry/plain_call.rs
+++ b/src/entry/plain_call.rs
@@ -159,7 +159,7 @@
 fn plain_step(part: CallerPart) -> BodyStep {
     match part {
         CallerPart::Body(bytes) => BodyStep::Bytes(bytes),
-        CallerPart::Whole { .. } => BodyStep::Last(Bytes::new()),
+        CallerPart::Complete { .. } => BodyStep::Last(Bytes::new()),
         CallerPart::Failed(error) => BodyStep::Break(error.to_string()),
         CallerPart::Started(_) | CallerPart::Head(_) | CallerPart::Token(_) => BodyStep::Skip,
     }
--- a/src/entry/tests/fake_host.rs
+++ b/src/entry/tests/fake_host.rs
@@ -14,8 +14,8 @@
 use crate::control::{ControlSnapshot, MemberRecord, ServiceRecord, SharedSnapshot};
 use crate::daemon::DrainState;
 use crate::delivery::{
-    AnswerDigest, AnswerHead, AttemptId, HostCaller, RunCall, RunFrame, RunOrder, RunPart,
-    SettleOrder, SettleReply,
+    AnswerDigest, AnswerHead, AttemptId, HostClient, OutcomeQuery, OutcomeReply, RunCall, RunFrame,
+    RunOrder, RunPart,
 };
 use crate::documents::{RouteSpec, ServiceDocument, ServiceKind};
 use crate::entry::routes::caller_routes;
@@ -70,9 +70,9 @@
         let run =
             move |request: Request| take_order(request, way, kept.clone(), left_sender.clone());
         let settle = async |request: Request| {
-            let asked = read_message::<SettleOrder>(request.into_body(), LIMIT).await;
+            let asked = read_message::<OutcomeQuery>(request.into_body(), LIMIT).await;
             assert!(asked.is_ok());
-            message_reply(&SettleReply::NotRun)
+            message_reply(&OutcomeReply::NotRun)
         };
         let router = Router::new()
             .route("/peer/run", post(run))
@@ -122,7 +122,7 @@
         table_answers: true,
     });
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
-    let caller = HostCaller::new(client, SILENCE);
+    let caller = HostClient::new(client, SILENCE);
     let traffic = EntryTraffic::new(entry(0), snapshot, caller, no_drain(), LIMIT);
     let traffic = Arc::new(traffic);
     let kept = traffic.clone();
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -16,8 +16,8 @@
 use crate::control::{ServiceRecord, SharedSnapshot};
 use crate::daemon::DrainState;
 use crate::delivery::{
-    AdmissionPass, CALLER_PARTS, CallerPart, HostCaller, RequestJob, RequestRun, RunCall,
-    ServiceDesk,
+    AdmissionPass, CALLER_BUFFER_PARTS, CallerPart, HostClient, RequestJob, RequestRunner, RunCall,
+    ServiceDispatcher,
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::membership::HostIdentity;
@@ -36,12 +36,12 @@
 pub(super) struct EntryTraffic {
     identity: HostIdentity,
     snapshot: SharedSnapshot,
-    hosts: HostCaller,
+    hosts: HostClient,
     drain: DrainState,
     refuses: AtomicBool,
     body_limit: usize,
     /// The desk of each service, sorted by its name.
-    desks: RwLock<Vec<(ByteString, Arc<ServiceDesk>)>>,
+    desks: RwLock<Vec<(ByteString, Arc<ServiceDispatcher>)>>,
 }
 
 /// What a request's call is, once its service is known.
@@ -54,7 +54,7 @@
     pub(super) fn new(
         identity: HostIdentity,
         snapshot: SharedSnapshot,
-        hosts: HostCaller,
+        hosts: HostClient,
         drain: DrainState,
         body_limit: usize,
     ) -> Self {
@@ -133,8 +133,8 @@
         let order = head.order_key.as_ref().map(|key| order_hash(&job, key));
         let desk = self.desk(&service.document.service, now);
         let pass = self.admit(&desk, &job, order, now)?;
-        let (sink, parts) = mpsc::channel(CALLER_PARTS);
-        let run = RequestRun::new(job, pass, self.hosts.clone(), sink);
+        let (sink, parts) = mpsc::channel(CALLER_BUFFER_PARTS);
+        let run = RequestRunner::new(job, pass, self.hosts.clone(), sink);
         let under_way = self.drain.enter();
         tokio::spawn(async move {
             run.run().await;
@@ -147,7 +147,7 @@
     /// behind.
     fn admit(
         &self,
-        desk: &Arc<ServiceDesk>,
+        desk: &Arc<ServiceDispatcher>,
         job: &RequestJob,
         order: Option<u64>,
         now: ClockTime,
@@ -180,14 +180,14 @@
         }
     }
 
-    fn all_desks(&self) -> Vec<Arc<ServiceDesk>> {
+    fn all_desks(&self) -> Vec<Arc<ServiceDispatcher>> {
         let desks = self.desks.read().unwrap_or_else(PoisonError::into_inner);
         desks.iter().map(|(_, desk)| desk.clone()).collect()
     }
 
     /// The desk of a service. One that has just been made takes the control state at once; later
     /// changes come with the next step of [`Self::keep_desks`].
-    fn desk(&self, name: &ByteString, now: ClockTime) -> Arc<ServiceDesk> {
+    fn desk(&self, name: &ByteString, now: ClockTime) -> Arc<ServiceDispatcher> {
         let (desk, is_new) = self.find_desk(name);
         if is_new {
             desk.refresh(&self.snapshot.load(), &self.identity, now);
@@ -195,7 +195,7 @@
         desk
     }
 
-    fn find_desk(&self, name: &ByteString) -> (Arc<ServiceDesk>, bool) {
+    fn find_desk(&self, name: &ByteString) -> (Arc<ServiceDispatcher>, bool) {
         {
             let desks = self.desks.read().unwrap_or_else(PoisonError::into_inner);
             if let Ok(place) = desks.binary_search_by(|(known, _)| known.cmp(name)) {
@@ -206,7 +206,7 @@
         match desks.binary_search_by(|(known, _)| known.cmp(name)) {
             Ok(place) => (desks[place].1.clone(), false),
             Err(place) => {
-                let desk = Arc::new(ServiceDesk::new(name.clone(), rand::random()));
+                let desk = Arc::new(ServiceDispatcher::new(name.clone(), rand::random()));
                 desks.insert(place, (name.clone(), desk.clone()));
                 (desk, true)
             }
--- a/src/fleet/backend_desk.rs
+++ b/src/fleet/backend_desk.rs
@@ -243,7 +243,7 @@
         let turn = self.get(key).map(|record| record.turn(&place));
         let unread = need.work.map_or(0, |work| work.prompt_tokens);
         let record = self.get_mut(key).ok_or(PickRefusal::Nobody)?;
-        record.breaker.note_passed(now);
+        record.breaker.note_sent(now);
         record.note_sent(unread);
         if let Some(LimitTurn::Open(begun)) = turn {
             record.limit.note_used(begun);
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -195,7 +195,7 @@
 
     /// Whether it may get requests at `now`.
     pub(super) fn is_open(&self, now: ClockTime) -> bool {
-        !self.is_loading(now) && self.rest_until <= now && self.breaker.lets_pass(now)
+        !self.is_loading(now) && self.rest_until <= now && self.breaker.allows_request(now)
     }
 
     /// Whether its limit leaves a request to this entry host.
@@ -250,17 +250,17 @@
             }
             CallEnd::Replaced => {
                 self.rest_until = now + REPLACED_REST;
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
             CallEnd::Refused => {
                 self.rest_until = now + FULL_REST;
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
             // An engine that changes its weights cuts off what it still works on.
             CallEnd::Failed if self.is_loading(now) => {
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
             CallEnd::Failed => {
@@ -268,7 +268,7 @@
                 self.breaker.note_failure(now, jitter)
             }
             CallEnd::Nothing => {
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
         }
--- a/src/guard/attempt_book.rs
+++ b/src/guard/attempt_ledger.rs
@@ -4,16 +4,16 @@
 
 use macro_rules_attribute::apply;
 
-use crate::delivery::{AttemptId, SettleReply};
+use crate::delivery::{AttemptId, OutcomeReply};
 use crate::derives::key;
 use crate::time::ClockTime;
 
 /// How long an attempt is remembered; longer than any entry host asks about one.
-const REMEMBERED_FOR: Duration = Duration::from_mins(10);
+const RETENTION: Duration = Duration::from_mins(10);
 /// Attempts remembered at most. New ones are refused when all of them are young.
 const ATTEMPTS_MAX: usize = 100_000;
 /// How far two hosts' wall clocks may differ, in milliseconds, and then some.
-const SKEW_MS: u64 = 30_000;
+const CLOCK_SKEW_MS: u64 = 30_000;
 /// Old attempts are looked for after this many new ones.
 const SWEEP_EVERY: u32 = 256;
 
@@ -38,9 +38,9 @@
     /// It is new: it may run.
     Fresh,
     /// It was said of it that it does not run.
-    Buried,
+    Cancelled,
     /// It came before: this is a doubled message.
-    Doubled,
+    Duplicate,
     /// It is so old that what was known of it is forgotten.
     TooOld,
     /// Nothing more can be remembered.
@@ -56,10 +56,10 @@
 /// older than the newest forgotten attempt, by the time that the entry host wrote into its
 /// identity, is neither run nor called "not run".
 #[derive(Debug)]
-pub(crate) struct AttemptBook {
+pub(crate) struct AttemptLedger {
     attempts: Vec<AttemptEntry>,
     /// The time in the identity of the newest attempt that was forgotten, in milliseconds.
-    forgotten_ms: Option<u64>,
+    expired_ms: Option<u64>,
     since_sweep: u32,
 }
 
@@ -70,23 +70,23 @@
     seen_at: ClockTime,
 }
 
-impl AttemptBook {
+impl AttemptLedger {
     /// A book that knows of nothing.
     pub(crate) const fn new() -> Self {
         Self {
             attempts: Vec::new(),
-            forgotten_ms: None,
+            expired_ms: None,
             since_sweep: 0,
         }
     }
 
     /// An order for `attempt` has come.
     pub(crate) fn arrive(&mut self, attempt: AttemptId, now: ClockTime) -> Arrival {
-        self.sweep_at_times(now);
+        self.sweep_if_due(now);
         match self.find(attempt) {
-            Ok(at) if self.attempts[at].state == AttemptState::NotRun => Arrival::Buried,
-            Ok(_) => Arrival::Doubled,
-            Err(_) if self.may_be_forgotten(attempt) => Arrival::TooOld,
+            Ok(at) if self.attempts[at].state == AttemptState::NotRun => Arrival::Cancelled,
+            Ok(_) => Arrival::Duplicate,
+            Err(_) if self.may_have_expired(attempt) => Arrival::TooOld,
             Err(_) if self.attempts.len() >= ATTEMPTS_MAX => Arrival::Full,
             Err(at) => {
                 self.insert(at, attempt, AttemptState::Waiting, now);
@@ -152,30 +152,30 @@
     }
 
     /// What became of `attempt`. After `NotRun` it never runs.
-    pub(crate) fn settle(&mut self, attempt: AttemptId, now: ClockTime) -> SettleReply {
-        self.sweep_at_times(now);
+    pub(crate) fn resolve(&mut self, attempt: AttemptId, now: ClockTime) -> OutcomeReply {
+        self.sweep_if_due(now);
         match self.find(attempt) {
-            Ok(at) => self.settle_known(at),
-            Err(_) if self.may_be_forgotten(attempt) => SettleReply::NotKnown,
-            Err(_) if self.attempts.len() >= ATTEMPTS_MAX => SettleReply::NotKnown,
+            Ok(at) => self.resolve_known(at),
+            Err(_) if self.may_have_expired(attempt) => OutcomeReply::NotKnown,
+            Err(_) if self.attempts.len() >= ATTEMPTS_MAX => OutcomeReply::NotKnown,
             Err(at) => {
                 self.insert(at, attempt, AttemptState::NotRun, now);
-                SettleReply::NotRun
+                OutcomeReply::NotRun
             }
         }
     }
 
-    fn settle_known(&mut self, at: usize) -> SettleReply {
+    fn resolve_known(&mut self, at: usize) -> OutcomeReply {
         let entry = &mut self.attempts[at];
         match entry.state {
             AttemptState::Waiting => {
                 entry.state = AttemptState::NotRun;
-                SettleReply::NotRun
+                OutcomeReply::NotRun
             }
-            AttemptState::NotRun => SettleReply::NotRun,
-            AttemptState::Started => SettleReply::Running,
-            AttemptState::Ran => SettleReply::Ran,
-            AttemptState::NotKnown => SettleReply::NotKnown,
+            AttemptState::NotRun => OutcomeReply::NotRun,
+            AttemptState::Started => OutcomeReply::Running,
+            AttemptState::Ran => OutcomeReply::Ran,
+            AttemptState::NotKnown => OutcomeReply::NotKnown,
         }
     }
 
@@ -194,25 +194,25 @@
         self.since_sweep += 1;
     }
 
-    fn may_be_forgotten(&self, attempt: AttemptId) -> bool {
-        self.forgotten_ms
-            .is_some_and(|forgotten| attempt.made_ms() <= forgotten + SKEW_MS)
+    fn may_have_expired(&self, attempt: AttemptId) -> bool {
+        self.expired_ms
+            .is_some_and(|forgotten| attempt.created_ms() <= forgotten + CLOCK_SKEW_MS)
     }
 
-    fn sweep_at_times(&mut self, now: ClockTime) {
+    fn sweep_if_due(&mut self, now: ClockTime) {
         if self.since_sweep < SWEEP_EVERY && self.attempts.len() < ATTEMPTS_MAX {
             return;
         }
         self.since_sweep = 0;
-        let mut forgotten = self.forgotten_ms;
+        let mut forgotten = self.expired_ms;
         self.attempts.retain(|entry| {
             let under_way = matches!(entry.state, AttemptState::Waiting | AttemptState::Started);
-            let stays = under_way || now.since(entry.seen_at) < REMEMBERED_FOR;
+            let stays = under_way || now.since(entry.seen_at) < RETENTION;
             if !stays {
-                forgotten = forgotten.max(Some(entry.attempt.made_ms()));
+                forgotten = forgotten.max(Some(entry.attempt.created_ms()));
             }
             stays
         });
-        self.forgotten_ms = forgotten;
+        self.expired_ms = forgotten;
     }
 }
--- a/src/guard/backend_run.rs
+++ b/src/guard/backend_run.rs
@@ -22,9 +22,9 @@
 use crate::metrics::{count_event, count_retry};
 
 /// How long a plain service may take between two parts of its answer.
-const BODY_PART_WITHIN: Duration = Duration::from_secs(30);
+const BODY_PART_TIMEOUT: Duration = Duration::from_secs(30);
 /// The part of a call's time after which a silent connection is doubted: one in so many.
-const SECOND_TRY_PART: u32 = 3;
+const HEDGE_DELAY_DIVISOR: u32 = 3;
 
 /// What became of a call.
 #[apply(plain!)]
@@ -53,7 +53,7 @@
     };
     let stream = match begun {
         Ok(stream) => stream,
-        Err(error) => return failed_start(error),
+        Err(error) => return start_failure(error),
     };
     let mut relay = TokenRelay {
         request,
@@ -78,7 +78,7 @@
     }
 }
 
-fn failed_start(error: SwitchError) -> RunEnd {
+fn start_failure(error: SwitchError) -> RunEnd {
     let did_not_run = matches!(
         error.kind,
         ErrorKind::EngineRefused | ErrorKind::ConnectFailed | ErrorKind::BadRequest
@@ -169,13 +169,15 @@
 pub(super) async fn run_forward(
     service: &Arc<dyn PlainEdge>,
     call: PlainCall,
-    second_try: SecondTry<'_>,
+    hedge_policy: HedgePolicy<'_>,
     sink: &PartSink,
 ) -> RunEnd {
-    let answer = sink.wait_for(ask_service(service, call, second_try)).await;
+    let answer = sink
+        .wait_for(forward_hedged(service, call, hedge_policy))
+        .await;
     let answer = match answer {
         Ok(Ok(answer)) => answer,
-        Ok(Err(error)) | Err(error) => return failed_start(error),
+        Ok(Err(error)) | Err(error) => return start_failure(error),
     };
     match pass_body(answer, sink).await {
         Ok(end) => RunEnd::Ran(end),
@@ -184,7 +186,7 @@
 }
 
 /// Whether a call that is not answered is tried on a second connection beside the first.
-pub(super) enum SecondTry<'a> {
+pub(super) enum HedgePolicy<'a> {
     /// Not: it may not run twice.
     Never,
     /// After a part of its time, if the budget allows it.
@@ -198,24 +200,24 @@
 /// answered, while a fresh one would be. One would notice calls that take their whole deadline and
 /// fail beside others that take their usual time. The first call is not given up, so that a service
 /// that is just slow answers it all the same.
-async fn ask_service(
+async fn forward_hedged(
     service: &Arc<dyn PlainEdge>,
     call: PlainCall,
-    second_try: SecondTry<'_>,
+    hedge_policy: HedgePolicy<'_>,
 ) -> SwitchResult<PlainAnswer> {
-    let SecondTry::IfSilent(may_try) = second_try else {
+    let HedgePolicy::IfSilent(may_hedge) = hedge_policy else {
         return service.forward(call).await;
     };
-    let patience = call.head_within / SECOND_TRY_PART;
+    let hedge_delay = call.head_within / HEDGE_DELAY_DIVISOR;
     let mut first = service.forward(call.clone());
-    if let Ok(answer) = timeout(patience, &mut first).await {
+    if let Ok(answer) = timeout(hedge_delay, &mut first).await {
         return answer;
     }
-    if !may_try() {
+    if !may_hedge() {
         return first.await;
     }
     count_retry(ErrorKind::PeerSilent);
-    let head_within = call.head_within.saturating_sub(patience);
+    let head_within = call.head_within.saturating_sub(hedge_delay);
     let second = service.forward(PlainCall {
         head_within,
         ..call
@@ -231,9 +233,9 @@
     sink.send(RunPart::Head(answer.head)).await?;
     let mut hasher = blake3::Hasher::new();
     loop {
-        let next = sink.wait_for(timeout(BODY_PART_WITHIN, answer.body.next()));
+        let next = sink.wait_for(timeout(BODY_PART_TIMEOUT, answer.body.next()));
         let Ok(next) = next.await? else {
-            let detail = format!("the service sent nothing for {BODY_PART_WITHIN:?}");
+            let detail = format!("the service sent nothing for {BODY_PART_TIMEOUT:?}");
             return Err(SwitchError::new(ErrorKind::AnswerCut, detail));
         };
         let Some(bytes) = next.transpose()? else {
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -2,11 +2,11 @@
 //! service, runs each attempt at most once, and knows what ran.
 
 mod answer_buffer;
-pub(crate) mod attempt_book;
+pub(crate) mod attempt_ledger;
 mod backend_run;
 pub(crate) mod events;
 mod part_sink;
-mod run_edge;
+mod run_endpoints;
 pub(crate) mod run_queue;
 mod run_task;
 mod serving_gate;
@@ -14,6 +14,6 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use run_edge::{GuardEdges, GuardLimits, start_guard};
+pub(crate) use run_endpoints::{GuardContext, GuardLimits, start_guard};
 pub(crate) use serving_gate::ServingGate;
-pub(crate) use shared::BackendServer;
+pub(crate) use shared::LocalBackend;
--- a/src/guard/part_sink.rs
+++ b/src/guard/part_sink.rs
@@ -13,7 +13,7 @@
 use crate::transport::FrameWriter;
 
 /// How often a waiting entry host is told that this process is alive.
-const ALIVE_EVERY: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The way back to the entry host that gave one order.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     /// when it has left.
     pub(super) async fn wait_for<F: Future>(&self, work: F) -> SwitchResult<F::Output> {
         let mut work = pin!(work);
-        let mut ticks = interval(ALIVE_EVERY);
+        let mut ticks = interval(KEEP_ALIVE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         ticks.reset();
         loop {
@@ -64,7 +64,7 @@
     /// To the entry host that waits; when it leaves, the run ends.
     Live(AttemptWriter),
     /// Into a buffer; the run goes on whoever leaves.
-    Kept(Arc<AnswerBuffer>),
+    Buffered(Arc<AnswerBuffer>),
 }
 
 impl PartSink {
@@ -72,7 +72,7 @@
     pub(super) async fn send(&self, part: RunPart) -> SwitchResult<()> {
         match self {
             Self::Live(writer) => writer.send(part).await,
-            Self::Kept(buffer) => buffer.push(part),
+            Self::Buffered(buffer) => buffer.push(part),
         }
     }
 
@@ -80,7 +80,7 @@
     pub(super) async fn wait_for<F: Future>(&self, work: F) -> SwitchResult<F::Output> {
         match self {
             Self::Live(writer) => writer.wait_for(work).await,
-            Self::Kept(_) => Ok(work.await),
+            Self::Buffered(_) => Ok(work.await),
         }
     }
 }
--- a/src/guard/run_edge.rs
+++ b/src/guard/run_endpoints.rs
@@ -14,9 +14,9 @@
 use super::run_queue::RunQueue;
 use super::run_task::run_order;
 use super::serving_gate::ServingGate;
-use super::shared::{BackendServer, GuardShared, GuardState};
+use super::shared::{GuardShared, GuardState, LocalBackend};
 use crate::daemon::DrainState;
-use crate::delivery::{RunOrder, SettleOrder, SettleReply};
+use crate::delivery::{OutcomeQuery, OutcomeReply, RunOrder};
 use crate::engines::EngineEdge;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -26,17 +26,17 @@
 use crate::transport::{error_reply, frame_channel, message_reply, read_message};
 
 /// Frames that wait for a slow entry host; then the run waits.
-const FRAMES_AHEAD: usize = 64;
+const FRAME_BUFFER_MAX: usize = 64;
 /// The largest order, in bytes.
 const ORDER_BYTES_MAX: usize = 32 * 1024 * 1024;
 
 /// What the guard works with.
 #[derive(Clone)]
-pub(crate) struct GuardEdges {
+pub(crate) struct GuardContext {
     /// Who this process is.
     pub(crate) identity: HostIdentity,
     /// What stands beside it.
-    pub(crate) backend: BackendServer,
+    pub(crate) backend: LocalBackend,
     /// The gate that requests go through.
     pub(crate) gate: ServingGate,
     /// Where this process says how busy it is.
@@ -63,7 +63,7 @@
 }
 
 /// Starts to take orders for the service that `edges` names.
-pub(crate) fn start_guard(edges: GuardEdges, limits: GuardLimits) -> GuardHandle {
+pub(crate) fn start_guard(edges: GuardContext, limits: GuardLimits) -> GuardHandle {
     let service: ByteString = edges.identity.service.clone().unwrap_or_default();
     let queue = RunQueue::new(limits.running_max, limits.waiting_max);
     let state = GuardState::new(queue);
@@ -76,7 +76,7 @@
         drain: edges.drain,
         state: Mutex::new(state),
     });
-    tokio::spawn(watch_backend(Arc::clone(&shared), limits));
+    tokio::spawn(monitor_backend(Arc::clone(&shared), limits));
     GuardHandle { shared }
 }
 
@@ -85,15 +85,16 @@
     pub(crate) fn peer_routes(&self) -> Router {
         let run_shared = Arc::clone(&self.shared);
         let settle_shared = Arc::clone(&self.shared);
-        let run = move |request: Request| take_order(Arc::clone(&run_shared), request);
-        let settle = move |request: Request| take_settle(Arc::clone(&settle_shared), request);
+        let run = move |request: Request| handle_order(Arc::clone(&run_shared), request);
+        let resolve =
+            move |request: Request| handle_outcome_query(Arc::clone(&settle_shared), request);
         Router::new()
             .route("/peer/run", post(run))
-            .route("/peer/settle", post(settle))
+            .route("/peer/settle", post(resolve))
     }
 }
 
-async fn take_order(shared: Arc<GuardShared>, request: Request) -> Response {
+async fn handle_order(shared: Arc<GuardShared>, request: Request) -> Response {
     // Counted before the body is read: a stop that begins meanwhile waits for the refusal too.
     let live = shared.drain.enter();
     let order: SwitchResult<RunOrder> = read_message(request.into_body(), ORDER_BYTES_MAX).await;
@@ -104,7 +105,7 @@
             return error_reply(&error);
         }
     };
-    let (writer, body) = frame_channel(FRAMES_AHEAD);
+    let (writer, body) = frame_channel(FRAME_BUFFER_MAX);
     let attempt = order.attempt;
     tokio::spawn(run_order(
         shared,
@@ -117,31 +118,32 @@
     answer
 }
 
-async fn take_settle(shared: Arc<GuardShared>, request: Request) -> Response {
-    let order: SwitchResult<SettleOrder> = read_message(request.into_body(), ORDER_BYTES_MAX).await;
+async fn handle_outcome_query(shared: Arc<GuardShared>, request: Request) -> Response {
+    let order: SwitchResult<OutcomeQuery> =
+        read_message(request.into_body(), ORDER_BYTES_MAX).await;
     match order {
-        Ok(order) => message_reply(&settle(&shared, &order)),
+        Ok(order) => message_reply(&resolve(&shared, &order)),
         Err(error) => error_reply(&error),
     }
 }
 
-pub(super) fn settle(shared: &GuardShared, order: &SettleOrder) -> SettleReply {
+pub(super) fn resolve(shared: &GuardShared, order: &OutcomeQuery) -> OutcomeReply {
     if order.incarnation != shared.incarnation {
-        return SettleReply::NotKnown;
+        return OutcomeReply::NotKnown;
     }
-    shared.lock().attempts.settle(order.attempt, clock_now())
+    shared.lock().attempts.resolve(order.attempt, clock_now())
 }
 
 /// Keeps the status board's load fresh, and asks a model engine what it is and how it is.
-async fn watch_backend(shared: Arc<GuardShared>, limits: GuardLimits) {
-    let mut watch = BackendWatch::default();
+async fn monitor_backend(shared: Arc<GuardShared>, limits: GuardLimits) {
+    let mut monitor = BackendMonitor::default();
     let mut ticks = tokio::time::interval(limits.engine_check);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let mut load = shared.load();
-        if let BackendServer::Model(engine) = &shared.backend {
-            load.waiting += watch.check(&shared, engine).await;
+        if let LocalBackend::Model(engine) = &shared.backend {
+            load.waiting += monitor.check(&shared, engine).await;
         }
         set_level("guard_running", &shared.service, load.running.into());
         set_level("guard_waiting", &shared.service, load.waiting.into());
@@ -151,30 +153,30 @@
 
 /// What the watch knows of the engine.
 #[derive(Default)]
-struct BackendWatch {
-    was_met: bool,
+struct BackendMonitor {
+    has_profile: bool,
     is_silent: bool,
 }
 
-impl BackendWatch {
+impl BackendMonitor {
     /// Asks the engine; returns how many requests wait inside it, by its last report.
     async fn check(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineEdge>) -> u32 {
-        if !self.was_met {
+        if !self.has_profile {
             self.meet(shared, engine).await;
         }
         match engine.read_state().await {
             Ok(state) => {
                 if std::mem::replace(&mut self.is_silent, false) {
-                    log_event!(events::ENGINE_BACK);
+                    log_event!(events::ENGINE_RESPONSIVE);
                 }
                 state.load.waiting
             }
             Err(error) => {
                 if !std::mem::replace(&mut self.is_silent, true) {
-                    log_event!(events::ENGINE_SILENT, "{error}");
+                    log_event!(events::ENGINE_UNRESPONSIVE, "{error}");
                 }
                 // It may come back as another engine.
-                self.was_met = false;
+                self.has_profile = false;
                 0
             }
         }
@@ -184,9 +186,9 @@
         let Ok(profile) = engine.meet().await else {
             return;
         };
-        self.was_met = true;
+        self.has_profile = true;
         log_event!(
-            events::ENGINE_MET,
+            events::ENGINE_PROFILED,
             "runs {} requests at a time, checks fencing: {}",
             profile.running_max,
             profile.checks_fencing
@@ -195,6 +197,6 @@
         let started = state
             .queue
             .set_running_max(profile.running_max, clock_now());
-        state.tell_started(started);
+        state.notify_started(started);
     }
 }
--- a/src/guard/run_queue.rs
+++ b/src/guard/run_queue.rs
@@ -6,7 +6,7 @@
 
 use crate::derives::key;
 use crate::documents::RequestPriority;
-use crate::routing::headroom_of;
+use crate::routing::urgent_headroom;
 use crate::time::ClockTime;
 
 /// How much of the newest run's length goes into the mean, as one in so many.
@@ -30,11 +30,11 @@
 
 /// What a request got.
 #[apply(key!)]
-pub(crate) enum QueueAnswer {
+pub(crate) enum QueueAdmission {
     /// It may start now.
     Started(RunTicket),
     /// It waits until [`RunQueue::end`] names it.
-    Waits(RunTicket),
+    Waiting(RunTicket),
 }
 
 /// Requests before one backend server. A request either waits or runs; as many run as the backend
@@ -48,7 +48,7 @@
     /// Sorted by ticket.
     running: Vec<(RunTicket, ClockTime)>,
     next_ticket: u64,
-    mean_run: Option<Duration>,
+    mean_run_time: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -66,7 +66,7 @@
             waiting: Vec::new(),
             running: Vec::new(),
             next_ticket: 0,
-            mean_run: None,
+            mean_run_time: None,
         }
     }
 
@@ -86,8 +86,8 @@
         priority: RequestPriority,
         deadline: ClockTime,
         now: ClockTime,
-    ) -> Result<QueueAnswer, QueueRefusal> {
-        if self.has_place(priority) {
+    ) -> Result<QueueAdmission, QueueRefusal> {
+        if self.has_free_slot(priority) {
             let is_first = self
                 .waiting
                 .first()
@@ -95,7 +95,7 @@
             assert!(is_first, "a place was free and some as urgent waited");
             let ticket = self.new_ticket();
             self.running.push((ticket, now));
-            return Ok(QueueAnswer::Started(ticket));
+            return Ok(QueueAdmission::Started(ticket));
         }
         if self.waiting.len() >= self.waiting_max {
             return Err(QueueRefusal::Full);
@@ -110,7 +110,7 @@
             .waiting
             .partition_point(|other| other.priority <= priority);
         self.waiting.insert(at, entry);
-        Ok(QueueAnswer::Waits(ticket))
+        Ok(QueueAdmission::Waiting(ticket))
     }
 
     /// A waiting request leaves. Returns whether it was still waiting: if not, it was started and
@@ -128,7 +128,7 @@
         let found = self.running.binary_search_by_key(&ticket, |(one, _)| *one);
         if let Ok(at) = found {
             let (_, begun) = self.running.remove(at);
-            self.learn(now.since(begun));
+            self.record_run_time(now.since(begun));
         }
         self.start_waiting(now)
     }
@@ -150,14 +150,14 @@
 
     /// Requests that it takes beyond those that it has.
     pub(crate) fn room(&self) -> usize {
-        let places = count(self.running_max).saturating_sub(self.running.len());
-        places + self.waiting_max.saturating_sub(self.waiting.len())
+        let slots = count(self.running_max).saturating_sub(self.running.len());
+        slots + self.waiting_max.saturating_sub(self.waiting.len())
     }
 
     fn start_waiting(&mut self, now: ClockTime) -> Vec<RunTicket> {
         let mut started = Vec::new();
         while let Some(first) = self.waiting.first()
-            && self.has_place(first.priority)
+            && self.has_free_slot(first.priority)
         {
             let ticket = self.waiting.remove(0).ticket;
             let at = self.running.partition_point(|(one, _)| *one < ticket);
@@ -172,14 +172,14 @@
     /// Runs are not interrupted: when long ones hold every place, an urgent request waits until the
     /// first of them ends. One would notice urgent requests that are slow under load although they
     /// are first in the queue. Some places are therefore left to them.
-    fn has_place(&self, priority: RequestPriority) -> bool {
-        let places = match priority {
+    fn has_free_slot(&self, priority: RequestPriority) -> bool {
+        let slots = match priority {
             RequestPriority::Urgent => self.running_max,
             RequestPriority::Normal | RequestPriority::Batch => {
-                self.running_max - headroom_of(self.running_max)
+                self.running_max - urgent_headroom(self.running_max)
             }
         };
-        self.running.len() < count(places)
+        self.running.len() < count(slots)
     }
 
     fn new_ticket(&mut self) -> RunTicket {
@@ -189,7 +189,7 @@
 
     /// How long a request of `priority` would wait, by the mean length of earlier runs.
     fn expected_wait(&self, priority: RequestPriority) -> Duration {
-        let Some(mean) = self.mean_run else {
+        let Some(mean) = self.mean_run_time else {
             return Duration::ZERO;
         };
         let ahead = self
@@ -200,12 +200,12 @@
         mean.saturating_mul(ahead.saturating_add(1)) / self.running_max.max(1)
     }
 
-    fn learn(&mut self, run: Duration) {
-        let mean = self.mean_run.unwrap_or(run);
-        self.mean_run = Some((mean * (MEAN_WEIGHT - 1) + run) / MEAN_WEIGHT);
+    fn record_run_time(&mut self, run: Duration) {
+        let mean = self.mean_run_time.unwrap_or(run);
+        self.mean_run_time = Some((mean * (MEAN_WEIGHT - 1) + run) / MEAN_WEIGHT);
     }
 }
 
-fn count(places: u32) -> usize {
-    usize::try_from(places).unwrap_or(usize::MAX)
+fn count(slots: u32) -> usize {
+    usize::try_from(slots).unwrap_or(usize::MAX)
 }
--- a/src/guard/run_task.rs
+++ b/src/guard/run_task.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use super::answer_buffer::{AnswerBuffer, is_last};
-use super::attempt_book::AttemptState;
-use super::backend_run::{RunEnd, SecondTry, run_forward, run_generate};
+use super::attempt_ledger::AttemptState;
+use super::backend_run::{HedgePolicy, RunEnd, run_forward, run_generate};
 use super::part_sink::{AttemptWriter, PartSink, broken_part, refused_part};
 use super::serving_gate::ServingPass;
-use super::shared::{BackendServer, GuardShared, GuardState, PlaceGuard, refusal};
+use super::shared::{GuardShared, GuardState, LocalBackend, SlotGuard, refusal};
 use crate::daemon::LiveGuard;
 use crate::delivery::{RunCall, RunOrder, RunPart};
 use crate::engines::{EngineCall, PlainCall};
@@ -20,7 +20,7 @@
 const STAGE: &str = "guard";
 /// How long an unrepeatable call that was handed over may take. It is let to finish whoever leaves,
 /// so its request's deadline does not bound it.
-const KEPT_RUN_WITHIN: Duration = Duration::from_mins(10);
+const BUFFERED_RUN_MAX: Duration = Duration::from_mins(10);
 
 /// Carries out one order.
 pub(super) async fn run_order(
@@ -42,7 +42,7 @@
     }
     let buffer = Arc::new(AnswerBuffer::default());
     let attempt = order.attempt;
-    let run = run_kept(Arc::clone(&shared), order, deadline, Arc::clone(&buffer));
+    let run = run_buffered(Arc::clone(&shared), order, deadline, Arc::clone(&buffer));
     tokio::spawn(async move {
         run.await;
         drop(live);
@@ -61,13 +61,13 @@
 ) {
     let attempt = order.attempt;
     let sink = PartSink::Live(writer.clone());
-    shared.lock().second_tries.earn();
+    shared.lock().hedge_budget.record_call();
     let is_wanted = |state: &GuardState| state.attempts.is_waiting(attempt);
-    let place = writer
-        .wait_for(shared.take_place(order.priority, deadline, is_wanted))
+    let slot = writer
+        .wait_for(shared.acquire_slot(order.priority, deadline, is_wanted))
         .await;
-    let last = match place {
-        Ok(Ok(place)) => start_and_run(shared, order, deadline, &sink, place).await,
+    let last = match slot {
+        Ok(Ok(slot)) => start_and_run(shared, order, deadline, &sink, slot).await,
         Ok(Err(error)) | Err(error) => not_run(shared, &order, &error),
     };
     // An entry host that has left asks for what became of its attempt.
@@ -75,18 +75,20 @@
 }
 
 /// Runs an unrepeatable call: once for its attempt, whoever leaves.
-async fn run_kept(
+async fn run_buffered(
     shared: Arc<GuardShared>,
     order: RunOrder,
     deadline: ClockTime,
     buffer: Arc<AnswerBuffer>,
 ) {
     let attempt = order.attempt;
-    let sink = PartSink::Kept(Arc::clone(&buffer));
+    let sink = PartSink::Buffered(Arc::clone(&buffer));
     let is_wanted = |state: &GuardState| state.attempts.is_waiting(attempt);
-    let place = shared.take_place(order.priority, deadline, is_wanted).await;
-    let last = match place {
-        Ok(place) => start_and_run(&shared, order, deadline, &sink, place).await,
+    let slot = shared
+        .acquire_slot(order.priority, deadline, is_wanted)
+        .await;
+    let last = match slot {
+        Ok(slot) => start_and_run(&shared, order, deadline, &sink, slot).await,
         Err(error) => not_run(&shared, &order, &error),
     };
     // The last part always fits.
@@ -99,7 +101,7 @@
     order: RunOrder,
     deadline: ClockTime,
     sink: &PartSink,
-    place: PlaceGuard,
+    slot: SlotGuard,
 ) -> RunPart {
     let pass = match enter_gate(shared, &order.call) {
         Ok(pass) => pass,
@@ -111,7 +113,7 @@
     }
     let attempt = order.attempt;
     let end = call_backend(shared, order, pass.as_ref(), deadline, sink).await;
-    drop(place);
+    drop(slot);
     let (state, last) = match end {
         RunEnd::Ran(last) => (AttemptState::Ran, last),
         RunEnd::NotRun(error) => (AttemptState::NotRun, refused(&error)),
@@ -131,11 +133,11 @@
 ) -> RunEnd {
     let first_within = match sink {
         PartSink::Live(_) => deadline.since(clock_now()),
-        PartSink::Kept(_) => KEPT_RUN_WITHIN,
+        PartSink::Buffered(_) => BUFFERED_RUN_MAX,
     };
     match (&shared.backend, order.call, pass) {
         (
-            BackendServer::Model(engine),
+            LocalBackend::Model(engine),
             RunCall::Generate {
                 prompt,
                 max_tokens,
@@ -156,7 +158,7 @@
             run_generate(engine, pass, call, first_within, sink).await
         }
         (
-            BackendServer::Plain(service),
+            LocalBackend::Plain(service),
             RunCall::Forward {
                 method,
                 path,
@@ -172,12 +174,12 @@
                 body,
                 head_within: first_within,
             };
-            let may_try = || shared.lock().second_tries.take();
-            let second_try = match sink {
-                PartSink::Live(_) => SecondTry::IfSilent(&may_try),
-                PartSink::Kept(_) => SecondTry::Never,
+            let may_hedge = || shared.lock().hedge_budget.try_spend();
+            let hedge_policy = match sink {
+                PartSink::Live(_) => HedgePolicy::IfSilent(&may_hedge),
+                PartSink::Buffered(_) => HedgePolicy::Never,
             };
-            run_forward(service, call, second_try, sink).await
+            run_forward(service, call, hedge_policy, sink).await
         }
         _ => RunEnd::NotRun(refusal(
             ErrorKind::BadRequest,
--- a/src/guard/serving_gate.rs
+++ b/src/guard/serving_gate.rs
@@ -59,17 +59,17 @@
         self.state.borrow().serving.clone()
     }
 
-    /// Lets one request in; it must run on `wanted` if that is given.
+    /// Lets one request in; it must run on `required` if that is given.
     ///
     /// # Errors
     ///
     /// `WeightsNotReady` while the gate is closed, `VersionMismatch` when another version than
-    /// `wanted` is served.
-    pub(crate) fn enter(&self, wanted: Option<&WeightsDigest>) -> SwitchResult<ServingPass> {
+    /// `required` is served.
+    pub(crate) fn enter(&self, required: Option<&WeightsDigest>) -> SwitchResult<ServingPass> {
         let mut refusal = None;
         let mut serving = None;
         self.state.send_if_modified(|state| {
-            match admit(state, wanted) {
+            match admit(state, required) {
                 Ok(version) => serving = Some(version),
                 Err(error) => refusal = Some(error),
             }
@@ -89,14 +89,14 @@
     }
 }
 
-fn admit(state: &mut GateState, wanted: Option<&WeightsDigest>) -> SwitchResult<ServingVersion> {
+fn admit(state: &mut GateState, required: Option<&WeightsDigest>) -> SwitchResult<ServingVersion> {
     let Some(serving) = state.serving.clone() else {
         return Err(SwitchError::new(
             ErrorKind::WeightsNotReady,
             "no version is served",
         ));
     };
-    if wanted.is_some_and(|digest| *digest != serving.digest) {
+    if required.is_some_and(|digest| *digest != serving.digest) {
         let detail = format!("version {} is served", serving.version);
         return Err(SwitchError::new(ErrorKind::VersionMismatch, detail));
     }
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -6,8 +6,8 @@
 use bytestring::ByteString;
 use tokio::sync::oneshot;
 
-use super::attempt_book::{Arrival, AttemptBook, AttemptState};
-use super::run_queue::{QueueAnswer, QueueRefusal, RunQueue, RunTicket};
+use super::attempt_ledger::{Arrival, AttemptLedger, AttemptState};
+use super::run_queue::{QueueAdmission, QueueRefusal, RunQueue, RunTicket};
 use super::serving_gate::ServingGate;
 use crate::daemon::DrainState;
 use crate::delivery::{AttemptId, RunOrder};
@@ -18,11 +18,11 @@
 use crate::time::{ClockTime, clock_now};
 
 /// How often a call that waits looks whether anybody still wants it.
-const WANTED_EVERY: Duration = Duration::from_millis(200);
+const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What stands beside this process.
 #[derive(Clone)]
-pub(crate) enum BackendServer {
+pub(crate) enum LocalBackend {
     /// A model engine.
     Model(Arc<dyn EngineEdge>),
     /// A plain service.
@@ -33,7 +33,7 @@
 pub(crate) struct GuardShared {
     pub(crate) service: ByteString,
     pub(crate) incarnation: u64,
-    pub(crate) backend: BackendServer,
+    pub(crate) backend: LocalBackend,
     pub(crate) gate: ServingGate,
     pub(crate) board: StatusBoard,
     pub(crate) drain: DrainState,
@@ -43,11 +43,11 @@
 /// Second tries on a fresh connection: a tenth of the calls, so that a service that has become slow
 /// as a whole does not get twice the calls.
 #[derive(Debug)]
-pub(super) struct TryBudget {
+pub(super) struct HedgeBudget {
     tenths: u32,
 }
 
-impl TryBudget {
+impl HedgeBudget {
     const TENTHS_MAX: u32 = 50;
 
     const fn new() -> Self {
@@ -57,12 +57,12 @@
     }
 
     /// A call has come.
-    pub(super) fn earn(&mut self) {
+    pub(super) fn record_call(&mut self) {
         self.tenths = Self::TENTHS_MAX.min(self.tenths + 1);
     }
 
     /// Asks for a second try.
-    pub(super) const fn take(&mut self) -> bool {
+    pub(super) const fn try_spend(&mut self) -> bool {
         let has_one = self.tenths >= 10;
         if has_one {
             self.tenths -= 10;
@@ -74,39 +74,43 @@
 /// What the decisions work on. Held under one lock, for short steps only: a settled attempt must
 /// not start in the same moment.
 pub(crate) struct GuardState {
-    pub(crate) attempts: AttemptBook,
+    pub(crate) attempts: AttemptLedger,
     pub(crate) queue: RunQueue,
-    pub(super) second_tries: TryBudget,
+    pub(super) hedge_budget: HedgeBudget,
     /// Who waits to be told to start, sorted by ticket.
-    starts: Vec<(RunTicket, oneshot::Sender<()>)>,
+    start_signals: Vec<(RunTicket, oneshot::Sender<()>)>,
 }
 
 impl GuardState {
     pub(crate) const fn new(queue: RunQueue) -> Self {
         Self {
-            attempts: AttemptBook::new(),
+            attempts: AttemptLedger::new(),
             queue,
-            second_tries: TryBudget::new(),
-            starts: Vec::new(),
+            hedge_budget: HedgeBudget::new(),
+            start_signals: Vec::new(),
         }
     }
 
     /// Tells those that may start now.
-    pub(crate) fn tell_started(&mut self, started: Vec<RunTicket>) {
+    pub(crate) fn notify_started(&mut self, started: Vec<RunTicket>) {
         for ticket in started {
-            let found = self.starts.binary_search_by_key(&ticket, |(one, _)| *one);
+            let found = self
+                .start_signals
+                .binary_search_by_key(&ticket, |(one, _)| *one);
             if let Ok(at) = found {
-                let (_, start) = self.starts.remove(at);
+                let (_, start) = self.start_signals.remove(at);
                 // One that has left meanwhile gives its place back itself.
                 let _ = start.send(());
             }
         }
     }
 
-    fn forget_start(&mut self, ticket: RunTicket) {
-        let found = self.starts.binary_search_by_key(&ticket, |(one, _)| *one);
+    fn remove_start_signal(&mut self, ticket: RunTicket) {
+        let found = self
+            .start_signals
+            .binary_search_by_key(&ticket, |(one, _)| *one);
         if let Ok(at) = found {
-            self.starts.remove(at);
+            self.start_signals.remove(at);
         }
     }
 }
@@ -141,7 +145,7 @@
         if self.drain.is_draining() {
             return Err(refusal(ErrorKind::BackendLeaving, "this host is leaving"));
         }
-        let is_model = matches!(self.backend, BackendServer::Model(_));
+        let is_model = matches!(self.backend, LocalBackend::Model(_));
         if is_model && self.gate.serving().is_none() {
             return Err(refusal(ErrorKind::WeightsNotReady, "no version is served"));
         }
@@ -149,25 +153,25 @@
     }
 
     /// Waits for a place at the backend server until `deadline`, and as long as `is_wanted`.
-    pub(crate) async fn take_place(
+    pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         priority: RequestPriority,
         deadline: ClockTime,
         is_wanted: impl Fn(&GuardState) -> bool,
-    ) -> SwitchResult<PlaceGuard> {
-        let (place, start) = self.ask_place(priority, deadline)?;
+    ) -> SwitchResult<SlotGuard> {
+        let (slot, start) = self.request_slot(priority, deadline)?;
         let Some(mut start) = start else {
-            return Ok(place);
+            return Ok(slot);
         };
         loop {
             let left = deadline.since(clock_now());
             tokio::select! {
                 biased;
-                _ = &mut start => return Ok(place),
+                _ = &mut start => return Ok(slot),
                 () = self.drain.begun() => {
                     return Err(refusal(ErrorKind::BackendLeaving, "this host is leaving"));
                 }
-                () = tokio::time::sleep(left.min(WANTED_EVERY)) => {}
+                () = tokio::time::sleep(left.min(CANCEL_CHECK_INTERVAL)) => {}
             }
             if clock_now() >= deadline {
                 let detail = "it waited here until its deadline";
@@ -182,23 +186,23 @@
         }
     }
 
-    fn ask_place(
+    fn request_slot(
         self: &Arc<Self>,
         priority: RequestPriority,
         deadline: ClockTime,
-    ) -> SwitchResult<(PlaceGuard, Option<oneshot::Receiver<()>>)> {
+    ) -> SwitchResult<(SlotGuard, Option<oneshot::Receiver<()>>)> {
         let mut state = self.lock();
         let answer = state.queue.offer(priority, deadline, clock_now());
         let (ticket, start) = match answer.map_err(queue_error)? {
-            QueueAnswer::Started(ticket) => (ticket, None),
-            QueueAnswer::Waits(ticket) => {
+            QueueAdmission::Started(ticket) => (ticket, None),
+            QueueAdmission::Waiting(ticket) => {
                 let (sender, receiver) = oneshot::channel();
-                state.starts.push((ticket, sender));
+                state.start_signals.push((ticket, sender));
                 (ticket, Some(receiver))
             }
         };
         let shared = Arc::clone(self);
-        Ok((PlaceGuard { shared, ticket }, start))
+        Ok((SlotGuard { shared, ticket }, start))
     }
 
     /// How busy this host is, as far as it knows itself.
@@ -220,18 +224,18 @@
 }
 
 /// A place in the queue or at the backend server, given back when dropped.
-pub(crate) struct PlaceGuard {
+pub(crate) struct SlotGuard {
     shared: Arc<GuardShared>,
     ticket: RunTicket,
 }
 
-impl Drop for PlaceGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let mut state = self.shared.lock();
-        state.forget_start(self.ticket);
+        state.remove_start_signal(self.ticket);
         if !state.queue.withdraw(self.ticket) {
             let started = state.queue.end(self.ticket, clock_now());
-            state.tell_started(started);
+            state.notify_started(started);
         }
     }
 }
@@ -244,9 +248,11 @@
 fn arrival_error(arrival: Arrival) -> SwitchResult<()> {
     let error = match arrival {
         Arrival::Fresh => return Ok(()),
-        Arrival::Buried => refusal(ErrorKind::CallerGone, "it was given up before it came"),
-        Arrival::Doubled => SwitchError::new(ErrorKind::AttemptDoubled, "this attempt came before")
-            .with_outcome(RunOutcome::NotKnown),
+        Arrival::Cancelled => refusal(ErrorKind::CallerGone, "it was given up before it came"),
+        Arrival::Duplicate => {
+            SwitchError::new(ErrorKind::AttemptDoubled, "this attempt came before")
+                .with_outcome(RunOutcome::NotKnown)
+        }
         Arrival::TooOld => SwitchError::new(
             ErrorKind::OutcomeUnknown,
             "what was known of this attempt is forgotten",
--- a/src/guard/tests/attempts.rs
+++ b/src/guard/tests/attempts.rs
@@ -8,10 +8,10 @@
 use uuid::{ContextV7, Timestamp, Uuid};
 
 use super::fakes::{CountingPlain, TestHost, wake_up};
-use crate::delivery::{AttemptId, RunPart, SettleReply};
+use crate::delivery::{AttemptId, OutcomeReply, RunPart};
 use crate::errors::RunOutcome;
-use crate::guard::BackendServer;
-use crate::guard::attempt_book::{Arrival, AttemptBook, AttemptState};
+use crate::guard::LocalBackend;
+use crate::guard::attempt_ledger::{Arrival, AttemptLedger, AttemptState};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -26,9 +26,9 @@
 #[tokio::test]
 async fn a_settled_attempt_never_runs() {
     let plain = Arc::new(CountingPlain::default());
-    let host = TestHost::start("lima-1", BackendServer::Plain(plain.clone()));
+    let host = TestHost::start("lima-1", LocalBackend::Plain(plain.clone()));
     let order = wake_up();
-    assert_eq!(host.settle(order.attempt), SettleReply::NotRun);
+    assert_eq!(host.resolve(order.attempt), OutcomeReply::NotRun);
     let answer = host.ask(order).await;
     let is_refused = matches!(
         answer.as_slice(),
@@ -44,11 +44,11 @@
 #[tokio::test]
 async fn a_run_attempt_is_told_as_run_and_its_double_is_not() {
     let plain = Arc::new(CountingPlain::default());
-    let host = TestHost::start("lima-1", BackendServer::Plain(plain.clone()));
+    let host = TestHost::start("lima-1", LocalBackend::Plain(plain.clone()));
     let order = wake_up();
     let answer = host.ask(order.clone()).await;
     assert!(matches!(answer.last(), Some(RunPart::End { .. })));
-    assert_eq!(host.settle(order.attempt), SettleReply::Ran);
+    assert_eq!(host.resolve(order.attempt), OutcomeReply::Ran);
     let double = host.ask(order).await;
     assert!(matches!(double.as_slice(), [RunPart::Refused { .. }]));
     assert_eq!(plain.calls.load(Ordering::Relaxed), 1);
@@ -67,7 +67,7 @@
 #[test]
 fn not_run_stays_true() {
     run_cases(CASES, CASE_BYTES, |u| {
-        let mut book = AttemptBook::new();
+        let mut ledger = AttemptLedger::new();
         let mut now = ClockTime::from_millis(1_000_000);
         let mut attempts = Vec::new();
         for _ in 0..EVENTS {
@@ -79,61 +79,61 @@
             };
             now = now + Duration::from_secs(pause);
             if attempts.len() < ATTEMPTS || u.ratio(1, 4)? {
-                attempts.push(Watched::new(now));
+                attempts.push(TrackedAttempt::new(now));
             }
             let index = u.choose_index(attempts.len())?;
-            step(u, &mut book, &mut attempts[index], now)?;
+            step(u, &mut ledger, &mut attempts[index], now)?;
         }
         Ok(())
     });
 }
 
-struct Watched {
+struct TrackedAttempt {
     attempt: AttemptId,
     was_started: bool,
-    was_told_not_run: bool,
+    is_reported_not_run: bool,
 }
 
-impl Watched {
+impl TrackedAttempt {
     fn new(now: ClockTime) -> Self {
         Self {
             attempt: attempt_made_at(now),
             was_started: false,
-            was_told_not_run: false,
+            is_reported_not_run: false,
         }
     }
 }
 
 fn step(
     u: &mut Unstructured<'_>,
-    book: &mut AttemptBook,
-    watched: &mut Watched,
+    ledger: &mut AttemptLedger,
+    tracked: &mut TrackedAttempt,
     now: ClockTime,
 ) -> Result<()> {
-    let attempt = watched.attempt;
+    let attempt = tracked.attempt;
     match u.int_in_range(0..=4)? {
         0 => {
-            let arrival = book.arrive(attempt, now);
-            let is_known = watched.was_started || watched.was_told_not_run;
+            let arrival = ledger.arrive(attempt, now);
+            let is_known = tracked.was_started || tracked.is_reported_not_run;
             assert!(!is_known || arrival != Arrival::Fresh, "it was known");
         }
-        1 if book.start(attempt) => {
-            assert!(!watched.was_told_not_run, "it was told not run");
-            assert!(!watched.was_started, "it started twice");
-            watched.was_started = true;
+        1 if ledger.start(attempt) => {
+            assert!(!tracked.is_reported_not_run, "it was told not run");
+            assert!(!tracked.was_started, "it started twice");
+            tracked.was_started = true;
         }
-        2 if book.state_of(attempt) == Some(AttemptState::Started) => {
-            book.end(attempt, AttemptState::Ran);
+        2 if ledger.state_of(attempt) == Some(AttemptState::Started) => {
+            ledger.end(attempt, AttemptState::Ran);
         }
         3 => {
-            let is_not_run = book.settle(attempt, now) == SettleReply::NotRun;
-            assert!(!is_not_run || !watched.was_started, "it ran");
-            watched.was_told_not_run |= is_not_run;
+            let is_not_run = ledger.resolve(attempt, now) == OutcomeReply::NotRun;
+            assert!(!is_not_run || !tracked.was_started, "it ran");
+            tracked.is_reported_not_run |= is_not_run;
         }
         _ => {
-            let is_not_run = book.withdraw(attempt);
-            assert!(!is_not_run || !watched.was_started, "it ran");
-            watched.was_told_not_run |= is_not_run;
+            let is_not_run = ledger.withdraw(attempt);
+            assert!(!is_not_run || !tracked.was_started, "it ran");
+            tracked.is_reported_not_run |= is_not_run;
         }
     }
     Ok(())
--- a/src/guard/tests/fakes.rs
+++ b/src/guard/tests/fakes.rs
@@ -11,15 +11,15 @@
 
 use crate::daemon::DrainState;
 use crate::delivery::{
-    AnswerHead, AttemptId, RunCall, RunFrame, RunOrder, RunPart, SettleOrder, SettleReply,
+    AnswerHead, AttemptId, OutcomeQuery, OutcomeReply, RunCall, RunFrame, RunOrder, RunPart,
 };
 use crate::documents::RequestPriority;
 use crate::engines::{PlainAnswer, PlainCall, PlainEdge};
 use crate::errors::SwitchResult;
 use crate::guard::part_sink::AttemptWriter;
-use crate::guard::run_edge::{GuardHandle, settle};
+use crate::guard::run_endpoints::{GuardHandle, resolve};
 use crate::guard::run_task::run_order;
-use crate::guard::{BackendServer, GuardEdges, GuardLimits, ServingGate, start_guard};
+use crate::guard::{GuardContext, GuardLimits, LocalBackend, ServingGate, start_guard};
 use crate::membership::{HostIdentity, StatusBoard};
 use crate::stores::HostRole;
 use crate::transport::{FrameReader, frame_channel};
@@ -63,13 +63,13 @@
 
 impl TestHost {
     /// The guard of host `name` before `backend`, which knows of itself only.
-    pub(super) fn start(name: &str, backend: BackendServer) -> Self {
+    pub(super) fn start(name: &str, backend: LocalBackend) -> Self {
         let gate = ServingGate::default();
         Self::start_with(name, backend, gate)
     }
 
     /// As [`TestHost::start`], with a gate that the test opens.
-    pub(super) fn start_with(name: &str, backend: BackendServer, gate: ServingGate) -> Self {
+    pub(super) fn start_with(name: &str, backend: LocalBackend, gate: ServingGate) -> Self {
         let incarnation = 7;
         let host: ByteString = name.into();
         let identity = HostIdentity {
@@ -83,7 +83,7 @@
         };
         let drain = DrainState::new(Duration::ZERO, Duration::from_secs(10));
         let board = StatusBoard::new(host, incarnation);
-        let edges = GuardEdges {
+        let edges = GuardContext {
             identity,
             backend,
             gate,
@@ -103,7 +103,7 @@
     }
 
     /// Gives an order and returns where its frames come.
-    pub(super) fn give(&self, order: RunOrder) -> FrameReader {
+    pub(super) fn submit(&self, order: RunOrder) -> FrameReader {
         let (writer, body) = frame_channel(64);
         let attempt = order.attempt;
         let shared = Arc::clone(&self.handle.shared);
@@ -114,7 +114,7 @@
 
     /// Gives an order and returns its whole answer.
     pub(super) async fn ask(&self, order: RunOrder) -> Vec<RunPart> {
-        let mut reader = self.give(order);
+        let mut reader = self.submit(order);
         let mut parts = Vec::new();
         while let Some(frame) = reader.next::<RunFrame>().await.expect("it reads") {
             if frame.part != RunPart::Alive {
@@ -125,13 +125,13 @@
     }
 
     /// Asks what became of `attempt`.
-    pub(super) fn settle(&self, attempt: AttemptId) -> SettleReply {
+    pub(super) fn resolve(&self, attempt: AttemptId) -> OutcomeReply {
         let incarnation = self.incarnation;
-        let order = SettleOrder {
+        let order = OutcomeQuery {
             attempt,
             incarnation,
         };
-        settle(&self.handle.shared, &order)
+        resolve(&self.handle.shared, &order)
     }
 }
 
--- a/src/guard/tests/forward.rs
+++ b/src/guard/tests/forward.rs
@@ -11,16 +11,16 @@
 use crate::delivery::{RunOrder, RunPart};
 use crate::engines::{PlainAnswer, PlainCall, PlainEdge};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::guard::BackendServer;
+use crate::guard::LocalBackend;
 
 /// A service whose first connection is silent for good.
 #[derive(Default)]
-struct FirstSilent {
+struct FirstUnresponsive {
     connections: AtomicU32,
     answering: CountingPlain,
 }
 
-impl PlainEdge for FirstSilent {
+impl PlainEdge for FirstUnresponsive {
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>> {
         async move {
             if self.connections.fetch_add(1, Ordering::Relaxed) == 0 {
@@ -42,10 +42,10 @@
 }
 
 async fn ask(repeatable: bool) -> (Vec<RunPart>, u32) {
-    let service = Arc::new(FirstSilent::default());
-    let backend = BackendServer::Plain(Arc::clone(&service) as Arc<dyn PlainEdge>);
+    let service = Arc::new(FirstUnresponsive::default());
+    let backend = LocalBackend::Plain(Arc::clone(&service) as Arc<dyn PlainEdge>);
     let host = TestHost::start("lima-1", backend);
-    let mut reader = host.give(order(repeatable));
+    let mut reader = host.submit(order(repeatable));
     // An unrepeatable call is not answered in this test's time: two words of life are enough.
     let mut parts = Vec::new();
     let mut alive = 0;
@@ -85,7 +85,7 @@
 async fn a_body_is_passed_on_whole() {
     let plain = Arc::new(CountingPlain::default());
     plain.padding.store(200_000, Ordering::Relaxed);
-    let host = TestHost::start("lima-1", BackendServer::Plain(plain));
+    let host = TestHost::start("lima-1", LocalBackend::Plain(plain));
     let mut order = order(true);
     order.deadline_ms = 20_000;
     let parts = host.ask(order).await;
--- a/src/guard/tests/queue.rs
+++ b/src/guard/tests/queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::documents::RequestPriority;
-use crate::guard::run_queue::{QueueAnswer, QueueRefusal, RunQueue, RunTicket};
+use crate::guard::run_queue::{QueueAdmission, QueueRefusal, RunQueue, RunTicket};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -13,7 +13,7 @@
 const RUNNING: u32 = 3;
 const WAITING: usize = 8;
 
-struct Known {
+struct TrackedRun {
     ticket: RunTicket,
     priority: RequestPriority,
     is_running: bool,
@@ -26,65 +26,70 @@
 fn a_free_place_goes_to_the_most_urgent_that_came_first() {
     run_cases(CASES, CASE_BYTES, |u| {
         let mut queue = RunQueue::new(RUNNING, WAITING);
-        let mut known: Vec<Known> = Vec::new();
+        let mut tracked: Vec<TrackedRun> = Vec::new();
         let mut now = ClockTime::from_millis(1);
         for _ in 0..EVENTS {
             now = now + Duration::from_millis(u.int_in_range(0..=20)?);
-            if known.is_empty() || u.ratio(1, 2)? {
+            if tracked.is_empty() || u.ratio(1, 2)? {
                 let priority = *u.choose(&RequestPriority::ALL)?;
-                offer(&mut queue, &mut known, priority, now);
+                offer(&mut queue, &mut tracked, priority, now);
             } else {
-                let index = u.choose_index(known.len())?;
-                let gone = known.remove(index);
-                let started = if queue.withdraw(gone.ticket) {
-                    assert!(!gone.is_running, "a running one was waiting");
+                let index = u.choose_index(tracked.len())?;
+                let ended = tracked.remove(index);
+                let started = if queue.withdraw(ended.ticket) {
+                    assert!(!ended.is_running, "a running one was waiting");
                     Vec::new()
                 } else {
-                    assert!(gone.is_running, "a waiting one was running");
-                    queue.end(gone.ticket, now)
+                    assert!(ended.is_running, "a waiting one was running");
+                    queue.end(ended.ticket, now)
                 };
-                check_started(&mut known, &started);
+                check_started(&mut tracked, &started);
             }
-            let running = known.iter().filter(|one| one.is_running).count();
+            let running = tracked.iter().filter(|one| one.is_running).count();
             assert_eq!(running, queue.running_count());
-            assert_eq!(known.len() - running, queue.waiting_count());
+            assert_eq!(tracked.len() - running, queue.waiting_count());
             assert!(running <= RUNNING as usize && queue.waiting_count() <= WAITING);
         }
         Ok(())
     });
 }
 
-fn offer(queue: &mut RunQueue, known: &mut Vec<Known>, priority: RequestPriority, now: ClockTime) {
+fn offer(
+    queue: &mut RunQueue,
+    tracked: &mut Vec<TrackedRun>,
+    priority: RequestPriority,
+    now: ClockTime,
+) {
     let deadline = now + Duration::from_mins(1);
     let (ticket, is_running) = match queue.offer(priority, deadline, now) {
-        Ok(QueueAnswer::Started(ticket)) => (ticket, true),
-        Ok(QueueAnswer::Waits(ticket)) => (ticket, false),
+        Ok(QueueAdmission::Started(ticket)) => (ticket, true),
+        Ok(QueueAdmission::Waiting(ticket)) => (ticket, false),
         Err(refused) => {
             assert!(refused == QueueRefusal::Full, "{refused:?}");
             assert_eq!(queue.waiting_count(), WAITING);
             return;
         }
     };
-    let others = known.iter().filter(|one| one.is_running).count();
-    let places = if priority == RequestPriority::Urgent {
+    let others = tracked.iter().filter(|one| one.is_running).count();
+    let slots = if priority == RequestPriority::Urgent {
         RUNNING
     } else {
         RUNNING - 1
     };
-    assert_eq!(is_running, others < places as usize, "{priority:?}");
-    known.push(Known {
+    assert_eq!(is_running, others < slots as usize, "{priority:?}");
+    tracked.push(TrackedRun {
         ticket,
         priority,
         is_running,
     });
 }
 
-fn check_started(known: &mut [Known], started: &[RunTicket]) {
+fn check_started(tracked: &mut [TrackedRun], started: &[RunTicket]) {
     for ticket in started {
-        let waiting = known.iter().filter(|one| !one.is_running);
+        let waiting = tracked.iter().filter(|one| !one.is_running);
         let best = waiting.min_by_key(|one| (one.priority, one.ticket));
         assert_eq!(best.map(|one| one.ticket), Some(*ticket));
-        for one in known.iter_mut().filter(|one| one.ticket == *ticket) {
+        for one in tracked.iter_mut().filter(|one| one.ticket == *ticket) {
             one.is_running = true;
         }
     }
@@ -98,7 +103,7 @@
     let begun = ClockTime::from_millis(1);
     let priority = RequestPriority::Normal;
     let far = begun + Duration::from_mins(1);
-    let Ok(QueueAnswer::Started(first)) = queue.offer(priority, far, begun) else {
+    let Ok(QueueAdmission::Started(first)) = queue.offer(priority, far, begun) else {
         panic!("the place is free");
     };
     let ended = begun + Duration::from_secs(4);
--- a/src/guard/tests/streams.rs
+++ b/src/guard/tests/streams.rs
@@ -15,13 +15,13 @@
     LoadOrder,
 };
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
-use crate::guard::{BackendServer, ServingGate};
+use crate::guard::{LocalBackend, ServingGate};
 use crate::membership::{LoadReport, ServingVersion};
 use crate::weights::WeightsDigest;
 
 /// What the engine sends, step by step.
 #[derive(Clone, Copy, Debug)]
-enum Sends {
+enum ScriptStep {
     /// Its own next token at this place.
     Token(u32),
     /// A token at this place that names another request.
@@ -34,7 +34,7 @@
 
 /// An engine that follows a script, and whose reports say that it is idle whatever it does.
 struct ScriptEngine {
-    script: Vec<Sends>,
+    script: Vec<ScriptStep>,
     cancelled: Mutex<Vec<String>>,
 }
 
@@ -50,21 +50,21 @@
 }
 
 impl ScriptEngine {
-    fn part(request: &ByteString, sends: Sends) -> SwitchResult<EnginePart> {
+    fn part(request: &ByteString, step: ScriptStep) -> SwitchResult<EnginePart> {
         let token = |request: ByteString, index| EnginePart::Token {
             request,
             index,
             text: text(index),
         };
-        match sends {
-            Sends::Token(index) => Ok(token(request.clone(), index)),
-            Sends::Foreign(index) => Ok(token("another".into(), index)),
-            Sends::Finish(tokens) => Ok(EnginePart::Finish {
+        match step {
+            ScriptStep::Token(index) => Ok(token(request.clone(), index)),
+            ScriptStep::Foreign(index) => Ok(token("another".into(), index)),
+            ScriptStep::Finish(tokens) => Ok(EnginePart::Finish {
                 request: request.clone(),
                 tokens,
                 reason: "stop".into(),
             }),
-            Sends::Break => Err(SwitchError::new(ErrorKind::EngineFailed, "it died")),
+            ScriptStep::Break => Err(SwitchError::new(ErrorKind::EngineFailed, "it died")),
         }
     }
 }
@@ -97,10 +97,8 @@
     }
 
     fn generate(&self, call: EngineCall) -> BoxFuture<'_, SwitchResult<EngineStream>> {
-        let sends = self.script.iter().copied();
-        let parts: Vec<_> = sends
-            .map(|sends| Self::part(&call.request, sends))
-            .collect();
+        let steps = self.script.iter().copied();
+        let parts: Vec<_> = steps.map(|step| Self::part(&call.request, step)).collect();
         async move { Ok(Box::pin(stream::iter(parts)) as EngineStream) }.boxed()
     }
 
@@ -120,20 +118,20 @@
     }
 }
 
-struct Streaming {
+struct StreamFixture {
     engine: Arc<ScriptEngine>,
     host: TestHost,
 }
 
-impl Streaming {
-    fn start(script: &[Sends]) -> Self {
+impl StreamFixture {
+    fn start(script: &[ScriptStep]) -> Self {
         let engine = Arc::new(ScriptEngine {
             script: script.to_vec(),
             cancelled: Mutex::default(),
         });
         let gate = ServingGate::default();
         gate.open(serving());
-        let backend = BackendServer::Model(engine.clone());
+        let backend = LocalBackend::Model(engine.clone());
         let host = TestHost::start_with("lima-1", backend, gate);
         Self { engine, host }
     }
@@ -166,8 +164,12 @@
 
 #[tokio::test]
 async fn a_whole_answer_ends_with_its_digest() {
-    let streaming = Streaming::start(&[Sends::Token(3), Sends::Token(4), Sends::Finish(5)]);
-    let parts = streaming.ask(3).await;
+    let fixture = StreamFixture::start(&[
+        ScriptStep::Token(3),
+        ScriptStep::Token(4),
+        ScriptStep::Finish(5),
+    ]);
+    let parts = fixture.ask(3).await;
     assert_eq!(tokens_of(&parts), [3, 4]);
     let mut hasher = blake3::Hasher::new();
     hasher.update(text(3).as_bytes());
@@ -184,13 +186,13 @@
 #[tokio::test]
 async fn crossed_and_doubled_tokens_are_dropped() {
     let script = [
-        Sends::Token(0),
-        Sends::Foreign(1),
-        Sends::Token(0),
-        Sends::Token(1),
-        Sends::Finish(2),
+        ScriptStep::Token(0),
+        ScriptStep::Foreign(1),
+        ScriptStep::Token(0),
+        ScriptStep::Token(1),
+        ScriptStep::Finish(2),
     ];
-    let parts = Streaming::start(&script).ask(0).await;
+    let parts = StreamFixture::start(&script).ask(0).await;
     assert_eq!(tokens_of(&parts), [0, 1]);
     assert!(matches!(parts.last(), Some(RunPart::End { .. })));
 }
@@ -200,19 +202,23 @@
 // the end of the answer.
 #[tokio::test]
 async fn a_cut_answer_never_ends_cleanly() {
-    let scripts: [&[Sends]; 4] = [
-        &[Sends::Token(0), Sends::Break],
-        &[Sends::Token(0)],
-        &[Sends::Token(0), Sends::Finish(3)],
-        &[Sends::Token(0), Sends::Token(2), Sends::Finish(3)],
+    let scripts: [&[ScriptStep]; 4] = [
+        &[ScriptStep::Token(0), ScriptStep::Break],
+        &[ScriptStep::Token(0)],
+        &[ScriptStep::Token(0), ScriptStep::Finish(3)],
+        &[
+            ScriptStep::Token(0),
+            ScriptStep::Token(2),
+            ScriptStep::Finish(3),
+        ],
     ];
     for script in scripts {
-        let streaming = Streaming::start(script);
-        let parts = streaming.ask(0).await;
+        let fixture = StreamFixture::start(script);
+        let parts = fixture.ask(0).await;
         assert_eq!(tokens_of(&parts), [0], "{script:?}");
         let is_broken = matches!(parts.last(), Some(RunPart::Broken { .. }));
         assert!(is_broken, "{script:?}");
-        let cancelled = streaming.engine.cancelled.lock().expect("nobody panicked");
+        let cancelled = fixture.engine.cancelled.lock().expect("nobody panicked");
         assert_eq!(cancelled.len(), 1, "{script:?}");
     }
 }
@@ -221,12 +227,12 @@
 // stream is resumed on a host that serves another version by now. Cause: the version is not asked.
 #[tokio::test]
 async fn a_stream_is_not_resumed_on_another_version() {
-    let streaming = Streaming::start(&[Sends::Finish(0)]);
+    let fixture = StreamFixture::start(&[ScriptStep::Finish(0)]);
     let mut order = generate(1);
     if let RunCall::Generate { resume_version, .. } = &mut order.call {
         *resume_version = Some(WeightsDigest::of(b"v2"));
     }
-    let parts = streaming.host.ask(order).await;
+    let parts = fixture.host.ask(order).await;
     let is_refused = matches!(
         parts.as_slice(),
         [RunPart::Refused {
@@ -242,9 +248,9 @@
 // to leave. Cause: nothing tells new requests apart from those under way.
 #[tokio::test]
 async fn a_leaving_host_takes_no_new_request() {
-    let streaming = Streaming::start(&[Sends::Token(0), Sends::Finish(1)]);
-    streaming.host.drain.begin();
-    let parts = streaming.ask(0).await;
+    let fixture = StreamFixture::start(&[ScriptStep::Token(0), ScriptStep::Finish(1)]);
+    fixture.host.drain.begin();
+    let parts = fixture.ask(0).await;
     let is_refused = matches!(
         parts.as_slice(),
         [RunPart::Refused {
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -12,7 +12,7 @@
 use crate::daemon::{DrainState, probe_routes};
 use crate::engines::{EngineEdge, HttpPlain, JsonStateEngine, MetricsTextEngine};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::guard::{BackendServer, GuardEdges, GuardLimits, ServingGate, start_guard};
+use crate::guard::{GuardContext, GuardLimits, LocalBackend, ServingGate, start_guard};
 use crate::membership::StatusBoard;
 use crate::settings::CommonSettings;
 use crate::stores::http::HttpWeights;
@@ -67,7 +67,7 @@
         let mut routes = probe_routes(drain.clone(), Arc::new(AtomicBool::new(true)))
             .merge(control.peer_routes());
         let mut pacer = None;
-        if let BackendServer::Model(engine) = &backend {
+        if let LocalBackend::Model(engine) = &backend {
             let parts = WeightsParts {
                 engine: Arc::clone(engine),
                 control,
@@ -84,7 +84,7 @@
                     .merge(weights.engine_routes());
             }
         }
-        let edges = GuardEdges {
+        let edges = GuardContext {
             identity,
             backend,
             gate,
@@ -148,18 +148,18 @@
     Some(start_weights(edges, limits))
 }
 
-fn backend_server(settings: &HostSettings) -> BackendServer {
+fn backend_server(settings: &HostSettings) -> LocalBackend {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let address = settings.engine_address;
     match settings.dialect {
         EngineDialect::MetricsText => {
             let model = settings.service.clone();
-            BackendServer::Model(Arc::new(MetricsTextEngine::new(address, client, model)))
+            LocalBackend::Model(Arc::new(MetricsTextEngine::new(address, client, model)))
         }
         EngineDialect::JsonState => {
-            BackendServer::Model(Arc::new(JsonStateEngine::new(address, client)))
+            LocalBackend::Model(Arc::new(JsonStateEngine::new(address, client)))
         }
-        EngineDialect::Plain => BackendServer::Plain(Arc::new(HttpPlain::new(address, client))),
+        EngineDialect::Plain => LocalBackend::Plain(Arc::new(HttpPlain::new(address, client))),
     }
 }
 
--- a/src/lab/picks/model.rs
+++ b/src/lab/picks/model.rs
@@ -12,7 +12,7 @@
 use super::world::{backend_number, document, entry, snapshot};
 use crate::documents::ServiceDocument;
 use crate::membership::LoadReport;
-use crate::routing::{BackendKey, BackendPool, PickTarget, PickWish};
+use crate::routing::{BackendKey, BackendPool, PickCriteria, PickTarget};
 use crate::time::ClockTime;
 
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -324,7 +324,7 @@
                 Some((least, None))
             }
             PickWay::Product | PickWay::ProductWithEnds => {
-                let wish = PickWish {
+                let wish = PickCriteria {
                     target: PickTarget::Any,
                     urgent: false,
                     prefix: None,
--- a/src/lab/picks/timing.rs
+++ b/src/lab/picks/timing.rs
@@ -9,7 +9,7 @@
 use crate::admission::{AdmissionState, DispatchOutcome, QueuedRequest};
 use crate::documents::RequestPriority;
 use crate::membership::LoadReport;
-use crate::routing::{BackendPool, NoPick, PickTarget, PickWish};
+use crate::routing::{BackendPool, PickCriteria, PickFailure, PickTarget};
 use crate::time::ClockTime;
 
 const ROUNDS: u32 = 200_000;
@@ -62,7 +62,7 @@
     let mut number = 0_u64;
     time_steps(|| {
         number += 1;
-        let wish = PickWish {
+        let wish = PickCriteria {
             target: PickTarget::Any,
             urgent: false,
             prefix: by_prefix.then_some(number),
@@ -70,8 +70,8 @@
         };
         match black_box(pool.pick(&wish, NOW)) {
             Ok(picked) => pool.note_success(picked.key, Duration::from_millis(1), 100, None, NOW),
-            Err(NoPick::Full) => {}
-            Err(NoPick::Nobody) => panic!("there are backend servers"),
+            Err(PickFailure::Full) => {}
+            Err(PickFailure::NoneEligible) => panic!("there are backend servers"),
         }
     })
 }
--- a/src/lab/soak/delivery.rs
+++ b/src/lab/soak/delivery.rs
@@ -6,8 +6,8 @@
 use bytestring::ByteString;
 
 use crate::delivery::{
-    AnswerCheck, AnswerDigest, AttemptId, AttemptPlan, CheckedPart, NextStep, PlanTraits, RunFrame,
-    RunPart, SettleReply,
+    AnswerCheck, AnswerDigest, AttemptId, AttemptPlan, AttemptPolicy, CheckedPart, NextStep,
+    OutcomeReply, RunFrame, RunPart,
 };
 use crate::errors::{ErrorKind, RunOutcome, SwitchError};
 use crate::membership::{LoadReport, ServingVersion};
@@ -45,7 +45,7 @@
 
 struct Case {
     plan: AttemptPlan,
-    traits: PlanTraits,
+    traits: AttemptPolicy,
     hosts: [Host; HOSTS],
     attempts: Vec<Attempt>,
     executions: u32,
@@ -66,7 +66,7 @@
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
     let repeatable = u.arbitrary()?;
     let now = ClockTime::from_millis(1);
-    let traits = PlanTraits {
+    let traits = AttemptPolicy {
         repeatable,
         attempts_max: u.int_in_range(1..=6)?,
         deadline: now + std::time::Duration::from_secs(u.int_in_range(1..=20)?),
@@ -108,11 +108,11 @@
             self.disturb(u)?;
             let jitter = u.arbitrary()?;
             let mut step = self.plan.after_failure(error.clone(), self.now, jitter);
-            if step == NextStep::Settle {
+            if step == NextStep::QueryOutcome {
                 let reply = self.settle(place, u)?;
                 step = self
                     .plan
-                    .after_settling(error, reply.as_ref(), self.now, jitter);
+                    .after_outcome_reply(error, reply.as_ref(), self.now, jitter);
             }
             match step {
                 NextStep::Retry { wait } => {
@@ -121,7 +121,7 @@
                     host = u.choose_index(HOSTS)?;
                 }
                 NextStep::GiveUp(error) => return Ok(Told::Error(error)),
-                NextStep::Settle => panic!("an attempt was to be settled twice"),
+                NextStep::QueryOutcome => panic!("an attempt was to be settled twice"),
             }
         }
     }
@@ -184,7 +184,7 @@
                 u.int_in_range(0..=19_u8)?
             };
             match fault {
-                0 => return Ok(Some(check.cut())),
+                0 => return Ok(Some(check.truncation_error())),
                 1 => return Ok(Some(SwitchError::new(ErrorKind::PeerSilent, "silent"))),
                 2 => {
                     return Ok(Some(SwitchError::new(
@@ -226,7 +226,7 @@
                 return Ok(None);
             }
         }
-        Ok(Some(check.cut()))
+        Ok(Some(check.truncation_error()))
     }
 
     fn take(
@@ -262,20 +262,20 @@
         self.executions += 1;
     }
 
-    fn settle(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<Option<SettleReply>> {
+    fn settle(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<Option<OutcomeReply>> {
         if u.ratio(1, 4)? {
             return Ok(None);
         }
         let attempt = self.attempts[place];
         if self.hosts[attempt.host].incarnation != attempt.incarnation {
-            return Ok(Some(SettleReply::NotKnown));
+            return Ok(Some(OutcomeReply::NotKnown));
         }
         Ok(Some(match attempt.fate {
-            Fate::Ran if u.arbitrary()? => SettleReply::Running,
-            Fate::Ran => SettleReply::Ran,
+            Fate::Ran if u.arbitrary()? => OutcomeReply::Running,
+            Fate::Ran => OutcomeReply::Ran,
             Fate::OnItsWay | Fate::Barred => {
                 self.attempts[place].fate = Fate::Barred;
-                SettleReply::NotRun
+                OutcomeReply::NotRun
             }
         }))
     }
--- a/src/lab/soak/routing.rs
+++ b/src/lab/soak/routing.rs
@@ -11,7 +11,7 @@
 use crate::errors::ErrorKind;
 use crate::lab::picks::world::{address, document, entry, record};
 use crate::membership::{HostIdentity, HostStatus, LoadReport, ServingVersion};
-use crate::routing::{BackendKey, BackendPool, PickTarget, PickWish, PickedBackend};
+use crate::routing::{BackendKey, BackendPool, PickCriteria, PickTarget, PickedBackend};
 use crate::stores::HostRole;
 use crate::time::ClockTime;
 use crate::weights::WeightsDigest;
@@ -153,7 +153,7 @@
             Some(earlier) if u.arbitrary()? => Some(earlier.key),
             _ => None,
         };
-        let wish = PickWish {
+        let wish = PickCriteria {
             target,
             urgent: u.arbitrary()?,
             prefix: u.arbitrary()?,
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    fn check(&self, wish: &PickWish, picked: &PickedBackend) {
+    fn check(&self, wish: &PickCriteria, picked: &PickedBackend) {
         let place = self.hosts.iter().position(|one| one.host == picked.host);
         let place = place.expect("a host was picked that never was");
         let member = &self.hosts[place];
@@ -227,9 +227,9 @@
                 let place = self.hosts.iter().position(|one| one.host == ended.host);
                 let place = place.expect("it was picked before");
                 // Its word holds for the process that gave it, as long as that is known.
-                self.refused[place] |= self.listed[place] && self.pool.knows(ended.key);
+                self.refused[place] |= self.listed[place] && self.pool.contains_key(ended.key);
             }
-            _ => self.pool.note_nothing(ended.key, self.now),
+            _ => self.pool.note_inconclusive(ended.key, self.now),
         }
         Ok(())
     }
--- a/src/routing/backend_pool.rs
+++ b/src/routing/backend_pool.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::backend_server::{BackendServer, Nearness, ServicePace};
+use super::backend_state::{BackendState, CostLatency, Nearness};
 use super::events;
 use super::rendezvous::{name_hash, rendezvous_weight};
 use crate::control::{ControlSnapshot, MemberRecord, MemberState};
@@ -43,7 +43,7 @@
 
 /// What a request wants of its pick.
 #[apply(key!)]
-pub(crate) struct PickWish {
+pub(crate) struct PickCriteria {
     /// Where it may go.
     pub(crate) target: PickTarget,
     /// Whether it may wait at the host.
@@ -69,16 +69,16 @@
 
 /// Why there is no pick.
 #[apply(key!)]
-pub(crate) enum NoPick {
+pub(crate) enum PickFailure {
     /// Those that could take it are full.
     Full,
     /// There is none that could take it.
-    Nobody,
+    NoneEligible,
 }
 
 /// The backend servers of one service.
 pub(crate) struct BackendPool {
-    arena: Vec<Option<BackendServer>>,
+    arena: Vec<Option<BackendState>>,
     /// Those that are known, sorted by host name.
     pub(super) by_host: Vec<BackendKey>,
     /// Those that may get new work, by nearness, each list in its own order.
@@ -86,7 +86,7 @@
     pub(super) entries: u32,
     pub(super) needs_weights: bool,
     /// How long our requests took anywhere by their cost.
-    pub(super) pace: ServicePace,
+    pub(super) cost_latency: CostLatency,
     pub(super) rng: StdRng,
 }
 
@@ -99,7 +99,7 @@
             tiers: [const { Vec::new() }; 4],
             entries: 1,
             needs_weights: false,
-            pace: ServicePace::default(),
+            cost_latency: CostLatency::default(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
@@ -116,18 +116,18 @@
         self.entries = sender_count(snapshot, document, identity);
         let mut known = Vec::with_capacity(self.by_host.len());
         for member in &snapshot.members {
-            if serves(member, document) {
+            if is_eligible_member(member, document) {
                 known.push(self.refresh_member(member, identity, now));
             }
         }
-        let gone: Vec<BackendKey> = self
+        let removed: Vec<BackendKey> = self
             .by_host
             .iter()
             .copied()
             .filter(|key| !known.contains(key))
             .collect();
-        for key in gone {
-            self.forget(key);
+        for key in removed {
+            self.remove(key);
         }
         self.by_host = known;
         self.rebuild_tiers(name_hash(&identity.host));
@@ -136,12 +136,12 @@
     /// Picks a backend server and counts the request as sent there.
     pub(crate) fn pick(
         &mut self,
-        wish: &PickWish,
+        criteria: &PickCriteria,
         now: ClockTime,
-    ) -> Result<PickedBackend, NoPick> {
-        let key = self.pick_any(wish, now)?;
-        let backend = self.backend_mut(key).ok_or(NoPick::Nobody)?;
-        backend.breaker.note_passed(now);
+    ) -> Result<PickedBackend, PickFailure> {
+        let key = self.pick_any(criteria, now)?;
+        let backend = self.backend_mut(key).ok_or(PickFailure::NoneEligible)?;
+        backend.breaker.note_sent(now);
         backend.estimate.begin(now);
         let incarnation = backend
             .status
@@ -170,9 +170,9 @@
                 backend.estimate.take_report(load, Duration::ZERO, now);
             }
             backend.breaker.note_success();
-            backend.pace.note(took, cost);
+            backend.cost_latency.note(took, cost);
         }
-        self.pace.note(took, cost);
+        self.cost_latency.note(took, cost);
         self.release(key);
     }
 
@@ -184,7 +184,7 @@
             if backend.note_failure(kind, now, jitter) {
                 log_event!(events::BREAKER_OPENED, "{} after {kind:?}", backend.host);
             }
-            if backend.shunned {
+            if backend.has_refused_work {
                 for tier in &mut self.tiers {
                     tier.retain(|member| *member != key);
                 }
@@ -194,24 +194,24 @@
     }
 
     /// A request there has ended without a word about the backend server.
-    pub(crate) fn note_nothing(&mut self, key: BackendKey, now: ClockTime) {
+    pub(crate) fn note_inconclusive(&mut self, key: BackendKey, now: ClockTime) {
         if let Some(backend) = self.backend_mut(key) {
             backend.estimate.end(now);
-            backend.breaker.note_nothing(now);
+            backend.breaker.note_inconclusive(now);
         }
         self.release(key);
     }
 
     /// Whether `key` is one of the backend servers that the control state names.
-    pub(crate) fn knows(&self, key: BackendKey) -> bool {
+    pub(crate) fn contains_key(&self, key: BackendKey) -> bool {
         self.by_host.contains(&key)
     }
 
-    pub(super) fn backend(&self, key: BackendKey) -> Option<&BackendServer> {
+    pub(super) fn backend(&self, key: BackendKey) -> Option<&BackendState> {
         self.arena.get(key.0 as usize)?.as_ref()
     }
 
-    fn backend_mut(&mut self, key: BackendKey) -> Option<&mut BackendServer> {
+    fn backend_mut(&mut self, key: BackendKey) -> Option<&mut BackendState> {
         self.arena.get_mut(key.0 as usize)?.as_mut()
     }
 
@@ -221,20 +221,20 @@
         identity: &HostIdentity,
         now: ClockTime,
     ) -> BackendKey {
-        let near = nearness(member, identity);
+        let nearness = nearness(member, identity);
         let found = self.by_host.binary_search_by(|key| {
             let known = self.backend(*key).map(|backend| &backend.host);
             known.cmp(&Some(&member.host))
         });
         let found = found.ok().map(|place| self.by_host[place]);
-        let key = found.unwrap_or_else(|| self.insert(BackendServer::new(member, near, now)));
+        let key = found.unwrap_or_else(|| self.insert(BackendState::new(member, nearness, now)));
         if let Some(backend) = self.backend_mut(key) {
-            backend.refresh(member, near, REPORT_LAG, now);
+            backend.refresh(member, nearness, REPORT_LAG, now);
         }
         key
     }
 
-    fn insert(&mut self, backend: BackendServer) -> BackendKey {
+    fn insert(&mut self, backend: BackendState) -> BackendKey {
         let free = self.arena.iter().position(Option::is_none);
         let place = free.unwrap_or_else(|| {
             self.arena.push(None);
@@ -246,7 +246,7 @@
 
     /// Takes a backend server out; its place in the arena is kept until its last request has
     /// ended, so that no other gets its key meanwhile.
-    fn forget(&mut self, key: BackendKey) {
+    fn remove(&mut self, key: BackendKey) {
         if let Some(backend) = self.backend_mut(key) {
             backend.state = MemberState::Gone;
         }
@@ -258,8 +258,8 @@
     fn release(&mut self, key: BackendKey) {
         let is_done = self
             .backend(key)
-            .is_some_and(|backend| backend.estimate.own() == 0);
-        if is_done && !self.knows(key) {
+            .is_some_and(|backend| backend.estimate.own_count() == 0);
+        if is_done && !self.contains_key(key) {
             self.arena[key.0 as usize] = None;
         }
     }
@@ -271,7 +271,7 @@
                 continue;
             };
             if backend.is_usable(self.needs_weights) {
-                tiers[backend.near as usize].push(*key);
+                tiers[backend.nearness as usize].push(*key);
             }
         }
         for tier in &mut tiers {
@@ -288,7 +288,7 @@
     }
 }
 
-fn serves(member: &MemberRecord, document: &ServiceDocument) -> bool {
+fn is_eligible_member(member: &MemberRecord, document: &ServiceDocument) -> bool {
     let is_named = match &document.hosts {
         HostSelection::Listed => true,
         HostSelection::Named(hosts) => hosts.contains(&member.host),
--- a/src/routing/breaker.rs
+++ b/src/routing/circuit_breaker.rs
@@ -9,8 +9,8 @@
 use crate::time::ClockTime;
 
 const FAILURES_TO_OPEN: u8 = 3;
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const OPEN_TIME_BASE: Duration = Duration::from_millis(500);
+const OPEN_TIME_MAX: Duration = Duration::from_secs(10);
 const DOUBLINGS_MAX: u32 = 5;
 /// A probe whose end nobody told is forgotten, so that a backend server is not shut out for good.
 const PROBE_LIMIT: Duration = Duration::from_secs(30);
@@ -46,7 +46,7 @@
 
 impl CircuitBreaker {
     /// Whether a request may pass now.
-    pub(crate) fn lets_pass(&self, now: ClockTime) -> bool {
+    pub(crate) fn allows_request(&self, now: ClockTime) -> bool {
         match self.phase {
             BreakerPhase::Closed => true,
             BreakerPhase::Open { until } => now >= until,
@@ -56,8 +56,8 @@
 
     /// A request is sent; behind an open breaker it is the probe. One that must go to this very
     /// backend server goes past an open breaker and decides nothing.
-    pub(crate) fn note_passed(&mut self, now: ClockTime) {
-        if self.lets_pass(now) && self.phase != BreakerPhase::Closed {
+    pub(crate) fn note_sent(&mut self, now: ClockTime) {
+        if self.allows_request(now) && self.phase != BreakerPhase::Closed {
             self.phase = BreakerPhase::Probing { since: now };
         }
     }
@@ -71,7 +71,7 @@
 
     /// A request ended without a word about the backend server. A probe leaves the way open for
     /// the next one.
-    pub(crate) const fn note_nothing(&mut self, now: ClockTime) {
+    pub(crate) const fn note_inconclusive(&mut self, now: ClockTime) {
         if matches!(self.phase, BreakerPhase::Probing { .. }) {
             self.phase = BreakerPhase::Open { until: now };
         }
@@ -87,11 +87,11 @@
             BreakerPhase::Open { .. } => false,
         };
         if opens {
-            let pause = FIRST_PAUSE
+            let open_time = OPEN_TIME_BASE
                 .saturating_mul(1 << self.openings.min(DOUBLINGS_MAX))
-                .min(LONGEST_PAUSE);
-            let spread = pause.mul_f64(f64::from(jitter) / f64::from(u32::MAX));
-            let until = now + pause / 2 + spread;
+                .min(OPEN_TIME_MAX);
+            let spread = open_time.mul_f64(f64::from(jitter) / f64::from(u32::MAX));
+            let until = now + open_time / 2 + spread;
             self.phase = BreakerPhase::Open { until };
             self.openings = self.openings.saturating_add(1);
         }
--- a/src/routing/load_estimate.rs
+++ b/src/routing/load_estimate.rs
@@ -21,10 +21,10 @@
 #[apply(plain!)]
 pub(crate) struct LoadEstimate {
     report: LoadReport,
-    others: u32,
-    own: u32,
+    other_load: u32,
+    own_count: u32,
     /// Own requests at the end of each of the last steps, by step number modulo [`STEPS`].
-    past: [u32; STEPS],
+    own_history: [u32; STEPS],
     step: u64,
 }
 
@@ -38,9 +38,9 @@
                 capacity: 0,
                 queue_room: 0,
             },
-            others: 0,
-            own: 0,
-            past: [0; STEPS],
+            other_load: 0,
+            own_count: 0,
+            own_history: [0; STEPS],
             step: now.0 / STEP_MICROS,
         }
     }
@@ -48,33 +48,33 @@
     /// Takes a report that was made `lag` before `now`.
     pub(crate) fn take_report(&mut self, report: LoadReport, lag: Duration, now: ClockTime) {
         self.advance(now);
-        let own_then = self.own_at(now - lag);
+        let own_then = self.own_count_at(now - lag);
         let reported = report.running.saturating_add(report.waiting);
-        self.others = reported.saturating_sub(own_then);
+        self.other_load = reported.saturating_sub(own_then);
         self.report = report;
     }
 
     /// One of our requests is sent there.
     pub(crate) fn begin(&mut self, now: ClockTime) {
         self.advance(now);
-        self.own += 1;
+        self.own_count += 1;
     }
 
     /// One of our requests there has ended.
     pub(crate) fn end(&mut self, now: ClockTime) {
         self.advance(now);
-        assert!(self.own > 0, "a request ended that never began");
-        self.own -= 1;
+        assert!(self.own_count > 0, "a request ended that never began");
+        self.own_count -= 1;
     }
 
     /// Our requests there.
-    pub(crate) const fn own(&self) -> u32 {
-        self.own
+    pub(crate) const fn own_count(&self) -> u32 {
+        self.own_count
     }
 
     /// All requests there, as far as can be told.
     pub(crate) const fn total(&self) -> u32 {
-        self.others.saturating_add(self.own)
+        self.other_load.saturating_add(self.own_count)
     }
 
     /// Requests that it runs at a time; at least one, so that a backend server that has not said
@@ -95,33 +95,33 @@
     /// Other senders' part is taken for as large as it can be until the next report: the host has
     /// just refused a request because it was full.
     pub(crate) fn note_full(&mut self) {
-        let most = self.capacity().saturating_add(self.queue_room());
-        self.others = self.others.max(most.saturating_sub(self.own));
+        let limit = self.capacity().saturating_add(self.queue_room());
+        self.other_load = self.other_load.max(limit.saturating_sub(self.own_count));
     }
 
     fn advance(&mut self, now: ClockTime) {
         let step = now.0 / STEP_MICROS;
         let passed = usize::try_from(step.saturating_sub(self.step)).unwrap_or(STEPS);
         for ahead in 0..passed.min(STEPS) {
-            self.past[place_of(self.step + ahead as u64)] = self.own;
+            self.own_history[history_index(self.step + ahead as u64)] = self.own_count;
         }
         if passed > STEPS {
-            self.past = [self.own; STEPS];
+            self.own_history = [self.own_count; STEPS];
         }
         self.step = self.step.max(step);
     }
 
-    fn own_at(&self, then: ClockTime) -> u32 {
+    fn own_count_at(&self, then: ClockTime) -> u32 {
         let step = then.0 / STEP_MICROS;
         if step >= self.step {
-            return self.own;
+            return self.own_count;
         }
         let oldest = self.step.saturating_sub(STEPS as u64);
-        self.past[place_of(step.max(oldest))]
+        self.own_history[history_index(step.max(oldest))]
     }
 }
 
 #[expect(clippy::cast_possible_truncation, reason = "smaller than STEPS")]
-const fn place_of(step: u64) -> usize {
+const fn history_index(step: u64) -> usize {
     (step % STEPS as u64) as usize
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -2,8 +2,8 @@
 //! nearest first, with a breaker for each.
 
 mod backend_pool;
-mod backend_server;
-mod breaker;
+mod backend_state;
+mod circuit_breaker;
 pub(crate) mod events;
 mod load_estimate;
 mod pick;
@@ -12,8 +12,8 @@
 mod tests;
 
 pub(crate) use backend_pool::{
-    BackendKey, BackendPool, NoPick, PickTarget, PickWish, PickedBackend, entry_count,
+    BackendKey, BackendPool, PickCriteria, PickFailure, PickTarget, PickedBackend, entry_count,
 };
-pub(crate) use backend_server::headroom_of;
-pub(crate) use breaker::CircuitBreaker;
+pub(crate) use backend_state::urgent_headroom;
+pub(crate) use circuit_breaker::CircuitBreaker;
 pub(crate) use rendezvous::{name_hash, rendezvous_weight};
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -2,8 +2,8 @@
 
 use rand::Rng;
 
-use super::backend_pool::{BackendKey, BackendPool, NoPick, PickTarget, PickWish};
-use super::backend_server::BackendServer;
+use super::backend_pool::{BackendKey, BackendPool, PickCriteria, PickFailure, PickTarget};
+use super::backend_state::BackendState;
 use super::rendezvous::rendezvous_weight;
 use crate::time::ClockTime;
 
@@ -25,34 +25,34 @@
     /// same one until the next load report.
     pub(super) fn pick_any(
         &mut self,
-        wish: &PickWish,
+        criteria: &PickCriteria,
         now: ClockTime,
-    ) -> Result<BackendKey, NoPick> {
+    ) -> Result<BackendKey, PickFailure> {
         for room in [RoomKind::Free, RoomKind::Waiting] {
             for tier in 0..self.tiers.len() {
-                if let Some(key) = self.pick_in_tier(tier, room, wish, now) {
+                if let Some(key) = self.pick_in_tier(tier, room, criteria, now) {
                     return Ok(key);
                 }
             }
         }
         // Where it failed last is better than nowhere.
-        if let Some(key) = wish.avoid {
-            let anew = PickWish {
+        if let Some(key) = criteria.avoid {
+            let without_avoid = PickCriteria {
                 avoid: None,
-                ..*wish
+                ..*criteria
             };
-            if self.is_in_tiers(key) && self.fits(key, RoomKind::Waiting, &anew, now) {
+            if self.is_in_tiers(key) && self.fits(key, RoomKind::Waiting, &without_avoid, now) {
                 return Ok(key);
             }
         }
-        let somebody = self.tiers.iter().flatten().any(|key| {
+        let any_eligible = self.tiers.iter().flatten().any(|key| {
             self.backend(*key)
-                .is_some_and(|backend| serves_target(backend, wish.target))
+                .is_some_and(|backend| serves_target(backend, criteria.target))
         });
-        Err(if somebody {
-            NoPick::Full
+        Err(if any_eligible {
+            PickFailure::Full
         } else {
-            NoPick::Nobody
+            PickFailure::NoneEligible
         })
     }
 
@@ -60,7 +60,7 @@
         &mut self,
         tier: usize,
         room: RoomKind,
-        wish: &PickWish,
+        criteria: &PickCriteria,
         now: ClockTime,
     ) -> Option<BackendKey> {
         let count = self.tiers[tier].len();
@@ -70,27 +70,27 @@
         let random: [u32; CHOICES] = std::array::from_fn(|_| self.rng.next_u32());
         let members = &self.tiers[tier];
         if room == RoomKind::Free
-            && let Some(key) = self.pick_by_prefix(members, wish, now)
+            && let Some(key) = self.pick_by_prefix(members, criteria, now)
         {
             return Some(key);
         }
-        let drawn = random.map(|draw| below(draw, count));
+        let drawn = random.map(|draw| index_below(draw, count));
         // When those drawn do not do, the others follow in a circle.
-        let circle = (1..count).map(|step| (drawn[0] + step) % count);
-        let places = drawn.into_iter().chain(circle);
+        let others = (1..count).map(|step| (drawn[0] + step) % count);
+        let places = drawn.into_iter().chain(others);
         let mut best: Option<(f64, BackendKey)> = None;
-        let mut fitting = 0;
+        let mut eligible_count = 0;
         for place in places {
             let key = members[place];
-            if best.is_some_and(|(_, other)| other == key) || !self.fits(key, room, wish, now) {
+            if best.is_some_and(|(_, other)| other == key) || !self.fits(key, room, criteria, now) {
                 continue;
             }
             let expected = self.expected_time(key);
             if best.is_none_or(|(least, _)| expected < least) {
                 best = Some((expected, key));
             }
-            fitting += 1;
-            if fitting == CHOICES {
+            eligible_count += 1;
+            if eligible_count == CHOICES {
                 break;
             }
         }
@@ -102,29 +102,35 @@
     fn pick_by_prefix(
         &self,
         members: &[BackendKey],
-        wish: &PickWish,
+        criteria: &PickCriteria,
         now: ClockTime,
     ) -> Option<BackendKey> {
-        let prefix = wish.prefix?;
+        let prefix = criteria.prefix?;
         let weight_of = |key: &&BackendKey| {
             let member = self.backend(**key).map_or(0, |backend| backend.hash);
             rendezvous_weight(prefix, member)
         };
         let key = *members.iter().max_by_key(weight_of)?;
-        self.fits(key, RoomKind::Free, wish, now).then_some(key)
+        self.fits(key, RoomKind::Free, criteria, now).then_some(key)
     }
 
-    fn fits(&self, key: BackendKey, room: RoomKind, wish: &PickWish, now: ClockTime) -> bool {
+    fn fits(
+        &self,
+        key: BackendKey,
+        room: RoomKind,
+        criteria: &PickCriteria,
+        now: ClockTime,
+    ) -> bool {
         let Some(backend) = self.backend(key) else {
             return false;
         };
         let has_room = match room {
-            RoomKind::Free => backend.is_free(wish.urgent),
-            RoomKind::Waiting => backend.takes_waiting(wish.urgent, self.entries),
+            RoomKind::Free => backend.has_free_slot(criteria.urgent),
+            RoomKind::Waiting => backend.can_queue(criteria.urgent, self.entries),
         };
-        wish.avoid != Some(key)
-            && serves_target(backend, wish.target)
-            && backend.breaker.lets_pass(now)
+        criteria.avoid != Some(key)
+            && serves_target(backend, criteria.target)
+            && backend.breaker.allows_request(now)
             && has_room
     }
 
@@ -133,12 +139,13 @@
     }
 
     fn expected_time(&self, key: BackendKey) -> f64 {
-        self.backend(key)
-            .map_or(f64::MAX, |backend| backend.expected_time(&self.pace))
+        self.backend(key).map_or(f64::MAX, |backend| {
+            backend.expected_time(&self.cost_latency)
+        })
     }
 }
 
-fn serves_target(backend: &BackendServer, target: PickTarget) -> bool {
+fn serves_target(backend: &BackendState, target: PickTarget) -> bool {
     match target {
         PickTarget::Version(digest) => backend
             .status
@@ -150,6 +157,6 @@
 }
 
 /// A place below `count` from a random number that is evenly spread over all of `u32`.
-const fn below(draw: u32, count: usize) -> usize {
+const fn index_below(draw: u32, count: usize) -> usize {
     ((draw as u64 * count as u64) >> u32::BITS) as usize
 }
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::breaker::CircuitBreaker;
+use super::circuit_breaker::CircuitBreaker;
 use super::load_estimate::LoadEstimate;
 use super::rendezvous::{name_hash, rendezvous_weight};
 use crate::lab::soak::routing::run_case;
@@ -27,17 +27,17 @@
     assert!(!breaker.note_failure(START, 0));
     assert!(!breaker.note_failure(START, 0));
     assert!(breaker.note_failure(START, 0));
-    assert!(!breaker.lets_pass(after(249)));
-    assert!(breaker.lets_pass(after(250)));
-    breaker.note_passed(after(250));
-    assert!(!breaker.lets_pass(after(251)));
+    assert!(!breaker.allows_request(after(249)));
+    assert!(breaker.allows_request(after(250)));
+    breaker.note_sent(after(250));
+    assert!(!breaker.allows_request(after(251)));
     assert!(breaker.note_failure(after(260), 0));
     // The second pause is twice as long.
-    assert!(!breaker.lets_pass(after(759)));
-    assert!(breaker.lets_pass(after(760)));
-    breaker.note_passed(after(760));
+    assert!(!breaker.allows_request(after(759)));
+    assert!(breaker.allows_request(after(760)));
+    breaker.note_sent(after(760));
     breaker.note_success();
-    assert!(breaker.lets_pass(after(761)));
+    assert!(breaker.allows_request(after(761)));
 }
 
 #[test]
@@ -46,9 +46,9 @@
     for _ in 0..3 {
         breaker.note_failure(START, 0);
     }
-    breaker.note_passed(after(300));
-    assert!(!breaker.lets_pass(after(20_000)));
-    assert!(breaker.lets_pass(after(40_000)));
+    breaker.note_sent(after(300));
+    assert!(!breaker.allows_request(after(20_000)));
+    assert!(breaker.allows_request(after(40_000)));
 }
 
 /// Symptom: all entry hosts sent to the same backend server for a second, then to the next. Events:
