--- a/src/delivery/messages.rs
+++ b/src/delivery/messages.rs
@@ -190,7 +190,7 @@
     Running,
     /// It ran to its end.
     Ran,
-    /// This process does not know: it is another incarnation, its record of the attempt has
-    /// expired, or the end of the attempt is uncertain.
+    /// This process does not know: it is another incarnation, the end of the attempt is uncertain,
+    /// or the record of the attempt may have expired or could not be added.
     NotKnown,
 }
--- a/src/guard/answer_buffer.rs
+++ b/src/guard/answer_buffer.rs
@@ -1,17 +1,18 @@
-//! The answer of a call that runs on when its caller has left.
+//! Buffers the answer of a call that continues after its caller has disconnected.
 
 use tokio::sync::watch;
 
 use crate::delivery::RunPart;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// Bytes of one answer that are kept at most; a longer one breaks off.
+/// Maximum size of one buffered answer in bytes; a longer answer fails.
 const ANSWER_BYTES_MAX: usize = 32 * 1024 * 1024;
 
-/// An answer that grows part by part, whoever reads it.
+/// An answer that grows part by part, independently of its readers.
 ///
-/// An unrepeatable call that was handed over must run to its end, or nobody can say what it did.
-/// Its answer therefore does not depend on the connection of the entry host that asked.
+/// An unrepeatable call that was handed to the backend server must run to its end; otherwise its
+/// outcome would be unknown. Its answer therefore does not depend on the connection to the entry
+/// host.
 #[derive(Debug, Default)]
 pub(super) struct AnswerBuffer {
     state: watch::Sender<BufferState>,
@@ -29,15 +30,18 @@
     ///
     /// # Errors
     ///
-    /// `AnswerDamaged` when the answer grows too long.
+    /// `AnswerDamaged` when the answer exceeds the maximum size.
     ///
     /// # Panics
     ///
-    /// When the answer has ended already.
+    /// If the answer has already ended.
     pub(super) fn push(&self, part: RunPart) -> SwitchResult<()> {
         let mut is_too_long = false;
         self.state.send_modify(|state| {
-            assert!(!state.has_ended, "a part came behind the end of an answer");
+            assert!(
+                !state.has_ended,
+                "a part was added after the end of an answer"
+            );
             state.bytes += part_bytes(&part);
             is_too_long = state.bytes > ANSWER_BYTES_MAX;
             state.has_ended = is_last(&part);
@@ -46,13 +50,14 @@
             }
         });
         if is_too_long {
-            let detail = format!("the answer is over {ANSWER_BYTES_MAX} bytes");
+            let detail = format!("the answer exceeds {ANSWER_BYTES_MAX} bytes");
             return Err(SwitchError::new(ErrorKind::AnswerDamaged, detail));
         }
         Ok(())
     }
 
-    /// The parts from `from` on, as soon as there are any; none when the answer has ended there.
+    /// Waits for parts from index `from` on and returns them. Returns none when the answer ends
+    /// there.
     pub(super) async fn read(&self, from: usize) -> Vec<RunPart> {
         let mut state = self.state.subscribe();
         let has_news = |state: &BufferState| state.has_ended || state.parts.len() > from;
@@ -63,7 +68,7 @@
     }
 }
 
-/// Whether nothing follows `part`.
+/// Whether `part` is the last part of an answer.
 pub(super) const fn is_last(part: &RunPart) -> bool {
     matches!(
         part,
--- a/src/guard/attempt_ledger.rs
+++ b/src/guard/attempt_ledger.rs
@@ -1,4 +1,4 @@
-//! What this process knows of each attempt that reached it, or that it was asked about.
+//! Records the state of each attempt that this process received or was queried about.
 
 use std::time::Duration;
 
@@ -8,57 +8,59 @@
 use crate::derives::key;
 use crate::time::ClockTime;
 
-/// How long an attempt is remembered; longer than any entry host asks about one.
+/// How long an attempt is recorded; longer than any entry host queries its outcome.
 const RETENTION: Duration = Duration::from_mins(10);
-/// Attempts remembered at most. New ones are refused when all of them are young.
+/// Maximum number of recorded attempts. New attempts are refused while all of them are within the
+/// retention period.
 const ATTEMPTS_MAX: usize = 100_000;
-/// How far two hosts' wall clocks may differ, in milliseconds, and then some.
+/// Upper limit, with a reserve, of the difference between two hosts' wall clocks, in milliseconds.
 const CLOCK_SKEW_MS: u64 = 30_000;
-/// Old attempts are looked for after this many new ones.
+/// Expired attempts are removed after this many new ones.
 const SWEEP_EVERY: u32 = 256;
 
-/// How far an attempt has come.
+/// The state of an attempt.
 #[apply(key!)]
 pub(crate) enum AttemptState {
-    /// Here, but not handed over.
+    /// Received, but not handed to the backend server.
     Waiting,
     /// Handed to the backend server.
     Started,
     /// Ran to its end.
     Ran,
-    /// Did not run and must not: it was refused, its caller left, or it was settled before it came.
+    /// Did not run and must not run: it was refused, its caller disconnected, or it was reported as
+    /// not run before it ran.
     NotRun,
-    /// Was handed over, and it is not known what became of it.
+    /// Was handed to the backend server; whether it ran to its end is unknown.
     NotKnown,
 }
 
-/// What an arriving order finds.
+/// The result of registering an arriving order.
 #[apply(key!)]
 pub(crate) enum Arrival {
-    /// It is new: it may run.
+    /// The attempt is new and may run.
     Fresh,
-    /// It was said of it that it does not run.
+    /// The attempt is recorded as not run and must not run.
     Cancelled,
-    /// It came before: this is a doubled message.
+    /// The attempt was received before: this order is a duplicate.
     Duplicate,
-    /// It is so old that what was known of it is forgotten.
+    /// The attempt is so old that its record may have expired.
     TooOld,
-    /// Nothing more can be remembered.
+    /// The ledger is full.
     Full,
 }
 
-/// Every attempt seen in the last ten minutes, sorted by identity.
+/// All attempts of the last ten minutes.
 ///
-/// "Not run" must stay true after it was said. An entry host that lost its connection asks what
-/// became of its attempt; the order may still be on its way, and would run after the answer. One
-/// would notice a call that ran although its caller was told otherwise. The book therefore buries
-/// an attempt that it has not seen before it says "not run", and refuses it when it comes. What is
-/// older than the newest forgotten attempt, by the time that the entry host wrote into its
-/// identity, is neither run nor called "not run".
+/// A reply of "not run" must stay true. An entry host that lost its connection queries the outcome
+/// of its attempt while the order may still be on its way. If the order ran after the reply, a call
+/// would have run although its caller was told that it had not. The ledger therefore records an
+/// attempt that it has not received as not run before it replies so, and refuses the order when it
+/// arrives. An attempt that is older than the newest expired record, by the creation time in its
+/// id, is neither run nor reported as "not run".
 #[derive(Debug)]
 pub(crate) struct AttemptLedger {
     attempts: Vec<AttemptEntry>,
-    /// The time in the identity of the newest attempt that was forgotten, in milliseconds.
+    /// Creation time of the newest attempt whose record has expired, in wall-clock milliseconds.
     expired_ms: Option<u64>,
     since_sweep: u32,
 }
@@ -71,7 +73,7 @@
 }
 
 impl AttemptLedger {
-    /// A book that knows of nothing.
+    /// Creates an empty ledger.
     pub(crate) const fn new() -> Self {
         Self {
             attempts: Vec::new(),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// An order for `attempt` has come.
+    /// Registers an arriving order for `attempt`.
     pub(crate) fn arrive(&mut self, attempt: AttemptId, now: ClockTime) -> Arrival {
         self.sweep_if_due(now);
         match self.find(attempt) {
@@ -95,8 +97,8 @@
         }
     }
 
-    /// Asks to hand `attempt` over now. Returns whether it may be: not if it was settled or
-    /// withdrawn meanwhile.
+    /// Marks `attempt` as handed to the backend server. Returns whether it may be handed over: not
+    /// if it was reported as not run or withdrawn in the meantime.
     pub(crate) fn start(&mut self, attempt: AttemptId) -> bool {
         let Ok(at) = self.find(attempt) else {
             return false;
@@ -109,7 +111,8 @@
         may_start
     }
 
-    /// `attempt` is not to run any more. Returns whether that is so: not if it was handed over.
+    /// Withdraws `attempt` so that it does not run. Returns false if it was already handed over or
+    /// is not recorded.
     pub(crate) fn withdraw(&mut self, attempt: AttemptId) -> bool {
         let Ok(at) = self.find(attempt) else {
             return false;
@@ -121,11 +124,11 @@
         entry.state == AttemptState::NotRun
     }
 
-    /// `attempt`, which was handed over, has ended as `state`.
+    /// Records that `attempt`, which was handed over, has ended as `state`.
     ///
     /// # Panics
     ///
-    /// When it was not handed over, or is said to have neither run nor not run.
+    /// If `attempt` was not handed over, or `state` is not a final state.
     pub(crate) fn end(&mut self, attempt: AttemptId, state: AttemptState) {
         assert!(
             !matches!(state, AttemptState::Waiting | AttemptState::Started),
@@ -141,17 +144,17 @@
         }
     }
 
-    /// Whether `attempt` is here and still to be run.
+    /// Whether `attempt` was received and still has to run.
     pub(crate) fn is_waiting(&self, attempt: AttemptId) -> bool {
         self.state_of(attempt) == Some(AttemptState::Waiting)
     }
 
-    /// How far `attempt` has come; `None` when nothing is known of it.
+    /// Returns the state of `attempt`, or `None` if it is not recorded.
     pub(crate) fn state_of(&self, attempt: AttemptId) -> Option<AttemptState> {
         self.find(attempt).ok().map(|at| self.attempts[at].state)
     }
 
-    /// What became of `attempt`. After `NotRun` it never runs.
+    /// Answers a query for the outcome of `attempt`. After `NotRun` it never runs.
     pub(crate) fn resolve(&mut self, attempt: AttemptId, now: ClockTime) -> OutcomeReply {
         self.sweep_if_due(now);
         match self.find(attempt) {
--- a/src/guard/backend_run.rs
+++ b/src/guard/backend_run.rs
@@ -1,4 +1,4 @@
-//! Handing one call to the backend server and bringing its answer back, checked.
+//! Hands one call to the backend server, checks its answer and passes it on.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,23 +21,25 @@
 use crate::membership::LoadReport;
 use crate::metrics::{count_event, count_retry};
 
-/// How long a plain service may take between two parts of its answer.
+/// Maximum time between two parts of a plain service's answer.
 const BODY_PART_TIMEOUT: Duration = Duration::from_secs(30);
-/// The part of a call's time after which a silent connection is doubted: one in so many.
+/// A call without a response after its time limit divided by this is sent again on a second
+/// connection.
 const HEDGE_DELAY_DIVISOR: u32 = 3;
 
-/// What became of a call.
+/// The outcome of a call.
 #[apply(plain!)]
 pub(super) enum RunEnd {
-    /// It ran and its whole answer was passed on; this is the last part, not yet sent.
+    /// The call ran and its complete answer was passed on, but for this last part, which the caller
+    /// of the function sends.
     Ran(RunPart),
-    /// It did not run and will not.
+    /// The call did not run and will never run.
     NotRun(SwitchError),
-    /// It may have run.
+    /// The call may have run.
     NotKnown(SwitchError),
 }
 
-/// Has `engine` generate `call`. `first_within` bounds the wait for the first token.
+/// Runs `call` at `engine`. `first_within` limits the wait for the first token.
 pub(super) async fn run_generate(
     engine: &Arc<dyn EngineEdge>,
     pass: &ServingPass,
@@ -47,11 +49,11 @@
 ) -> RunEnd {
     let request = call.request.clone();
     let next_index = call.resume_from;
-    let begun = match sink.wait_for(engine.generate(call)).await {
-        Ok(begun) => begun,
-        Err(gone) => Err(gone),
+    let opened = match sink.wait_for(engine.generate(call)).await {
+        Ok(opened) => opened,
+        Err(error) => Err(error),
     };
-    let stream = match begun {
+    let stream = match opened {
         Ok(stream) => stream,
         Err(error) => return start_failure(error),
     };
@@ -69,7 +71,7 @@
     match outcome {
         Ok(end) => RunEnd::Ran(end),
         Err(error) => {
-            // Whoever waited has left or got an error: the engine's work is for nobody.
+            // The caller has disconnected or gets an error: stop the engine's work.
             if let Err(fault) = engine.cancel(&relay.request).await {
                 log_event!(events::CANCEL_FAILED, "{fault}");
             }
@@ -90,8 +92,8 @@
     }
 }
 
-/// Passes an engine's tokens on, each checked to belong to this request and to follow the one
-/// before.
+/// Passes an engine's tokens on. Checks that each belongs to this request and follows the previous
+/// one.
 struct TokenRelay<'a> {
     request: ByteString,
     next_index: u32,
@@ -119,7 +121,7 @@
                 return Err(SwitchError::new(ErrorKind::DeadlinePassed, detail));
             };
             let Some(part) = next else {
-                let detail = "the engine's answer ended without its end";
+                let detail = "the engine's answer was truncated: its last part is missing";
                 return Err(SwitchError::new(ErrorKind::EngineFailed, detail));
             };
             if let Some(end) = self.take(part?).await? {
@@ -129,15 +131,16 @@
         }
     }
 
-    /// Passes one part on; returns the end when it was the end.
+    /// Checks one part and passes it on. Returns the last part of the answer when the engine has
+    /// finished.
     async fn take(&mut self, part: EnginePart) -> SwitchResult<Option<RunPart>> {
         match part {
             EnginePart::Token { request, .. } | EnginePart::Finish { request, .. }
                 if request != self.request =>
             {
-                // An engine that mixes up its streams would give a caller another's answer. One
-                // would notice texts that do not belong together. Only what names this request is
-                // passed on; a token that is missing here shows as a gap.
+                // An engine that mixes up its streams would show a caller the answer of another.
+                // Only parts that carry the id of this request are passed on. A token lost by such
+                // a mix-up is detected as a gap.
                 count_event("engine_parts_crossed", 1);
                 log_event!(events::ENGINE_CROSSED, "{request} in {}", self.request);
                 Ok(None)
@@ -147,7 +150,7 @@
                 Ok(None)
             }
             EnginePart::Token { index, .. } if index > self.next_index => {
-                let detail = format!("token {index} came in place of {}", self.next_index);
+                let detail = format!("token {index} arrived, expected token {}", self.next_index);
                 Err(SwitchError::new(ErrorKind::AnswerDamaged, detail))
             }
             EnginePart::Token { index, text, .. } => {
@@ -157,7 +160,10 @@
                 Ok(None)
             }
             EnginePart::Finish { tokens, .. } if tokens != self.next_index => {
-                let detail = format!("{tokens} tokens announced, {} came", self.next_index);
+                let detail = format!(
+                    "the engine reported {tokens} tokens, {} arrived",
+                    self.next_index
+                );
                 Err(SwitchError::new(ErrorKind::AnswerDamaged, detail))
             }
             EnginePart::Finish { reason, .. } => Ok(Some(end_part(&self.hasher, reason))),
@@ -165,7 +171,7 @@
     }
 }
 
-/// Hands `call` to a plain service.
+/// Runs `call` at a plain service.
 pub(super) async fn run_forward(
     service: &Arc<dyn PlainEdge>,
     call: PlainCall,
@@ -185,21 +191,22 @@
     }
 }
 
-/// Whether a call that is not answered is tried on a second connection beside the first.
+/// Whether an unanswered call is sent again on a second connection while the first one continues.
 pub(super) enum HedgePolicy<'a> {
-    /// Not: it may not run twice.
+    /// The call must not run twice.
     Never,
-    /// After a part of its time, if the budget allows it.
+    /// The call is sent again after part of its time limit if the function, which takes from the
+    /// budget, returns true.
     IfSilent(&'a (dyn Fn() -> bool + Sync)),
 }
 
-/// Asks the service, and once more on a fresh connection if the first stays silent for a third of
-/// the time that there is; the first answer counts.
+/// Sends the call to the service, and again on a new connection if there is no response within a
+/// third of its time limit. The first response counts.
 ///
-/// Something between the two ends may have lost track of an open connection; a call on it is never
-/// answered, while a fresh one would be. One would notice calls that take their whole deadline and
-/// fail beside others that take their usual time. The first call is not given up, so that a service
-/// that is just slow answers it all the same.
+/// An open connection can die without being closed when a device on the path loses its state. A
+/// call on it is never answered, while a call on a new connection would be: some calls would run
+/// into their deadline while others take their usual time. The first call continues, so that a
+/// service that is merely slow can still answer it.
 async fn forward_hedged(
     service: &Arc<dyn PlainEdge>,
     call: PlainCall,
@@ -235,7 +242,8 @@
     loop {
         let next = sink.wait_for(timeout(BODY_PART_TIMEOUT, answer.body.next()));
         let Ok(next) = next.await? else {
-            let detail = format!("the service sent nothing for {BODY_PART_TIMEOUT:?}");
+            let detail =
+                format!("the service sent no part of its answer for {BODY_PART_TIMEOUT:?}");
             return Err(SwitchError::new(ErrorKind::AnswerCut, detail));
         };
         let Some(bytes) = next.transpose()? else {
@@ -247,7 +255,7 @@
     Ok(end_part(&hasher, ByteString::new()))
 }
 
-/// The end of a whole answer; whoever sends it fills in how busy the host is.
+/// Returns the last part of a complete answer. Its load report is filled in when it is sent.
 fn end_part(hasher: &blake3::Hasher, reason: ByteString) -> RunPart {
     RunPart::End {
         digest: AnswerDigest::from_hasher(hasher),
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -1,5 +1,6 @@
-//! The host process's traffic: the last word on its host. It queues before the engine or plain
-//! service, runs each attempt at most once, and knows what ran.
+//! The guard: the part of the host process that controls all requests to the backend server on its
+//! host. It queues requests for the engine or plain service, runs each attempt at most once, and
+//! records which attempts ran.
 
 mod answer_buffer;
 pub(crate) mod attempt_ledger;
--- a/src/guard/part_sink.rs
+++ b/src/guard/part_sink.rs
@@ -1,4 +1,4 @@
-//! Where the parts of an answer go.
+//! Destinations for the parts of an answer.
 
 use std::future::Future;
 use std::pin::pin;
@@ -12,10 +12,10 @@
 use crate::errors::{SwitchError, SwitchResult};
 use crate::transport::FrameWriter;
 
-/// How often a waiting entry host is told that this process is alive.
+/// Interval of keep-alive frames to a waiting entry host.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The way back to the entry host that gave one order.
+/// Writes the answer of one attempt to the entry host that sent the order.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptWriter {
     pub(super) attempt: AttemptId,
@@ -23,20 +23,20 @@
 }
 
 impl AttemptWriter {
-    /// Sends one part. Fails when the entry host has left.
+    /// Sends one part. Fails when the entry host has disconnected.
     pub(super) async fn send(&self, part: RunPart) -> SwitchResult<()> {
         let attempt = self.attempt;
         self.writer.write(&RunFrame { attempt, part }).await
     }
 
-    /// Sends the refusal that `error` says.
+    /// Sends a refusal with `error`.
     pub(super) async fn refuse(&self, error: &SwitchError) {
-        // An entry host that has left needs no refusal.
+        // The send fails only if the entry host has disconnected.
         let _ = self.send(refused_part(error)).await;
     }
 
-    /// Waits for `work`, tells the entry host meanwhile that this process is alive, and gives up
-    /// when it has left.
+    /// Waits for `work` and sends keep-alive frames to the entry host in the meantime. Fails when
+    /// the entry host has disconnected.
     pub(super) async fn wait_for<F: Future>(&self, work: F) -> SwitchResult<F::Output> {
         let mut work = pin!(work);
         let mut ticks = interval(KEEP_ALIVE_INTERVAL);
@@ -49,7 +49,7 @@
                 () = self.writer.closed() => {
                     return Err(SwitchError::new(
                         crate::errors::ErrorKind::CallerGone,
-                        "the entry host left",
+                        "the entry host disconnected",
                     ));
                 }
                 _ = ticks.tick() => self.send(RunPart::Alive).await?,
@@ -58,17 +58,18 @@
     }
 }
 
-/// Where the parts of an answer go.
+/// The destination of the parts of an answer.
 #[derive(Clone, Debug)]
 pub(super) enum PartSink {
-    /// To the entry host that waits; when it leaves, the run ends.
+    /// To the entry host. The run ends when the entry host disconnects.
     Live(AttemptWriter),
-    /// Into a buffer; the run goes on whoever leaves.
+    /// Into a buffer. The run continues when the entry host disconnects.
     Buffered(Arc<AnswerBuffer>),
 }
 
 impl PartSink {
-    /// Takes one part. Fails when nobody wants the answer any more, or it is too long.
+    /// Sends one part. Fails when the entry host has disconnected or the buffered answer is too
+    /// long.
     pub(super) async fn send(&self, part: RunPart) -> SwitchResult<()> {
         match self {
             Self::Live(writer) => writer.send(part).await,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Waits for `work` as long as the answer is wanted.
+    /// Waits for `work`. Fails when the entry host has disconnected, unless the answer is buffered.
     pub(super) async fn wait_for<F: Future>(&self, work: F) -> SwitchResult<F::Output> {
         match self {
             Self::Live(writer) => writer.wait_for(work).await,
@@ -85,7 +86,7 @@
     }
 }
 
-/// The frame that tells `error`.
+/// Returns the refusal that reports `error`.
 pub(super) fn refused_part(error: &SwitchError) -> RunPart {
     let retry_after_ms = error
         .retry_wait()
@@ -98,7 +99,7 @@
     }
 }
 
-/// The frame that tells that a started run broke off.
+/// Returns the part that reports the failure of a started run.
 pub(super) fn broken_part(error: &SwitchError) -> RunPart {
     RunPart::Broken {
         kind: error.kind,
--- a/src/guard/run_endpoints.rs
+++ b/src/guard/run_endpoints.rs
@@ -1,4 +1,4 @@
-//! The edge: orders in over HTTP, frames out, and the engine's state onto the status board.
+//! HTTP endpoints of the guard, and the task that publishes the load of the backend server.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -25,55 +25,56 @@
 use crate::time::clock_now;
 use crate::transport::{error_reply, frame_channel, message_reply, read_message};
 
-/// Frames that wait for a slow entry host; then the run waits.
+/// Capacity of the frame channel to an entry host. When a slow entry host lets it fill up, the run
+/// waits.
 const FRAME_BUFFER_MAX: usize = 64;
-/// The largest order, in bytes.
+/// Maximum size of an order, in bytes.
 const ORDER_BYTES_MAX: usize = 32 * 1024 * 1024;
 
-/// What the guard works with.
+/// The parts of the process that the guard works with.
 #[derive(Clone)]
 pub(crate) struct GuardContext {
-    /// Who this process is.
+    /// The identity of this process.
     pub(crate) identity: HostIdentity,
-    /// What stands beside it.
+    /// The backend server on this host.
     pub(crate) backend: LocalBackend,
-    /// The gate that requests go through.
+    /// The gate between requests and changes of version.
     pub(crate) gate: ServingGate,
-    /// Where this process says how busy it is.
+    /// Publishes the load of this process.
     pub(crate) board: StatusBoard,
-    /// The graceful stop.
+    /// State of the graceful shutdown.
     pub(crate) drain: DrainState,
 }
 
 /// Settings of the guard.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GuardLimits {
-    /// Requests that a plain service runs at a time; engines say theirs.
+    /// Number of requests that a plain service runs at a time. Engines report their own.
     pub(crate) running_max: u32,
-    /// Requests that wait before the backend server at most.
+    /// Maximum number of requests in the queue.
     pub(crate) waiting_max: usize,
-    /// How often the engine is asked for its state.
+    /// Interval at which the engine's state is polled.
     pub(crate) engine_check: Duration,
 }
 
-/// The rest of the process's hold on the guard.
+/// Handle to the running guard.
 #[derive(Clone)]
 pub(crate) struct GuardHandle {
     pub(super) shared: Arc<GuardShared>,
 }
 
-/// Starts to take orders for the service that `edges` names.
-pub(crate) fn start_guard(edges: GuardContext, limits: GuardLimits) -> GuardHandle {
-    let service: ByteString = edges.identity.service.clone().unwrap_or_default();
+/// Starts the guard for the service of `context.identity`.
+pub(crate) fn start_guard(context: GuardContext, limits: GuardLimits) -> GuardHandle {
+    let service: ByteString = context.identity.service.clone().unwrap_or_default();
     let queue = RunQueue::new(limits.running_max, limits.waiting_max);
     let state = GuardState::new(queue);
     let shared = Arc::new(GuardShared {
         service,
-        incarnation: edges.identity.incarnation,
-        backend: edges.backend,
-        gate: edges.gate,
-        board: edges.board,
-        drain: edges.drain,
+        incarnation: context.identity.incarnation,
+        backend: context.backend,
+        gate: context.gate,
+        board: context.board,
+        drain: context.drain,
         state: Mutex::new(state),
     });
     tokio::spawn(monitor_backend(Arc::clone(&shared), limits));
@@ -81,7 +82,7 @@
 }
 
 impl GuardHandle {
-    /// What entry hosts may ask.
+    /// Routes of the peer API for entry hosts.
     pub(crate) fn peer_routes(&self) -> Router {
         let run_shared = Arc::clone(&self.shared);
         let settle_shared = Arc::clone(&self.shared);
@@ -95,7 +96,8 @@
 }
 
 async fn handle_order(shared: Arc<GuardShared>, request: Request) -> Response {
-    // Counted before the body is read: a stop that begins meanwhile waits for the refusal too.
+    // Counted before the body is read, so that a shutdown that begins in the meantime waits for the
+    // response.
     let live = shared.drain.enter();
     let order: SwitchResult<RunOrder> = read_message(request.into_body(), ORDER_BYTES_MAX).await;
     let order = match order {
@@ -134,7 +136,8 @@
     shared.lock().attempts.resolve(order.attempt, clock_now())
 }
 
-/// Keeps the status board's load fresh, and asks a model engine what it is and how it is.
+/// Publishes the current load at a fixed interval, and polls a model engine for its profile and
+/// state.
 async fn monitor_backend(shared: Arc<GuardShared>, limits: GuardLimits) {
     let mut monitor = BackendMonitor::default();
     let mut ticks = tokio::time::interval(limits.engine_check);
@@ -151,7 +154,7 @@
     }
 }
 
-/// What the watch knows of the engine.
+/// What is known of the engine from earlier polls.
 #[derive(Default)]
 struct BackendMonitor {
     has_profile: bool,
@@ -159,7 +162,8 @@
 }
 
 impl BackendMonitor {
-    /// Asks the engine; returns how many requests wait inside it, by its last report.
+    /// Polls the engine. Returns the number of requests that wait inside the engine, by its last
+    /// report.
     async fn check(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineEdge>) -> u32 {
         if !self.has_profile {
             self.meet(shared, engine).await;
@@ -175,7 +179,7 @@
                 if !std::mem::replace(&mut self.is_silent, true) {
                     log_event!(events::ENGINE_UNRESPONSIVE, "{error}");
                 }
-                // It may come back as another engine.
+                // After an outage it may be another engine with another profile.
                 self.has_profile = false;
                 0
             }
--- a/src/guard/run_queue.rs
+++ b/src/guard/run_queue.rs
@@ -1,4 +1,4 @@
-//! The queue before the backend server: bounded, urgent first, then by arrival.
+//! The bounded queue for the backend server, sorted by priority, then arrival.
 
 use std::time::Duration;
 
@@ -9,36 +9,37 @@
 use crate::routing::urgent_headroom;
 use crate::time::ClockTime;
 
-/// How much of the newest run's length goes into the mean, as one in so many.
+/// The newest run time enters the mean with one part in this many.
 const MEAN_WEIGHT: u32 = 8;
 
-/// One request in the queue or at the backend server.
+/// Identifies a request in the queue or at the backend server.
 #[apply(key!)]
 pub(crate) struct RunTicket(u64);
 
-/// Why a request does not get into the queue.
+/// Why a request is not admitted to the queue.
 #[apply(key!)]
 pub(crate) enum QueueRefusal {
     /// The queue is full.
     Full,
-    /// By the length of earlier runs it would not start before its deadline.
+    /// By the mean run time of earlier requests it would not start before its deadline.
     TooLate {
-        /// How long from now until it might start.
+        /// Expected time until it could start.
         wait: Duration,
     },
 }
 
-/// What a request got.
+/// The result of admitting a request.
 #[apply(key!)]
 pub(crate) enum QueueAdmission {
-    /// It may start now.
+    /// The request may start now.
     Started(RunTicket),
-    /// It waits until [`RunQueue::end`] names it.
+    /// The request waits until [`RunQueue::end`] or [`RunQueue::set_running_max`] returns its
+    /// ticket.
     Waiting(RunTicket),
 }
 
-/// Requests before one backend server. A request either waits or runs; as many run as the backend
-/// server takes at a time.
+/// The requests for one backend server. A request either waits or runs; at most `running_max`
+/// requests run at a time.
 #[derive(Debug)]
 pub(crate) struct RunQueue {
     running_max: u32,
@@ -58,7 +59,7 @@
 }
 
 impl RunQueue {
-    /// An empty queue before a backend server that runs `running_max` requests at a time.
+    /// Creates an empty queue for a backend server that runs `running_max` requests at a time.
     pub(crate) const fn new(running_max: u32, waiting_max: usize) -> Self {
         Self {
             running_max,
@@ -70,17 +71,18 @@
         }
     }
 
-    /// The backend server says how many requests it runs at a time. Returns who may start now.
+    /// Sets how many requests the backend server runs at a time. Returns the requests that may
+    /// start now.
     pub(crate) fn set_running_max(&mut self, running_max: u32, now: ClockTime) -> Vec<RunTicket> {
         self.running_max = running_max;
         self.start_waiting(now)
     }
 
-    /// A request asks to run before `deadline`.
+    /// Admits a request that has to start before `deadline`.
     ///
     /// # Errors
     ///
-    /// Why it does not get in; nothing changed.
+    /// The reason for the refusal. The queue is unchanged then.
     pub(crate) fn offer(
         &mut self,
         priority: RequestPriority,
@@ -92,7 +94,10 @@
                 .waiting
                 .first()
                 .is_none_or(|one| one.priority > priority);
-            assert!(is_first, "a place was free and some as urgent waited");
+            assert!(
+                is_first,
+                "a slot was free although a request of the same or a higher priority waited"
+            );
             let ticket = self.new_ticket();
             self.running.push((ticket, now));
             return Ok(QueueAdmission::Started(ticket));
@@ -113,8 +118,8 @@
         Ok(QueueAdmission::Waiting(ticket))
     }
 
-    /// A waiting request leaves. Returns whether it was still waiting: if not, it was started and
-    /// has to be ended.
+    /// Removes a waiting request. Returns false if it does not wait any more; it was started then
+    /// and has to be ended.
     pub(crate) fn withdraw(&mut self, ticket: RunTicket) -> bool {
         let found = self.waiting.iter().position(|entry| entry.ticket == ticket);
         if let Some(at) = found {
@@ -123,32 +128,32 @@
         found.is_some()
     }
 
-    /// A started request has ended. Returns who may start now.
+    /// Removes a started request that has ended. Returns the requests that may start now.
     pub(crate) fn end(&mut self, ticket: RunTicket, now: ClockTime) -> Vec<RunTicket> {
         let found = self.running.binary_search_by_key(&ticket, |(one, _)| *one);
         if let Ok(at) = found {
-            let (_, begun) = self.running.remove(at);
-            self.record_run_time(now.since(begun));
+            let (_, started_at) = self.running.remove(at);
+            self.record_run_time(now.since(started_at));
         }
         self.start_waiting(now)
     }
 
-    /// Requests at the backend server.
+    /// Number of requests at the backend server.
     pub(crate) const fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(crate) const fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests that it takes at a time.
+    /// Number of requests that the backend server runs at a time.
     pub(crate) const fn running_max(&self) -> u32 {
         self.running_max
     }
 
-    /// Requests that it takes beyond those that it has.
+    /// Number of further requests that would be admitted: free slots and free places in the queue.
     pub(crate) fn room(&self) -> usize {
         let slots = count(self.running_max).saturating_sub(self.running.len());
         slots + self.waiting_max.saturating_sub(self.waiting.len())
@@ -169,9 +174,9 @@
 
     /// Whether a request of `priority` may start.
     ///
-    /// Runs are not interrupted: when long ones hold every place, an urgent request waits until the
-    /// first of them ends. One would notice urgent requests that are slow under load although they
-    /// are first in the queue. Some places are therefore left to them.
+    /// Some slots are reserved for urgent requests. Running requests are not interrupted: if long
+    /// ones held all slots, an urgent request would have to wait until the first of them ends, even
+    /// at the head of the queue.
     fn has_free_slot(&self, priority: RequestPriority) -> bool {
         let slots = match priority {
             RequestPriority::Urgent => self.running_max,
@@ -187,7 +192,8 @@
         RunTicket(self.next_ticket)
     }
 
-    /// How long a request of `priority` would wait, by the mean length of earlier runs.
+    /// Returns how long a request of `priority` would wait, by the mean run time of earlier
+    /// requests.
     fn expected_wait(&self, priority: RequestPriority) -> Duration {
         let Some(mean) = self.mean_run_time else {
             return Duration::ZERO;
@@ -196,7 +202,8 @@
             .waiting
             .partition_point(|other| other.priority <= priority);
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
-        // The next place is free after a share of the mean; each place ahead adds as much.
+        // With all slots busy, one slot becomes free every `mean / running_max` on average. Each
+        // request ahead adds as much.
         mean.saturating_mul(ahead.saturating_add(1)) / self.running_max.max(1)
     }
 
--- a/src/guard/run_task.rs
+++ b/src/guard/run_task.rs
@@ -1,4 +1,4 @@
-//! One order, from its arrival to the last frame of its answer.
+//! Runs one order from its arrival to the last frame of its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::metrics::count_refusal;
 use crate::time::{ClockTime, clock_now};
 
-/// The stage that refusals are counted under.
+/// The stage under which refusals are counted in the metrics.
 const STAGE: &str = "guard";
-/// How long an unrepeatable call that was handed over may take. It is let to finish whoever leaves,
-/// so its request's deadline does not bound it.
+/// Maximum duration of an unrepeatable call that was handed to the backend server. The call
+/// continues when the caller disconnects, so the deadline of the request does not limit it.
 const BUFFERED_RUN_MAX: Duration = Duration::from_mins(10);
 
-/// Carries out one order.
+/// Runs one order.
 pub(super) async fn run_order(
     shared: Arc<GuardShared>,
     order: RunOrder,
@@ -52,7 +52,8 @@
     }
 }
 
-/// Runs a call whose answer goes straight to the entry host, and that ends when it leaves.
+/// Runs a call whose answer goes directly to the entry host. The run ends when the entry host
+/// disconnects.
 async fn run_live(
     shared: &Arc<GuardShared>,
     order: RunOrder,
@@ -62,19 +63,19 @@
     let attempt = order.attempt;
     let sink = PartSink::Live(writer.clone());
     shared.lock().hedge_budget.record_call();
-    let is_wanted = |state: &GuardState| state.attempts.is_waiting(attempt);
+    let is_waiting = |state: &GuardState| state.attempts.is_waiting(attempt);
     let slot = writer
-        .wait_for(shared.acquire_slot(order.priority, deadline, is_wanted))
+        .wait_for(shared.acquire_slot(order.priority, deadline, is_waiting))
         .await;
     let last = match slot {
         Ok(Ok(slot)) => start_and_run(shared, order, deadline, &sink, slot).await,
         Ok(Err(error)) | Err(error) => not_run(shared, &order, &error),
     };
-    // An entry host that has left asks for what became of its attempt.
+    // If the send fails, the entry host has disconnected. It can query the outcome of its attempt.
     let _ = writer.send(with_load(shared, last)).await;
 }
 
-/// Runs an unrepeatable call: once for its attempt, whoever leaves.
+/// Runs an unrepeatable call at most once. The run continues when the entry host disconnects.
 async fn run_buffered(
     shared: Arc<GuardShared>,
     order: RunOrder,
@@ -83,19 +84,20 @@
 ) {
     let attempt = order.attempt;
     let sink = PartSink::Buffered(Arc::clone(&buffer));
-    let is_wanted = |state: &GuardState| state.attempts.is_waiting(attempt);
+    let is_waiting = |state: &GuardState| state.attempts.is_waiting(attempt);
     let slot = shared
-        .acquire_slot(order.priority, deadline, is_wanted)
+        .acquire_slot(order.priority, deadline, is_waiting)
         .await;
     let last = match slot {
         Ok(slot) => start_and_run(&shared, order, deadline, &sink, slot).await,
         Err(error) => not_run(&shared, &order, &error),
     };
-    // The last part always fits.
+    // The buffer stores the last part whatever its size.
     let _ = buffer.push(last);
 }
 
-/// Starts the attempt, unless it was settled or withdrawn meanwhile, and runs it to its end.
+/// Starts the attempt and runs it to its end, unless it was reported as not run or withdrawn in the
+/// meantime.
 async fn start_and_run(
     shared: &Arc<GuardShared>,
     order: RunOrder,
@@ -108,7 +110,10 @@
         Err(error) => return not_run(shared, &order, &error),
     };
     if !shared.lock().attempts.start(order.attempt) {
-        let error = refusal(ErrorKind::CallerGone, "it was given up in the queue");
+        let error = refusal(
+            ErrorKind::CallerGone,
+            "the attempt was withdrawn while it was queued",
+        );
         return not_run(shared, &order, &error);
     }
     let attempt = order.attempt;
@@ -123,7 +128,7 @@
     last
 }
 
-/// Hands the order's call to the backend server.
+/// Hands the call of the order to the backend server.
 async fn call_backend(
     shared: &Arc<GuardShared>,
     order: RunOrder,
@@ -147,8 +152,8 @@
             Some(pass),
         ) => {
             let call = EngineCall {
-                // Each attempt has its own name: an engine that still runs an earlier attempt of
-                // the same request would mix the two answers under one.
+                // The engine gets the id of the attempt: an engine that still runs an earlier
+                // attempt at the same request would mix up the two answers under one id.
                 request: order.attempt.0.to_string().into(),
                 prompt,
                 max_tokens,
@@ -183,12 +188,12 @@
         }
         _ => RunEnd::NotRun(refusal(
             ErrorKind::BadRequest,
-            "the call does not fit the service's kind",
+            "the call does not match the kind of the service",
         )),
     }
 }
 
-/// The pass for a model's version; plain services need none.
+/// Returns the pass for the version that a model request runs on. Plain services need none.
 fn enter_gate(shared: &GuardShared, call: &RunCall) -> SwitchResult<Option<ServingPass>> {
     match call {
         RunCall::Generate { resume_version, .. } => {
@@ -198,7 +203,8 @@
     }
 }
 
-/// Passes a kept answer on, from its beginning to its end. Fails when the entry host has left.
+/// Passes a buffered answer on, from its beginning to its end. Fails when the entry host has
+/// disconnected.
 async fn relay_buffer(
     shared: &Arc<GuardShared>,
     buffer: &AnswerBuffer,
@@ -226,13 +232,13 @@
     refused(error)
 }
 
-/// Counts a refusal and gives its frame.
+/// Counts a refusal and returns its part.
 fn refused(error: &SwitchError) -> RunPart {
     count_refusal(error.kind, STAGE);
     refused_part(error)
 }
 
-/// Fills in how busy this host is now.
+/// Fills in the current load of this host if `part` ends the answer.
 fn with_load(shared: &GuardShared, part: RunPart) -> RunPart {
     match part {
         RunPart::End { digest, reason, .. } => RunPart::End {
--- a/src/guard/serving_gate.rs
+++ b/src/guard/serving_gate.rs
@@ -1,4 +1,4 @@
-//! The gate between requests and changes of version.
+//! The gate that separates requests from changes of version.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,12 @@
 use crate::membership::ServingVersion;
 use crate::weights::WeightsDigest;
 
-/// Lets requests in while a version is served, and lets a change of version begin only when the
-/// last request of the old one has ended.
+/// Admits requests while a version is served, and allows a change of version only after the last
+/// request on the old version has ended.
 ///
-/// An engine that is told to load while it generates gives answers whose first tokens come from
-/// one version and whose last come from another. One would notice answers that neither version
-/// gives alone. The gate makes that impossible: each request holds a pass for one version, and the
-/// version changes only while no pass is out. Clones share one gate.
+/// An engine that loads another version while it generates would return answers whose tokens come
+/// from both versions. The gate prevents this: each request holds a pass for one version, and the
+/// version changes only while no request holds a pass. Clones share one gate.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServingGate {
     state: Arc<watch::Sender<GateState>>,
@@ -29,23 +28,23 @@
 }
 
 impl ServingGate {
-    /// Opens the gate for `serving`, which the engine has just reported as loaded whole.
+    /// Opens the gate for `serving`, which the engine has just reported as completely loaded.
     ///
     /// # Panics
     ///
-    /// When requests of another version are still under way: two versions would mix.
+    /// If requests on another version are still running: the tokens of two versions would mix.
     pub(crate) fn open(&self, serving: ServingVersion) {
         self.state.send_modify(|state| {
             assert!(
                 state.passes == 0 || state.serving.as_ref() == Some(&serving),
-                "a version was opened while another still ran requests"
+                "a version was opened while requests on another version were running"
             );
             state.serving = Some(serving);
         });
     }
 
-    /// Closes the gate and waits for the requests under way. Returns whether all ended `within`
-    /// the given time; if not, the gate stays closed and the caller may wait again.
+    /// Closes the gate and waits for the running requests to end. Returns whether all have ended
+    /// `within` the given time. If not, the gate stays closed and the caller may wait again.
     pub(crate) async fn close(&self, within: Duration) -> bool {
         self.state.send_modify(|state| state.serving = None);
         let mut state = self.state.subscribe();
@@ -54,16 +53,16 @@
             .is_ok()
     }
 
-    /// What is served.
+    /// Returns the version that is served, or `None` while the gate is closed.
     pub(crate) fn serving(&self) -> Option<ServingVersion> {
         self.state.borrow().serving.clone()
     }
 
-    /// Lets one request in; it must run on `required` if that is given.
+    /// Admits one request, which must run on the version `required` if one is given.
     ///
     /// # Errors
     ///
-    /// `WeightsNotReady` while the gate is closed, `VersionMismatch` when another version than
+    /// `WeightsNotReady` while the gate is closed; `VersionMismatch` when a version other than
     /// `required` is served.
     pub(crate) fn enter(&self, required: Option<&WeightsDigest>) -> SwitchResult<ServingPass> {
         let mut refusal = None;
@@ -83,7 +82,7 @@
             (_, Some(error)) => Err(error),
             (None, None) => Err(SwitchError::new(
                 ErrorKind::Internal,
-                "the gate said nothing",
+                "the gate neither admitted nor refused the request",
             )),
         }
     }
@@ -104,7 +103,7 @@
     Ok(serving)
 }
 
-/// Lets one request run on one version until it is dropped.
+/// Allows one request to run on one version. Dropping it ends the request.
 #[derive(Debug)]
 pub(crate) struct ServingPass {
     gate: ServingGate,
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -1,4 +1,4 @@
-//! The state of the host process's traffic and the places before the backend server.
+//! The state that all requests of a host process share, and the slots at its backend server.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::membership::{LoadReport, StatusBoard};
 use crate::time::{ClockTime, clock_now};
 
-/// How often a call that waits looks whether anybody still wants it.
+/// Interval at which a queued call checks whether it was withdrawn.
 const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What stands beside this process.
+/// The backend server on this host.
 #[derive(Clone)]
 pub(crate) enum LocalBackend {
     /// A model engine.
@@ -40,8 +40,8 @@
     pub(crate) state: Mutex<GuardState>,
 }
 
-/// Second tries on a fresh connection: a tenth of the calls, so that a service that has become slow
-/// as a whole does not get twice the calls.
+/// Budget of calls that are sent again on a second connection: a tenth of the calls, so that a
+/// service that has become slow does not get twice the calls.
 #[derive(Debug)]
 pub(super) struct HedgeBudget {
     tenths: u32,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// A call has come.
+    /// Counts a call, which adds a tenth of a hedged call to the budget.
     pub(super) fn record_call(&mut self) {
         self.tenths = Self::TENTHS_MAX.min(self.tenths + 1);
     }
 
-    /// Asks for a second try.
+    /// Takes one hedged call from the budget. Returns whether the budget allowed it.
     pub(super) const fn try_spend(&mut self) -> bool {
         let has_one = self.tenths >= 10;
         if has_one {
@@ -71,13 +71,13 @@
     }
 }
 
-/// What the decisions work on. Held under one lock, for short steps only: a settled attempt must
-/// not start in the same moment.
+/// The state behind all decisions. One lock protects all of it, so that an attempt cannot start
+/// while it is reported as not run; it is held for short steps only.
 pub(crate) struct GuardState {
     pub(crate) attempts: AttemptLedger,
     pub(crate) queue: RunQueue,
     pub(super) hedge_budget: HedgeBudget,
-    /// Who waits to be told to start, sorted by ticket.
+    /// Signals for the queued requests, sorted by ticket.
     start_signals: Vec<(RunTicket, oneshot::Sender<()>)>,
 }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Tells those that may start now.
+    /// Signals the requests that may start now.
     pub(crate) fn notify_started(&mut self, started: Vec<RunTicket>) {
         for ticket in started {
             let found = self
@@ -99,7 +99,7 @@
                 .binary_search_by_key(&ticket, |(one, _)| *one);
             if let Ok(at) = found {
                 let (_, start) = self.start_signals.remove(at);
-                // One that has left meanwhile gives its place back itself.
+                // If the receiver is gone, its `SlotGuard` returns the slot.
                 let _ = start.send(());
             }
         }
@@ -120,12 +120,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets an order in, or says why not. After a refusal the attempt never runs here.
+    /// Registers and checks an order, or returns the refusal. After a refusal the attempt never
+    /// runs here.
     pub(crate) fn admit(&self, order: &RunOrder, now: ClockTime) -> SwitchResult<()> {
         if order.incarnation != self.incarnation {
             return Err(refusal(
                 ErrorKind::BackendLeaving,
-                "the process that was meant is no more",
+                "the host process that the order was meant for no longer runs",
             ));
         }
         let arrival = self.lock().attempts.arrive(order.attempt, now);
@@ -152,12 +153,13 @@
         Ok(())
     }
 
-    /// Waits for a place at the backend server until `deadline`, and as long as `is_wanted`.
+    /// Waits for a slot at the backend server until `deadline`, as long as `is_waiting` returns
+    /// true.
     pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         priority: RequestPriority,
         deadline: ClockTime,
-        is_wanted: impl Fn(&GuardState) -> bool,
+        is_waiting: impl Fn(&GuardState) -> bool,
     ) -> SwitchResult<SlotGuard> {
         let (slot, start) = self.request_slot(priority, deadline)?;
         let Some(mut start) = start else {
@@ -174,13 +176,13 @@
                 () = tokio::time::sleep(left.min(CANCEL_CHECK_INTERVAL)) => {}
             }
             if clock_now() >= deadline {
-                let detail = "it waited here until its deadline";
+                let detail = "the request reached its deadline in the queue of the host";
                 return Err(refusal(ErrorKind::DeadlineUnreachable, detail));
             }
-            if !is_wanted(&self.lock()) {
+            if !is_waiting(&self.lock()) {
                 return Err(refusal(
                     ErrorKind::CallerGone,
-                    "the caller left in the queue",
+                    "the attempt was withdrawn while it was queued",
                 ));
             }
         }
@@ -205,7 +207,7 @@
         Ok((SlotGuard { shared, ticket }, start))
     }
 
-    /// How busy this host is, as far as it knows itself.
+    /// Returns the load of this host by its own queue.
     pub(crate) fn load(&self) -> LoadReport {
         let state = self.lock();
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
@@ -217,13 +219,13 @@
         }
     }
 
-    /// Notes how the run of `attempt` ended.
+    /// Records how the run of `attempt` ended.
     pub(crate) fn end_attempt(&self, attempt: AttemptId, state: AttemptState) {
         self.lock().attempts.end(attempt, state);
     }
 }
 
-/// A place in the queue or at the backend server, given back when dropped.
+/// A place in the queue or a slot at the backend server, returned when dropped.
 pub(crate) struct SlotGuard {
     shared: Arc<GuardShared>,
     ticket: RunTicket,
@@ -240,7 +242,7 @@
     }
 }
 
-/// A refusal of something that did not run.
+/// Returns the error for a refused request, which did not run.
 pub(crate) fn refusal(kind: ErrorKind, detail: &str) -> SwitchError {
     SwitchError::new(kind, detail).with_outcome(RunOutcome::NotRun)
 }
@@ -248,16 +250,20 @@
 fn arrival_error(arrival: Arrival) -> SwitchResult<()> {
     let error = match arrival {
         Arrival::Fresh => return Ok(()),
-        Arrival::Cancelled => refusal(ErrorKind::CallerGone, "it was given up before it came"),
-        Arrival::Duplicate => {
-            SwitchError::new(ErrorKind::AttemptDoubled, "this attempt came before")
-                .with_outcome(RunOutcome::NotKnown)
-        }
+        Arrival::Cancelled => refusal(
+            ErrorKind::CallerGone,
+            "the attempt was reported as not run or withdrawn before this order arrived",
+        ),
+        Arrival::Duplicate => SwitchError::new(
+            ErrorKind::AttemptDoubled,
+            "this attempt was received before",
+        )
+        .with_outcome(RunOutcome::NotKnown),
         Arrival::TooOld => SwitchError::new(
             ErrorKind::OutcomeUnknown,
-            "what was known of this attempt is forgotten",
+            "the record of this attempt may have expired",
         ),
-        Arrival::Full => refusal(ErrorKind::BackendBusy, "too many attempts to remember"),
+        Arrival::Full => refusal(ErrorKind::BackendBusy, "too many attempts are recorded"),
     };
     Err(error)
 }
@@ -267,7 +273,7 @@
         QueueRefusal::Full => refusal(ErrorKind::BackendBusy, "the queue is full"),
         QueueRefusal::TooLate { wait } => refusal(
             ErrorKind::DeadlineUnreachable,
-            "the queue is longer than its deadline",
+            "the expected wait in the queue exceeds the deadline",
         )
         .come_back_in(wait),
     }
--- a/src/guard/tests/attempts.rs
+++ b/src/guard/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What is said of attempts stays true.
+//! Tests that reported outcomes of attempts stay true.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,11 +20,11 @@
 const EVENTS: usize = 300;
 const ATTEMPTS: usize = 12;
 
-// Symptom: a call is told "not run" and runs afterwards. Events: the order is held up on its way,
-// the entry host asks what became of it and is told; then the order comes. Cause: the host process
-// does not remember what it said.
+// Guards against a call that runs after it was reported as not run: the order is delayed on its
+// way, the entry host queries the outcome, and the order arrives after the reply. A host process
+// that does not record its reply would run it.
 #[tokio::test]
-async fn a_settled_attempt_never_runs() {
+async fn an_attempt_reported_as_not_run_never_runs() {
     let plain = Arc::new(CountingPlain::default());
     let host = TestHost::start("lima-1", LocalBackend::Plain(plain.clone()));
     let order = wake_up();
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn a_run_attempt_is_told_as_run_and_its_double_is_not() {
+async fn a_run_attempt_is_reported_as_run_and_its_duplicate_is_refused() {
     let plain = Arc::new(CountingPlain::default());
     let host = TestHost::start("lima-1", LocalBackend::Plain(plain.clone()));
     let order = wake_up();
@@ -61,17 +61,18 @@
     AttemptId(Uuid::new_v7(Timestamp::from_unix(&context, seconds, nanos)))
 }
 
-// Symptom: "not run" is said of a call that ran, or a call runs of which it was said. Events:
-// orders, settles, withdrawals and ends in any sequence, over hours, so that the book forgets.
-// Cause, without the time in the identity: a forgotten attempt looks like one that never came.
+// Guards against "not run" replies for calls that ran or run later. Orders, outcome queries,
+// withdrawals and ends come in any sequence, over hours, so that records expire. Without the
+// creation time in the id, an attempt whose record has expired would look like one that never
+// arrived.
 #[test]
-fn not_run_stays_true() {
+fn not_run_replies_stay_true() {
     run_cases(CASES, CASE_BYTES, |u| {
         let mut ledger = AttemptLedger::new();
         let mut now = ClockTime::from_millis(1_000_000);
         let mut attempts = Vec::new();
         for _ in 0..EVENTS {
-            // Now and then so long that what was known is forgotten.
+            // Sometimes so long that records expire.
             let pause = if u.ratio(1, 20)? {
                 700
             } else {
@@ -115,11 +116,17 @@
         0 => {
             let arrival = ledger.arrive(attempt, now);
             let is_known = tracked.was_started || tracked.is_reported_not_run;
-            assert!(!is_known || arrival != Arrival::Fresh, "it was known");
+            assert!(
+                !is_known || arrival != Arrival::Fresh,
+                "a recorded attempt was taken for a new one"
+            );
         }
         1 if ledger.start(attempt) => {
-            assert!(!tracked.is_reported_not_run, "it was told not run");
-            assert!(!tracked.was_started, "it started twice");
+            assert!(
+                !tracked.is_reported_not_run,
+                "an attempt started that was reported as not run"
+            );
+            assert!(!tracked.was_started, "the attempt started twice");
             tracked.was_started = true;
         }
         2 if ledger.state_of(attempt) == Some(AttemptState::Started) => {
@@ -127,12 +134,18 @@
         }
         3 => {
             let is_not_run = ledger.resolve(attempt, now) == OutcomeReply::NotRun;
-            assert!(!is_not_run || !tracked.was_started, "it ran");
+            assert!(
+                !is_not_run || !tracked.was_started,
+                "an attempt that started was reported as not run"
+            );
             tracked.is_reported_not_run |= is_not_run;
         }
         _ => {
             let is_not_run = ledger.withdraw(attempt);
-            assert!(!is_not_run || !tracked.was_started, "it ran");
+            assert!(
+                !is_not_run || !tracked.was_started,
+                "an attempt that started was reported as not run"
+            );
             tracked.is_reported_not_run |= is_not_run;
         }
     }
--- a/src/guard/tests/fakes.rs
+++ b/src/guard/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! Small fakes at the process's edges, and a host process made of them.
+//! Fakes for the interfaces of the host process, and a guard that uses them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -27,11 +27,11 @@
 pub(super) const SERVICE: &str = "alert-desk";
 const LONG: u64 = 20_000;
 
-/// A plain service that counts its calls and answers with the count.
+/// A plain service that counts its calls and responds with the count.
 #[derive(Default)]
 pub(super) struct CountingPlain {
     pub(super) calls: AtomicU32,
-    /// Bytes of padding in each answer.
+    /// Number of padding bytes in each answer.
     pub(super) padding: AtomicU32,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// One host process's guard.
+/// The guard of one host process.
 pub(super) struct TestHost {
     pub(super) handle: GuardHandle,
     pub(super) drain: DrainState,
@@ -62,13 +62,13 @@
 }
 
 impl TestHost {
-    /// The guard of host `name` before `backend`, which knows of itself only.
+    /// Starts the guard of host `name` for `backend`. No other process exists.
     pub(super) fn start(name: &str, backend: LocalBackend) -> Self {
         let gate = ServingGate::default();
         Self::start_with(name, backend, gate)
     }
 
-    /// As [`TestHost::start`], with a gate that the test opens.
+    /// Like [`TestHost::start`], with a gate that the test opens.
     pub(super) fn start_with(name: &str, backend: LocalBackend, gate: ServingGate) -> Self {
         let incarnation = 7;
         let host: ByteString = name.into();
@@ -83,7 +83,7 @@
         };
         let drain = DrainState::new(Duration::ZERO, Duration::from_secs(10));
         let board = StatusBoard::new(host, incarnation);
-        let edges = GuardContext {
+        let context = GuardContext {
             identity,
             backend,
             gate,
@@ -96,13 +96,13 @@
             engine_check: Duration::from_millis(10),
         };
         Self {
-            handle: start_guard(edges, limits),
+            handle: start_guard(context, limits),
             drain,
             incarnation,
         }
     }
 
-    /// Gives an order and returns where its frames come.
+    /// Submits an order and returns a reader for its frames.
     pub(super) fn submit(&self, order: RunOrder) -> FrameReader {
         let (writer, body) = frame_channel(64);
         let attempt = order.attempt;
@@ -112,11 +112,11 @@
         FrameReader::new(body)
     }
 
-    /// Gives an order and returns its whole answer.
+    /// Submits an order and returns its complete answer, without keep-alive frames.
     pub(super) async fn ask(&self, order: RunOrder) -> Vec<RunPart> {
         let mut reader = self.submit(order);
         let mut parts = Vec::new();
-        while let Some(frame) = reader.next::<RunFrame>().await.expect("it reads") {
+        while let Some(frame) = reader.next::<RunFrame>().await.expect("the frame decodes") {
             if frame.part != RunPart::Alive {
                 parts.push(frame.part);
             }
@@ -124,7 +124,7 @@
         parts
     }
 
-    /// Asks what became of `attempt`.
+    /// Queries the outcome of `attempt`.
     pub(super) fn resolve(&self, attempt: AttemptId) -> OutcomeReply {
         let incarnation = self.incarnation;
         let order = OutcomeQuery {
@@ -155,7 +155,7 @@
     }
 }
 
-/// The body's text in an answer.
+/// Returns the text of the body of an answer.
 pub(super) fn body_of(parts: &[RunPart]) -> String {
     let mut text = Vec::new();
     for part in parts {
--- a/src/guard/tests/forward.rs
+++ b/src/guard/tests/forward.rs
@@ -1,4 +1,4 @@
-//! Plain services whose connections go silent.
+//! Calls to plain services whose connections stop responding, and large bodies.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -13,7 +13,7 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::guard::LocalBackend;
 
-/// A service whose first connection is silent for good.
+/// A service whose first connection never responds.
 #[derive(Default)]
 struct FirstUnresponsive {
     connections: AtomicU32,
@@ -46,13 +46,13 @@
     let backend = LocalBackend::Plain(Arc::clone(&service) as Arc<dyn PlainEdge>);
     let host = TestHost::start("lima-1", backend);
     let mut reader = host.submit(order(repeatable));
-    // An unrepeatable call is not answered in this test's time: two words of life are enough.
+    // An unrepeatable call gets no answer in this test, so it ends at the second keep-alive frame.
     let mut parts = Vec::new();
     let mut alive = 0;
     while let Some(frame) = reader
         .next::<crate::delivery::RunFrame>()
         .await
-        .expect("it reads")
+        .expect("the frame decodes")
     {
         match frame.part {
             RunPart::Alive if alive > 0 => break,
@@ -63,26 +63,27 @@
     (parts, service.connections.load(Ordering::Relaxed))
 }
 
-// Symptom: some calls take their whole deadline and fail, beside others that are answered at once.
-// Events: something between host process and service loses track of a connection. Cause: nothing is
-// tried on a fresh one.
+// Guards against calls that fail at their deadline while others are answered at once: a device
+// between host process and service loses the state of a connection, and no second connection is
+// tried.
 #[tokio::test]
-async fn a_silent_connection_is_doubted() {
+async fn an_unresponsive_call_is_sent_again_on_a_second_connection() {
     let (parts, connections) = ask(true).await;
     assert_eq!(body_of(&parts), "run 1");
     assert_eq!(connections, 2);
 }
 
-// The same, but the call may not be repeated: it may be running behind the silence.
+// The same fault, but the call is unrepeatable and may be running although the connection does not
+// respond.
 #[tokio::test]
-async fn an_unrepeatable_call_is_handed_over_once() {
+async fn an_unrepeatable_call_is_sent_once() {
     let (parts, connections) = ask(false).await;
     assert!(parts.is_empty(), "{parts:?}");
     assert_eq!(connections, 1);
 }
 
 #[tokio::test]
-async fn a_body_is_passed_on_whole() {
+async fn a_body_is_passed_on_completely() {
     let plain = Arc::new(CountingPlain::default());
     plain.padding.store(200_000, Ordering::Relaxed);
     let host = TestHost::start("lima-1", LocalBackend::Plain(plain));
--- a/src/guard/tests/mod.rs
+++ b/src/guard/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the host process's traffic.
+//! Tests of the guard.
 
 mod attempts;
 mod fakes;
--- a/src/guard/tests/queue.rs
+++ b/src/guard/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before the backend server: urgent first, then by arrival, bounded.
+//! Tests of the queue for the backend server.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
     is_running: bool,
 }
 
-// Symptom: an urgent request waits behind others. Events: requests of all priorities come, leave
-// and end in any sequence. Cause: a place that gets free goes to whoever came first, or all places
-// are held by long runs of others.
+// Guards against urgent requests that wait for less urgent ones: a slot that becomes free goes to
+// the request that arrived first, or long runs of other requests hold all slots. Requests of all
+// priorities arrive, leave and end in any sequence.
 #[test]
-fn a_free_place_goes_to_the_most_urgent_that_came_first() {
+fn a_free_slot_goes_to_the_first_request_of_the_highest_priority() {
     run_cases(CASES, CASE_BYTES, |u| {
         let mut queue = RunQueue::new(RUNNING, WAITING);
         let mut tracked: Vec<TrackedRun> = Vec::new();
@@ -37,10 +37,10 @@
                 let index = u.choose_index(tracked.len())?;
                 let ended = tracked.remove(index);
                 let started = if queue.withdraw(ended.ticket) {
-                    assert!(!ended.is_running, "a running one was waiting");
+                    assert!(!ended.is_running, "a running request was in the queue");
                     Vec::new()
                 } else {
-                    assert!(ended.is_running, "a waiting one was running");
+                    assert!(ended.is_running, "a waiting request was not in the queue");
                     queue.end(ended.ticket, now)
                 };
                 check_started(&mut tracked, &started);
@@ -95,22 +95,23 @@
     }
 }
 
-// Symptom: a request waits until its deadline and is refused only then. Events: the queue is longer
-// than the deadline, by the length of earlier runs. Cause: nobody reckons.
+// Guards against requests that wait until their deadline and are refused only then, although the
+// mean run time of earlier requests shows that they cannot start in time.
 #[test]
-fn what_cannot_start_in_time_is_refused_at_once() {
+fn a_request_that_cannot_start_in_time_is_refused_at_once() {
     let mut queue = RunQueue::new(1, WAITING);
-    let begun = ClockTime::from_millis(1);
+    let started_at = ClockTime::from_millis(1);
     let priority = RequestPriority::Normal;
-    let far = begun + Duration::from_mins(1);
-    let Ok(QueueAdmission::Started(first)) = queue.offer(priority, far, begun) else {
-        panic!("the place is free");
+    let late_deadline = started_at + Duration::from_mins(1);
+    let Ok(QueueAdmission::Started(first)) = queue.offer(priority, late_deadline, started_at)
+    else {
+        panic!("the slot is free");
     };
-    let ended = begun + Duration::from_secs(4);
-    queue.end(first, ended);
-    assert!(queue.offer(priority, far, ended).is_ok());
-    let near = ended + Duration::from_secs(1);
-    let refused = queue.offer(priority, near, ended);
+    let ended_at = started_at + Duration::from_secs(4);
+    queue.end(first, ended_at);
+    assert!(queue.offer(priority, late_deadline, ended_at).is_ok());
+    let early_deadline = ended_at + Duration::from_secs(1);
+    let refused = queue.offer(priority, early_deadline, ended_at);
     let wait = Duration::from_secs(4);
     assert_eq!(refused, Err(QueueRefusal::TooLate { wait }));
 }
--- a/src/guard/tests/streams.rs
+++ b/src/guard/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of model engines that misbehave, through the whole guard.
+//! Tests of the guard with faulty streams of model engines.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,20 +19,20 @@
 use crate::membership::{LoadReport, ServingVersion};
 use crate::weights::WeightsDigest;
 
-/// What the engine sends, step by step.
+/// One step of the engine's script.
 #[derive(Clone, Copy, Debug)]
 enum ScriptStep {
-    /// Its own next token at this place.
+    /// A token of this request with this index.
     Token(u32),
-    /// A token at this place that names another request.
+    /// A token of another request with this index.
     Foreign(u32),
-    /// The end after so many tokens.
+    /// The end of the answer, with this reported number of tokens.
     Finish(u32),
-    /// The connection breaks.
+    /// The connection fails.
     Break,
 }
 
-/// An engine that follows a script, and whose reports say that it is idle whatever it does.
+/// An engine that follows a script and always reports that it is idle.
 struct ScriptEngine {
     script: Vec<ScriptStep>,
     cancelled: Mutex<Vec<String>>,
@@ -64,7 +64,10 @@
                 tokens,
                 reason: "stop".into(),
             }),
-            ScriptStep::Break => Err(SwitchError::new(ErrorKind::EngineFailed, "it died")),
+            ScriptStep::Break => Err(SwitchError::new(
+                ErrorKind::EngineFailed,
+                "the engine failed",
+            )),
         }
     }
 }
@@ -103,7 +106,7 @@
     }
 
     fn cancel<'a>(&'a self, request: &'a str) -> BoxFuture<'a, SwitchResult<()>> {
-        let mut cancelled = self.cancelled.lock().expect("no test panics under it");
+        let mut cancelled = self.cancelled.lock().expect("the lock is not poisoned");
         cancelled.push(request.to_owned());
         async { Ok(()) }.boxed()
     }
@@ -163,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_ends_with_its_digest() {
+async fn a_complete_answer_ends_with_its_digest() {
     let fixture = StreamFixture::start(&[
         ScriptStep::Token(3),
         ScriptStep::Token(4),
@@ -181,10 +184,10 @@
     );
 }
 
-// Symptom: a caller gets another caller's words. Events: an engine mixes up two streams. Cause:
-// nobody looks whose token it is.
+// Guards against showing a caller the answer of another: an engine mixes up two streams, and the
+// request id of a token is not checked.
 #[tokio::test]
-async fn crossed_and_doubled_tokens_are_dropped() {
+async fn foreign_and_duplicate_tokens_are_dropped() {
     let script = [
         ScriptStep::Token(0),
         ScriptStep::Foreign(1),
@@ -197,11 +200,11 @@
     assert!(matches!(parts.last(), Some(RunPart::End { .. })));
 }
 
-// Symptom: a caller sees a clean end of half an answer. Events: the engine dies in mid-stream, says
-// that it sent more than came, or leaves a token out. Cause: the end of a connection is taken for
-// the end of the answer.
+// Guards against a truncated answer that seems complete, because the end of a connection is taken
+// for the end of the answer. The engine dies in mid-stream, reports more tokens than arrived, or
+// skips a token.
 #[tokio::test]
-async fn a_cut_answer_never_ends_cleanly() {
+async fn a_truncated_answer_never_ends_normally() {
     let scripts: [&[ScriptStep]; 4] = [
         &[ScriptStep::Token(0), ScriptStep::Break],
         &[ScriptStep::Token(0)],
@@ -218,13 +221,17 @@
         assert_eq!(tokens_of(&parts), [0], "{script:?}");
         let is_broken = matches!(parts.last(), Some(RunPart::Broken { .. }));
         assert!(is_broken, "{script:?}");
-        let cancelled = fixture.engine.cancelled.lock().expect("nobody panicked");
+        let cancelled = fixture
+            .engine
+            .cancelled
+            .lock()
+            .expect("the lock is not poisoned");
         assert_eq!(cancelled.len(), 1, "{script:?}");
     }
 }
 
-// Symptom: an answer whose first half is of one version and whose second is of another. Events: a
-// stream is resumed on a host that serves another version by now. Cause: the version is not asked.
+// Guards against an answer that mixes two versions: a stream is resumed on a host that has changed
+// to another version, and the required version is not checked.
 #[tokio::test]
 async fn a_stream_is_not_resumed_on_another_version() {
     let fixture = StreamFixture::start(&[ScriptStep::Finish(0)]);
@@ -244,10 +251,10 @@
     assert!(is_refused, "{parts:?}");
 }
 
-// Symptom: a planned stop cuts requests, or holds them until they are late. Events: a host is told
-// to leave. Cause: nothing tells new requests apart from those under way.
+// Guards against a planned shutdown that interrupts requests or delays them until their deadline,
+// because new requests are not distinguished from running ones.
 #[tokio::test]
-async fn a_leaving_host_takes_no_new_request() {
+async fn a_draining_host_refuses_new_requests() {
     let fixture = StreamFixture::start(&[ScriptStep::Token(0), ScriptStep::Finish(1)]);
     fixture.host.drain.begin();
     let parts = fixture.ask(0).await;
