--- a/src/delivery/attempt_plan.rs
+++ b/src/delivery/attempt_plan.rs
@@ -13,7 +13,7 @@
 use crate::time::ClockTime;
 use crate::weights::WeightsDigest;
 
-/// A repeatable attempt gets the remaining time until the deadline divided by this.
+/// An attempt at a repeatable request gets the remaining time until the deadline, divided by this.
 const ATTEMPT_TIME_DIVISOR: u32 = 3;
 /// Minimum time for one attempt.
 const ATTEMPT_TIME_MIN: Duration = Duration::from_secs(1);
@@ -55,7 +55,7 @@
     /// Whether the newest attempt may have run: true from its sending until the host reports that
     /// it did not run.
     is_uncertain: bool,
-    /// Whether the caller has part of the answer.
+    /// Whether the caller has received part of the answer.
     has_delivered: bool,
     tokens: u32,
     version: Option<WeightsDigest>,
@@ -120,7 +120,7 @@
         self.attempts
     }
 
-    /// Whether the caller has part of the answer.
+    /// Whether the caller has received part of the answer.
     pub(crate) const fn has_delivered_part(&self) -> bool {
         self.has_delivered
     }
@@ -219,10 +219,10 @@
     }
 
     fn retry_or_give_up(&self, error: SwitchError, now: ClockTime, jitter: u32) -> NextStep {
-        let can_go_on = (!self.has_delivered || self.can_resume(&error)) && self.may_run_again();
+        let may_continue = (!self.has_delivered || self.can_resume(&error)) && self.may_run_again();
         let wait = retry_wait(self.attempts, jitter, error.retry_after);
         let in_time = now + wait < self.time_limit();
-        if can_go_on && in_time && self.attempts < self.policy.attempts_max {
+        if may_continue && in_time && self.attempts < self.policy.attempts_max {
             NextStep::Retry { wait }
         } else {
             self.give_up(error)
--- a/src/delivery/service_dispatcher.rs
+++ b/src/delivery/service_dispatcher.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Applies the control snapshot if it is newer than the last one, then dispatches the waiting
-    /// requests.
+    /// Applies the control snapshot if its generation differs from that of the last one, then
+    /// dispatches the waiting requests.
     pub(crate) fn refresh(
         self: &Arc<Self>,
         snapshot: &ControlSnapshot,
@@ -106,7 +106,7 @@
         self.dispatch(now);
     }
 
-    /// Admits one request of `account`. `order` is the hash of its order key, if it has one.
+    /// Admits one request of `account`. `order_key` is the hash of its order key, if it has one.
     ///
     /// # Errors
     ///
@@ -115,12 +115,12 @@
         self: &Arc<Self>,
         account: &ByteString,
         priority: RequestPriority,
-        order: Option<u64>,
+        order_key: Option<u64>,
         now: ClockTime,
     ) -> SwitchResult<AdmissionPass> {
         let mut state = self.lock();
         let account = state.admission.admit(account, priority, now)?;
-        let order_ticket = order.map(|order| state.orders.enter(order));
+        let order_ticket = order_key.map(|order_key| state.orders.enter(order_key));
         drop(state);
         Ok(AdmissionPass {
             dispatcher: self.clone(),
@@ -135,8 +135,8 @@
         // Must run outside the lock: if the receiver is gone, the slot is dropped, which takes the
         // lock.
         for (waiter, picked) in placed {
-            let attempt = BackendSlot::new(self.clone(), picked, now, waiter.cost);
-            let _ = waiter.sender.send(attempt);
+            let slot = BackendSlot::new(self.clone(), picked, now, waiter.cost);
+            let _ = waiter.sender.send(slot);
         }
     }
 
@@ -166,10 +166,10 @@
     ) {
         self.generation = Some(snapshot.generation);
         let document = &record.document;
-        let entries = entry_count(snapshot, identity);
+        let entry_hosts = entry_count(snapshot, identity);
         let percent = document.retry.budget_percent;
         self.admission
-            .refresh(&document.accounts, percent, entries, now);
+            .refresh(&document.accounts, percent, entry_hosts, now);
         self.backends.refresh(snapshot, document, identity, now);
     }
 
@@ -186,7 +186,7 @@
             ..
         } = self;
         admission.dispatch(now, |ticket, request| {
-            let slot = &mut waiters[ticket.place()];
+            let entry = &mut waiters[ticket.place()];
             let target = &request.target;
             if target
                 .order_ticket
@@ -196,7 +196,7 @@
             }
             match backends.pick(&target.pick, now) {
                 Ok(picked) => {
-                    let waiter = slot.take().expect("each ticket has its waiter");
+                    let waiter = entry.take().expect("each ticket has its waiter");
                     assert_eq!(
                         waiter.ticket, ticket,
                         "a slot was assigned to another request"
@@ -205,7 +205,7 @@
                     DispatchOutcome::Placed
                 }
                 Err(last_failure) => {
-                    if let Some(waiter) = slot {
+                    if let Some(waiter) = entry {
                         waiter.last_failure = last_failure;
                     }
                     DispatchOutcome::Full
--- a/src/guard/backend_run.rs
+++ b/src/guard/backend_run.rs
@@ -30,8 +30,8 @@
 /// The outcome of a call.
 #[apply(plain!)]
 pub(super) enum RunEnd {
-    /// The call ran and its complete answer was passed on, but for this last part, which the caller
-    /// of the function sends.
+    /// The call ran and its answer was passed on, except for this last part, which still has to be
+    /// sent.
     Ran(RunPart),
     /// The call did not run and will never run.
     NotRun(SwitchError),
--- a/src/guard/run_endpoints.rs
+++ b/src/guard/run_endpoints.rs
@@ -85,13 +85,13 @@
     /// Routes of the peer API for entry hosts.
     pub(crate) fn peer_routes(&self) -> Router {
         let run_shared = Arc::clone(&self.shared);
-        let settle_shared = Arc::clone(&self.shared);
+        let query_shared = Arc::clone(&self.shared);
         let run = move |request: Request| handle_order(Arc::clone(&run_shared), request);
-        let resolve =
-            move |request: Request| handle_outcome_query(Arc::clone(&settle_shared), request);
+        let query_outcome =
+            move |request: Request| handle_outcome_query(Arc::clone(&query_shared), request);
         Router::new()
             .route("/peer/run", post(run))
-            .route("/peer/settle", post(resolve))
+            .route("/peer/settle", post(query_outcome))
     }
 }
 
@@ -115,25 +115,25 @@
         AttemptWriter { attempt, writer },
         live,
     ));
-    let mut answer = Response::new(body);
-    *answer.status_mut() = StatusCode::OK;
-    answer
+    let mut response = Response::new(body);
+    *response.status_mut() = StatusCode::OK;
+    response
 }
 
 async fn handle_outcome_query(shared: Arc<GuardShared>, request: Request) -> Response {
-    let order: SwitchResult<OutcomeQuery> =
+    let query: SwitchResult<OutcomeQuery> =
         read_message(request.into_body(), ORDER_BYTES_MAX).await;
-    match order {
-        Ok(order) => message_reply(&resolve(&shared, &order)),
+    match query {
+        Ok(query) => message_reply(&resolve(&shared, &query)),
         Err(error) => error_reply(&error),
     }
 }
 
-pub(super) fn resolve(shared: &GuardShared, order: &OutcomeQuery) -> OutcomeReply {
-    if order.incarnation != shared.incarnation {
+pub(super) fn resolve(shared: &GuardShared, query: &OutcomeQuery) -> OutcomeReply {
+    if query.incarnation != shared.incarnation {
         return OutcomeReply::NotKnown;
     }
-    shared.lock().attempts.resolve(order.attempt, clock_now())
+    shared.lock().attempts.resolve(query.attempt, clock_now())
 }
 
 /// Publishes the current load at a fixed interval, and polls a model engine for its profile and
@@ -158,7 +158,7 @@
 #[derive(Default)]
 struct BackendMonitor {
     has_profile: bool,
-    is_silent: bool,
+    is_unresponsive: bool,
 }
 
 impl BackendMonitor {
@@ -166,17 +166,17 @@
     /// report.
     async fn check(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineEdge>) -> u32 {
         if !self.has_profile {
-            self.meet(shared, engine).await;
+            self.read_profile(shared, engine).await;
         }
         match engine.read_state().await {
             Ok(state) => {
-                if std::mem::replace(&mut self.is_silent, false) {
+                if std::mem::replace(&mut self.is_unresponsive, false) {
                     log_event!(events::ENGINE_RESPONSIVE);
                 }
                 state.load.waiting
             }
             Err(error) => {
-                if !std::mem::replace(&mut self.is_silent, true) {
+                if !std::mem::replace(&mut self.is_unresponsive, true) {
                     log_event!(events::ENGINE_UNRESPONSIVE, "{error}");
                 }
                 // After an outage it may be another engine with another profile.
@@ -186,7 +186,7 @@
         }
     }
 
-    async fn meet(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineEdge>) {
+    async fn read_profile(&mut self, shared: &Arc<GuardShared>, engine: &Arc<dyn EngineEdge>) {
         let Ok(profile) = engine.meet().await else {
             return;
         };
--- a/src/routing/backend_pool.rs
+++ b/src/routing/backend_pool.rs
@@ -72,9 +72,10 @@
 /// Why no backend server was picked.
 #[apply(key!)]
 pub(crate) enum PickFailure {
-    /// There are eligible backend servers, but all are full or excluded by their circuit breakers.
+    /// Some backend servers may get new work and serve the target, but all of them are full or
+    /// excluded by their circuit breakers.
     Full,
-    /// There is no eligible backend server.
+    /// No backend server that may get new work serves the target.
     NoneEligible,
 }
 
@@ -118,7 +119,7 @@
         self.entry_hosts = sender_count(snapshot, document, identity);
         let mut listed = Vec::with_capacity(self.by_host.len());
         for member in &snapshot.members {
-            if is_eligible_member(member, document) {
+            if is_service_member(member, document) {
                 listed.push(self.refresh_member(member, identity, now));
             }
         }
@@ -291,7 +292,7 @@
     }
 }
 
-fn is_eligible_member(member: &MemberRecord, document: &ServiceDocument) -> bool {
+fn is_service_member(member: &MemberRecord, document: &ServiceDocument) -> bool {
     let is_selected = match &document.hosts {
         HostSelection::Listed => true,
         HostSelection::Named(hosts) => hosts.contains(&member.host),
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,6 +1,7 @@
-//! Routing: selects the backend server for a request. Of a few random candidates in the nearest
-//! group with capacity, the one with the lowest expected time is picked, by its estimated load and
-//! the measured time per unit of cost. Each backend server has a circuit breaker.
+//! Routing: selects the backend server for a request. Backend servers are grouped into tiers by
+//! nearness. Of a few random candidates in the nearest tier with capacity, the one with the lowest
+//! expected time is picked, by its estimated load and the measured time per unit of cost. Each
+//! backend server has a circuit breaker.
 
 mod backend_pool;
 mod backend_state;
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -15,15 +15,15 @@
 enum RoomKind {
     /// A free slot: the request would run at once.
     Free,
-    /// A index in the queue: the request would wait at the host.
+    /// A place in the queue: the request would wait at the host.
     Waiting,
 }
 
 impl BackendPool {
-    /// Picks the candidate with the lowest expected time from a few random ones of the nearest
-    /// group that has capacity. Groups with free slots come first, then groups with room in a
-    /// queue. If all members of a group were compared, all entry hosts would pick the same one
-    /// until the next load report.
+    /// Picks the candidate with the lowest expected time from a few random ones of the nearest tier
+    /// that has capacity. Tiers with a free slot come first, then tiers with room in a queue. If
+    /// all members of a tier were compared, all entry hosts would pick the same one until the next
+    /// load report.
     pub(super) fn pick_any(
         &mut self,
         criteria: &PickCriteria,
@@ -80,7 +80,7 @@
         let others = (1..count).map(|step| (drawn[0] + step) % count);
         let indices = drawn.into_iter().chain(others);
         let mut best: Option<(f64, BackendKey)> = None;
-        let mut eligible_count = 0;
+        let mut fit_count = 0;
         for index in indices {
             let key = members[index];
             if best.is_some_and(|(_, other)| other == key) || !self.fits(key, room, criteria, now) {
@@ -90,8 +90,8 @@
             if best.is_none_or(|(least, _)| expected < least) {
                 best = Some((expected, key));
             }
-            eligible_count += 1;
-            if eligible_count == CHOICES {
+            fit_count += 1;
+            if fit_count == CHOICES {
                 break;
             }
         }
