--- a/src/guard/attempt_ledger.rs
+++ b/src/guard/attempt_ledger.rs
@@ -49,14 +49,14 @@
     Full,
 }
 
-/// All attempts of the last ten minutes.
+/// All attempts of the last ten minutes, sorted by id.
 ///
 /// A reply of "not run" must stay true. An entry host that lost its connection queries the outcome
 /// of its attempt while the order may still be on its way. If the order ran after the reply, a call
 /// would have run although its caller was told that it had not. The ledger therefore records an
 /// attempt that it has not received as not run before it replies so, and refuses the order when it
 /// arrives. An attempt that is older than the newest expired record, by the creation time in its
-/// id, is neither run nor reported as "not run".
+/// id and with an allowance for clock skew, is neither run nor reported as "not run".
 #[derive(Debug)]
 pub(crate) struct AttemptLedger {
     attempts: Vec<AttemptEntry>,
@@ -199,7 +199,7 @@
 
     fn may_have_expired(&self, attempt: AttemptId) -> bool {
         self.expired_ms
-            .is_some_and(|forgotten| attempt.created_ms() <= forgotten + CLOCK_SKEW_MS)
+            .is_some_and(|expired| attempt.created_ms() <= expired + CLOCK_SKEW_MS)
     }
 
     fn sweep_if_due(&mut self, now: ClockTime) {
@@ -207,15 +207,16 @@
             return;
         }
         self.since_sweep = 0;
-        let mut forgotten = self.expired_ms;
+        let mut expired = self.expired_ms;
         self.attempts.retain(|entry| {
-            let under_way = matches!(entry.state, AttemptState::Waiting | AttemptState::Started);
-            let stays = under_way || now.since(entry.seen_at) < RETENTION;
+            let is_unfinished =
+                matches!(entry.state, AttemptState::Waiting | AttemptState::Started);
+            let stays = is_unfinished || now.since(entry.seen_at) < RETENTION;
             if !stays {
-                forgotten = forgotten.max(Some(entry.attempt.created_ms()));
+                expired = expired.max(Some(entry.attempt.created_ms()));
             }
             stays
         });
-        self.expired_ms = forgotten;
+        self.expired_ms = expired;
     }
 }
--- a/src/guard/tests/attempts.rs
+++ b/src/guard/tests/attempts.rs
@@ -49,12 +49,12 @@
     let answer = host.ask(order.clone()).await;
     assert!(matches!(answer.last(), Some(RunPart::End { .. })));
     assert_eq!(host.resolve(order.attempt), OutcomeReply::Ran);
-    let double = host.ask(order).await;
-    assert!(matches!(double.as_slice(), [RunPart::Refused { .. }]));
+    let duplicate = host.ask(order).await;
+    assert!(matches!(duplicate.as_slice(), [RunPart::Refused { .. }]));
     assert_eq!(plain.calls.load(Ordering::Relaxed), 1);
 }
 
-fn attempt_made_at(now: ClockTime) -> AttemptId {
+fn attempt_created_at(now: ClockTime) -> AttemptId {
     let (seconds, nanos) = (now.0 / 1_000_000, (now.0 % 1_000_000) * 1000);
     let context = ContextV7::new();
     let nanos = u32::try_from(nanos).expect("below a second");
@@ -98,7 +98,7 @@
 impl TrackedAttempt {
     fn new(now: ClockTime) -> Self {
         Self {
-            attempt: attempt_made_at(now),
+            attempt: attempt_created_at(now),
             was_started: false,
             is_reported_not_run: false,
         }
--- a/src/guard/tests/fakes.rs
+++ b/src/guard/tests/fakes.rs
@@ -127,11 +127,11 @@
     /// Queries the outcome of `attempt`.
     pub(super) fn resolve(&self, attempt: AttemptId) -> OutcomeReply {
         let incarnation = self.incarnation;
-        let order = OutcomeQuery {
+        let query = OutcomeQuery {
             attempt,
             incarnation,
         };
-        resolve(&self.handle.shared, &order)
+        resolve(&self.handle.shared, &query)
     }
 }
 
