--- a/src/delivery/attempt_plan.rs
+++ b/src/delivery/attempt_plan.rs
@@ -1,73 +1,75 @@
-//! What comes after a failed attempt. The only place that decides whether a request may be sent
-//! again, and the only one that says what is known about whether it ran.
+//! Decides what follows a failed attempt: a retry, a query for its outcome, or an error for the
+//! caller. No other module decides whether a request may be sent again, or what the error for the
+//! caller says about whether it ran.
 
 use std::time::Duration;
 
 use macro_rules_attribute::apply;
 
 use super::backoff::retry_wait;
-use super::messages::SettleReply;
+use super::messages::OutcomeReply;
 use crate::derives::{key, plain};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError};
 use crate::time::ClockTime;
 use crate::weights::WeightsDigest;
 
-/// An attempt gets this part of the time that is left to the deadline, as a divisor.
-const ATTEMPT_PART: u32 = 3;
-/// What an attempt gets at least.
-const ATTEMPT_SHORTEST: Duration = Duration::from_secs(1);
+/// An attempt at a repeatable request gets the remaining time until the deadline, divided by this.
+const ATTEMPT_TIME_DIVISOR: u32 = 3;
+/// Minimum time for one attempt.
+const ATTEMPT_TIME_MIN: Duration = Duration::from_secs(1);
 
-/// What does not change between a request's attempts.
+/// Limits and properties that all attempts at one request share.
 #[apply(key!)]
-pub(crate) struct PlanTraits {
-    /// Whether it may run again when it is not known whether it ran.
+pub(crate) struct AttemptPolicy {
+    /// Whether the request may run again when it is unknown whether an earlier attempt ran.
     pub(crate) repeatable: bool,
-    /// Attempts at most.
+    /// Maximum number of attempts.
     pub(crate) attempts_max: u32,
-    /// When the first byte of the answer is too late.
+    /// Latest time for the first byte of the answer.
     pub(crate) deadline: ClockTime,
-    /// When the last byte is too late.
+    /// Latest time for the last byte of the answer.
     pub(crate) stream_end: ClockTime,
 }
 
-/// What to do after a failed attempt.
+/// The next step after a failed attempt.
 #[apply(plain!)]
 pub(crate) enum NextStep {
-    /// Wait, then try again at another host, if there is one and the budgets allow it.
+    /// Wait, then retry at another host if there is one and the retry budgets allow it.
     Retry {
-        /// How long to wait.
+        /// Wait before the retry.
         wait: Duration,
     },
-    /// Ask the host, on a fresh connection, what became of the attempt.
-    Settle,
-    /// Tell the caller.
+    /// Query the host for the outcome of the attempt, on a new connection.
+    QueryOutcome,
+    /// Return the error to the caller.
     GiveUp(SwitchError),
 }
 
-/// One request's attempts so far.
+/// The state of the attempts at one request.
 #[derive(Debug)]
 pub(crate) struct AttemptPlan {
-    traits: PlanTraits,
+    policy: AttemptPolicy,
     attempts: u32,
-    /// Whether an earlier attempt may have run.
+    /// Whether an attempt before the newest may have run.
     may_have_run: bool,
-    /// Whether the newest attempt may have run: from its sending until a word that it has not.
-    in_doubt: bool,
-    /// Whether the caller has part of the answer.
-    passed_on: bool,
+    /// Whether the newest attempt may have run: true from its sending until the host reports that
+    /// it did not run.
+    is_uncertain: bool,
+    /// Whether the caller has received part of the answer.
+    has_delivered: bool,
     tokens: u32,
     version: Option<WeightsDigest>,
 }
 
 impl AttemptPlan {
-    /// The plan of a request that has not been sent yet.
-    pub(crate) const fn new(traits: PlanTraits) -> Self {
+    /// Creates the plan of a request that has not been sent yet.
+    pub(crate) const fn new(policy: AttemptPolicy) -> Self {
         Self {
-            traits,
+            policy,
             attempts: 0,
             may_have_run: false,
-            in_doubt: false,
-            passed_on: false,
+            is_uncertain: false,
+            has_delivered: false,
             tokens: 0,
             version: None,
         }
@@ -77,87 +79,87 @@
     ///
     /// # Panics
     ///
-    /// When an unrepeatable call would be sent although an earlier attempt may have run: it would run
+    /// If an unrepeatable call would be sent although an earlier attempt may have run: it could run
     /// twice.
     pub(crate) fn begin_attempt(&mut self) {
         assert!(
-            self.traits.repeatable || !(self.may_have_run || self.in_doubt),
-            "an unrepeatable call was about to be sent twice"
+            self.policy.repeatable || !(self.may_have_run || self.is_uncertain),
+            "an unrepeatable call that may have run was about to be sent again"
         );
-        self.may_have_run |= self.in_doubt;
+        self.may_have_run |= self.is_uncertain;
         if self.tokens == 0 {
             self.version = None;
         }
         self.attempts += 1;
-        self.in_doubt = true;
+        self.is_uncertain = true;
     }
 
-    /// Notes which version of the weights the attempt runs on. Once the caller has tokens of one
-    /// version, no other may go on with the answer.
+    /// Records the version of the weights that the attempt runs on. Once the caller has received
+    /// tokens of one version, no other version may continue the answer.
     pub(crate) fn note_version(&mut self, version: Option<WeightsDigest>) {
         assert!(
             self.tokens == 0 || self.version == version,
-            "an answer was about to mix two versions"
+            "an answer was about to mix the tokens of two versions"
         );
         self.version = version;
     }
 
-    /// Notes that a token was passed on to the caller.
+    /// Records that a token was passed on to the caller.
     pub(crate) const fn note_token(&mut self) {
-        self.passed_on = true;
+        self.has_delivered = true;
         self.tokens += 1;
     }
 
-    /// Notes that the head of a plain answer was passed on to the caller.
+    /// Records that the response head of a plain service was passed on to the caller.
     pub(crate) const fn note_head(&mut self) {
-        self.passed_on = true;
+        self.has_delivered = true;
     }
 
-    /// Attempts that were sent.
+    /// Number of attempts that were sent.
     pub(crate) const fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Whether the caller has part of the answer.
-    pub(crate) const fn has_passed_on(&self) -> bool {
-        self.passed_on
+    /// Whether the caller has received part of the answer.
+    pub(crate) const fn has_delivered_part(&self) -> bool {
+        self.has_delivered
     }
 
-    /// Tokens that the caller has.
+    /// Number of tokens that the caller has received.
     pub(crate) const fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// The version that the rest of the answer must come from; any while the caller has nothing.
+    /// The version that has to continue the answer; `None` while the caller has received no token.
     pub(crate) fn resume_version(&self) -> Option<WeightsDigest> {
         self.version.filter(|_| self.tokens > 0)
     }
 
-    /// When the next byte is too late.
-    pub(crate) const fn limit(&self) -> ClockTime {
-        if self.passed_on {
-            self.traits.stream_end
+    /// Latest time for the next byte of the answer.
+    pub(crate) const fn time_limit(&self) -> ClockTime {
+        if self.has_delivered {
+            self.policy.stream_end
         } else {
-            self.traits.deadline
+            self.policy.deadline
         }
     }
 
-    /// When the attempt that begins now has had its time without a byte of its answer.
+    /// Latest time for the first byte of the attempt that begins at `now`.
     ///
-    /// A host goes on saying that it is alive while the connection behind it, to its backend
-    /// server, is silent for good. The request would be held until its deadline, and nothing would
-    /// be left of its time for another host. A repeatable one is given a part of it and tried
-    /// elsewhere.
-    pub(crate) fn attempt_limit(&self, now: ClockTime) -> ClockTime {
-        let has_retries = self.attempts < self.traits.attempts_max;
-        if self.passed_on || !self.traits.repeatable || !has_retries {
-            return self.limit();
+    /// A host process keeps sending keep-alive frames while its own connection to the backend
+    /// server is dead. Waiting for the deadline would leave no time for another host, so a
+    /// repeatable request gets only a part of the remaining time per attempt.
+    pub(crate) fn attempt_time_limit(&self, now: ClockTime) -> ClockTime {
+        let has_retries = self.attempts < self.policy.attempts_max;
+        if self.has_delivered || !self.policy.repeatable || !has_retries {
+            return self.time_limit();
         }
-        let part = self.traits.deadline.since(now) / ATTEMPT_PART;
-        (now + part.max(ATTEMPT_SHORTEST)).min(self.limit())
+        let part = self.policy.deadline.since(now) / ATTEMPT_TIME_DIVISOR;
+        (now + part.max(ATTEMPT_TIME_MIN)).min(self.time_limit())
     }
 
-    /// Decides after `error`, the end of an attempt. `jitter` is random.
+    /// Decides the next step after an attempt failed with `error`. `jitter` is a random number,
+    /// evenly distributed over all of `u32`.
     pub(crate) fn after_failure(
         &mut self,
         error: SwitchError,
@@ -165,41 +167,42 @@
         jitter: u32,
     ) -> NextStep {
         if error.run_outcome() == RunOutcome::NotRun {
-            self.in_doubt = false;
+            self.is_uncertain = false;
         }
         if is_final(error.kind) {
             return self.give_up(error);
         }
-        if self.in_doubt && !self.traits.repeatable {
-            return self.settle_or_give_up(error);
+        if self.is_uncertain && !self.policy.repeatable {
+            return self.query_or_give_up(error);
         }
         self.retry_or_give_up(error, now, jitter)
     }
 
-    /// Decides after the host's word about an attempt that ended with `error`. `None`: the host
-    /// gave no word.
-    pub(crate) fn after_settling(
+    /// Decides the next step after the outcome query for an attempt that failed with `error`.
+    /// `reply` is `None` when the host did not answer. `jitter` as in [`Self::after_failure`].
+    pub(crate) fn after_outcome_reply(
         &mut self,
         error: SwitchError,
-        reply: Option<&SettleReply>,
+        reply: Option<&OutcomeReply>,
         now: ClockTime,
         jitter: u32,
     ) -> NextStep {
         match reply {
-            Some(SettleReply::NotRun) => {
-                self.in_doubt = false;
+            Some(OutcomeReply::NotRun) => {
+                self.is_uncertain = false;
                 let error = error.with_outcome(RunOutcome::NotRun);
                 self.retry_or_give_up(error, now, jitter)
             }
-            Some(SettleReply::Running | SettleReply::Ran | SettleReply::NotKnown) | None => {
+            Some(OutcomeReply::Running | OutcomeReply::Ran | OutcomeReply::NotKnown) | None => {
                 self.give_up(error)
             }
         }
     }
 
-    /// The error that the caller gets: "not run" exactly when no attempt can have run.
+    /// Returns the error for the caller: its outcome is "not run" exactly when no attempt can have
+    /// run.
     pub(crate) fn conclude(&self, error: SwitchError) -> SwitchError {
-        let may_have_run = self.may_have_run || self.in_doubt;
+        let may_have_run = self.may_have_run || self.is_uncertain;
         match (may_have_run, error.run_outcome()) {
             (true, RunOutcome::NotRun) => error.with_outcome(RunOutcome::NotKnown),
             (false, RunOutcome::NotKnown) => error.with_outcome(RunOutcome::NotRun),
@@ -207,36 +210,37 @@
         }
     }
 
-    fn settle_or_give_up(&self, error: SwitchError) -> NextStep {
-        if can_settle(error.kind) {
-            NextStep::Settle
+    fn query_or_give_up(&self, error: SwitchError) -> NextStep {
+        if can_query_outcome(error.kind) {
+            NextStep::QueryOutcome
         } else {
             self.give_up(error)
         }
     }
 
     fn retry_or_give_up(&self, error: SwitchError, now: ClockTime, jitter: u32) -> NextStep {
-        let can_go_on = (!self.passed_on || self.can_resume(&error)) && self.may_run_again();
+        let may_continue = (!self.has_delivered || self.can_resume(&error)) && self.may_run_again();
         let wait = retry_wait(self.attempts, jitter, error.retry_after);
-        let in_time = now + wait < self.limit();
-        if can_go_on && in_time && self.attempts < self.traits.attempts_max {
+        let in_time = now + wait < self.time_limit();
+        if may_continue && in_time && self.attempts < self.policy.attempts_max {
             NextStep::Retry { wait }
         } else {
             self.give_up(error)
         }
     }
 
-    /// An unrepeatable call that may have run goes to nobody else, who could run it again.
+    /// An unrepeatable call that may have run must not be sent again: it could run twice.
     const fn may_run_again(&self) -> bool {
-        let may_have_run = self.may_have_run || self.in_doubt;
-        self.traits.repeatable || !may_have_run
+        let may_have_run = self.may_have_run || self.is_uncertain;
+        self.policy.repeatable || !may_have_run
     }
 
-    /// A model's answer goes on behind the tokens that the caller has, on the version that made
-    /// them. A plain answer cannot be gone on with, nor can one of which the caller may have
-    /// damaged parts: it would come to a clean end with the damage inside.
+    /// A model's answer is resumed after the tokens that the caller has received, on the version
+    /// that generated them. The answer of a plain service cannot be resumed. Neither can an answer
+    /// of which the caller may have received corrupt parts: it would end normally with the
+    /// corruption inside.
     fn can_resume(&self, error: &SwitchError) -> bool {
-        self.traits.repeatable
+        self.policy.repeatable
             && self.resume_version().is_some()
             && error.kind != ErrorKind::AnswerDamaged
     }
@@ -246,8 +250,8 @@
     }
 }
 
-/// Whether the host can be asked what became of the attempt.
-const fn can_settle(kind: ErrorKind) -> bool {
+/// Whether the outcome of an attempt that failed with `kind` can be queried at its host.
+const fn can_query_outcome(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::PeerSilent
@@ -257,7 +261,8 @@
     )
 }
 
-/// Whether every host would say the same, or the host has said the last word.
+/// Whether a retry is pointless: every host would return the same error, or the error ends the
+/// request for good.
 const fn is_final(kind: ErrorKind) -> bool {
     use ErrorKind as Kind;
     !matches!(
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -193,7 +193,7 @@
                     text.push_str(&token);
                     tokens += 1;
                 }
-                Some(CallerPart::Whole { reason, .. }) => {
+                Some(CallerPart::Complete { reason, .. }) => {
                     let value = self.complete_value(&text, &reason, tokens);
                     return Ok(json_reply(StatusCode::OK, &value));
                 }
@@ -224,7 +224,7 @@
             CallerPart::Token(text) => {
                 BodyStep::Bytes(sse_event(&self.chunk_value(Some(&text), None)).into())
             }
-            CallerPart::Whole { reason, .. } => {
+            CallerPart::Complete { reason, .. } => {
                 let last = sse_event(&self.chunk_value(None, Some(&reason)));
                 BodyStep::Last(format!("{last}{DONE_EVENT}").into())
             }
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -15,7 +15,7 @@
 use super::settings::{EntrySettings, SPECS};
 use crate::control::{ControlEdges, ControlHandle, start_control};
 use crate::daemon::{DrainState, hold_stop_signals, probe_routes, run_process};
-use crate::delivery::{HostCaller, events};
+use crate::delivery::{HostClient, events};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::gateway::run_gateway;
@@ -81,7 +81,7 @@
     let drain = settings.common.drain_state();
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let (control, own_status) = start_control_thread(&settings, &client, &drain);
-    let host_caller = HostCaller::new(client, settings.silence_timeout);
+    let host_caller = HostClient::new(client, settings.silence_timeout);
     let body_limit = settings.body_limit;
     let state = Arc::new(EntryState::new(
         control.identity().clone(),
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -17,8 +17,8 @@
 use crate::control::{ServiceRecord, SharedSnapshot};
 use crate::daemon::DrainState;
 use crate::delivery::{
-    AdmissionPass, CALLER_PARTS, CallerPart, HostCaller, RequestJob, RequestRun, RunCall,
-    ServiceDesk,
+    AdmissionPass, CALLER_BUFFER_PARTS, CallerPart, HostClient, RequestJob, RequestRunner, RunCall,
+    ServiceDispatcher,
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::membership::HostIdentity;
@@ -39,13 +39,13 @@
 pub(super) struct EntryState {
     identity: HostIdentity,
     snapshot: SharedSnapshot,
-    host_caller: HostCaller,
+    host_caller: HostClient,
     drain: DrainState,
     refuses_new: AtomicBool,
     /// Largest accepted request body, in bytes.
     body_limit: usize,
     /// The dispatcher of each service, sorted by service name.
-    dispatchers: RwLock<Vec<(ByteString, Arc<ServiceDesk>)>>,
+    dispatchers: RwLock<Vec<(ByteString, Arc<ServiceDispatcher>)>>,
 }
 
 /// The call that a request makes to its service.
@@ -59,7 +59,7 @@
     pub(super) fn new(
         identity: HostIdentity,
         snapshot: SharedSnapshot,
-        host_caller: HostCaller,
+        host_caller: HostClient,
         drain: DrainState,
         body_limit: usize,
     ) -> Self {
@@ -163,8 +163,8 @@
             .map(|key| order_key_hash(&job, key));
         let dispatcher = self.dispatcher(&service.document.service, now);
         let pass = self.admit(&dispatcher, &job, order, now)?;
-        let (sink, parts) = mpsc::channel(CALLER_PARTS);
-        let run = RequestRun::new(job, pass, self.host_caller.clone(), sink);
+        let (sink, parts) = mpsc::channel(CALLER_BUFFER_PARTS);
+        let run = RequestRunner::new(job, pass, self.host_caller.clone(), sink);
         let in_flight = self.drain.enter();
         tokio::spawn(async move {
             run.run().await;
@@ -180,7 +180,7 @@
     /// refreshed and tried once more.
     fn admit(
         &self,
-        dispatcher: &Arc<ServiceDesk>,
+        dispatcher: &Arc<ServiceDispatcher>,
         job: &RequestJob,
         order: Option<u64>,
         now: ClockTime,
@@ -213,7 +213,7 @@
         }
     }
 
-    fn all_dispatchers(&self) -> Vec<Arc<ServiceDesk>> {
+    fn all_dispatchers(&self) -> Vec<Arc<ServiceDispatcher>> {
         let dispatchers = self
             .dispatchers
             .read()
@@ -226,7 +226,7 @@
 
     /// Returns the dispatcher of a service, creating it if necessary. A new one is refreshed at
     /// once; later changes reach it through [`Self::refresh_dispatchers`].
-    fn dispatcher(&self, service: &ByteString, now: ClockTime) -> Arc<ServiceDesk> {
+    fn dispatcher(&self, service: &ByteString, now: ClockTime) -> Arc<ServiceDispatcher> {
         let (dispatcher, is_new) = self.find_or_create(service);
         if is_new {
             dispatcher.refresh(&self.snapshot.load(), &self.identity, now);
@@ -235,7 +235,7 @@
     }
 
     /// Returns the dispatcher of a service, and whether this call has created it.
-    fn find_or_create(&self, service: &ByteString) -> (Arc<ServiceDesk>, bool) {
+    fn find_or_create(&self, service: &ByteString) -> (Arc<ServiceDispatcher>, bool) {
         {
             let dispatchers = self
                 .dispatchers
@@ -252,7 +252,7 @@
         match dispatchers.binary_search_by(|(name, _)| name.cmp(service)) {
             Ok(index) => (dispatchers[index].1.clone(), false),
             Err(index) => {
-                let dispatcher = Arc::new(ServiceDesk::new(service.clone(), rand::random()));
+                let dispatcher = Arc::new(ServiceDispatcher::new(service.clone(), rand::random()));
                 dispatchers.insert(index, (service.clone(), dispatcher.clone()));
                 (dispatcher, true)
             }
--- a/src/entry/plain_call.rs
+++ b/src/entry/plain_call.rs
@@ -178,7 +178,7 @@
 fn encode_part(part: CallerPart) -> BodyStep {
     match part {
         CallerPart::Body(bytes) => BodyStep::Bytes(bytes),
-        CallerPart::Whole { .. } => BodyStep::Last(Bytes::new()),
+        CallerPart::Complete { .. } => BodyStep::Last(Bytes::new()),
         CallerPart::Failed(error) => BodyStep::Abort(error.to_string()),
         CallerPart::Started(_) | CallerPart::Head(_) | CallerPart::Token(_) => BodyStep::Skip,
     }
--- a/src/entry/tests/fake_host.rs
+++ b/src/entry/tests/fake_host.rs
@@ -14,8 +14,8 @@
 use crate::control::{ControlSnapshot, MemberRecord, ServiceRecord, SharedSnapshot};
 use crate::daemon::DrainState;
 use crate::delivery::{
-    AnswerDigest, AnswerHead, AttemptId, HostCaller, RunCall, RunFrame, RunOrder, RunPart,
-    SettleOrder, SettleReply,
+    AnswerDigest, AnswerHead, AttemptId, HostClient, OutcomeQuery, OutcomeReply, RunCall, RunFrame,
+    RunOrder, RunPart,
 };
 use crate::documents::{RouteSpec, ServiceDocument, ServiceKind};
 use crate::entry::entry_state::EntryState;
@@ -76,9 +76,9 @@
             )
         };
         let settle = async |request: Request| {
-            let query = read_message::<SettleOrder>(request.into_body(), BODY_BYTES_MAX).await;
+            let query = read_message::<OutcomeQuery>(request.into_body(), BODY_BYTES_MAX).await;
             assert!(query.is_ok());
-            message_reply(&SettleReply::NotRun)
+            message_reply(&OutcomeReply::NotRun)
         };
         let router = Router::new()
             .route("/peer/run", post(run))
@@ -128,7 +128,7 @@
         table_answers: true,
     });
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
-    let host_caller = HostCaller::new(client, SILENCE_TIMEOUT);
+    let host_caller = HostClient::new(client, SILENCE_TIMEOUT);
     let state = EntryState::new(entry(0), snapshot, host_caller, no_drain(), BODY_BYTES_MAX);
     let state = Arc::new(state);
     let refreshed = state.clone();
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -200,7 +200,7 @@
 
     /// Whether requests may be sent there at `now`.
     pub(super) fn accepts_requests(&self, now: ClockTime) -> bool {
-        !self.is_loading(now) && self.paused_until <= now && self.breaker.lets_pass(now)
+        !self.is_loading(now) && self.paused_until <= now && self.breaker.allows_request(now)
     }
 
     /// Whether its advertised rate allows this entry host to send a request.
@@ -261,17 +261,17 @@
             }
             CallOutcome::Replaced => {
                 self.paused_until = now + REPLACED_PAUSE;
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
             CallOutcome::Refused => {
                 self.paused_until = now + FULL_PAUSE;
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
             // An engine that loads other weights aborts the requests in progress.
             CallOutcome::Failed if self.is_loading(now) => {
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
             CallOutcome::Failed => {
@@ -279,7 +279,7 @@
                 self.breaker.note_failure(now, jitter)
             }
             CallOutcome::Inconclusive => {
-                self.breaker.note_nothing(now);
+                self.breaker.note_inconclusive(now);
                 false
             }
         }
--- a/src/fleet/backend_registry.rs
+++ b/src/fleet/backend_registry.rs
@@ -254,7 +254,7 @@
         let permission = self.get(key).map(|record| record.send_permission(&context));
         let unread_tokens = need.work.map_or(0, |work| work.prompt_tokens);
         let record = self.get_mut(key).ok_or(PickRefusal::NoBackend)?;
-        record.breaker.note_passed(now);
+        record.breaker.note_sent(now);
         record.note_sent(unread_tokens);
         if let Some(SendPermission::Interval(start)) = permission {
             record.limit.mark_used(start);
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -1,4 +1,4 @@
-//! The state of the host process's traffic and the places before the backend server.
+//! The state that all requests of a host process share, and the slots at its backend server.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use bytestring::ByteString;
 use tokio::sync::oneshot;
 
-use super::attempt_book::{Arrival, AttemptBook, AttemptState};
-use super::run_queue::{QueueAnswer, QueueRefusal, RunQueue, RunTicket};
+use super::attempt_ledger::{Arrival, AttemptLedger, AttemptState};
+use super::run_queue::{QueueAdmission, QueueRefusal, RunQueue, RunTicket};
 use super::serving_gate::ServingGate;
 use crate::daemon::DrainState;
 use crate::delivery::{AttemptId, RunOrder};
@@ -17,12 +17,12 @@
 use crate::membership::{LoadReport, StatusBoard};
 use crate::time::{ClockTime, clock_now};
 
-/// How often a call that waits looks whether anybody still wants it.
-const WANTED_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which a queued call checks whether it was withdrawn.
+const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What stands beside this process.
+/// The backend server on this host.
 #[derive(Clone)]
-pub(crate) enum BackendServer {
+pub(crate) enum LocalBackend {
     /// A model engine.
     Model(Arc<dyn EngineAdapter>),
     /// A plain service.
@@ -33,21 +33,21 @@
 pub(crate) struct GuardShared {
     pub(crate) service: ByteString,
     pub(crate) incarnation: u64,
-    pub(crate) backend: BackendServer,
+    pub(crate) backend: LocalBackend,
     pub(crate) gate: ServingGate,
     pub(crate) board: StatusBoard,
     pub(crate) drain: DrainState,
     pub(crate) state: Mutex<GuardState>,
 }
 
-/// Second tries on a fresh connection: a tenth of the calls, so that a service that has become slow
-/// as a whole does not get twice the calls.
+/// Budget of calls that are sent again on a second connection: a tenth of the calls, so that a
+/// service that has become slow does not get twice the calls.
 #[derive(Debug)]
-pub(super) struct TryBudget {
+pub(super) struct HedgeBudget {
     tenths: u32,
 }
 
-impl TryBudget {
+impl HedgeBudget {
     const TENTHS_MAX: u32 = 50;
 
     const fn new() -> Self {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// A call has come.
-    pub(super) fn earn(&mut self) {
+    /// Counts a call, which adds a tenth of a hedged call to the budget.
+    pub(super) fn record_call(&mut self) {
         self.tenths = Self::TENTHS_MAX.min(self.tenths + 1);
     }
 
-    /// Asks for a second try.
-    pub(super) const fn take(&mut self) -> bool {
+    /// Takes one hedged call from the budget. Returns whether the budget allowed it.
+    pub(super) const fn try_spend(&mut self) -> bool {
         let has_one = self.tenths >= 10;
         if has_one {
             self.tenths -= 10;
@@ -71,42 +71,46 @@
     }
 }
 
-/// What the decisions work on. Held under one lock, for short steps only: a settled attempt must
-/// not start in the same moment.
+/// The state behind all decisions. One lock protects all of it, so that an attempt cannot start
+/// while it is reported as not run; it is held for short steps only.
 pub(crate) struct GuardState {
-    pub(crate) attempts: AttemptBook,
+    pub(crate) attempts: AttemptLedger,
     pub(crate) queue: RunQueue,
-    pub(super) second_tries: TryBudget,
-    /// Who waits to be told to start, sorted by ticket.
-    starts: Vec<(RunTicket, oneshot::Sender<()>)>,
+    pub(super) hedge_budget: HedgeBudget,
+    /// Signals for the queued requests, sorted by ticket.
+    start_signals: Vec<(RunTicket, oneshot::Sender<()>)>,
 }
 
 impl GuardState {
     pub(crate) const fn new(queue: RunQueue) -> Self {
         Self {
-            attempts: AttemptBook::new(),
+            attempts: AttemptLedger::new(),
             queue,
-            second_tries: TryBudget::new(),
-            starts: Vec::new(),
+            hedge_budget: HedgeBudget::new(),
+            start_signals: Vec::new(),
         }
     }
 
-    /// Tells those that may start now.
-    pub(crate) fn tell_started(&mut self, started: Vec<RunTicket>) {
+    /// Signals the requests that may start now.
+    pub(crate) fn notify_started(&mut self, started: Vec<RunTicket>) {
         for ticket in started {
-            let found = self.starts.binary_search_by_key(&ticket, |(one, _)| *one);
+            let found = self
+                .start_signals
+                .binary_search_by_key(&ticket, |(one, _)| *one);
             if let Ok(at) = found {
-                let (_, start) = self.starts.remove(at);
-                // One that has left meanwhile gives its place back itself.
+                let (_, start) = self.start_signals.remove(at);
+                // If the receiver is gone, its `SlotGuard` returns the slot.
                 let _ = start.send(());
             }
         }
     }
 
-    fn forget_start(&mut self, ticket: RunTicket) {
-        let found = self.starts.binary_search_by_key(&ticket, |(one, _)| *one);
+    fn remove_start_signal(&mut self, ticket: RunTicket) {
+        let found = self
+            .start_signals
+            .binary_search_by_key(&ticket, |(one, _)| *one);
         if let Ok(at) = found {
-            self.starts.remove(at);
+            self.start_signals.remove(at);
         }
     }
 }
@@ -116,12 +120,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets an order in, or says why not. After a refusal the attempt never runs here.
+    /// Registers and checks an order, or returns the refusal. After a refusal the attempt never
+    /// runs here.
     pub(crate) fn admit(&self, order: &RunOrder, now: ClockTime) -> SwitchResult<()> {
         if order.incarnation != self.incarnation {
             return Err(refusal(
                 ErrorKind::BackendLeaving,
-                "the process that was meant is no more",
+                "the host process that the order was meant for no longer runs",
             ));
         }
         let arrival = self.lock().attempts.arrive(order.attempt, now);
@@ -141,67 +146,68 @@
         if self.drain.is_draining() {
             return Err(refusal(ErrorKind::BackendLeaving, "this host is leaving"));
         }
-        let is_model = matches!(self.backend, BackendServer::Model(_));
+        let is_model = matches!(self.backend, LocalBackend::Model(_));
         if is_model && self.gate.serving().is_none() {
             return Err(refusal(ErrorKind::WeightsNotReady, "no version is served"));
         }
         Ok(())
     }
 
-    /// Waits for a place at the backend server until `deadline`, and as long as `is_wanted`.
-    pub(crate) async fn take_place(
+    /// Waits for a slot at the backend server until `deadline`, as long as `is_waiting` returns
+    /// true.
+    pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         priority: RequestPriority,
         deadline: ClockTime,
-        is_wanted: impl Fn(&GuardState) -> bool,
-    ) -> SwitchResult<PlaceGuard> {
-        let (place, start) = self.ask_place(priority, deadline)?;
+        is_waiting: impl Fn(&GuardState) -> bool,
+    ) -> SwitchResult<SlotGuard> {
+        let (slot, start) = self.request_slot(priority, deadline)?;
         let Some(mut start) = start else {
-            return Ok(place);
+            return Ok(slot);
         };
         loop {
             let left = deadline.since(clock_now());
             tokio::select! {
                 biased;
-                _ = &mut start => return Ok(place),
+                _ = &mut start => return Ok(slot),
                 () = self.drain.begun() => {
                     return Err(refusal(ErrorKind::BackendLeaving, "this host is leaving"));
                 }
-                () = tokio::time::sleep(left.min(WANTED_EVERY)) => {}
+                () = tokio::time::sleep(left.min(CANCEL_CHECK_INTERVAL)) => {}
             }
             if clock_now() >= deadline {
-                let detail = "it waited here until its deadline";
+                let detail = "the request reached its deadline in the queue of the host";
                 return Err(refusal(ErrorKind::DeadlineUnreachable, detail));
             }
-            if !is_wanted(&self.lock()) {
+            if !is_waiting(&self.lock()) {
                 return Err(refusal(
                     ErrorKind::CallerGone,
-                    "the caller left in the queue",
+                    "the attempt was withdrawn while it was queued",
                 ));
             }
         }
     }
 
-    fn ask_place(
+    fn request_slot(
         self: &Arc<Self>,
         priority: RequestPriority,
         deadline: ClockTime,
-    ) -> SwitchResult<(PlaceGuard, Option<oneshot::Receiver<()>>)> {
+    ) -> SwitchResult<(SlotGuard, Option<oneshot::Receiver<()>>)> {
         let mut state = self.lock();
         let answer = state.queue.offer(priority, deadline, clock_now());
         let (ticket, start) = match answer.map_err(queue_error)? {
-            QueueAnswer::Started(ticket) => (ticket, None),
-            QueueAnswer::Waits(ticket) => {
+            QueueAdmission::Started(ticket) => (ticket, None),
+            QueueAdmission::Waiting(ticket) => {
                 let (sender, receiver) = oneshot::channel();
-                state.starts.push((ticket, sender));
+                state.start_signals.push((ticket, sender));
                 (ticket, Some(receiver))
             }
         };
         let shared = Arc::clone(self);
-        Ok((PlaceGuard { shared, ticket }, start))
+        Ok((SlotGuard { shared, ticket }, start))
     }
 
-    /// How busy this host is, as far as it knows itself.
+    /// Returns the load of this host by its own queue.
     pub(crate) fn load(&self) -> LoadReport {
         let state = self.lock();
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
@@ -213,30 +219,30 @@
         }
     }
 
-    /// Notes how the run of `attempt` ended.
+    /// Records how the run of `attempt` ended.
     pub(crate) fn end_attempt(&self, attempt: AttemptId, state: AttemptState) {
         self.lock().attempts.end(attempt, state);
     }
 }
 
-/// A place in the queue or at the backend server, given back when dropped.
-pub(crate) struct PlaceGuard {
+/// A place in the queue or a slot at the backend server, returned when dropped.
+pub(crate) struct SlotGuard {
     shared: Arc<GuardShared>,
     ticket: RunTicket,
 }
 
-impl Drop for PlaceGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let mut state = self.shared.lock();
-        state.forget_start(self.ticket);
+        state.remove_start_signal(self.ticket);
         if !state.queue.withdraw(self.ticket) {
             let started = state.queue.end(self.ticket, clock_now());
-            state.tell_started(started);
+            state.notify_started(started);
         }
     }
 }
 
-/// A refusal of something that did not run.
+/// Returns the error for a refused request, which did not run.
 pub(crate) fn refusal(kind: ErrorKind, detail: &str) -> SwitchError {
     SwitchError::new(kind, detail).with_outcome(RunOutcome::NotRun)
 }
@@ -244,14 +250,20 @@
 fn arrival_error(arrival: Arrival) -> SwitchResult<()> {
     let error = match arrival {
         Arrival::Fresh => return Ok(()),
-        Arrival::Buried => refusal(ErrorKind::CallerGone, "it was given up before it came"),
-        Arrival::Doubled => SwitchError::new(ErrorKind::AttemptDoubled, "this attempt came before")
-            .with_outcome(RunOutcome::NotKnown),
+        Arrival::Cancelled => refusal(
+            ErrorKind::CallerGone,
+            "the attempt was reported as not run or withdrawn before this order arrived",
+        ),
+        Arrival::Duplicate => SwitchError::new(
+            ErrorKind::AttemptDoubled,
+            "this attempt was received before",
+        )
+        .with_outcome(RunOutcome::NotKnown),
         Arrival::TooOld => SwitchError::new(
             ErrorKind::OutcomeUnknown,
-            "what was known of this attempt is forgotten",
+            "the record of this attempt may have expired",
         ),
-        Arrival::Full => refusal(ErrorKind::BackendBusy, "too many attempts to remember"),
+        Arrival::Full => refusal(ErrorKind::BackendBusy, "too many attempts are recorded"),
     };
     Err(error)
 }
@@ -261,7 +273,7 @@
         QueueRefusal::Full => refusal(ErrorKind::BackendBusy, "the queue is full"),
         QueueRefusal::TooLate { wait } => refusal(
             ErrorKind::DeadlineUnreachable,
-            "the queue is longer than its deadline",
+            "the expected wait in the queue exceeds the deadline",
         )
         .come_back_in(wait),
     }
--- a/src/guard/tests/forward.rs
+++ b/src/guard/tests/forward.rs
@@ -1,4 +1,4 @@
-//! Plain services whose connections go silent.
+//! Calls to plain services whose connections stop responding, and large bodies.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -11,16 +11,16 @@
 use crate::delivery::{RunOrder, RunPart};
 use crate::engines::{PlainAdapter, PlainAnswer, PlainCall};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::guard::BackendServer;
+use crate::guard::LocalBackend;
 
-/// A service whose first connection is silent for good.
+/// A service whose first connection never responds.
 #[derive(Default)]
-struct FirstSilent {
+struct FirstUnresponsive {
     connections: AtomicU32,
     answering: CountingPlain,
 }
 
-impl PlainAdapter for FirstSilent {
+impl PlainAdapter for FirstUnresponsive {
     fn forward(&self, call: PlainCall) -> BoxFuture<'_, SwitchResult<PlainAnswer>> {
         async move {
             if self.connections.fetch_add(1, Ordering::Relaxed) == 0 {
@@ -42,17 +42,17 @@
 }
 
 async fn ask(repeatable: bool) -> (Vec<RunPart>, u32) {
-    let service = Arc::new(FirstSilent::default());
-    let backend = BackendServer::Plain(Arc::clone(&service) as Arc<dyn PlainAdapter>);
+    let service = Arc::new(FirstUnresponsive::default());
+    let backend = LocalBackend::Plain(Arc::clone(&service) as Arc<dyn PlainAdapter>);
     let host = TestHost::start("lima-1", backend);
-    let mut reader = host.give(order(repeatable));
-    // An unrepeatable call is not answered in this test's time: two words of life are enough.
+    let mut reader = host.submit(order(repeatable));
+    // An unrepeatable call gets no answer in this test, so it ends at the second keep-alive frame.
     let mut parts = Vec::new();
     let mut alive = 0;
     while let Some(frame) = reader
         .next::<crate::delivery::RunFrame>()
         .await
-        .expect("it reads")
+        .expect("the frame decodes")
     {
         match frame.part {
             RunPart::Alive if alive > 0 => break,
@@ -63,29 +63,30 @@
     (parts, service.connections.load(Ordering::Relaxed))
 }
 
-// Symptom: some calls take their whole deadline and fail, beside others that are answered at once.
-// Events: something between host process and service loses track of a connection. Cause: nothing is
-// tried on a fresh one.
+// Guards against calls that fail at their deadline while others are answered at once: a device
+// between host process and service loses the state of a connection, and no second connection is
+// tried.
 #[tokio::test]
-async fn a_silent_connection_is_doubted() {
+async fn an_unresponsive_call_is_sent_again_on_a_second_connection() {
     let (parts, connections) = ask(true).await;
     assert_eq!(body_of(&parts), "run 1");
     assert_eq!(connections, 2);
 }
 
-// The same, but the call may not be repeated: it may be running behind the silence.
+// The same fault, but the call is unrepeatable and may be running although the connection does not
+// respond.
 #[tokio::test]
-async fn an_unrepeatable_call_is_handed_over_once() {
+async fn an_unrepeatable_call_is_sent_once() {
     let (parts, connections) = ask(false).await;
     assert!(parts.is_empty(), "{parts:?}");
     assert_eq!(connections, 1);
 }
 
 #[tokio::test]
-async fn a_body_is_passed_on_whole() {
+async fn a_body_is_passed_on_completely() {
     let plain = Arc::new(CountingPlain::default());
     plain.padding.store(200_000, Ordering::Relaxed);
-    let host = TestHost::start("lima-1", BackendServer::Plain(plain));
+    let host = TestHost::start("lima-1", LocalBackend::Plain(plain));
     let mut order = order(true);
     order.deadline_ms = 20_000;
     let parts = host.ask(order).await;
--- a/src/guard/tests/queue.rs
+++ b/src/guard/tests/queue.rs
@@ -1,9 +1,9 @@
-//! The queue before the backend server: urgent first, then by arrival, bounded.
+//! Tests of the queue for the backend server.
 
 use std::time::Duration;
 
 use crate::documents::RequestPriority;
-use crate::guard::run_queue::{QueueAnswer, QueueRefusal, RunQueue, RunTicket};
+use crate::guard::run_queue::{QueueAdmission, QueueRefusal, RunQueue, RunTicket};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -13,99 +13,105 @@
 const RUNNING: u32 = 3;
 const WAITING: usize = 8;
 
-struct Known {
+struct TrackedRun {
     ticket: RunTicket,
     priority: RequestPriority,
     is_running: bool,
 }
 
-// Symptom: an urgent request waits behind others. Events: requests of all priorities come, leave
-// and end in any sequence. Cause: a place that gets free goes to whoever came first, or all places
-// are held by long runs of others.
+// Guards against urgent requests that wait for less urgent ones: a slot that becomes free goes to
+// the request that arrived first, or long runs of other requests hold all slots. Requests of all
+// priorities arrive, leave and end in any sequence.
 #[test]
-fn a_free_place_goes_to_the_most_urgent_that_came_first() {
+fn a_free_slot_goes_to_the_first_request_of_the_highest_priority() {
     run_cases(CASES, CASE_BYTES, |u| {
         let mut queue = RunQueue::new(RUNNING, WAITING);
-        let mut known: Vec<Known> = Vec::new();
+        let mut tracked: Vec<TrackedRun> = Vec::new();
         let mut now = ClockTime::from_millis(1);
         for _ in 0..EVENTS {
             now = now + Duration::from_millis(u.int_in_range(0..=20)?);
-            if known.is_empty() || u.ratio(1, 2)? {
+            if tracked.is_empty() || u.ratio(1, 2)? {
                 let priority = *u.choose(&RequestPriority::ALL)?;
-                offer(&mut queue, &mut known, priority, now);
+                offer(&mut queue, &mut tracked, priority, now);
             } else {
-                let index = u.choose_index(known.len())?;
-                let gone = known.remove(index);
-                let started = if queue.withdraw(gone.ticket) {
-                    assert!(!gone.is_running, "a running one was waiting");
+                let index = u.choose_index(tracked.len())?;
+                let ended = tracked.remove(index);
+                let started = if queue.withdraw(ended.ticket) {
+                    assert!(!ended.is_running, "a running request was in the queue");
                     Vec::new()
                 } else {
-                    assert!(gone.is_running, "a waiting one was running");
-                    queue.end(gone.ticket, now)
+                    assert!(ended.is_running, "a waiting request was not in the queue");
+                    queue.end(ended.ticket, now)
                 };
-                check_started(&mut known, &started);
+                check_started(&mut tracked, &started);
             }
-            let running = known.iter().filter(|one| one.is_running).count();
+            let running = tracked.iter().filter(|one| one.is_running).count();
             assert_eq!(running, queue.running_count());
-            assert_eq!(known.len() - running, queue.waiting_count());
+            assert_eq!(tracked.len() - running, queue.waiting_count());
             assert!(running <= RUNNING as usize && queue.waiting_count() <= WAITING);
         }
         Ok(())
     });
 }
 
-fn offer(queue: &mut RunQueue, known: &mut Vec<Known>, priority: RequestPriority, now: ClockTime) {
+fn offer(
+    queue: &mut RunQueue,
+    tracked: &mut Vec<TrackedRun>,
+    priority: RequestPriority,
+    now: ClockTime,
+) {
     let deadline = now + Duration::from_mins(1);
     let (ticket, is_running) = match queue.offer(priority, deadline, now) {
-        Ok(QueueAnswer::Started(ticket)) => (ticket, true),
-        Ok(QueueAnswer::Waits(ticket)) => (ticket, false),
+        Ok(QueueAdmission::Started(ticket)) => (ticket, true),
+        Ok(QueueAdmission::Waiting(ticket)) => (ticket, false),
         Err(refused) => {
             assert!(refused == QueueRefusal::Full, "{refused:?}");
             assert_eq!(queue.waiting_count(), WAITING);
             return;
         }
     };
-    let others = known.iter().filter(|one| one.is_running).count();
-    let places = if priority == RequestPriority::Urgent {
+    let others = tracked.iter().filter(|one| one.is_running).count();
+    let slots = if priority == RequestPriority::Urgent {
         RUNNING
     } else {
         RUNNING - 1
     };
-    assert_eq!(is_running, others < places as usize, "{priority:?}");
-    known.push(Known {
+    assert_eq!(is_running, others < slots as usize, "{priority:?}");
+    tracked.push(TrackedRun {
         ticket,
         priority,
         is_running,
     });
 }
 
-fn check_started(known: &mut [Known], started: &[RunTicket]) {
+fn check_started(tracked: &mut [TrackedRun], started: &[RunTicket]) {
     for ticket in started {
-        let waiting = known.iter().filter(|one| !one.is_running);
+        let waiting = tracked.iter().filter(|one| !one.is_running);
         let best = waiting.min_by_key(|one| (one.priority, one.ticket));
         assert_eq!(best.map(|one| one.ticket), Some(*ticket));
-        for one in known.iter_mut().filter(|one| one.ticket == *ticket) {
+        for one in tracked.iter_mut().filter(|one| one.ticket == *ticket) {
             one.is_running = true;
         }
     }
 }
 
-// Symptom: a request waits until its deadline and is refused only then. Events: the queue is longer
-// than the deadline, by the length of earlier runs. Cause: nobody reckons.
+// Guards against requests that wait until their deadline and are refused only then, although the
+// mean run time of earlier requests shows that they cannot start in time.
 #[test]
-fn what_cannot_start_in_time_is_refused_at_once() {
+fn a_request_that_cannot_start_in_time_is_refused_at_once() {
     let mut queue = RunQueue::new(1, WAITING);
-    let begun = ClockTime::from_millis(1);
+    let started_at = ClockTime::from_millis(1);
     let priority = RequestPriority::Normal;
-    let far = begun + Duration::from_mins(1);
-    let Ok(QueueAnswer::Started(first)) = queue.offer(priority, far, begun) else {
-        panic!("the place is free");
+    let late_deadline = started_at + Duration::from_mins(1);
+    let Ok(QueueAdmission::Started(first)) = queue.offer(priority, late_deadline, started_at)
+    else {
+        panic!("the slot is free");
     };
-    let ended = begun + Duration::from_secs(4);
-    queue.end(first, ended);
-    assert!(queue.offer(priority, far, ended).is_ok());
-    let near = ended + Duration::from_secs(1);
-    let refused = queue.offer(priority, near, ended);
+    let ended_at = started_at + Duration::from_secs(4);
+    queue.end(first, ended_at);
+    assert!(queue.offer(priority, late_deadline, ended_at).is_ok());
+    let early_deadline = ended_at + Duration::from_secs(1);
+    let refused = queue.offer(priority, early_deadline, ended_at);
     let wait = Duration::from_secs(4);
     assert_eq!(refused, Err(QueueRefusal::TooLate { wait }));
 }
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -13,7 +13,7 @@
 use crate::daemon::{DrainState, probe_routes};
 use crate::engines::{EngineAdapter, HttpPlainAdapter, JsonStateAdapter, MetricsTextAdapter};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::guard::{BackendServer, GuardEdges, GuardLimits, ServingGate, start_guard};
+use crate::guard::{GuardContext, GuardLimits, LocalBackend, ServingGate, start_guard};
 use crate::membership::StatusBoard;
 use crate::settings::CommonSettings;
 use crate::stores::http::HttpWeights;
@@ -70,7 +70,7 @@
         let mut routes = probe_routes(drain.clone(), Arc::new(AtomicBool::new(true)))
             .merge(control.peer_routes());
         let mut pacer = None;
-        if let BackendServer::Model(engine) = &backend {
+        if let LocalBackend::Model(engine) = &backend {
             let context = WeightsComponents {
                 engine: Arc::clone(engine),
                 control,
@@ -87,7 +87,7 @@
                     .merge(weights.engine_routes());
             }
         }
-        let edges = GuardEdges {
+        let edges = GuardContext {
             identity,
             backend,
             gate,
@@ -157,19 +157,19 @@
 }
 
 /// Creates the adapter for the backend server's dialect.
-fn backend_server(settings: &HostSettings) -> BackendServer {
+fn backend_server(settings: &HostSettings) -> LocalBackend {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let address = settings.engine_address;
     match settings.dialect {
         EngineDialect::MetricsText => {
             let model = settings.service.clone();
-            BackendServer::Model(Arc::new(MetricsTextAdapter::new(address, client, model)))
+            LocalBackend::Model(Arc::new(MetricsTextAdapter::new(address, client, model)))
         }
         EngineDialect::JsonState => {
-            BackendServer::Model(Arc::new(JsonStateAdapter::new(address, client)))
+            LocalBackend::Model(Arc::new(JsonStateAdapter::new(address, client)))
         }
         EngineDialect::Plain => {
-            BackendServer::Plain(Arc::new(HttpPlainAdapter::new(address, client)))
+            LocalBackend::Plain(Arc::new(HttpPlainAdapter::new(address, client)))
         }
     }
 }
--- a/src/routing/backend_pool.rs
+++ b/src/routing/backend_pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers of one service and the choice among them.
+//! The backend servers of one service, as known to one entry host.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::backend_server::{BackendServer, Nearness, ServicePace};
+use super::backend_state::{BackendState, CostLatency, Nearness};
 use super::events;
 use super::rendezvous::{name_hash, rendezvous_weight};
 use crate::control::{ControlSnapshot, MemberRecord, MemberState};
@@ -22,89 +22,92 @@
 use crate::time::ClockTime;
 use crate::weights::WeightsDigest;
 
-/// Backend servers of one nearness that an entry host sends to. Beyond it, each entry host takes
-/// its own part by rendezvous: it need not keep connections to all, and a pick stays cheap.
+/// Maximum number of backend servers per nearness that an entry host sends to. Of a larger group,
+/// each entry host uses its own subset, selected by rendezvous hashing. This limits the number of
+/// open connections and the cost of a pick.
 const SUBSET_MAX: usize = 64;
-/// How far behind load reports are taken to be.
+/// Assumed age of a load report when it arrives.
 const REPORT_LAG: Duration = Duration::from_secs(1);
 
-/// A backend server in the pool's arena.
+/// Index of a backend server in the pool's arena.
 #[apply(key!)]
 pub(crate) struct BackendKey(u32);
 
-/// Where a request may go.
+/// Which backend servers may run a request.
 #[apply(key!)]
 pub(crate) enum PickTarget {
     /// Any backend server.
     Any,
-    /// One that serves this version.
+    /// Only backend servers that serve this version.
     Version(WeightsDigest),
 }
 
-/// What a request wants of its pick.
+/// Criteria for a pick.
 #[apply(key!)]
-pub(crate) struct PickWish {
+pub(crate) struct PickCriteria {
     /// Where it may go.
     pub(crate) target: PickTarget,
-    /// Whether it may wait at the host.
+    /// Whether the request is urgent: it may use the reserved slots and may always be queued at the
+    /// host.
     pub(crate) urgent: bool,
-    /// The hash of its prompt's beginning, to meet a cached prefix.
+    /// Hash of the prompt's prefix, to prefer the backend server that may have it cached.
     pub(crate) prefix: Option<u64>,
-    /// Where it failed last.
+    /// The backend server where the last attempt failed; used only if no other fits.
     pub(crate) avoid: Option<BackendKey>,
 }
 
-/// A pick.
+/// The picked backend server.
 #[apply(plain!)]
 pub(crate) struct PickedBackend {
-    /// The backend server.
+    /// Its key in the pool.
     pub(crate) key: BackendKey,
-    /// Its host's name.
+    /// The name of its host.
     pub(crate) host: ByteString,
-    /// Where its host process listens.
+    /// The peer address of its host process.
     pub(crate) peer: SocketAddr,
-    /// The process that is meant.
+    /// The incarnation of its host process.
     pub(crate) incarnation: u64,
 }
 
-/// Why there is no pick.
+/// Why no backend server was picked.
 #[apply(key!)]
-pub(crate) enum NoPick {
-    /// Those that could take it are full.
+pub(crate) enum PickFailure {
+    /// Some backend servers may get new work and serve the target, but all of them are full or
+    /// excluded by their circuit breakers.
     Full,
-    /// There is none that could take it.
-    Nobody,
+    /// No backend server that may get new work serves the target.
+    NoneEligible,
 }
 
 /// The backend servers of one service.
 pub(crate) struct BackendPool {
-    arena: Vec<Option<BackendServer>>,
-    /// Those that are known, sorted by host name.
+    arena: Vec<Option<BackendState>>,
+    /// Backend servers in the control state, sorted by host name.
     pub(super) by_host: Vec<BackendKey>,
-    /// Those that may get new work, by nearness, each list in its own order.
+    /// Backend servers that may get new work, grouped into tiers by nearness.
     pub(super) tiers: [Vec<BackendKey>; 4],
-    pub(super) entries: u32,
+    pub(super) entry_hosts: u32,
     pub(super) needs_weights: bool,
-    /// How long our requests took anywhere by their cost.
-    pub(super) pace: ServicePace,
+    /// Time per unit of cost of this entry host's requests, over all backend servers.
+    pub(super) cost_latency: CostLatency,
     pub(super) rng: StdRng,
 }
 
 impl BackendPool {
-    /// An empty pool. The same seed gives the same picks.
+    /// Creates an empty pool. The same seed gives the same picks.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             arena: Vec::new(),
             by_host: Vec::new(),
             tiers: [const { Vec::new() }; 4],
-            entries: 1,
+            entry_hosts: 1,
             needs_weights: false,
-            pace: ServicePace::default(),
+            cost_latency: CostLatency::default(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Takes what the control state says now about the hosts of `document`'s service.
+    /// Updates the pool from the control state and the document of the service.
     pub(crate) fn refresh(
         &mut self,
         snapshot: &ControlSnapshot,
@@ -113,35 +116,35 @@
         now: ClockTime,
     ) {
         self.needs_weights = document.kind == ServiceKind::Model;
-        self.entries = sender_count(snapshot, document, identity);
-        let mut known = Vec::with_capacity(self.by_host.len());
+        self.entry_hosts = sender_count(snapshot, document, identity);
+        let mut listed = Vec::with_capacity(self.by_host.len());
         for member in &snapshot.members {
-            if serves(member, document) {
-                known.push(self.refresh_member(member, identity, now));
+            if is_service_member(member, document) {
+                listed.push(self.refresh_member(member, identity, now));
             }
         }
-        let gone: Vec<BackendKey> = self
+        let removed: Vec<BackendKey> = self
             .by_host
             .iter()
             .copied()
-            .filter(|key| !known.contains(key))
+            .filter(|key| !listed.contains(key))
             .collect();
-        for key in gone {
-            self.forget(key);
+        for key in removed {
+            self.remove(key);
         }
-        self.by_host = known;
+        self.by_host = listed;
         self.rebuild_tiers(name_hash(&identity.host));
     }
 
-    /// Picks a backend server and counts the request as sent there.
+    /// Picks a backend server and counts the request as sent to it.
     pub(crate) fn pick(
         &mut self,
-        wish: &PickWish,
+        criteria: &PickCriteria,
         now: ClockTime,
-    ) -> Result<PickedBackend, NoPick> {
-        let key = self.pick_any(wish, now)?;
-        let backend = self.backend_mut(key).ok_or(NoPick::Nobody)?;
-        backend.breaker.note_passed(now);
+    ) -> Result<PickedBackend, PickFailure> {
+        let key = self.pick_any(criteria, now)?;
+        let backend = self.backend_mut(key).ok_or(PickFailure::NoneEligible)?;
+        backend.breaker.note_sent(now);
         backend.estimate.begin(now);
         let incarnation = backend
             .status
@@ -155,7 +158,8 @@
         })
     }
 
-    /// A request of `cost` there has ended well; `load` is what its end told of the host.
+    /// Records that a request of `cost` tokens succeeded after `took`; `load` is the load report
+    /// from the end of its answer.
     pub(crate) fn note_success(
         &mut self,
         key: BackendKey,
@@ -170,13 +174,13 @@
                 backend.estimate.take_report(load, Duration::ZERO, now);
             }
             backend.breaker.note_success();
-            backend.pace.note(took, cost);
+            backend.cost_latency.note(took, cost);
         }
-        self.pace.note(took, cost);
+        self.cost_latency.note(took, cost);
         self.release(key);
     }
 
-    /// A request there has failed.
+    /// Records that a request failed with an error of `kind`. `now` is the current time.
     pub(crate) fn note_failure(&mut self, key: BackendKey, kind: ErrorKind, now: ClockTime) {
         let jitter = self.rng.next_u32();
         if let Some(backend) = self.backend_mut(key) {
@@ -184,7 +188,7 @@
             if backend.note_failure(kind, now, jitter) {
                 log_event!(events::BREAKER_OPENED, "{} after {kind:?}", backend.host);
             }
-            if backend.shunned {
+            if backend.has_refused_work {
                 for tier in &mut self.tiers {
                     tier.retain(|member| *member != key);
                 }
@@ -193,25 +197,25 @@
         self.release(key);
     }
 
-    /// A request there has ended without a word about the backend server.
-    pub(crate) fn note_nothing(&mut self, key: BackendKey, now: ClockTime) {
+    /// Records that a request ended in a way that says nothing about the backend server's health.
+    pub(crate) fn note_inconclusive(&mut self, key: BackendKey, now: ClockTime) {
         if let Some(backend) = self.backend_mut(key) {
             backend.estimate.end(now);
-            backend.breaker.note_nothing(now);
+            backend.breaker.note_inconclusive(now);
         }
         self.release(key);
     }
 
-    /// Whether `key` is one of the backend servers that the control state names.
-    pub(crate) fn knows(&self, key: BackendKey) -> bool {
+    /// Whether the control state lists the backend server.
+    pub(crate) fn contains_key(&self, key: BackendKey) -> bool {
         self.by_host.contains(&key)
     }
 
-    pub(super) fn backend(&self, key: BackendKey) -> Option<&BackendServer> {
+    pub(super) fn backend(&self, key: BackendKey) -> Option<&BackendState> {
         self.arena.get(key.0 as usize)?.as_ref()
     }
 
-    fn backend_mut(&mut self, key: BackendKey) -> Option<&mut BackendServer> {
+    fn backend_mut(&mut self, key: BackendKey) -> Option<&mut BackendState> {
         self.arena.get_mut(key.0 as usize)?.as_mut()
     }
 
@@ -221,32 +225,32 @@
         identity: &HostIdentity,
         now: ClockTime,
     ) -> BackendKey {
-        let near = nearness(member, identity);
+        let nearness = nearness(member, identity);
         let found = self.by_host.binary_search_by(|key| {
             let known = self.backend(*key).map(|backend| &backend.host);
             known.cmp(&Some(&member.host))
         });
-        let found = found.ok().map(|place| self.by_host[place]);
-        let key = found.unwrap_or_else(|| self.insert(BackendServer::new(member, near, now)));
+        let found = found.ok().map(|index| self.by_host[index]);
+        let key = found.unwrap_or_else(|| self.insert(BackendState::new(member, nearness, now)));
         if let Some(backend) = self.backend_mut(key) {
-            backend.refresh(member, near, REPORT_LAG, now);
+            backend.refresh(member, nearness, REPORT_LAG, now);
         }
         key
     }
 
-    fn insert(&mut self, backend: BackendServer) -> BackendKey {
+    fn insert(&mut self, backend: BackendState) -> BackendKey {
         let free = self.arena.iter().position(Option::is_none);
-        let place = free.unwrap_or_else(|| {
+        let index = free.unwrap_or_else(|| {
             self.arena.push(None);
             self.arena.len() - 1
         });
-        self.arena[place] = Some(backend);
-        BackendKey(u32::try_from(place).expect("fewer than 4 billion backend servers"))
+        self.arena[index] = Some(backend);
+        BackendKey(u32::try_from(index).expect("fewer than 4 billion backend servers"))
     }
 
-    /// Takes a backend server out; its place in the arena is kept until its last request has
-    /// ended, so that no other gets its key meanwhile.
-    fn forget(&mut self, key: BackendKey) {
+    /// Removes a backend server. Its entry in the arena stays until its last request has ended, so
+    /// that its key is not reused before.
+    fn remove(&mut self, key: BackendKey) {
         if let Some(backend) = self.backend_mut(key) {
             backend.state = MemberState::Gone;
         }
@@ -254,12 +258,12 @@
         self.release(key);
     }
 
-    /// Frees the place of a backend server that is known no more and has no requests.
+    /// Frees the arena entry of a backend server that was removed and has no requests left.
     fn release(&mut self, key: BackendKey) {
         let is_done = self
             .backend(key)
-            .is_some_and(|backend| backend.estimate.own() == 0);
-        if is_done && !self.knows(key) {
+            .is_some_and(|backend| backend.estimate.own_count() == 0);
+        if is_done && !self.contains_key(key) {
             self.arena[key.0 as usize] = None;
         }
     }
@@ -271,7 +275,7 @@
                 continue;
             };
             if backend.is_usable(self.needs_weights) {
-                tiers[backend.near as usize].push(*key);
+                tiers[backend.nearness as usize].push(*key);
             }
         }
         for tier in &mut tiers {
@@ -288,15 +292,15 @@
     }
 }
 
-fn serves(member: &MemberRecord, document: &ServiceDocument) -> bool {
-    let is_named = match &document.hosts {
+fn is_service_member(member: &MemberRecord, document: &ServiceDocument) -> bool {
+    let is_selected = match &document.hosts {
         HostSelection::Listed => true,
         HostSelection::Named(hosts) => hosts.contains(&member.host),
     };
     member.role == HostRole::Backend
         && member.service.as_ref() == Some(&document.service)
         && member.state != MemberState::Gone
-        && is_named
+        && is_selected
         && document.data_centres.contains(&member.data_centre)
 }
 
@@ -312,7 +316,7 @@
     }
 }
 
-/// Entry hosts that are there and may send to the service's backend servers, this one among them.
+/// Number of live entry hosts that may send to the service's backend servers, including this one.
 fn sender_count(
     snapshot: &ControlSnapshot,
     document: &ServiceDocument,
@@ -327,7 +331,7 @@
     u32::try_from(others.count()).unwrap_or(u32::MAX - 1) + 1
 }
 
-/// Entry hosts of this data centre that are there, this one among them.
+/// Number of live entry hosts in this data centre, including this one.
 pub(crate) fn entry_count(snapshot: &ControlSnapshot, identity: &HostIdentity) -> u32 {
     let others = snapshot.members.iter().filter(|member| {
         member.role == HostRole::Entry
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,9 +1,11 @@
-//! Routing: which backend server takes a request. A few random candidates by corrected load and pace, the
-//! nearest first, with a breaker for each.
+//! Routing: selects the backend server for a request. Backend servers are grouped into tiers by
+//! nearness. Of a few random candidates in the nearest tier with capacity, the one with the lowest
+//! expected time is picked, by its estimated load and the measured time per unit of cost. Each
+//! backend server has a circuit breaker.
 
 mod backend_pool;
-mod backend_server;
-mod breaker;
+mod backend_state;
+mod circuit_breaker;
 pub(crate) mod events;
 mod load_estimate;
 mod pick;
@@ -12,8 +14,8 @@
 mod tests;
 
 pub(crate) use backend_pool::{
-    BackendKey, BackendPool, NoPick, PickTarget, PickWish, PickedBackend, entry_count,
+    BackendKey, BackendPool, PickCriteria, PickFailure, PickTarget, PickedBackend, entry_count,
 };
-pub(crate) use backend_server::headroom_of;
-pub(crate) use breaker::CircuitBreaker;
+pub(crate) use backend_state::urgent_headroom;
+pub(crate) use circuit_breaker::CircuitBreaker;
 pub(crate) use rendezvous::{name_hash, rendezvous_weight};
