--- a/src/transport/accept.rs
+++ b/src/transport/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections without spinning.
+//! Accepts connections and backs off after a failure.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,10 +16,9 @@
 
 /// A listener that pauses after a failed accept.
 ///
-/// When the process is out of file descriptors, accepting fails at once and goes on failing; the
-/// server's loop would then take a whole core and starve the requests whose end would free the
-/// descriptors. One would notice a busy core and no new connections. The pause leaves that core to
-/// them.
+/// When the process has no file descriptor left, each accept fails immediately. Without a pause the
+/// server's accept loop occupies a core and starves the requests that would release descriptors
+/// when they end: the symptom is a busy core and no new connections.
 #[derive(Debug)]
 pub(super) struct PacedIncoming {
     listener: TcpListener,
@@ -33,8 +32,9 @@
 }
 
 impl Drop for PacedIncoming {
-    /// The library's loop over new connections has ended. If that was no stop, it has failed: the
-    /// process would live on and take no connection. It stops instead, and is started anew.
+    /// The library drops the listener when its accept loop ends. If no stop was begun, the loop has
+    /// failed, and the process would run on without accepting connections. It therefore stops, to
+    /// be restarted.
     fn drop(&mut self) {
         self.drain.begin();
     }
@@ -52,20 +52,20 @@
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
         match self.listener.accept().await {
             Ok((stream, peer)) => {
-                // Small frames must not wait for the acknowledgement of earlier ones.
+                // Nagle's algorithm would delay small frames until earlier ones are acknowledged.
                 stream.set_nodelay(true)?;
-                Ok(Some(conn_of(stream, peer)))
+                Ok(Some(into_conn(stream, peer)))
             }
-            Err(fault) => {
-                log_event!(events::ACCEPT_FAILED, "{fault}");
+            Err(error) => {
+                log_event!(events::ACCEPT_FAILED, "{error}");
                 tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
-                Err(fault)
+                Err(error)
             }
         }
     }
 }
 
-fn conn_of(stream: TcpStream, peer: SocketAddr) -> Conn {
+fn into_conn(stream: TcpStream, peer: SocketAddr) -> Conn {
     let info = ConnInfo {
         peer_addr: Some(Address::Ip(peer)),
     };
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client for our own processes and for everything else that speaks HTTP.
+//! HTTP client for requests to other savoryswitch processes, backend servers and the platform.
 
 use std::net::SocketAddr;
 use std::sync::{PoisonError, RwLock};
@@ -21,15 +21,15 @@
 
 const IDLE_PER_PEER: usize = 64;
 
-/// Limits of a [`PeerClient`].
+/// Connection and size limits of a [`PeerClient`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientLimits {
-    /// How long a connection may take to open.
+    /// Longest time to open a connection.
     pub(crate) connect: Duration,
-    /// How long an idle connection is kept for reuse.
+    /// Time for which an idle connection is kept for reuse.
     pub(crate) idle: Duration,
-    /// The largest answer that is read whole, in bytes.
-    pub(crate) answer_bytes: usize,
+    /// Largest response body that is buffered completely, in bytes.
+    pub(crate) response_bytes_max: usize,
 }
 
 impl Default for ClientLimits {
@@ -37,36 +37,36 @@
         Self {
             connect: Duration::from_millis(500),
             idle: Duration::from_secs(10),
-            answer_bytes: 64 * 1024 * 1024,
+            response_bytes_max: 64 * 1024 * 1024,
         }
     }
 }
 
-/// How long an answer may take that is worth waiting for while it arrives.
+/// Time limits for a response that is awaited for as long as its body keeps arriving.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseTimeouts {
-    /// Until its head is there.
+    /// Longest time until the response head.
     pub(crate) head: Duration,
-    /// Between two parts of its body.
+    /// Longest time between two parts of the body.
     pub(crate) idle: Duration,
-    /// From its head to its end.
+    /// Longest time from the response head to the end of the body.
     pub(crate) total: Duration,
 }
 
-/// An HTTP client that keeps one pool of connections per peer, so that one peer's pool can be
-/// dropped when a connection to it went silent.
+/// An HTTP client with one connection pool per peer, so that a single peer's pool can be dropped
+/// when a connection to it became unresponsive.
 ///
-/// Open connections can go silent for good while new ones work. A shared pool would hand the next
-/// request another connection of the same age, which is silent too. One would notice a run of time
-/// limits towards one peer that answers its probes. Dropping the pool makes the next try a fresh
-/// connection.
+/// Established connections can become unresponsive for good while new ones work. A shared pool
+/// would give the next request another connection of the same age, which is unresponsive too: the
+/// symptom is a series of timeouts for one peer that answers its probes. After the pool is dropped,
+/// the next attempt opens a new connection.
 pub(crate) struct PeerClient {
     limits: ClientLimits,
     pools: RwLock<Vec<(SocketAddr, Client)>>,
 }
 
 impl PeerClient {
-    /// A client with `limits`.
+    /// Creates a client without connections.
     pub(crate) const fn new(limits: ClientLimits) -> Self {
         Self {
             limits,
@@ -74,19 +74,19 @@
         }
     }
 
-    /// Sends a request and returns the answer's head and body as soon as the head is there.
+    /// Sends a request and returns the response as soon as its head has arrived; the body streams.
     ///
     /// # Errors
     ///
     /// `ConnectFailed` when nothing was sent, `PeerSilent` when the head took longer than
-    /// `head_within`, `AnswerCut` when the connection broke.
+    /// `head_timeout`, `AnswerCut` when the connection broke.
     pub(crate) async fn send(
         &self,
         peer: SocketAddr,
         mut request: Request,
-        head_within: Duration,
+        head_timeout: Duration,
     ) -> SwitchResult<Response> {
-        let client = self.pool_of(peer)?;
+        let client = self.pool_for(peer)?;
         let path = request
             .uri()
             .path_and_query()
@@ -94,25 +94,26 @@
         let target = format!("http://{peer}{path}");
         let mut call = client.request(request.method().clone(), target);
         *call.headers_mut() = std::mem::take(request.headers_mut());
-        let sending = Box::pin(call.body(request.into_body()).send());
-        let sent = stall_tolerant_timeout(head_within, sending);
-        match sent.await {
-            Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(fault)) => Err(client_fault(peer, &fault)),
+        let send = Box::pin(call.body(request.into_body()).send());
+        let response = stall_tolerant_timeout(head_timeout, send);
+        match response.await {
+            Ok(Ok(response)) => Ok(response),
+            Ok(Err(error)) => Err(classify_client_error(peer, &error)),
             Err(_) => {
-                let detail = format!("{peer} sent nothing for {head_within:?}");
+                let detail = format!("{peer} sent no response head within {head_timeout:?}");
                 Err(SwitchError::new(ErrorKind::PeerSilent, detail))
             }
         }
     }
 
-    /// Sends `message` to one of our own processes and reads its whole answer.
+    /// Sends `message` to another savoryswitch process and decodes its response. `timeout` limits
+    /// the exchange from the connection to the end of the body.
     pub(crate) async fn call<Q, A>(
         &self,
         peer: SocketAddr,
         path: &str,
         message: &Q,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<A>
     where
         Q: Serialize,
@@ -120,92 +121,96 @@
     {
         let request = message_request(path, message)?;
         let complete = async {
-            let answer = self.send(peer, request, within).await?;
-            let answer = self.check_status(answer).await?;
-            read_message(answer.into_body(), self.limits.answer_bytes).await
+            let response = self.send(peer, request, timeout).await?;
+            let response = self.check_status(response).await?;
+            read_message(response.into_body(), self.limits.response_bytes_max).await
         };
-        match stall_tolerant_timeout(within, Box::pin(complete)).await {
-            Ok(answer) => answer,
+        match stall_tolerant_timeout(timeout, Box::pin(complete)).await {
+            Ok(response) => response,
             Err(_) => Err(SwitchError::new(
                 ErrorKind::PeerSilent,
-                format!("{peer} at {path}"),
+                format!("{peer} did not answer {path} in time"),
             )),
         }
     }
 
-    /// Sends a request and reads its whole answer, of any status, for as long as it arrives at `pace`.
+    /// Sends a request and reads the complete response, whatever its status, within `timeouts`.
     pub(crate) async fn exchange_with_timeouts(
         &self,
         peer: SocketAddr,
         request: Request,
-        pace: ResponseTimeouts,
+        timeouts: ResponseTimeouts,
     ) -> SwitchResult<(StatusCode, Bytes)> {
-        let answer = self.send(peer, request, pace.head).await?;
-        let status = answer.status();
-        let reading =
-            read_body_with_idle_timeout(answer.into_body(), self.limits.answer_bytes, pace.idle);
-        if let Ok(body) = stall_tolerant_timeout(pace.total, reading).await {
+        let response = self.send(peer, request, timeouts.head).await?;
+        let status = response.status();
+        let reading = read_body_with_idle_timeout(
+            response.into_body(),
+            self.limits.response_bytes_max,
+            timeouts.idle,
+        );
+        if let Ok(body) = stall_tolerant_timeout(timeouts.total, reading).await {
             return Ok((status, body?));
         }
-        let detail = format!("{peer} did not end its answer within {:?}", pace.total);
+        let detail = format!("response of {peer} incomplete after {:?}", timeouts.total);
         Err(SwitchError::new(ErrorKind::PeerSilent, detail))
     }
 
-    /// Sends `message` to one of our own processes and reads its whole answer, for as long as it arrives at
-    /// `pace`.
+    /// Sends `message` to another savoryswitch process and decodes its response, which may take as
+    /// long as `timeouts` allow.
     pub(crate) async fn call_with_timeouts<Q, A>(
         &self,
         peer: SocketAddr,
         path: &str,
         message: &Q,
-        pace: ResponseTimeouts,
+        timeouts: ResponseTimeouts,
     ) -> SwitchResult<A>
     where
         Q: Serialize,
         A: DeserializeOwned,
     {
         let request = message_request(path, message)?;
-        match self.exchange_with_timeouts(peer, request, pace).await? {
+        match self.exchange_with_timeouts(peer, request, timeouts).await? {
             (StatusCode::OK, body) => decode_message(&body),
             (status, body) => Err(decode_error_body(status, &body)),
         }
     }
 
-    /// Sends `message` to one of our own processes and reads its answer frame by frame.
+    /// Sends `message` to another savoryswitch process and returns a reader for its response
+    /// frames.
     pub(crate) async fn open_stream<Q: Serialize>(
         &self,
         peer: SocketAddr,
         path: &str,
         message: &Q,
-        head_within: Duration,
+        head_timeout: Duration,
     ) -> SwitchResult<FrameReader> {
         let request = message_request(path, message)?;
-        let answer = self.send(peer, request, head_within).await?;
-        let answer = self.check_status(answer).await?;
-        Ok(FrameReader::new(answer.into_body()))
+        let response = self.send(peer, request, head_timeout).await?;
+        let response = self.check_status(response).await?;
+        Ok(FrameReader::new(response.into_body()))
     }
 
-    /// Forgets every connection to `peer`: the next request opens a fresh one.
+    /// Drops all connections to `peer`, so that the next request opens a new one.
     pub(crate) fn drop_pool(&self, peer: SocketAddr) {
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
-        if let Ok(at) = pools.binary_search_by_key(&peer, |(known, _)| *known) {
-            pools.remove(at);
+        if let Ok(index) = pools.binary_search_by_key(&peer, |(address, _)| *address) {
+            pools.remove(index);
         }
     }
 
-    fn pool_of(&self, peer: SocketAddr) -> SwitchResult<Client> {
+    fn pool_for(&self, peer: SocketAddr) -> SwitchResult<Client> {
         {
             let pools = self.pools.read().unwrap_or_else(PoisonError::into_inner);
-            if let Ok(at) = pools.binary_search_by_key(&peer, |(known, _)| *known) {
-                return Ok(pools[at].1.clone());
+            if let Ok(index) = pools.binary_search_by_key(&peer, |(address, _)| *address) {
+                return Ok(pools[index].1.clone());
             }
         }
         let client = self.build_pool()?;
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
-        match pools.binary_search_by_key(&peer, |(known, _)| *known) {
-            Ok(at) => Ok(pools[at].1.clone()),
-            Err(at) => {
-                pools.insert(at, (peer, client.clone()));
+        match pools.binary_search_by_key(&peer, |(address, _)| *address) {
+            Ok(index) => Ok(pools[index].1.clone()),
+            Err(index) => {
+                pools.insert(index, (peer, client.clone()));
                 Ok(client)
             }
         }
@@ -219,21 +224,21 @@
             .set_max_idle_per_host(IDLE_PER_PEER);
         builder
             .build()
-            .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
+            .map_err(|error| SwitchError::new(ErrorKind::Internal, error.to_string()))
     }
 
-    /// Turns an answer of one of our own processes that is not a success into its error.
-    async fn check_status(&self, answer: Response) -> SwitchResult<Response> {
-        if answer.status() == StatusCode::OK {
-            return Ok(answer);
+    /// Decodes the error of a response whose status is not 200.
+    async fn check_status(&self, response: Response) -> SwitchResult<Response> {
+        if response.status() == StatusCode::OK {
+            return Ok(response);
         }
-        let status = answer.status();
-        let text = read_body(answer.into_body(), self.limits.answer_bytes).await?;
+        let status = response.status();
+        let text = read_body(response.into_body(), self.limits.response_bytes_max).await?;
         Err(decode_error_body(status, &text))
     }
 }
 
-/// The error in a JSON error body, as [`super::error_response`] writes it.
+/// Decodes a JSON error body as written by [`super::error_response`].
 pub(crate) fn decode_error_body(status: StatusCode, text: &[u8]) -> SwitchError {
     #[derive(serde::Deserialize)]
     struct ErrorBody {
@@ -253,9 +258,12 @@
             outcome: Some(body.error.run),
             retry_after: body.error.retry_after_ms.map(Duration::from_millis),
         },
-        // Whoever wrote this body is not known, so nor is whether the request ran.
-        Err(_) => SwitchError::new(ErrorKind::MessageInvalid, format!("answered {status}"))
-            .with_outcome(RunOutcome::NotKnown),
+        // The author of this body is unknown, so it is unknown too whether the request ran.
+        Err(_) => SwitchError::new(
+            ErrorKind::MessageInvalid,
+            format!("status {status} without a readable error body"),
+        )
+        .with_outcome(RunOutcome::NotKnown),
     }
 }
 
@@ -265,28 +273,30 @@
         .method(Method::POST)
         .uri(path)
         .body(body)
-        .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
+        .map_err(|error| SwitchError::new(ErrorKind::Internal, error.to_string()))
 }
 
-/// The library gives a connection that could not be opened the same kind as one that broke after
-/// the request was sent. Taken as one, a call that never left would be answered "not known". What
-/// the two come from tells them apart.
-fn client_fault(peer: SocketAddr, fault: &ClientError) -> SwitchError {
-    let kind = match fault.kind() {
+/// Maps an error of the HTTP library to an error kind.
+///
+/// The library reports `Request` both for a connection that could not be opened and for one that
+/// broke after the request was sent. The error's source distinguishes them; without that, a request
+/// that was never sent would be reported as "not known".
+fn classify_client_error(peer: SocketAddr, error: &ClientError) -> SwitchError {
+    let kind = match error.kind() {
         ClientErrorKind::Connect => ErrorKind::ConnectFailed,
-        ClientErrorKind::Request if was_never_sent(fault) => ErrorKind::ConnectFailed,
+        ClientErrorKind::Request if was_never_sent(error) => ErrorKind::ConnectFailed,
         ClientErrorKind::Builder | ClientErrorKind::Context | ClientErrorKind::LoadBalance => {
             ErrorKind::Internal
         }
         _ => ErrorKind::AnswerCut,
     };
-    SwitchError::new(kind, format!("{peer}: {fault}"))
+    SwitchError::new(kind, format!("{peer}: {error}"))
 }
 
-/// Whether the request certainly did not leave this process: the socket could not be connected, or
-/// the connection was found closed before the request was put on it.
-fn was_never_sent(fault: &ClientError) -> bool {
-    let Some(source) = std::error::Error::source(fault) else {
+/// Whether the request was certainly not sent: the socket could not be connected, or the connection
+/// was found closed before the request was written to it.
+fn was_never_sent(error: &ClientError) -> bool {
+    let Some(source) = std::error::Error::source(error) else {
         return false;
     };
     let is_unsent = |error: &hyper::Error| error.is_canceled();
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -1,5 +1,5 @@
-//! Messages between our own processes: rmp-serde, one per body, or a stream of length-prefixed
-//! frames in one body.
+//! Encoding of messages between savoryswitch processes with rmp-serde: one message per body, or a
+//! stream of length-prefixed frames in one body.
 
 use bytes::Bytes;
 use futures::StreamExt;
@@ -15,49 +15,53 @@
 
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// The largest frame that is read, in bytes; a chunk of weights fits with its head.
+/// Largest accepted frame, in bytes. A chunk of weights with its header fits.
 const FRAME_BYTES_MAX: usize = 64 * 1024 * 1024;
 const LENGTH_BYTES: usize = 4;
-/// How deep a message is nested at most; ours are below ten.
+/// Largest accepted nesting depth of a message. Messages of savoryswitch nest less than ten deep.
 ///
-/// A thousand lists in each other, which the library takes by itself, fill the stack of a thread and
-/// end the process; a datagram has room for them. One would notice "has overflowed its stack" as the
-/// last line of a process.
+/// The library's own limit admits a thousand nested lists, which fit into a datagram. Decoding them
+/// overflows the thread's stack and aborts the process, with "has overflowed its stack" as its last
+/// line.
 const MESSAGE_DEPTH_MAX: usize = 64;
 
-/// The bytes of `message`.
+/// Encodes `message` with its field names.
 pub(crate) fn encode_message<M: Serialize>(message: &M) -> SwitchResult<Bytes> {
     match rmp_serde::to_vec_named(message) {
         Ok(bytes) => Ok(bytes.into()),
-        Err(fault) => Err(SwitchError::new(ErrorKind::Internal, fault.to_string())),
+        Err(error) => Err(SwitchError::new(ErrorKind::Internal, error.to_string())),
     }
 }
 
-/// The bytes of `message` without the names of its fields, for messages that fill a datagram.
+/// Encodes `message` without its field names, for messages that have to fit into a datagram.
 pub(crate) fn encode_datagram<M: Serialize>(message: &M) -> SwitchResult<Bytes> {
     match rmp_serde::to_vec(message) {
         Ok(bytes) => Ok(bytes.into()),
-        Err(fault) => Err(SwitchError::new(ErrorKind::Internal, fault.to_string())),
+        Err(error) => Err(SwitchError::new(ErrorKind::Internal, error.to_string())),
     }
 }
 
-/// The message in `bytes`.
+/// Decodes a message.
+///
+/// # Errors
+///
+/// `MessageInvalid` when `bytes` are not a message of this type or nest too deep.
 pub(crate) fn decode_message<M: DeserializeOwned>(bytes: &[u8]) -> SwitchResult<M> {
     let mut decoder = rmp_serde::Deserializer::from_read_ref(bytes);
     decoder.set_max_depth(MESSAGE_DEPTH_MAX);
     M::deserialize(&mut decoder)
-        .map_err(|fault| SwitchError::new(ErrorKind::MessageInvalid, fault.to_string()))
+        .map_err(|error| SwitchError::new(ErrorKind::MessageInvalid, error.to_string()))
 }
 
-/// A body fed frame by frame, and the end that feeds it. Up to `depth` frames wait for a slow
-/// reader; then the writer waits.
+/// Returns a streaming body and its writer. Up to `depth` frames are buffered for a slow reader;
+/// beyond that, writes wait.
 pub(crate) fn frame_channel(depth: usize) -> (FrameWriter, Body) {
     let (sender, receiver) = mpsc::channel::<Bytes>(depth);
     let frames = ReceiverStream::new(receiver).map(|bytes| Ok(Frame::data(bytes)));
     (FrameWriter { sender }, Body::from_stream(frames))
 }
 
-/// The writing end of a [`frame_channel`]. The body ends when it is dropped.
+/// Writing end of a [`frame_channel`]. The body ends when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub(crate) struct FrameWriter {
     sender: mpsc::Sender<Bytes>,
@@ -68,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// `CallerGone` when the reader has left.
+    /// `CallerGone` when the body was dropped by its reader.
     pub(crate) async fn write<M: Serialize>(&self, message: &M) -> SwitchResult<()> {
         let payload = encode_message(message)?;
         let mut frame = Vec::with_capacity(LENGTH_BYTES + payload.len());
@@ -79,13 +83,17 @@
         self.write_bytes(frame.into()).await
     }
 
-    /// Writes `bytes` as they are, for bodies that are not frames.
+    /// Writes `bytes` without a length prefix, for bodies that are not made of frames.
+    ///
+    /// # Errors
+    ///
+    /// `CallerGone` when the body was dropped by its reader.
     pub(crate) async fn write_bytes(&self, bytes: Bytes) -> SwitchResult<()> {
         let sent = self.sender.send(bytes).await;
-        sent.map_err(|_| SwitchError::new(ErrorKind::CallerGone, "the reader left"))
+        sent.map_err(|_| SwitchError::new(ErrorKind::CallerGone, "the reader closed the body"))
     }
 
-    /// Returns when the reader has left.
+    /// Waits until the reader has dropped the body.
     pub(crate) async fn closed(&self) {
         self.sender.closed().await;
     }
@@ -93,13 +101,13 @@
 
 type BodyBytes = std::pin::Pin<Box<dyn futures::Stream<Item = std::io::Result<Bytes>> + Send>>;
 
-/// Reads the frames of a body.
+/// Decodes a body as a stream of frames.
 pub(crate) struct FrameReader {
     frames: FramedRead<StreamReader<BodyBytes, Bytes>, LengthDelimitedCodec>,
 }
 
 impl FrameReader {
-    /// Reads the frames of `body`.
+    /// Creates a reader over `body`.
     pub(crate) fn new(body: Body) -> Self {
         let bytes: BodyBytes = Box::pin(
             body.into_data_stream()
@@ -114,16 +122,16 @@
         }
     }
 
-    /// The next message; `None` when the body ended between frames.
+    /// Reads the next message; `None` when the body ended at a frame boundary.
     ///
     /// # Errors
     ///
-    /// `AnswerCut` when the connection broke, `MessageInvalid` when a frame does not read.
+    /// `AnswerCut` when the connection broke, `MessageInvalid` when a frame cannot be decoded.
     pub(crate) async fn next<M: DeserializeOwned>(&mut self) -> SwitchResult<Option<M>> {
         match self.frames.next().await {
             None => Ok(None),
             Some(Ok(frame)) => decode_message(&frame).map(Some),
-            Some(Err(fault)) => Err(SwitchError::new(ErrorKind::AnswerCut, fault.to_string())),
+            Some(Err(error)) => Err(SwitchError::new(ErrorKind::AnswerCut, error.to_string())),
         }
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,6 +1,5 @@
-//! HTTP at the process's edge, by volo-http: a server that sheds connections rather than spins, a
-//! client that can be made to open a fresh connection, and streams of rmp-serde frames inside HTTP
-//! bodies.
+//! HTTP transport on volo-http: a server that backs off when it cannot accept connections, a client
+//! whose connection pools can be dropped per peer, and streams of rmp-serde frames in HTTP bodies.
 
 mod accept;
 mod client;
--- a/src/transport/response.rs
+++ b/src/transport/response.rs
@@ -1,4 +1,4 @@
-//! Answers over HTTP.
+//! Builders of HTTP responses: JSON, messages between processes, and errors.
 
 use bytes::Bytes;
 use http::{HeaderValue, StatusCode};
@@ -12,7 +12,7 @@
 const JSON_TYPE: &str = "application/json";
 const MESSAGE_TYPE: &str = "application/msgpack";
 
-/// The header that tells whether the request ran.
+/// Response header that states whether the request ran.
 pub(crate) const RUN_OUTCOME_HEADER: &str = "savory-run";
 
 #[derive(Serialize)]
@@ -31,63 +31,66 @@
     retry_after_ms: Option<u64>,
 }
 
-/// A reply with `value` as JSON.
+/// A response with `value` as JSON.
 pub(crate) fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    typed_reply(status, JSON_TYPE, text.into())
+    typed_response(status, JSON_TYPE, text.into())
 }
 
-/// A reply to one of our own processes.
+/// A response with an encoded message, for another savoryswitch process.
 pub(crate) fn message_response<M: Serialize>(message: &M) -> Response {
     match encode_message(message) {
-        Ok(bytes) => typed_reply(StatusCode::OK, MESSAGE_TYPE, bytes),
+        Ok(bytes) => typed_response(StatusCode::OK, MESSAGE_TYPE, bytes),
         Err(error) => error_response(&error),
     }
 }
 
-/// The answer that the table gives to `error`.
+/// The response that the error table defines for `error`.
 pub(crate) fn error_response(error: &SwitchError) -> Response {
     error_response_with(error, ())
 }
 
-/// The answer that the table gives to `error`, with the fields of `details` beside the error.
+/// The response that the error table defines for `error`, with the fields of `details` added next
+/// to the `error` object.
 pub(crate) fn error_response_with<D: Serialize>(error: &SwitchError, details: D) -> Response {
-    let row = error_spec(error.kind);
+    let spec = error_spec(error.kind);
     let outcome = error.run_outcome();
     let wait = error.retry_wait();
     let retry_after_ms = wait.and_then(|wait| u64::try_from(wait.as_millis()).ok());
     let text = ErrorText {
-        code: row.code,
+        code: spec.code,
         message: &error.detail,
         run: outcome.as_str(),
         retry_after_ms,
     };
-    let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let status = StatusCode::from_u16(spec.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = ErrorBody {
         error: text,
         details,
     };
-    let mut reply = json_response(status, &body);
-    reply.headers_mut().insert(
+    let mut response = json_response(status, &body);
+    response.headers_mut().insert(
         RUN_OUTCOME_HEADER,
         HeaderValue::from_static(outcome.as_str()),
     );
     if let Some(wait) = wait {
-        // The header counts whole seconds: rounding down would call the caller back too early.
+        // The header has a resolution of one second: rounding down would invite a retry too early.
         let seconds = wait.as_millis().div_ceil(1000).max(1);
         if let Ok(value) = HeaderValue::from_str(&seconds.to_string()) {
-            reply.headers_mut().insert(http::header::RETRY_AFTER, value);
+            response
+                .headers_mut()
+                .insert(http::header::RETRY_AFTER, value);
         }
     }
-    reply
+    response
 }
 
-fn typed_reply(status: StatusCode, content_type: &'static str, bytes: Bytes) -> Response {
-    let mut reply = Response::new(Body::from(bytes));
-    *reply.status_mut() = status;
+fn typed_response(status: StatusCode, content_type: &'static str, bytes: Bytes) -> Response {
+    let mut response = Response::new(Body::from(bytes));
+    *response.status_mut() = status;
     let content_type = HeaderValue::from_static(content_type);
-    reply
+    response
         .headers_mut()
         .insert(http::header::CONTENT_TYPE, content_type);
-    reply
+    response
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP until a graceful stop.
+//! HTTP server that runs until the graceful stop of its process, and readers of request bodies.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -21,45 +21,45 @@
 
 const HEADERS_MAX: usize = 64;
 
-/// One listener with its routes.
+/// A bound listener with its routes.
 pub(crate) struct HttpServer {
     listener: TcpListener,
     router: Router,
 }
 
 impl HttpServer {
-    /// Binds `address`; port 0 takes a free one.
+    /// Binds `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// `SettingInvalid` when the address cannot be had.
+    /// `SettingInvalid` when the address cannot be bound.
     pub(crate) async fn bind(address: SocketAddr, router: Router) -> SwitchResult<Self> {
         let listener = bind_listener(address).await?;
         Ok(Self::on(listener, router))
     }
 
-    /// Serves `router` on a listener that was bound before, by a process that tells its address to
-    /// others and so has to know it before its routes are made.
+    /// Uses a listener that is bound already, for a process whose routes depend on its address
+    /// because it announces the address to others.
     pub(crate) const fn on(listener: TcpListener, router: Router) -> Self {
         Self { listener, router }
     }
 
-    /// The address that it listens on.
+    /// Address of the listener, with the actual port.
     pub(crate) fn local_address(&self) -> SwitchResult<SocketAddr> {
         self.listener
             .local_addr()
-            .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
+            .map_err(|error| SwitchError::new(ErrorKind::Internal, error.to_string()))
     }
 
-    /// Serves until the process is told to stop and `drain` says that nothing is under way.
+    /// Serves until the graceful stop of `drain` is over.
     ///
-    /// The library gives open connections at most 28 s after its shutdown hooks. A stream of
-    /// several minutes would be cut, and its caller would see a broken answer at each planned
-    /// stop. The hook therefore waits for the process's own count of requests under way.
+    /// After its shutdown hooks the library closes open connections within 28 s. That would cut
+    /// streams of several minutes, so that callers get a truncated response at each planned stop.
+    /// The hook therefore waits until no request is in flight.
     ///
-    /// The library also calls its hooks after SIGHUP, with which a platform tells that a settings
-    /// file has changed: processes would end one after the other. It goes on accepting until the
-    /// hook returns, so the hook waits for a stop that this process itself has begun.
+    /// The library also runs its hooks on SIGHUP, which a platform sends after changing a settings
+    /// file; processes would exit one after another. The library accepts connections until the hook
+    /// returns, so the hook first waits until this process has begun its stop.
     pub(crate) async fn run(self, drain: DrainState) {
         let mut server = Server::new(self.router).http1_only();
         server
@@ -75,11 +75,12 @@
             .register_shutdown_hook(move || Box::pin(stop))
             .run(PacedIncoming::new(self.listener, drain.clone()));
         tokio::select! {
-            // First, so that the library listens for signals before it is looked whether one came.
+            // Polls the server first: the library's signal handlers have to be installed before
+            // `handle_signals` checks for an earlier signal.
             biased;
             outcome = serving => {
-                if let Err(fault) = outcome {
-                    log_event!(events::SERVER_FAILED, "{fault}");
+                if let Err(error) = outcome {
+                    log_event!(events::SERVER_FAILED, "{error}");
                 }
             }
             () = drain.handle_signals() => {}
@@ -87,11 +88,11 @@
     }
 }
 
-/// Serves counters and histograms at `address`, if there is one, until the process stops.
+/// Starts a metrics server at `address`, if one is given. It runs until the process stops.
 ///
 /// # Errors
 ///
-/// `SettingInvalid` when the address cannot be had.
+/// `SettingInvalid` when the address cannot be bound.
 pub(crate) async fn start_metrics(
     address: Option<SocketAddr>,
     drain: DrainState,
@@ -103,73 +104,79 @@
     Ok(())
 }
 
-/// Binds `address`; port 0 takes a free one.
+/// Binds `address`; port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// `SettingInvalid` when the address cannot be had.
+/// `SettingInvalid` when the address cannot be bound.
 pub(crate) async fn bind_listener(address: SocketAddr) -> SwitchResult<TcpListener> {
-    TcpListener::bind(address).await.map_err(|fault| {
-        let detail = format!("cannot listen on {address}: {fault}; give a free address");
+    TcpListener::bind(address).await.map_err(|error| {
+        let detail = format!("cannot listen on {address}: {error}; give a free address");
         SwitchError::new(ErrorKind::SettingInvalid, detail)
     })
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// `BodyTooLarge` over the limit, `AnswerCut` when the sender broke off.
+/// `BodyTooLarge` over the limit, `AnswerCut` when the connection broke.
 pub(crate) async fn read_body(body: Body, limit: usize) -> SwitchResult<Bytes> {
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(fault) if fault.downcast_ref::<LengthLimitError>().is_some() => {
-            let detail = format!("the body is over the limit of {limit} bytes");
+        Err(error) if error.downcast_ref::<LengthLimitError>().is_some() => {
+            let detail = format!("body exceeds the limit of {limit} bytes");
             Err(SwitchError::new(ErrorKind::BodyTooLarge, detail))
         }
-        Err(fault) => Err(SwitchError::new(ErrorKind::AnswerCut, fault.to_string())),
+        Err(error) => Err(SwitchError::new(ErrorKind::AnswerCut, error.to_string())),
     }
 }
 
-/// Reads a whole body of at most `limit` bytes for as long as bytes of it arrive, with no pause over `idle`.
+/// Reads a complete body of at most `limit` bytes, however long it takes, as long as no pause
+/// between two parts exceeds `idle_timeout`.
 ///
-/// A body that is given up and asked for anew takes its way twice. Over a link that was full, no large one
-/// ever arrived, though the link carried nothing else.
+/// A body that is abandoned and requested again is transferred twice. With a limit on the total
+/// time, a saturated link carried nothing but such repeated transfers and no large body ever
+/// arrived.
 ///
 /// # Errors
 ///
-/// `BodyTooLarge` over the limit, `AnswerCut` when the sender broke off, `PeerSilent` behind a pause.
+/// `BodyTooLarge` over the limit, `AnswerCut` when the connection broke, `PeerSilent` after a pause
+/// longer than `idle_timeout`.
 pub(crate) async fn read_body_with_idle_timeout(
     body: Body,
     limit: usize,
-    idle: Duration,
+    idle_timeout: Duration,
 ) -> SwitchResult<Bytes> {
     let mut body = pin!(body);
-    let mut read = BytesMut::new();
+    let mut received = BytesMut::new();
     loop {
-        let Ok(frame) = stall_tolerant_timeout(idle, body.frame()).await else {
-            let detail = format!("no more bytes within {idle:?}, after {}", read.len());
+        let Ok(frame) = stall_tolerant_timeout(idle_timeout, body.frame()).await else {
+            let detail = format!(
+                "no more bytes within {idle_timeout:?} after the first {} bytes",
+                received.len()
+            );
             return Err(SwitchError::new(ErrorKind::PeerSilent, detail));
         };
         match frame {
-            None => return Ok(read.freeze()),
-            Some(Err(fault)) => {
-                return Err(SwitchError::new(ErrorKind::AnswerCut, fault.to_string()));
+            None => return Ok(received.freeze()),
+            Some(Err(error)) => {
+                return Err(SwitchError::new(ErrorKind::AnswerCut, error.to_string()));
             }
             Some(Ok(frame)) => {
                 if let Ok(bytes) = frame.into_data() {
-                    read.extend_from_slice(&bytes);
+                    received.extend_from_slice(&bytes);
                 }
             }
         }
-        if read.len() > limit {
-            let detail = format!("the body is over the limit of {limit} bytes");
+        if received.len() > limit {
+            let detail = format!("body exceeds the limit of {limit} bytes");
             return Err(SwitchError::new(ErrorKind::BodyTooLarge, detail));
         }
     }
 }
 
-/// Reads a message from one of our own processes.
+/// Reads and decodes a message of another savoryswitch process.
 pub(crate) async fn read_message<M: DeserializeOwned>(body: Body, limit: usize) -> SwitchResult<M> {
     decode_message(&read_body(body, limit).await?)
 }
--- a/src/transport/stall_tolerant_timeout.rs
+++ b/src/transport/stall_tolerant_timeout.rs
@@ -1,4 +1,4 @@
-//! Timeouts on peers that do not run out because this process stood still.
+//! Timeouts for peers that tolerate a stall of this process.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -7,10 +7,11 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// Waits for `future` at most `span`.
+/// Waits for `future` for at most `span`.
 ///
-/// A process that did not run for a while may find its timers due before it has read what its sockets
-/// received meanwhile. The sockets are therefore read once more before a peer counts as silent.
+/// After a stall of this process (it did not run for a while), a timer may fire before the sockets'
+/// pending input is processed. The future is therefore polled once more, after the sockets, before
+/// the peer counts as unresponsive.
 ///
 /// # Errors
 ///
@@ -23,7 +24,7 @@
     if let Ok(output) = timeout(span, &mut future).await {
         return Ok(output);
     }
-    // On one thread, a task that yields runs again behind the sockets' own tasks.
+    // In a single-threaded runtime, a task that yields runs again after the tasks of ready sockets.
     yield_now().await;
     timeout(Duration::ZERO, future).await
 }
--- a/src/transport/tests.rs
+++ b/src/transport/tests.rs
@@ -1,4 +1,4 @@
-//! The edge over real loopback sockets: frames, limits, errors that cross it, silent connections.
+//! Frames, size limits, error responses and unresponsive connections, on loopback sockets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,67 +23,66 @@
 const LONG: Duration = Duration::from_secs(30);
 const SHORT: Duration = Duration::from_millis(200);
 
-/// Symptom: a process ended with "has overflowed its stack". A message held a thousand lists in each
-/// other, which a datagram has room for.
+/// Guards against a stack overflow of the process by a datagram with a thousand nested lists.
 #[test]
-fn a_message_that_is_nested_too_deep_does_not_read() {
-    /// A list of one, which holds the next.
+fn a_message_nested_too_deep_is_rejected() {
+    /// `MessagePack` header of a list with one element.
     const LIST: u8 = 0x91;
     for depth in [100, 1000, 100_000] {
         let nested = vec![LIST; depth];
         assert!(decode_message::<serde_json::Value>(&nested).is_err());
     }
-    let message = serde_json::json!([[[[[[[[["ours are not as deep"]]]]]]]]]);
-    let bytes = encode_message(&message).expect("it encodes");
+    let message = serde_json::json!([[[[[[[[["valid depth"]]]]]]]]]);
+    let bytes = encode_message(&message).expect("JSON encodes");
     assert_eq!(decode_message(&bytes).ok(), Some(message));
 }
 
 #[tokio::test]
-async fn frames_come_through_in_order_and_end() {
+async fn frames_arrive_in_order_until_the_end() {
     let (writer, body) = frame_channel(4);
-    let writing = async move {
+    let write = async move {
         for number in 0_u32..20 {
-            writer.write(&number).await.expect("the reader is there");
+            writer.write(&number).await.expect("the reader is open");
         }
     };
-    let reading = async move {
+    let read = async move {
         let mut reader = FrameReader::new(body);
         let mut numbers = Vec::new();
-        while let Some(number) = reader.next::<u32>().await.expect("frames read") {
+        while let Some(number) = reader.next::<u32>().await.expect("frames decode") {
             numbers.push(number);
         }
         numbers
     };
-    let ((), numbers) = tokio::join!(writing, reading);
+    let ((), numbers) = tokio::join!(write, read);
     assert_eq!(numbers, (0..20).collect::<Vec<u32>>());
 }
 
-// Symptom: a caller takes half an answer for a whole one. Events: the connection breaks inside a
-// frame. Cause: the end of the body is taken for the end of the frames.
+/// Guards against a truncated response that is taken for a complete one because the connection
+/// broke within a frame.
 #[tokio::test]
-async fn a_body_that_ends_inside_a_frame_is_cut() {
-    let whole = encode_message(&"some words").expect("a text encodes");
-    let mut bytes = u32::try_from(whole.len())
+async fn a_body_that_ends_within_a_frame_is_reported_as_cut() {
+    let message = encode_message(&"some text").expect("a text encodes");
+    let mut bytes = u32::try_from(message.len())
         .expect("short")
         .to_be_bytes()
         .to_vec();
-    bytes.extend_from_slice(&whole[..whole.len() - 3]);
+    bytes.extend_from_slice(&message[..message.len() - 3]);
     let mut reader = FrameReader::new(Body::from(Bytes::from(bytes)));
     let error = reader
         .next::<String>()
         .await
-        .expect_err("the frame is short");
+        .expect_err("the frame is truncated");
     assert_eq!(error.kind, ErrorKind::AnswerCut);
 }
 
 #[test]
-fn a_message_that_does_not_read_says_so() {
-    let error = decode_message::<u32>(b"\xc1").expect_err("no message begins so");
+fn an_undecodable_message_is_reported_as_invalid() {
+    let error = decode_message::<u32>(b"\xc1").expect_err("0xc1 is unused in MessagePack");
     assert_eq!(error.kind, ErrorKind::MessageInvalid);
 }
 
 #[tokio::test]
-async fn a_body_over_the_limit_is_refused() {
+async fn a_body_over_the_limit_is_rejected() {
     let body = Body::from(Bytes::from_static(b"0123456789"));
     let error = read_body(body, 9).await.expect_err("one byte over");
     assert_eq!(error.kind, ErrorKind::BodyTooLarge);
@@ -92,39 +91,39 @@
 }
 
 #[tokio::test]
-async fn an_error_answer_says_what_ran_and_when_to_come_back() {
+async fn an_error_response_states_the_run_outcome_and_retry_time() {
     let error = SwitchError::new(ErrorKind::RateLimited, "over 5 a second")
         .with_retry_after(Duration::from_millis(1200));
-    let reply = error_response(&error);
-    assert_eq!(reply.status(), StatusCode::TOO_MANY_REQUESTS);
-    assert_eq!(reply.headers()["savory-run"], "not_run");
+    let response = error_response(&error);
+    assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
+    assert_eq!(response.headers()["savory-run"], "not_run");
     assert_eq!(
-        reply.headers()["retry-after"],
+        response.headers()["retry-after"],
         "2",
         "rounded up, never down"
     );
-    let text = read_body(reply.into_body(), 1000).await.expect("short");
+    let text = read_body(response.into_body(), 1000).await.expect("short");
     let body: serde_json::Value = serde_json::from_slice(&text).expect("JSON");
     assert_eq!(body["error"]["code"], "rate_limited");
     assert_eq!(body["error"]["retry_after_ms"], 1200);
 }
 
-/// A server whose connections each answer once, the `silent` first of them with nothing.
-async fn serve_after_silence(listener: TcpListener, silent: usize) {
-    let mut kept = Vec::new();
+/// Serves one response per connection, but none on the first `unresponsive` connections.
+async fn serve_with_unresponsive(listener: TcpListener, unresponsive: usize) {
+    let mut open_connections = Vec::new();
     for index in 0.. {
         let Ok((connection, _)) = listener.accept().await else {
             return;
         };
-        if index < silent {
-            kept.push(connection);
+        if index < unresponsive {
+            open_connections.push(connection);
         } else {
-            tokio::spawn(answer_with_number(connection));
+            tokio::spawn(respond_with_number(connection));
         }
     }
 }
 
-async fn answer_with_number(mut connection: TcpStream) {
+async fn respond_with_number(mut connection: TcpStream) {
     let mut request = [0; 2048];
     let _ = connection.read(&mut request).await;
     let body = encode_message(&7_u32).expect("a number encodes");
@@ -133,57 +132,56 @@
     let _ = connection.write_all(&body).await;
 }
 
-async fn server_with_silence(silent: usize) -> SocketAddr {
+async fn start_server_with_unresponsive(unresponsive: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    tokio::spawn(serve_after_silence(listener, silent));
+    tokio::spawn(serve_with_unresponsive(listener, unresponsive));
     address
 }
 
-// Symptom: one host is taken for dead although new connections to it work. Events: an open
-// connection went silent, the next request is put on a connection of the same pool. Cause: nothing
-// drops the pool of a peer that went silent.
+/// Guards against a host that counts as failed although new connections to it work: a connection
+/// became unresponsive, and the next request uses another one of the same pool.
 #[tokio::test]
-async fn a_silent_connection_is_followed_by_a_fresh_one() {
-    let peer = server_with_silence(1).await;
+async fn a_dropped_pool_gives_a_new_connection() {
+    let peer = start_server_with_unresponsive(1).await;
     let client = PeerClient::new(ClientLimits::default());
     let first = client.call::<_, u32>(peer, "/", &1_u32, SHORT).await;
-    let error = first.expect_err("nothing comes on the first connection");
+    let error = first.expect_err("the first connection is unresponsive");
     assert_eq!(error.kind, ErrorKind::PeerSilent);
     assert_eq!(error.run_outcome(), RunOutcome::NotKnown);
     client.drop_pool(peer);
     let second = client.call::<_, u32>(peer, "/", &1_u32, LONG).await;
-    assert_eq!(second.expect("a fresh connection works"), 7);
+    assert_eq!(second.expect("the new connection works"), 7);
 }
 
 #[tokio::test]
-async fn nobody_listening_means_not_run() {
+async fn a_refused_connection_is_reported_as_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let peer = listener.local_addr().expect("an address");
     drop(listener);
     let client = PeerClient::new(ClientLimits::default());
     let error = client.call::<_, u32>(peer, "/", &1_u32, LONG).await;
-    let error = error.expect_err("nobody listens");
+    let error = error.expect_err("the port has no listener");
     assert_eq!(error.kind, ErrorKind::ConnectFailed);
     assert_eq!(error.run_outcome(), RunOutcome::NotRun);
 }
 
 #[tokio::test]
-async fn the_writer_learns_that_the_reader_left() {
+async fn writes_fail_after_the_body_is_dropped() {
     let (writer, body) = frame_channel(1);
     drop(body);
-    let error = writer.write(&1_u32).await.expect_err("nobody reads");
+    let error = writer.write(&1_u32).await.expect_err("the body is dropped");
     assert_eq!(error.kind, ErrorKind::CallerGone);
     writer.closed().await;
 }
 
 #[tokio::test]
-async fn plain_bytes_come_through_as_they_are() {
+async fn raw_bytes_are_written_unchanged() {
     let (writer, body) = frame_channel(2);
     writer
         .write_bytes(Bytes::from_static(b"ab"))
         .await
-        .expect("room");
+        .expect("the buffer has room");
     drop(writer);
     let parts: Vec<_> = http_body_util::BodyExt::into_data_stream(body)
         .collect()
@@ -191,50 +189,54 @@
     assert_eq!(parts.len(), 1);
 }
 
-// Symptom: processes end one after the other when the platform changes their settings files, and
-// requests are refused meanwhile. Events: SIGHUP, the signal that says so. Cause: the server library
-// takes SIGHUP for an order to stop, as it does SIGTERM.
+/// Guards against processes that exit one after another, and refuse requests meanwhile, when the
+/// platform changes their settings files and sends SIGHUP: the server library treats SIGHUP as an
+/// order to stop, like SIGTERM.
 #[tokio::test]
-async fn a_hangup_does_not_stop_the_server() {
+async fn sighup_does_not_stop_the_server() {
     let mut hangups = signal(SignalKind::hangup()).expect("a handler");
     let drain = DrainState::new(Duration::ZERO, LONG);
     let routes = Router::new().route("/", any(async || message_response(&7_u32)));
     let address = "127.0.0.1:0".parse().expect("an address");
     let server = HttpServer::bind(address, routes).await.expect("a port");
     let peer = server.local_address().expect("an address");
-    let serving = tokio::spawn(server.run(drain.clone()));
+    let server_task = tokio::spawn(server.run(drain.clone()));
     let client = PeerClient::new(ClientLimits::default());
     for round in 0..3 {
         raise(Signal::SIGHUP).expect("a signal to this process");
         hangups.recv().await;
         let answered = client.call::<_, u32>(peer, "/", &round, LONG).await;
-        assert_eq!(answered.expect("it goes on serving"), 7);
-        assert!(!drain.is_draining(), "a hangup began the stop");
+        assert_eq!(answered.expect("the server still serves"), 7);
+        assert!(!drain.is_draining(), "SIGHUP began the stop");
     }
-    assert!(!serving.is_finished());
+    assert!(!server_task.is_finished());
 }
 
-/// Guards against peers that count as silent because this process did not run while they answered.
+/// Guards against a peer that counts as unresponsive because this process was stalled when the
+/// response arrived.
 #[tokio::test]
-async fn a_stall_of_this_process_is_not_a_peers_silence() {
-    let (answering, answer) = tokio::sync::oneshot::channel();
+async fn a_stall_of_this_process_does_not_time_out_a_peer() {
+    let (sender, response) = tokio::sync::oneshot::channel();
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(60)).await;
-        answering.send("answer")
+        sender.send("response")
     });
     tokio::task::yield_now().await;
     let stall = async { std::thread::sleep(SHORT) };
-    let (got, ()) = tokio::join!(
-        stall_tolerant_timeout(Duration::from_millis(30), answer),
+    let (received, ()) = tokio::join!(
+        stall_tolerant_timeout(Duration::from_millis(30), response),
         stall
     );
-    assert_eq!(got.expect("it came during the stall"), Ok("answer"));
+    assert_eq!(
+        received.expect("the response arrived during the stall"),
+        Ok("response")
+    );
 }
 
-/// Guards against a wait that never ends.
+/// Guards against a wait without an end.
 #[tokio::test]
-async fn a_silent_peer_is_given_up_in_time() {
-    let begun = std::time::Instant::now();
+async fn an_unresponsive_peer_times_out() {
+    let started = std::time::Instant::now();
     let waited = stall_tolerant_timeout(SHORT, std::future::pending::<()>()).await;
-    assert!(waited.is_err() && begun.elapsed() < SHORT * 5);
+    assert!(waited.is_err() && started.elapsed() < SHORT * 5);
 }
