--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -1,4 +1,4 @@
-//! The graceful stop: told once, waits until nothing is under way.
+//! The graceful stop of a process: it begins once and waits until no request is in flight.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use tokio::time::timeout;
 
 use super::events;
-use super::stop_signals::{StopNotice, stop_told};
+use super::stop_signals::{StopSignalTime, wait_for_stop_signal};
 use crate::events::log_event;
 
-/// Whether the process is stopping and how many requests are under way. Clones share one state.
+/// Progress of the graceful stop and number of requests in flight. Clones share one state.
 #[derive(Clone, Debug)]
 pub(crate) struct DrainState {
     shared: Arc<DrainShared>,
@@ -20,53 +20,54 @@
 #[derive(Debug)]
 struct DrainShared {
     draining: watch::Sender<bool>,
-    live: watch::Sender<u64>,
+    in_flight: watch::Sender<u64>,
     finished: watch::Sender<bool>,
-    linger: Duration,
-    longest: Duration,
+    min_duration: Duration,
+    max_wait: Duration,
 }
 
 impl DrainState {
-    /// A state whose stop lasts at least `linger`, so that senders and the balancer learn of it
-    /// while requests are still served, and at most `longest`.
-    pub(crate) fn new(linger: Duration, longest: Duration) -> Self {
+    /// Creates a state without a stop. A stop lasts at least `min_duration`, so that senders and
+    /// the load balancer notice it while requests are still served. After that it waits at most
+    /// `max_wait` for requests in flight.
+    pub(crate) fn new(min_duration: Duration, max_wait: Duration) -> Self {
         let draining = watch::Sender::new(false);
-        let live = watch::Sender::new(0);
+        let in_flight = watch::Sender::new(0);
         Self {
             shared: Arc::new(DrainShared {
                 draining,
-                live,
+                in_flight,
                 finished: watch::Sender::new(false),
-                linger,
-                longest,
+                min_duration,
+                max_wait,
             }),
         }
     }
 
-    /// Begins the stop. Later calls change nothing.
+    /// Begins the stop. Further calls have no effect.
     pub(crate) fn begin(&self) {
-        let begun = self
+        let has_begun = self
             .shared
             .draining
             .send_if_modified(|draining| !std::mem::replace(draining, true));
-        if begun {
+        if has_begun {
             log_event!(
                 events::DRAIN_BEGUN,
-                "{} requests under way",
+                "{} requests in flight",
                 self.in_flight_count()
             );
         }
     }
 
-    /// Begins the stop when the process is told to end by SIGTERM or SIGINT.
+    /// Begins the stop when the process receives SIGTERM or SIGINT.
     ///
-    /// Returns when the stop is over if the signal came before a server could listen for it, and
-    /// else never: a server that listens ends by itself.
+    /// If the signal arrived before the server's own handlers were installed, returns when the stop
+    /// is over. Otherwise it never returns, since the server ends by its own handlers.
     pub(crate) async fn handle_signals(&self) {
-        match stop_told().await {
-            Ok(StopNotice::Earlier) => return self.drain_and_wait().await,
-            Ok(StopNotice::Now) => self.begin(),
-            Err(fault) => log_event!(events::SIGNAL_HANDLER_FAILED, "SIGTERM and SIGINT: {fault}"),
+        match wait_for_stop_signal().await {
+            Ok(StopSignalTime::BeforeHandlers) => return self.drain_and_wait().await,
+            Ok(StopSignalTime::AfterHandlers) => self.begin(),
+            Err(error) => log_event!(events::SIGNAL_HANDLER_FAILED, "SIGTERM and SIGINT: {error}"),
         }
         pending::<()>().await;
     }
@@ -76,60 +77,66 @@
         *self.shared.draining.borrow()
     }
 
-    /// Returns when the stop begins.
+    /// Waits until the stop begins.
     pub(crate) async fn wait_begun(&self) {
         let mut draining = self.shared.draining.subscribe();
-        // The sender lives in `self`, so waiting cannot fail.
+        // `self` owns the sender, so waiting cannot fail.
         let _ = draining.wait_for(|draining| *draining).await;
     }
 
-    /// Counts one request as under way until the guard is dropped.
+    /// Counts one request as in flight until the guard is dropped.
     pub(crate) fn track_request(&self) -> RequestGuard {
-        self.shared.live.send_modify(|live| *live += 1);
+        self.shared
+            .in_flight
+            .send_modify(|in_flight| *in_flight += 1);
         RequestGuard {
             drain: self.clone(),
         }
     }
 
-    /// How many requests are under way.
+    /// Number of requests in flight.
     pub(crate) fn in_flight_count(&self) -> u64 {
-        *self.shared.live.borrow()
+        *self.shared.in_flight.borrow()
     }
 
-    /// Begins the stop and returns when nothing is under way and the lingering is over.
+    /// Begins the stop and waits for its end: at least the minimum duration, then until no request
+    /// is in flight or the maximum wait has passed.
     pub(crate) async fn drain_and_wait(&self) {
         self.begin();
-        tokio::time::sleep(self.shared.linger).await;
-        let mut live = self.shared.live.subscribe();
-        let ended = timeout(self.shared.longest, live.wait_for(|live| *live == 0))
-            .await
-            .is_ok();
-        if ended {
+        tokio::time::sleep(self.shared.min_duration).await;
+        let mut in_flight = self.shared.in_flight.subscribe();
+        let all_done = timeout(
+            self.shared.max_wait,
+            in_flight.wait_for(|in_flight| *in_flight == 0),
+        )
+        .await
+        .is_ok();
+        if all_done {
             log_event!(events::DRAIN_DONE);
         } else {
             log_event!(
                 events::DRAIN_CUT_SHORT,
-                "{} under way",
+                "{} in flight",
                 self.in_flight_count()
             );
         }
         self.shared.finished.send_replace(true);
     }
 
-    /// Whether the stop is over: the process ends, and can finish nothing more.
+    /// Whether the stop is over: the process exits and completes no further work.
     pub(crate) fn is_finished(&self) -> bool {
         *self.shared.finished.borrow()
     }
 
-    /// Returns when the stop is over, so that streams without an end of their own can end.
+    /// Waits until the stop is over. Endless streams end then.
     pub(crate) async fn wait_finished(&self) {
         let mut finished = self.shared.finished.subscribe();
-        // The sender lives in `self`, so waiting cannot fail.
+        // `self` owns the sender, so waiting cannot fail.
         let _ = finished.wait_for(|finished| *finished).await;
     }
 }
 
-/// One request under way.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RequestGuard {
     drain: DrainState,
@@ -137,6 +144,9 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.drain.shared.live.send_modify(|live| *live -= 1);
+        self.drain
+            .shared
+            .in_flight
+            .send_modify(|in_flight| *in_flight -= 1);
     }
 }
--- a/src/daemon/log_output.rs
+++ b/src/daemon/log_output.rs
@@ -1,6 +1,6 @@
-//! Log lines on their way out. A request never waits for whoever reads the log: its lines go into a
-//! queue, and a thread of their own writes them out. How many lines there may be is bounded, and
-//! what is left out is counted and told.
+//! Non-blocking log output. Requests never wait for the reader of the log: lines go into a bounded
+//! queue, and a dedicated thread writes them. The rate of lines is limited as well. Dropped lines
+//! are counted and reported.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,48 +16,49 @@
 use crate::metrics::count_event;
 use crate::time::{ClockTime, clock_now};
 
-/// Lines that wait for a reader of the log that has stopped reading: some four seconds of the most
-/// lines that may be written, about 0.4 MB.
+/// Lines queued while the reader of the log does not read: four seconds at the highest rate, about
+/// 0.4 MB.
 const QUEUE_LINES: usize = 2048;
-/// Lines a second that are written in the long run: over ten times what an entry host with 30 requests
-/// a second writes, counted in its log.
+/// Sustained rate of lines. An entry host with 30 requests per second writes less than a tenth of
+/// it.
 const LINES_PER_SECOND: u32 = 500;
-/// Lines that may come at once beyond that, as when all requests of a data centre fail together.
-const LINES_AT_ONCE: u32 = 1000;
-/// How long lines are gathered before they are written in one call. A line is late by so much; a
-/// process that is killed loses the lines of this span.
-const GATHER_SPAN: Duration = Duration::from_millis(50);
-/// How often the lines that were left out are told.
-const LEFT_OUT_EVERY: Duration = Duration::from_secs(1);
-/// How long the end of a process waits for its last lines.
-const FINISH_WITHIN: Duration = Duration::from_millis(300);
-
-/// What goes through the queue.
+/// Burst of lines allowed beyond the sustained rate, as when all requests of a data centre fail at
+/// the same time.
+const LINES_BURST: u32 = 1000;
+/// Time for which lines are collected before they are written in one call. Each line is delayed by
+/// as much, and a process that is killed loses the lines of this span.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
+/// Interval between reports of dropped lines.
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest wait for the last lines at the exit of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// An item of the queue to the writing thread.
 enum LogItem {
     Line(Vec<u8>),
-    /// Answered when all earlier lines are written.
-    Finish(SyncSender<()>),
+    /// Acknowledged when all earlier lines are written.
+    Flush(SyncSender<()>),
 }
 
-/// How many lines may still be written.
+/// Token bucket that limits the rate of log lines.
 ///
-/// Under a storm of failures each request writes several lines, and writing them takes the
-/// processor time that the requests lack. One would notice late answers on hosts whose logs grow.
-/// Warnings and errors are not bounded here: none of them is written for each request.
+/// In a burst of failures each request writes several lines, which takes processor time from the
+/// requests: the symptom is late responses on hosts whose logs grow. Warnings and errors are not
+/// limited, since none of them is written per request.
 #[derive(Debug)]
-pub(super) struct LineBudget {
-    /// In thousandths of a line.
-    left: u64,
-    filled_at: ClockTime,
+pub(super) struct LineRateLimiter {
+    /// Tokens in thousandths of a line.
+    tokens: u64,
+    refilled_at: ClockTime,
 }
 
-impl LineBudget {
-    const FULL: u64 = LINES_AT_ONCE as u64 * 1000;
+impl LineRateLimiter {
+    const CAPACITY: u64 = LINES_BURST as u64 * 1000;
 
     pub(super) const fn new(now: ClockTime) -> Self {
         Self {
-            left: Self::FULL,
-            filled_at: now,
+            tokens: Self::CAPACITY,
+            refilled_at: now,
         }
     }
 
@@ -66,66 +67,67 @@
         if level <= Level::Warn {
             return true;
         }
-        let micros = u64::try_from(now.since(self.filled_at).as_micros()).unwrap_or(u64::MAX);
-        let gained = micros.saturating_mul(LINES_PER_SECOND.into()) / 1000;
-        if gained > 0 {
-            self.left = Self::FULL.min(self.left.saturating_add(gained));
-            self.filled_at = now;
+        let micros = u64::try_from(now.since(self.refilled_at).as_micros()).unwrap_or(u64::MAX);
+        let refill = micros.saturating_mul(LINES_PER_SECOND.into()) / 1000;
+        if refill > 0 {
+            self.tokens = Self::CAPACITY.min(self.tokens.saturating_add(refill));
+            self.refilled_at = now;
         }
-        let is_allowed = self.left >= 1000;
+        let is_allowed = self.tokens >= 1000;
         if is_allowed {
-            self.left -= 1000;
+            self.tokens -= 1000;
         }
         is_allowed
     }
 }
 
-/// Where whole lines are put for the writing thread. A line that finds the queue full is left out.
+/// Sending side of the queue of complete lines to the writing thread. A line that does not fit into
+/// the queue is dropped.
 #[derive(Clone)]
 pub(super) struct LineQueue {
     items: SyncSender<LogItem>,
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl LineQueue {
-    /// A queue of `lines` and its other end.
-    pub(super) fn new(lines: usize) -> (Self, LineReader) {
-        let (sender, items) = sync_channel(lines);
-        let left_out = Arc::new(AtomicU64::new(0));
+    /// Creates a queue for `capacity` lines and the writer that empties it.
+    pub(super) fn new(capacity: usize) -> (Self, LineWriter) {
+        let (sender, items) = sync_channel(capacity);
+        let dropped = Arc::new(AtomicU64::new(0));
         let queue = Self {
             items: sender,
-            left_out: left_out.clone(),
+            dropped: dropped.clone(),
         };
-        (queue, LineReader { items, left_out })
+        (queue, LineWriter { items, dropped })
     }
 
-    /// Counts a line that is not written.
-    fn leave_out(&self) {
-        self.left_out.fetch_add(1, Ordering::Relaxed);
+    /// Counts a dropped line.
+    fn count_dropped(&self) {
+        self.dropped.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many lines were left out and not yet told.
+    /// Number of dropped lines that are not yet reported.
     #[cfg(test)]
-    pub(super) fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+    pub(super) fn dropped(&self) -> u64 {
+        self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Returns when all lines up to now are written, or after `within`.
-    pub(super) fn finish(&self, within: Duration) {
-        let (done, is_done) = sync_channel(1);
-        if self.items.try_send(LogItem::Finish(done)).is_ok() {
-            // Nobody is left to be told when a reader of the log does not read.
-            let _ = is_done.recv_timeout(within);
+    /// Waits until all lines queued so far are written, or for `timeout`.
+    pub(super) fn flush_within(&self, timeout: Duration) {
+        let (written, is_written) = sync_channel(1);
+        if self.items.try_send(LogItem::Flush(written)).is_ok() {
+            // A time-out cannot be reported: the log itself is not read.
+            let _ = is_written.recv_timeout(timeout);
         }
     }
 }
 
 impl Write for LineQueue {
-    /// Takes one whole line; never waits.
+    /// Queues one complete line without blocking.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         match self.items.try_send(LogItem::Line(line.to_vec())) {
             Ok(()) => {}
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.leave_out(),
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.count_dropped(),
         }
         Ok(line.len())
     }
@@ -135,111 +137,118 @@
     }
 }
 
-/// The other end of a [`LineQueue`].
-pub(super) struct LineReader {
+/// Receiving side of a [`LineQueue`], which writes the lines to the log's output.
+pub(super) struct LineWriter {
     items: Receiver<LogItem>,
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
-impl LineReader {
-    /// Writes lines to `output` until the queue's writers are gone. Lines that come within `gather`
-    /// of one another go out in one call; `tell_left_out` is given how many were left out.
+impl LineWriter {
+    /// Writes lines to `output` until all senders are dropped. Lines queued within `batch_delay` of
+    /// the first are written in one call. `report_dropped` gets the number of dropped lines.
     pub(super) fn write_all(
         self,
         mut output: impl Write,
-        gather: Duration,
-        mut tell_left_out: impl FnMut(u64),
+        batch_delay: Duration,
+        mut report_dropped: impl FnMut(u64),
     ) {
-        let mut told_at = clock_now();
+        let mut reported_at = clock_now();
         let mut bytes = Vec::new();
         while let Ok(first) = self.items.recv() {
             let mut next = Some(first);
             if matches!(next, Some(LogItem::Line(_))) {
-                thread::sleep(gather);
+                thread::sleep(batch_delay);
             }
-            let mut finished = Vec::new();
+            let mut flushes = Vec::new();
             while let Some(item) = next {
                 match item {
                     LogItem::Line(line) => bytes.extend_from_slice(&line),
-                    LogItem::Finish(done) => finished.push(done),
+                    LogItem::Flush(written) => flushes.push(written),
                 }
                 next = self.items.try_recv().ok();
             }
-            // There is nowhere to tell that the log itself cannot be written.
+            // A failure to write the log cannot be reported anywhere.
             let _ = output.write_all(&bytes).and_then(|()| output.flush());
             bytes.clear();
-            for done in finished {
-                let _ = done.try_send(());
+            for written in flushes {
+                let _ = written.try_send(());
             }
             let now = clock_now();
-            if now.since(told_at) >= LEFT_OUT_EVERY {
-                let count = self.left_out.swap(0, Ordering::Relaxed);
+            if now.since(reported_at) >= DROP_REPORT_INTERVAL {
+                let count = self.dropped.swap(0, Ordering::Relaxed);
                 if count > 0 {
-                    told_at = now;
-                    tell_left_out(count);
+                    reported_at = now;
+                    report_dropped(count);
                 }
             }
         }
     }
 }
 
-/// The process's log: `env_logger`'s lines, bounded and through the queue.
-struct BoundedLog {
-    lines: env_logger::Logger,
+/// The logger of the process: lines formatted by `env_logger`, rate-limited and queued.
+struct QueuedLogger {
+    formatter: env_logger::Logger,
     queue: LineQueue,
-    budget: Mutex<LineBudget>,
+    rate_limiter: Mutex<LineRateLimiter>,
 }
 
-impl Log for BoundedLog {
+impl Log for QueuedLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        self.lines.enabled(metadata)
+        self.formatter.enabled(metadata)
     }
 
     fn log(&self, record: &Record<'_>) {
-        if !self.lines.matches(record) {
+        if !self.formatter.matches(record) {
             return;
         }
-        let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_allowed = budget.allows(record.level(), clock_now());
-        drop(budget);
+        let mut rate_limiter = self
+            .rate_limiter
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let is_allowed = rate_limiter.allows(record.level(), clock_now());
+        drop(rate_limiter);
         if is_allowed {
-            self.lines.log(record);
+            self.formatter.log(record);
         } else {
-            self.queue.leave_out();
+            self.queue.count_dropped();
         }
     }
 
     fn flush(&self) {
-        self.queue.finish(FINISH_WITHIN);
+        self.queue.flush_within(FLUSH_TIMEOUT);
     }
 }
 
-/// Starts the process's log; `builder` says what a line looks like and what is shown. A second start,
-/// as tests do it, keeps the first.
+/// Installs the logger of the process and starts its writing thread. `builder` sets the line format
+/// and the filter. A second call, as in tests, has no effect.
+///
+/// # Errors
+///
+/// When the thread cannot be started.
 pub(super) fn start_log(
     mut builder: env_logger::Builder,
     output: impl Write + Send + 'static,
 ) -> io::Result<()> {
-    let (queue, reader) = LineQueue::new(QUEUE_LINES);
-    let lines = builder
+    let (queue, writer) = LineQueue::new(QUEUE_LINES);
+    let formatter = builder
         .target(env_logger::Target::Pipe(Box::new(queue.clone())))
         .build();
-    let shown = lines.filter();
-    let log = BoundedLog {
-        lines,
+    let max_level = formatter.filter();
+    let log = QueuedLogger {
+        formatter,
         queue,
-        budget: Mutex::new(LineBudget::new(clock_now())),
+        rate_limiter: Mutex::new(LineRateLimiter::new(clock_now())),
     };
     if log::set_boxed_logger(Box::new(log)).is_err() {
         return Ok(());
     }
-    log::set_max_level(shown);
-    let tell = |count| {
+    log::set_max_level(max_level);
+    let report = |count| {
         count_event("log_lines_left_out", count);
         log_event!(events::LINES_DROPPED, "count={count}");
     };
     thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || reader.write_all(output, GATHER_SPAN, tell))
+        .spawn(move || writer.write_all(output, BATCH_DELAY, report))
         .map(drop)
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,5 +1,5 @@
-//! What every long-running process has: a count of requests under way, a graceful stop, probes,
-//! metrics and logs.
+//! Runtime parts that all long-running processes share: the graceful stop with its count of
+//! requests in flight, health probes, stall detection and the log.
 
 mod drain;
 pub(crate) mod events;
--- a/src/daemon/process.rs
+++ b/src/daemon/process.rs
@@ -1,4 +1,4 @@
-//! Starting a process: logs, threads, exit code.
+//! Process start: the log, the runtime's threads, and the exit code.
 
 use std::future::Future;
 use std::io::{self, Write};
@@ -9,7 +9,7 @@
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 
-/// Starts the logs; `RUST_LOG` sets what is shown, `info` by default.
+/// Starts logging to standard error. `RUST_LOG` sets the filter, `info` by default.
 pub(crate) fn start_logs() {
     start_logs_to(io::stderr());
 }
@@ -18,12 +18,12 @@
     let environment = env_logger::Env::default().default_filter_or("info,volo=warn,volo_http=warn");
     let mut builder = env_logger::Builder::from_env(environment);
     builder.format_timestamp_millis();
-    if let Err(fault) = start_log(builder, output) {
-        eprintln!("the log cannot be written: {fault}");
+    if let Err(error) = start_log(builder, output) {
+        eprintln!("cannot start logging: {error}");
     }
 }
 
-/// Runs `daemon` on `threads` traffic threads and turns its end into an exit code.
+/// Runs `daemon` on a runtime with `threads` worker threads and returns its exit code.
 pub(crate) fn run_process<F>(name: &'static str, threads: usize, daemon: F) -> ExitCode
 where
     F: Future<Output = SwitchResult<()>>,
@@ -34,8 +34,8 @@
     run_on(builder, name, daemon)
 }
 
-/// Runs `daemon` with all its traffic on this thread, logs to standard output, and turns its end
-/// into an exit code. A process that has a quarter of a core gains nothing by more threads.
+/// Runs `daemon` on this thread alone, with the log on standard output, and returns its exit code.
+/// A process with a quarter of a core gains nothing from more threads.
 pub(crate) fn run_single_threaded<F>(name: &'static str, daemon: F) -> ExitCode
 where
     F: Future<Output = SwitchResult<()>>,
@@ -51,14 +51,14 @@
     log_event!(events::STARTED, "{name} {}", env!("CARGO_PKG_VERSION"));
     let runtime = match builder.enable_all().build() {
         Ok(runtime) => runtime,
-        Err(fault) => {
-            eprintln!("{name}: cannot start its threads: {fault}");
+        Err(error) => {
+            eprintln!("{name}: cannot start the runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
-    let ended = runtime.block_on(daemon);
+    let result = runtime.block_on(daemon);
     log::logger().flush();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{name}: {error}");
--- a/src/daemon/stop_signals.rs
+++ b/src/daemon/stop_signals.rs
@@ -1,4 +1,4 @@
-//! The signals that tell a process to end: SIGTERM and SIGINT.
+//! Handling of the signals that order a process to stop: SIGTERM and SIGINT.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,44 +7,50 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Whether a signal came since [`register_stop_signals`]. Signals are told to the process as a whole.
-static TOLD: OnceLock<Arc<AtomicBool>> = OnceLock::new();
+/// Whether a signal arrived since [`register_stop_signals`]. Signals concern the process as a
+/// whole, hence a global.
+static STOP_RECEIVED: OnceLock<Arc<AtomicBool>> = OnceLock::new();
 
-/// Keeps the signals from ending the process, and remembers them for [`stop_told`]. Called first in
-/// `main`: until then SIGTERM ends the process at once, with an error.
+/// Installs handlers that record the signals for [`wait_for_stop_signal`] instead of ending the
+/// process. Has to be called first in `main`: without a handler, SIGTERM kills the process without
+/// a graceful stop.
 pub(crate) fn register_stop_signals() {
-    let told = TOLD.get_or_init(Arc::default);
-    for number in [SIGTERM, SIGINT] {
-        if let Err(fault) = signal_hook::flag::register(number, told.clone()) {
-            eprintln!("signal {number} cannot be followed: {fault}");
+    let received = STOP_RECEIVED.get_or_init(Arc::default);
+    for signal_number in [SIGTERM, SIGINT] {
+        if let Err(error) = signal_hook::flag::register(signal_number, received.clone()) {
+            eprintln!("cannot install a handler for signal {signal_number}: {error}");
         }
     }
 }
 
-/// When a process was told to end.
+/// When a stop signal arrived, relative to the installation of the asynchronous handlers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StopNotice {
-    /// Before anybody listened: whoever set up a listener of its own since then has not heard of it.
-    Earlier,
-    /// While listeners stood.
-    Now,
+pub(super) enum StopSignalTime {
+    /// Before: handlers that were installed since then, such as those of a server, have not seen
+    /// it.
+    BeforeHandlers,
+    /// After: all installed handlers have seen it.
+    AfterHandlers,
 }
 
-/// Returns when the process is told to end, or was told before.
+/// Waits for a stop signal; returns immediately if one arrived already.
 ///
 /// # Errors
 ///
-/// When the signals cannot be followed.
-pub(super) async fn stop_told() -> io::Result<StopNotice> {
+/// When the signal handlers cannot be installed.
+pub(super) async fn wait_for_stop_signal() -> io::Result<StopSignalTime> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // Looked at once the listeners stand, so that no signal falls between the two.
-    if TOLD.get().is_some_and(|told| told.load(Ordering::Relaxed)) {
-        return Ok(StopNotice::Earlier);
+    // Checked after the handlers are installed, so that no signal is missed in between.
+    if STOP_RECEIVED
+        .get()
+        .is_some_and(|received| received.load(Ordering::Relaxed))
+    {
+        return Ok(StopSignalTime::BeforeHandlers);
     }
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    Ok(StopNotice::Now)
+    Ok(StopSignalTime::AfterHandlers)
 }
