--- a/src/bin/savory-entry.rs
+++ b/src/bin/savory-entry.rs
@@ -1,4 +1,4 @@
-//! The entry host's daemon.
+//! Daemon of an entry host: accepts client requests and forwards them to backend servers.
 
 use std::process::ExitCode;
 
--- a/src/bin/savory-host.rs
+++ b/src/bin/savory-host.rs
@@ -1,4 +1,4 @@
-//! The daemon beside each backend server.
+//! Daemon that runs next to each backend server.
 
 use std::process::ExitCode;
 
--- a/src/bin/savory-lab.rs
+++ b/src/bin/savory-lab.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and measurements.
+//! Test bench: stand-ins for engines and the platform, fault injection, load and measurements.
 
 use std::process::ExitCode;
 
--- a/src/bin/savoryctl.rs
+++ b/src/bin/savoryctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/src/derives.rs
+++ b/src/derives.rs
@@ -1,8 +1,8 @@
-//! The sets of derives that recur through the crate, each under one name. A type says which kind
-//! of value it is (`key!`, `plain!`, `message!`) and gets the set that fits, so that two messages
-//! never differ in what can be done with them.
+//! Macros for sets of derives that recur in the crate. A type states its kind (`key!`, `plain!`,
+//! `message!`) and gets the matching derives, so that all types of a kind support the same
+//! operations.
 
-/// A small key or closed enum: copied freely, ordered, hashed, usable in sorted vectors.
+/// A small key or closed enum: copied, ordered and hashed, usable as a key in sorted vectors.
 macro_rules! key {
     ($($item:tt)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -10,7 +10,7 @@
     };
 }
 
-/// A value held in state: cloned and compared, never sent.
+/// A value in local state: cloned and compared, but not serialised.
 macro_rules! plain {
     ($($item:tt)*) => {
         #[derive(Clone, Debug, PartialEq)]
@@ -18,7 +18,7 @@
     };
 }
 
-/// A value that crosses a process boundary.
+/// A value that is sent to another process or stored: also serialised and deserialised.
 macro_rules! message {
     ($($item:tt)*) => {
         #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
--- a/src/errors/kind.rs
+++ b/src/errors/kind.rs
@@ -1,121 +1,122 @@
-//! The closed list of error kinds.
+//! The closed list of error kinds. Their names are part of the wire format.
 
 use macro_rules_attribute::apply;
 use serde::{Deserialize, Serialize};
 
 use crate::derives::key;
 
-/// Why something was refused or failed. The list is closed: a new way to fail gets a new kind, a
-/// row in the table and a line in `docs/ERRORS.md`.
+/// Reason for a refusal or failure. The list is closed: a new reason needs a new kind, a row in the
+/// error table and a line in `docs/ERRORS.md`.
 #[apply(key!)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// A header of ours holds a value that it cannot hold.
+    /// A savoryswitch header has an invalid value.
     BadHeader,
-    /// The header fields are over the limit.
+    /// The header fields exceed the limit.
     HeadersTooLarge,
-    /// The body is over the limit.
+    /// The body exceeds the limit.
     BodyTooLarge,
-    /// No client account goes with the given name and key.
+    /// No client account matches the given name and key.
     AccountUnknown,
-    /// The account or team may not do this.
+    /// The client account or team is not authorised for this.
     NotAllowed,
-    /// No document names this service.
+    /// No document defines this service.
     ServiceUnknown,
-    /// No such path.
+    /// No route matches the path.
     RouteUnknown,
-    /// The account is over its rate.
+    /// The client account exceeds its request rate.
     RateLimited,
-    /// The account has too many requests in flight.
+    /// The client account has too many requests in flight.
     ConcurrencyLimited,
-    /// The account calls more urgent than its bound allows.
+    /// The client account exceeds its allowed share of urgent requests.
     UrgentShareSpent,
-    /// The queue for this class is full.
+    /// The queue of the request's priority class is full.
     QueueFull,
-    /// The request cannot be done by its deadline.
+    /// The request cannot complete before its deadline.
     DeadlineUnreachable,
-    /// The deadline passed while the request was under way.
+    /// The deadline passed while the request was in flight.
     DeadlinePassed,
-    /// No backend server can take the request now.
+    /// No backend server can accept the request at present.
     NoBackend,
-    /// Backend servers crashed under the request, which is sent to none for a while.
+    /// Backend servers crashed while running this request; it is quarantined and not sent for a
+    /// while.
     RequestQuarantined,
-    /// The backend server is leaving and takes no new work.
+    /// The backend server is shutting down and accepts no new requests.
     BackendLeaving,
     /// The backend server's queue is full.
     BackendBusy,
-    /// This entry host is leaving and takes no new work.
+    /// This entry host is shutting down and accepts no new requests.
     EntryLeaving,
-    /// The host holds no whole, activated version.
+    /// The host has no complete, activated version of the weights.
     WeightsNotReady,
-    /// The host serves another version than the request began with.
+    /// The host serves another version than the one that the request started on.
     VersionMismatch,
-    /// This attempt came to its host before.
+    /// The host has received this attempt already.
     AttemptDoubled,
     /// No connection to the backend server's host could be made.
     ConnectFailed,
-    /// The other end went silent after the request was sent.
+    /// The peer became unresponsive after the request was sent.
     PeerSilent,
-    /// The answer broke off before its end.
+    /// The response was truncated.
     AnswerCut,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     AnswerForeign,
-    /// The answer does not match its digest.
+    /// The response does not match its digest.
     AnswerDamaged,
-    /// The engine refused the request before running it.
+    /// The engine rejected the request without running it.
     EngineRefused,
-    /// The engine failed while it ran the request.
+    /// The engine failed while running the request.
     EngineFailed,
-    /// No retries are left in the service's or account's budget.
+    /// The retry budget of the service or of the client account is used up.
     RetryBudgetSpent,
-    /// It cannot be told whether the call ran.
+    /// It is unknown whether the call ran.
     OutcomeUnknown,
-    /// The caller left before its answer.
+    /// The caller disconnected before the response.
     CallerGone,
-    /// The document has faults; all are listed.
+    /// The document is invalid; the detail lists all faults.
     DocumentInvalid,
-    /// Another change was accepted first; what stands is told.
+    /// Another change was accepted first; the detail states the current document.
     DocumentConflict,
-    /// There is no document for this service.
+    /// No document exists for this service.
     DocumentUnknown,
     /// The change could not be written; nothing changed.
     DocumentNotAccepted,
-    /// The change may have been written; ask for what stands.
+    /// The change may have been written; read the current document to find out.
     DocumentInDoubt,
-    /// The platform's table does not answer.
+    /// The platform's table is unavailable.
     TableUnavailable,
-    /// The table's row was not as expected.
+    /// The row in the table differs from the expected one.
     TableConflict,
-    /// The platform's object store does not answer.
+    /// The platform's object store is unavailable.
     StoreUnavailable,
-    /// The origin or weight store asks to slow down.
+    /// The origin or weight store limits the request rate.
     OriginLimited,
-    /// The origin of weights does not answer.
+    /// The origin of weights is unavailable.
     OriginUnavailable,
-    /// The platform holds no such object or row.
+    /// The platform has no such object or row.
     ObjectMissing,
     /// The manifest contradicts itself.
     ManifestInvalid,
     /// The chunk's bytes do not match its hash.
     ChunkCorrupt,
-    /// The host does not hold this chunk.
+    /// The host does not have this chunk.
     ChunkMissing,
-    /// The host sends as many chunks as it may.
+    /// The host has reached its limit of concurrent chunk uploads.
     UploadBusy,
     /// The version does not fit into the host's memory.
     MemoryTooSmall,
-    /// The engine did not load the version.
+    /// The engine failed to load the version.
     ActivationFailed,
-    /// The order carries an old fencing number.
+    /// The order has an outdated fencing number.
     OrderStale,
-    /// A message between our processes cannot be read.
+    /// A message between savoryswitch processes cannot be decoded.
     MessageInvalid,
-    /// A setting is missing or wrong.
+    /// A setting is missing or invalid.
     SettingInvalid,
-    /// An invariant was about to break; the request was given up.
+    /// An invariant would have been violated; the request was aborted.
     Internal,
 }
 
--- a/src/errors/mod.rs
+++ b/src/errors/mod.rs
@@ -1,6 +1,5 @@
-//! Every way in which the system can refuse or fail, as one closed list of kinds, and one table
-//! from kind to the answer that a caller gets. `docs/ERRORS.md` shows the same table; a test
-//! compares the two.
+//! The crate's error type, the closed list of error kinds, and the table that maps each kind to the
+//! response that a caller gets. `docs/ERRORS.md` shows the same table; a test compares the two.
 
 mod kind;
 mod switch_error;
--- a/src/errors/switch_error.rs
+++ b/src/errors/switch_error.rs
@@ -1,5 +1,5 @@
-//! The crate's one error type: a kind from the closed list, a detail for people, and what is known
-//! about this very failure beyond its kind.
+//! The error type of the crate: an error kind, a human-readable detail, and values of this failure
+//! that override the defaults of its kind.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 
 use super::{ErrorKind, RetryAdvice, RunOutcome, error_spec};
 
-/// A failure or refusal on its way to whoever asked.
+/// A failed or refused request or operation.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("{}: {detail}", error_spec(*kind).code))]
 pub struct SwitchError {
-    /// Which row of the table answers it.
+    /// Selects the row of the error table.
     pub kind: ErrorKind,
-    /// What happened, for a person; never holds a key or a body.
+    /// Human-readable description. Never contains an API key or a request or response body.
     pub detail: String,
-    /// Known better than the table's row: whether the request ran.
+    /// Whether the request ran, where this is known more exactly than by the table.
     pub outcome: Option<RunOutcome>,
-    /// Known better than the table's row: when to come back.
+    /// When to retry, where this is known more exactly than by the table.
     pub retry_after: Option<Duration>,
 }
 
 impl SwitchError {
-    /// A failure of `kind`.
+    /// Creates an error with the defaults of `kind`.
     #[must_use]
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Self {
@@ -33,27 +33,27 @@
         }
     }
 
-    /// Says when to come back, in place of the table's advice.
+    /// Overrides the retry time of the table.
     #[must_use]
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Says whether the request ran, in place of the table's row.
+    /// Overrides the run outcome of the table.
     #[must_use]
     pub fn with_outcome(mut self, outcome: RunOutcome) -> Self {
         self.outcome = Some(outcome);
         self
     }
 
-    /// Whether the request ran, as far as this failure tells.
+    /// Whether the request ran, as far as it is known.
     #[must_use]
     pub fn run_outcome(&self) -> RunOutcome {
         self.outcome.unwrap_or(error_spec(self.kind).outcome)
     }
 
-    /// How long to wait before asking again; `None` when asking again is no use.
+    /// Time to wait before a retry; `None` when a retry gives the same result.
     #[must_use]
     pub fn retry_wait(&self) -> Option<Duration> {
         self.retry_after.or(match error_spec(self.kind).retry {
--- a/src/errors/table.rs
+++ b/src/errors/table.rs
@@ -1,4 +1,5 @@
-//! The table from error kind to answer: status, code, whether the request ran, when to come back.
+//! The error table: maps each error kind to status, code, run outcome and retry advice of its
+//! response.
 
 use std::time::Duration;
 
@@ -8,22 +9,22 @@
 use super::ErrorKind;
 use crate::derives::key;
 
-/// What is known about whether a request took effect. The three are never confused: a repeatable
-/// request may be asked again after any of them, an unrepeatable one only after `NotRun`.
+/// Whether a request ran at a backend server. A repeatable request may be retried after each of the
+/// three outcomes, any other request only after `NotRun`.
 #[apply(key!)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunOutcome {
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     NotRun,
-    /// It ran, once.
+    /// The request ran once.
     Run,
-    /// It cannot be told.
+    /// It is unknown whether the request ran.
     NotKnown,
 }
 
 impl RunOutcome {
-    /// The text in headers and bodies.
+    /// Representation in headers and bodies.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -34,33 +35,33 @@
     }
 }
 
-/// When a caller should ask again.
+/// When a caller should retry.
 #[apply(key!)]
 pub enum RetryAdvice {
-    /// Asking again gives the same answer.
+    /// A retry gives the same result.
     Never,
-    /// Ask again after this long.
+    /// Retry after this time.
     After(Duration),
-    /// Ask again after this long, only if the request may be repeated.
+    /// Retry after this time, but only if the request is repeatable.
     RepeatableAfter(Duration),
 }
 
-/// One row of the table.
+/// How an error kind is reported to callers: one row of the error table.
 #[apply(key!)]
 pub struct ErrorSpec {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The code in the body, also the label of the refusal's counter.
+    /// Error code in the response body, also the `reason` label of the refusal and retry counters.
     pub code: &'static str,
     /// Whether the request ran.
     pub outcome: RunOutcome,
-    /// When to come back.
+    /// When to retry.
     pub retry: RetryAdvice,
-    /// One sentence for people.
+    /// Human-readable description of the kind.
     pub text: &'static str,
 }
 
-/// The answer to `kind`.
+/// Returns the row of the error table for `kind`.
 #[must_use]
 #[expect(clippy::too_many_lines, reason = "one line per kind is the table")]
 pub const fn error_spec(kind: ErrorKind) -> ErrorSpec {
--- a/src/events/mod.rs
+++ b/src/events/mod.rs
@@ -1,20 +1,20 @@
-//! Log events. Each has a number that never changes its meaning, so that an operator can search
-//! for it and look it up in `docs/EVENTS.md`; a test compares that page with [`catalogue`]. Each
-//! slice keeps its own list, with a hundred numbers to itself.
+//! Log events with stable numbers, by which operators search the log and look events up in
+//! `docs/EVENTS.md`; a test compares that page with [`catalogue`]. Each folder has its own list
+//! with its own range of a hundred numbers.
 
 use log::Level;
 use macro_rules_attribute::apply;
 
 use crate::derives::key;
 
-/// One kind of line in the log.
+/// A kind of log line.
 #[apply(key!)]
 pub struct LogEvent {
-    /// Its number in the catalogue.
+    /// Number in the catalogue. Its meaning never changes.
     pub number: u16,
-    /// How urgent it is.
+    /// Log level.
     pub level: Level,
-    /// What it says, before the details.
+    /// Fixed text of the line, in front of the details.
     pub text: &'static str,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An event that the system handles, but that should not recur.
+    /// An event that the system handles by itself, but that should not recur.
     pub(crate) const fn warn(number: u16, text: &'static str) -> Self {
         Self {
             number,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A change of state worth knowing.
+    /// A change of state that is relevant in normal operation.
     pub(crate) const fn info(number: u16, text: &'static str) -> Self {
         Self {
             number,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A detail for finding a cause.
+    /// A detail for diagnosis.
     pub(crate) const fn debug(number: u16, text: &'static str) -> Self {
         Self {
             number,
@@ -70,18 +70,18 @@
 
 pub(crate) use log_event;
 
-/// Every event of the product, by slice.
+/// All log events, sorted by number.
 #[must_use]
 pub fn catalogue() -> Vec<LogEvent> {
     let mut events = Vec::new();
-    for slice in SLICES {
-        events.extend_from_slice(slice);
+    for list in EVENT_LISTS {
+        events.extend_from_slice(list);
     }
     events.sort_unstable();
     events
 }
 
-const SLICES: [&[LogEvent]; 13] = [
+const EVENT_LISTS: [&[LogEvent]; 13] = [
     crate::daemon::events::ALL,
     crate::delivery::events::ALL,
     crate::routing::events::ALL,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,11 @@
-//! savoryswitch carries new model weights to every host that needs them during a burst, keeps live
-//! requests getting whole and correct answers meanwhile, and serves urgent requests first.
+//! savoryswitch distributes new model weights to all hosts that need them during a burst of
+//! requests. Meanwhile, live requests get complete and correct responses, and urgent requests are
+//! served first.
 //!
-//! One library, thin daemons. Each duty is a folder with its state, its messages and its decisions;
-//! decisions are plain functions of an event and the present time, and the edges carry them out.
-//! What is public is listed here.
+//! One library contains all code; the programs in `src/bin` only call it. Each folder covers one
+//! area with its state, messages and decisions. Decisions are pure functions of an event and the
+//! current time; separate adapters and drivers perform the I/O. This file lists the public
+//! interface.
 
 mod admission;
 mod catalog;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,5 +1,6 @@
-//! Metrics through opentelemetry, readable as Prometheus text. One counter per thing that can be
-//! counted, with the reason as a label: each refusal and each retry carries its error code.
+//! Metrics, collected with opentelemetry and exported in the Prometheus text format. A small fixed
+//! set of instruments carries all values; labels state the name or the reason. Refusals and retries
+//! are labelled with their error code.
 
 use std::sync::OnceLock;
 
@@ -17,9 +18,9 @@
     provider: SdkMeterProvider,
     refusals: Counter<u64>,
     retries: Counter<u64>,
-    counts: Counter<u64>,
-    levels: Gauge<u64>,
-    waits: Histogram<f64>,
+    events: Counter<u64>,
+    gauges: Gauge<u64>,
+    durations: Histogram<f64>,
 }
 
 static METRICS: OnceLock<MetricSet> = OnceLock::new();
@@ -42,15 +43,16 @@
     MetricSet {
         refusals: meter.u64_counter("savory_refusals").build(),
         retries: meter.u64_counter("savory_retries").build(),
-        counts: meter.u64_counter("savory_events").build(),
-        levels: meter.u64_gauge("savory_level").build(),
-        waits: meter.f64_histogram("savory_seconds").build(),
+        events: meter.u64_counter("savory_events").build(),
+        gauges: meter.u64_gauge("savory_level").build(),
+        durations: meter.f64_histogram("savory_seconds").build(),
         registry,
         provider,
     }
 }
 
-/// Counts a refusal by its code and the stage that refused (`admission`, `routing`, `guard`, …).
+/// Counts a refusal by error code and by the stage that refused (`admission`, `routing`, `guard`,
+/// …).
 pub(crate) fn count_refusal(kind: ErrorKind, stage: &'static str) {
     let labels = [
         KeyValue::new("reason", error_spec(kind).code),
@@ -59,42 +61,42 @@
     metric_set().refusals.add(1, &labels);
 }
 
-/// Counts a retry by the code of the failure that it follows.
+/// Counts a retry by the error code of the failure that caused it.
 pub(crate) fn count_retry(kind: ErrorKind) {
     metric_set()
         .retries
         .add(1, &[KeyValue::new("reason", error_spec(kind).code)]);
 }
 
-/// Counts something that is neither a refusal nor a retry, by name.
+/// Adds `by` to the counter of the named event, which is neither a refusal nor a retry.
 pub(crate) fn count_event(name: &'static str, by: u64) {
-    metric_set().counts.add(by, &[KeyValue::new("event", name)]);
+    metric_set().events.add(by, &[KeyValue::new("event", name)]);
 }
 
-/// Sets a level, such as a queue's length, by name and what it belongs to.
-pub(crate) fn set_gauge(name: &'static str, of: &str, level: u64) {
+/// Sets a gauge, such as a queue length. `of` names the object that it describes.
+pub(crate) fn set_gauge(name: &'static str, of: &str, value: u64) {
     let labels = [
         KeyValue::new("name", name),
         KeyValue::new("of", of.to_owned()),
     ];
-    metric_set().levels.record(level, &labels);
+    metric_set().gauges.record(value, &labels);
 }
 
-/// Records a span of time in seconds, by name.
+/// Records a duration in seconds in the histogram of that name.
 pub(crate) fn record_seconds(name: &'static str, seconds: f64) {
     metric_set()
-        .waits
+        .durations
         .record(seconds, &[KeyValue::new("name", name)]);
 }
 
-/// The Prometheus text of everything counted so far.
+/// Renders all metrics in the Prometheus text format.
 pub(crate) fn render_text() -> String {
     let metrics = metric_set();
-    // The provider is kept alive by the set; naming it here says why it is held.
+    // The provider is never read: the set stores it only to keep the instruments alive.
     let _ = &metrics.provider;
     let mut text = Vec::new();
     match TextEncoder::new().encode(&metrics.registry.gather(), &mut text) {
         Ok(()) => String::from_utf8(text).unwrap_or_default(),
-        Err(fault) => format!("# metrics cannot be shown: {fault}\n"),
+        Err(error) => format!("# cannot encode metrics: {error}\n"),
     }
 }
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -1,5 +1,5 @@
-//! The settings that entry hosts and host processes share: who the process is, where the platform
-//! is, how it stops.
+//! Settings that entry hosts and host processes share: identity, addresses, platform services,
+//! threads and graceful stop.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -16,78 +16,84 @@
 use crate::time::wall_now;
 use crate::transport::{ClientLimits, PeerClient};
 
-/// Stands in for an address that did not read, until the faults are told.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// Placeholder for an invalid address. It is never used, since the fault ends the start.
+const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 pub(crate) const HOST_NAME: SettingSpec = SettingSpec::required(
     "host-name",
     "NAME",
     "This host's name, unique across data centres",
 );
-pub(crate) const DATA_CENTRE: SettingSpec = SettingSpec::required(
-    "data-centre",
-    "NAME",
-    "The data centre that this host stands in",
-);
+pub(crate) const DATA_CENTRE: SettingSpec =
+    SettingSpec::required("data-centre", "NAME", "The data centre of this host");
 pub(crate) const REGION: SettingSpec =
     SettingSpec::required("region", "NAME", "The region of that data centre");
 pub(crate) const PEER_ADDRESS: SettingSpec = SettingSpec::required(
     "peer-address",
     "IP:PORT",
-    "Where this process listens for the other processes of the system",
+    "Address on which this process listens for other savoryswitch processes",
+);
+pub(crate) const TABLE_ADDRESS: SettingSpec = SettingSpec::required(
+    "table-address",
+    "IP:PORT",
+    "Address of the platform's table",
+);
+pub(crate) const LIST_ADDRESS: SettingSpec = SettingSpec::required(
+    "list-address",
+    "IP:PORT",
+    "Address of the platform's list of hosts",
 );
-pub(crate) const TABLE_ADDRESS: SettingSpec =
-    SettingSpec::required("table-address", "IP:PORT", "The platform's table");
-pub(crate) const LIST_ADDRESS: SettingSpec =
-    SettingSpec::required("list-address", "IP:PORT", "The platform's list of hosts");
 pub(crate) const PLATFORM_TIMEOUT: SettingSpec = SettingSpec::optional(
     "platform-timeout-ms",
     "MILLISECONDS",
     "1000",
-    "How long the platform may take to answer before it counts as away",
+    "Time limit for responses of the platform, after which it counts as unavailable",
+);
+pub(crate) const TRAFFIC_THREADS: SettingSpec = SettingSpec::optional(
+    "traffic-threads",
+    "NUMBER",
+    "2",
+    "Number of threads that serve requests",
 );
-pub(crate) const TRAFFIC_THREADS: SettingSpec =
-    SettingSpec::optional("traffic-threads", "NUMBER", "2", "Threads for requests");
 pub(crate) const LEAVE_LINGER: SettingSpec = SettingSpec::optional(
     "leave-linger-ms",
     "MILLISECONDS",
     "3000",
-    "How long a graceful stop lasts at least, so that senders learn of it",
+    "Minimum duration of a graceful stop, in which senders notice it",
 );
 pub(crate) const LEAVE_LONGEST: SettingSpec = SettingSpec::optional(
     "leave-longest-ms",
     "MILLISECONDS",
     "900000",
-    "How long a graceful stop waits for requests under way; longer than the longest stream",
+    "Maximum wait for requests in flight at a graceful stop; longer than the longest stream",
 );
 
-/// What entry hosts and host processes have in common.
+/// Values of the settings that entry hosts and host processes share.
 pub(crate) struct CommonSettings {
-    /// The host's name.
+    /// Name of the host, unique across data centres.
     pub(crate) host: ByteString,
-    /// The data centre it stands in.
+    /// Data centre of the host.
     pub(crate) data_centre: ByteString,
-    /// The region of that data centre.
+    /// Region of the data centre.
     pub(crate) region: ByteString,
-    /// Where the process listens for the other processes.
+    /// Listen address for other savoryswitch processes.
     pub(crate) peer_address: SocketAddr,
-    /// The platform's table.
+    /// Address of the platform's table.
     pub(crate) table_address: SocketAddr,
-    /// The platform's object store.
-    /// The platform's list of hosts.
+    /// Address of the platform's list of hosts.
     pub(crate) list_address: SocketAddr,
-    /// How long the platform may take to answer.
+    /// Time limit for responses of the platform.
     pub(crate) platform_timeout: Duration,
-    /// Threads for requests.
+    /// Number of threads that serve requests.
     pub(crate) traffic_threads: usize,
-    /// How long a graceful stop lasts at least.
+    /// Minimum duration of a graceful stop.
     pub(crate) leave_linger: Duration,
-    /// How long a graceful stop waits at most.
+    /// Maximum wait for requests in flight at a graceful stop.
     pub(crate) leave_longest: Duration,
 }
 
 impl CommonSettings {
-    /// Reads them all; faults stay with `reader`.
+    /// Parses all shared settings; `reader` collects the faults.
     pub(crate) fn read(reader: &mut SettingReader) -> Self {
         Self {
             host: reader.name(HOST_NAME.flag),
@@ -103,7 +109,8 @@
         }
     }
 
-    /// Who this process is, from now on.
+    /// Identity of this process. Its incarnation is the current wall-clock time in
+    /// microseconds.
     pub(crate) fn identity(&self, role: HostRole, service: Option<ByteString>) -> HostIdentity {
         HostIdentity {
             host: self.host.clone(),
@@ -116,60 +123,65 @@
         }
     }
 
-    /// The graceful stop that the settings ask for.
+    /// Creates the state of the graceful stop.
     pub(crate) fn drain_state(&self) -> DrainState {
         DrainState::new(self.leave_linger, self.leave_longest)
     }
 
-    /// The platform's table.
+    /// Creates a client of the platform's table.
     pub(crate) fn table(&self) -> Arc<dyn TableStore> {
         Arc::new(HttpTable(
             self.client(self.table_address, ErrorKind::TableUnavailable),
         ))
     }
 
-    /// The platform's list of hosts.
+    /// Creates a client of the platform's list of hosts.
     pub(crate) fn host_list(&self) -> Arc<dyn HostList> {
         Arc::new(HttpHostList(
             self.client(self.list_address, ErrorKind::StoreUnavailable),
         ))
     }
 
-    /// A client of the platform's offer at `address`; `away` is the kind of its failures.
-    pub(crate) fn client(&self, address: SocketAddr, away: ErrorKind) -> PlatformClient {
-        Self::client_with_timeout(address, away, self.platform_timeout)
+    /// Creates a client of the platform service at `address` with the usual time limit.
+    /// `unavailable_kind` is the kind of its failures.
+    pub(crate) fn client(
+        &self,
+        address: SocketAddr,
+        unavailable_kind: ErrorKind,
+    ) -> PlatformClient {
+        Self::client_with_timeout(address, unavailable_kind, self.platform_timeout)
     }
 
-    /// A client of an offer that may take `within` to answer, whatever the platform's usual limit.
+    /// Creates a client of the platform service at `address` with its own time limit.
     pub(crate) fn client_with_timeout(
         address: SocketAddr,
-        away: ErrorKind,
-        within: Duration,
+        unavailable_kind: ErrorKind,
+        timeout: Duration,
     ) -> PlatformClient {
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
-        PlatformClient::new(address, client, within, away)
+        PlatformClient::new(address, client, timeout, unavailable_kind)
     }
 }
 
 impl SettingReader {
-    /// A name of a host, data centre, region or service.
+    /// Parses a name of a host, data centre, region or service.
     pub(crate) fn name(&mut self, flag: &'static str) -> ByteString {
         let text = self.text(flag);
-        let fits = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
-        if !text.bytes().all(fits) {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
+        if !text.bytes().all(is_allowed) {
             self.fault(format!(
-                "--{flag}: \"{text}\" is no name; give letters, digits and -"
+                "--{flag}: \"{text}\" is not a valid name; use letters, digits and -"
             ));
         }
         text.into()
     }
 
-    /// An address.
+    /// Parses a socket address.
     pub(crate) fn address(&mut self, flag: &'static str) -> SocketAddr {
-        self.value(flag, NO_ADDRESS)
+        self.value(flag, PLACEHOLDER_ADDRESS)
     }
 
-    /// A span of whole milliseconds within `range`.
+    /// Parses a duration in milliseconds within `range`.
     pub(crate) fn millis(
         &mut self,
         flag: &'static str,
@@ -178,7 +190,7 @@
         Duration::from_millis(self.number(flag, range))
     }
 
-    /// A small count within `range`.
+    /// Parses a count within `range`.
     pub(crate) fn count(
         &mut self,
         flag: &'static str,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! Settings of every program: each is a flag and an environment variable, read and checked
-//! together at the start, so that an operator sees all faults at once, each with the flag's name,
-//! what was given and what would do.
+//! Settings of the programs, as command-line flags and environment variables. All of them are read
+//! and checked together at the start, so that an operator sees all faults at once, each with the
+//! flag, the given value and the expected one.
 
 mod common;
 mod reader;
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads settings into typed values and collects every fault on the way.
+//! Parses settings into typed values and collects all faults.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -10,11 +10,11 @@
 
 const CHECK_FLAG: &str = "check-settings";
 
-/// All faults found in one start, ready to be printed.
+/// All faults of the settings, one printable line each.
 pub(crate) type SettingsFaults = Vec<String>;
 
-/// Reads one program's settings. Values that do not read become faults and a stand-in value, so
-/// that the reading goes on and all faults are told at once.
+/// Parses the settings of a program. An invalid value is recorded as a fault and replaced by a
+/// placeholder, so that parsing continues and all faults are reported together.
 pub(crate) struct SettingReader {
     matches: ArgMatches,
     specs: &'static [SettingSpec],
@@ -22,16 +22,16 @@
 }
 
 impl SettingReader {
-    /// The command line of `command` with `specs` and `--check-settings` added.
+    /// Adds the settings of `specs` and the flag `--check-settings` to `command`.
     pub(crate) fn command(command: Command, specs: &'static [SettingSpec]) -> Command {
         let check = Arg::new(CHECK_FLAG)
             .long(CHECK_FLAG)
             .action(ArgAction::SetTrue)
-            .help("Check the settings, say what is wrong with them, and exit");
+            .help("Check the settings, list all faults, and exit");
         add_settings(command, specs).arg(check)
     }
 
-    /// A reader over what clap matched for [`SettingReader::command`].
+    /// Creates a reader of the arguments matched by [`SettingReader::command`].
     pub(crate) fn new(matches: ArgMatches, specs: &'static [SettingSpec]) -> Self {
         Self {
             matches,
@@ -45,25 +45,26 @@
         self.matches.get_flag(CHECK_FLAG)
     }
 
-    /// The text of setting `flag`; empty when it is optional and not set.
+    /// Returns the text of setting `flag`: the given value or the default. A required setting that
+    /// is not given is recorded as a fault and read as an empty text.
     pub(crate) fn text(&mut self, flag: &'static str) -> String {
         let spec = self.spec(flag);
-        if let Some(given) = self.matches.get_one::<String>(flag) {
-            return given.clone();
+        if let Some(text) = self.matches.get_one::<String>(flag) {
+            return text.clone();
         }
         if let Some(default) = spec.default {
             return default.to_owned();
         }
         self.faults.push(format!(
             "--{flag}: not given; give {} (or set {})",
-            spec.shape,
+            spec.value_format,
             spec.variable()
         ));
         String::new()
     }
 
-    /// The value of setting `flag`, read as a `T`.
-    pub(crate) fn value<T>(&mut self, flag: &'static str, stand_in: T) -> T
+    /// Parses the value of setting `flag`; returns `placeholder` after a fault.
+    pub(crate) fn value<T>(&mut self, flag: &'static str, placeholder: T) -> T
     where
         T: FromStr,
         T::Err: Display,
@@ -71,21 +72,21 @@
         let faults_before = self.faults.len();
         let text = self.text(flag);
         if self.faults.len() > faults_before {
-            return stand_in;
+            return placeholder;
         }
         match text.parse() {
             Ok(value) => value,
-            Err(fault) => {
-                let shape = self.spec(flag).shape;
+            Err(error) => {
+                let value_format = self.spec(flag).value_format;
                 self.faults.push(format!(
-                    "--{flag}: \"{text}\" does not read as {shape}: {fault}"
+                    "--{flag}: \"{text}\" is not a valid {value_format}: {error}"
                 ));
-                stand_in
+                placeholder
             }
         }
     }
 
-    /// The value of an optional setting `flag`; `None` when it is not set.
+    /// Parses the value of optional setting `flag`; `None` when it is not set or invalid.
     pub(crate) fn optional_value<T>(&mut self, flag: &'static str) -> Option<T>
     where
         T: FromStr,
@@ -97,17 +98,17 @@
         }
         match text.parse() {
             Ok(value) => Some(value),
-            Err(fault) => {
-                let shape = self.spec(flag).shape;
+            Err(error) => {
+                let value_format = self.spec(flag).value_format;
                 self.faults.push(format!(
-                    "--{flag}: \"{text}\" does not read as {shape}: {fault}"
+                    "--{flag}: \"{text}\" is not a valid {value_format}: {error}"
                 ));
                 None
             }
         }
     }
 
-    /// A whole number within `range`.
+    /// Parses an integer; one outside of `range` is recorded as a fault.
     pub(crate) fn number(&mut self, flag: &'static str, range: RangeInclusive<u64>) -> u64 {
         let number = self.value(flag, *range.start());
         if !range.contains(&number) {
@@ -120,16 +121,16 @@
         number
     }
 
-    /// Adds a fault that concerns several settings together.
+    /// Records a fault that the caller found, for instance in a combination of settings.
     pub(crate) fn fault(&mut self, fault: String) {
         self.faults.push(fault);
     }
 
-    /// The value built from the settings, or every fault found.
+    /// Returns `settings` if no fault was recorded.
     ///
     /// # Errors
     ///
-    /// All faults, one line each.
+    /// All recorded faults.
     pub(crate) fn finish<T>(self, settings: T) -> Result<T, SettingsFaults> {
         if self.faults.is_empty() {
             Ok(settings)
@@ -140,6 +141,6 @@
 
     fn spec(&self, flag: &str) -> SettingSpec {
         let found = self.specs.iter().find(|spec| spec.flag == flag);
-        *found.expect("every setting that is read is listed in its program's specs")
+        *found.expect("every setting that is read is declared in the specs of its program")
     }
 }
--- a/src/settings/spec.rs
+++ b/src/settings/spec.rs
@@ -1,54 +1,54 @@
-//! What one setting is called, means and defaults to.
+//! Declaration of a setting: flag, format of its value, help text and default.
 
 use clap::{Arg, Command};
 use macro_rules_attribute::apply;
 
 use crate::derives::key;
 
-/// One setting. The environment variable is the flag in capitals behind `SAVORY_`.
+/// A setting. Its environment variable is `SAVORY_` followed by the flag in capitals.
 #[apply(key!)]
 pub(crate) struct SettingSpec {
-    /// The flag without its dashes, such as `caller-address`.
+    /// Flag without its leading dashes, such as `caller-address`.
     pub(crate) flag: &'static str,
-    /// What the value looks like, such as `IP:PORT`.
-    pub(crate) shape: &'static str,
-    /// One sentence for `--help`.
+    /// Format of the value, such as `IP:PORT`.
+    pub(crate) value_format: &'static str,
+    /// Description in `--help`.
     pub(crate) help: &'static str,
-    /// The value when none is given; `None` makes the setting required.
+    /// Value if none is given; `None` for a required setting.
     pub(crate) default: Option<&'static str>,
 }
 
 impl SettingSpec {
-    /// A setting that must be given.
+    /// A required setting.
     pub(crate) const fn required(
         flag: &'static str,
-        shape: &'static str,
+        value_format: &'static str,
         help: &'static str,
     ) -> Self {
         Self {
             flag,
-            shape,
+            value_format,
             help,
             default: None,
         }
     }
 
-    /// A setting with a default; an empty default means "not set".
+    /// An optional setting; an empty default means "not set".
     pub(crate) const fn optional(
         flag: &'static str,
-        shape: &'static str,
+        value_format: &'static str,
         default: &'static str,
         help: &'static str,
     ) -> Self {
         Self {
             flag,
-            shape,
+            value_format,
             help,
             default: Some(default),
         }
     }
 
-    /// The environment variable that sets it.
+    /// Name of the environment variable.
     pub(crate) fn variable(&self) -> String {
         format!("SAVORY_{}", self.flag.replace('-', "_").to_uppercase())
     }
@@ -56,7 +56,7 @@
     fn to_arg(self) -> Arg {
         let mut arg = Arg::new(self.flag)
             .long(self.flag)
-            .value_name(self.shape)
+            .value_name(self.value_format)
             .env(self.variable());
         arg = match self.default {
             Some("") => arg.help(self.help),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Adds every setting of `specs` to `command`.
+/// Adds the settings of `specs` to `command` as flags.
 pub(super) fn add_settings(command: Command, specs: &'static [SettingSpec]) -> Command {
     command.args(specs.iter().map(|spec| spec.to_arg()))
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,5 +1,5 @@
-//! All faults of the settings are told at once, each with the flag, what was given and what would
-//! do.
+//! All faults of the settings are reported at once, each with the flag, the given value and the
+//! expected one.
 
 use std::time::Duration;
 
@@ -22,14 +22,16 @@
 
 fn read(arguments: &[&str]) -> Result<CommonSettings, Vec<String>> {
     let command = SettingReader::command(Command::new("program"), SPECS);
-    let line = std::iter::once(&"program").chain(arguments);
-    let matches = command.try_get_matches_from(line).expect("the flags exist");
+    let command_line = std::iter::once(&"program").chain(arguments);
+    let matches = command
+        .try_get_matches_from(command_line)
+        .expect("the flags exist");
     let mut reader = SettingReader::new(matches, SPECS);
     let settings = CommonSettings::read(&mut reader);
     reader.finish(settings)
 }
 
-const WHOLE: &[&str] = &[
+const VALID_ARGUMENTS: &[&str] = &[
     "--host-name=entry-1",
     "--data-centre=cusco-hall-a",
     "--region=cusco",
@@ -39,23 +41,23 @@
 ];
 
 #[test]
-fn whole_settings_read_with_their_defaults() {
-    let settings = read(WHOLE).unwrap_or_else(|faults| panic!("{faults:?}"));
+fn valid_settings_are_parsed_with_their_defaults() {
+    let settings = read(VALID_ARGUMENTS).unwrap_or_else(|faults| panic!("{faults:?}"));
     assert_eq!(settings.host, "entry-1");
     assert_eq!(settings.platform_timeout, Duration::from_secs(1));
     assert_eq!(settings.traffic_threads, 2);
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
-    let mut line = WHOLE[1..5].to_vec();
-    line.extend([
+fn all_faults_are_reported_at_once() {
+    let mut arguments = VALID_ARGUMENTS[1..5].to_vec();
+    arguments.extend([
         "--platform-timeout-ms=soon",
         "--traffic-threads=0",
         "--list-address=here",
     ]);
-    let faults = read(&line).err().expect("five faults");
-    let told = |flag: &str| {
+    let faults = read(&arguments).err().expect("four faults");
+    let is_reported = |flag: &str| {
         faults
             .iter()
             .any(|fault| fault.starts_with(&format!("--{flag}: ")))
@@ -66,16 +68,16 @@
         "traffic-threads",
         "list-address",
     ] {
-        assert!(told(flag), "--{flag} is missing from {faults:?}");
+        assert!(is_reported(flag), "--{flag} is missing from {faults:?}");
     }
     assert_eq!(faults.len(), 4);
 }
 
 #[test]
-fn a_fault_names_what_was_given_and_what_would_do() {
-    let mut line = WHOLE.to_vec();
-    line[3] = "--peer-address=nowhere";
-    let faults = read(&line).err().expect("one fault");
+fn a_fault_states_the_given_value_and_the_expected_format() {
+    let mut arguments = VALID_ARGUMENTS.to_vec();
+    arguments[3] = "--peer-address=nowhere";
+    let faults = read(&arguments).err().expect("one fault");
     assert_eq!(faults.len(), 1);
     assert!(faults[0].contains("\"nowhere\""));
     assert!(faults[0].contains("IP:PORT"));
--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -1,4 +1,5 @@
-//! What tests of several folders share: randomised tests with the same verdict every time, and samples.
+//! Helpers for the unit tests of several folders: reproducible randomised tests, random JSON,
+//! corrupted input and samples.
 
 use std::net::SocketAddr;
 
@@ -10,32 +11,32 @@
 use crate::quarantine::{RequestDigest, RequestParts};
 
 /// Runs `property` on `cases` inputs of `size` random bytes each. The inputs are the same in every
-/// run; arbtest prints the seed of the one that fails. Its own search is bounded by time, which
-/// would let the same tree pass on a slow machine and fail on a fast one.
+/// run; arbtest prints the seed of a failing one. Its own search for inputs is limited by time, so
+/// that the same code could pass on a slow machine and fail on a fast one.
 pub(crate) fn run_cases(
     cases: u32,
     size: u32,
     mut property: impl FnMut(&mut Unstructured<'_>) -> Result<()>,
 ) {
     for case in 1..=cases {
-        // Spreads the case numbers over the whole seed; odd, so that no two cases meet.
+        // Spreads the case numbers over the seed's range; the odd factor keeps the seeds distinct.
         let spread = case.wrapping_mul(0x9e37_79b1);
         let seed = (u64::from(spread) << u32::BITS) | u64::from(size);
         arbtest(&mut property).seed(seed).run();
     }
 }
 
-/// How deep JSON that is made up is nested.
+/// Largest nesting depth of random JSON.
 const JSON_DEPTH: usize = 3;
-/// How long texts and lists get.
+/// Largest length of random texts and of repeated texts and lists.
 const JSON_LENGTH: usize = 600;
 
-/// Any JSON.
+/// Generates a random JSON value.
 pub(crate) fn arbitrary_json(u: &mut Unstructured<'_>) -> Result<Value> {
-    json_below(u, JSON_DEPTH)
+    json_up_to_depth(u, JSON_DEPTH)
 }
 
-fn json_below(u: &mut Unstructured<'_>, depth: usize) -> Result<Value> {
+fn json_up_to_depth(u: &mut Unstructured<'_>, depth: usize) -> Result<Value> {
     let kinds = if depth == 0 { 7 } else { 9 };
     Ok(match u.int_in_range(0..=kinds)? {
         0 => Value::Null,
@@ -46,19 +47,21 @@
         5 => json!(*u.choose(&["", "0", "null", "x", "-1", "\u{0}\n", "é"])?),
         6 => json!("x".repeat(u.int_in_range(0..=JSON_LENGTH)?)),
         7 => json!(u.arbitrary::<String>()?),
-        8 => Value::Array(vec![json_below(u, depth - 1)?; u.int_in_range(0..=3)?]),
+        8 => Value::Array(vec![
+            json_up_to_depth(u, depth - 1)?;
+            u.int_in_range(0..=3)?
+        ]),
         _ => {
             let mut fields = Map::new();
             for _ in 0..u.int_in_range(0..=3)? {
-                fields.insert(u.arbitrary()?, json_below(u, depth - 1)?);
+                fields.insert(u.arbitrary()?, json_up_to_depth(u, depth - 1)?);
             }
             Value::Object(fields)
         }
     })
 }
 
-/// Takes a field away, puts something else in its place, makes it longer or nests it, somewhere in
-/// `value`.
+/// Removes, replaces, lengthens or nests a random field of `value`.
 pub(crate) fn mutate_json(u: &mut Unstructured<'_>, value: &mut Value) -> Result<()> {
     let keys: Vec<String> = match value {
         Value::Object(fields) => fields.keys().cloned().collect(),
@@ -69,7 +72,7 @@
         _ => Vec::new(),
     };
     if keys.is_empty() || u.ratio(1, 20)? {
-        return change_json(u, value);
+        return replace_json(u, value);
     }
     let key = u.choose(&keys)?;
     if u.ratio(1, 4)? {
@@ -82,10 +85,10 @@
     if (field.is_object() || field.is_array()) && u.ratio(3, 4)? {
         return mutate_json(u, field);
     }
-    change_json(u, field)
+    replace_json(u, field)
 }
 
-fn change_json(u: &mut Unstructured<'_>, value: &mut Value) -> Result<()> {
+fn replace_json(u: &mut Unstructured<'_>, value: &mut Value) -> Result<()> {
     *value = match (u.int_in_range(0..=3)?, &*value) {
         (0, Value::String(text)) => json!(text.repeat(JSON_LENGTH)),
         (0, Value::Array(items)) if !items.is_empty() => {
@@ -99,10 +102,11 @@
     Ok(())
 }
 
-/// Cuts `bytes` off, writes over some of them, or puts heads of very long lists and texts among them.
+/// Truncates `bytes`, overwrites some of them, or inserts headers of very long lists and texts.
 pub(crate) fn corrupt_bytes(u: &mut Unstructured<'_>, bytes: &mut Vec<u8>) -> Result<()> {
-    /// Heads of `MessagePack`: a list, a map, a text and bytes of four billion, nested lists.
-    const HEADS: [&[u8]; 5] = [
+    /// `MessagePack` headers of a list, a map, a text and a byte string with a length of four
+    /// billion each, and of nested lists.
+    const HEADERS: [&[u8]; 5] = [
         &[0xdd, 0xff, 0xff, 0xff, 0xff],
         &[0xdf, 0xff, 0xff, 0xff, 0xff],
         &[0xdb, 0xff, 0xff, 0xff, 0xff],
@@ -114,13 +118,13 @@
         match u.int_in_range(0..=3)? {
             0 => bytes.truncate(at),
             1 => {
-                let head = u.choose(&HEADS)?;
-                bytes.splice(at..at, head.iter().copied());
+                let header = u.choose(&HEADERS)?;
+                bytes.splice(at..at, header.iter().copied());
             }
             2 => {
-                let head = u.choose(&HEADS)?;
-                let end = bytes.len().min(at + head.len());
-                bytes.splice(at..end, head.iter().copied());
+                let header = u.choose(&HEADERS)?;
+                let end = bytes.len().min(at + header.len());
+                bytes.splice(at..end, header.iter().copied());
             }
             _ => {
                 if let Some(byte) = bytes.get_mut(at) {
@@ -132,7 +136,7 @@
     Ok(())
 }
 
-/// The digest of a request that differs from others in its body only.
+/// Digest of a request in which only the body varies.
 pub(crate) fn digest_of(body: &[u8]) -> RequestDigest {
     RequestDigest::of(RequestParts {
         host: "h",
@@ -142,9 +146,9 @@
     })
 }
 
-/// A loopback address at which nobody listens.
+/// Returns a loopback address without a listener.
 pub(crate) async fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await;
     let address = listener.expect("a free port").local_addr();
-    address.expect("it is bound")
+    address.expect("the listener is bound")
 }
--- a/src/time/mod.rs
+++ b/src/time/mod.rs
@@ -1,6 +1,7 @@
-//! The two clocks. Decisions take [`ClockTime`], which never goes back and is passed in as an
-//! argument, so that a test can drive years of them in a second. [`WallTime`] is only compared
-//! with times that callers or other hosts wrote down, and always with a margin.
+//! Clocks and their time types. Decisions use the monotonic [`ClockTime`], passed as an argument,
+//! so that tests can simulate long spans instantly. [`WallTime`] is only compared with times that
+//! were written by callers or other hosts, and always with a margin. [`StoreTime`] is the clock of
+//! the platform's store.
 
 use std::ops::{Add, Sub};
 use std::sync::OnceLock;
@@ -10,19 +11,20 @@
 
 use crate::derives::{key, message};
 
-/// Microseconds on this process's monotonic clock. Keeps running while the process is stopped.
+/// Microseconds on the monotonic clock of this process. The clock advances while the process is
+/// paused.
 #[apply(key!)]
 #[derive(Default)]
 pub struct ClockTime(pub u64);
 
 impl ClockTime {
-    /// The time `millis` milliseconds after the clock's zero.
+    /// Time at `millis` milliseconds after zero.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
 
-    /// How long ago `earlier` was; zero when `earlier` lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -45,23 +47,25 @@
     }
 }
 
-/// Milliseconds since the Unix epoch. May jump; hosts differ by up to a few seconds.
+/// Milliseconds since the Unix epoch. The clock may jump, and the clocks of hosts differ by up to a
+/// few seconds.
 #[apply(message!)]
 #[derive(Copy, Eq, PartialOrd, Ord, Default)]
 pub struct WallTime(pub u64);
 
-/// Microseconds on the store's clock, which runs steadily and is the same for all processes.
+/// Microseconds on the clock of the platform's store, which advances steadily and is the same for
+/// all processes.
 #[apply(message!)]
 #[derive(Copy, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct StoreTime(pub(crate) u64);
 
 impl StoreTime {
-    /// The time `millis` milliseconds after the clock's zero.
+    /// Time at `millis` milliseconds after zero.
     pub(crate) const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1000))
     }
 
-    /// How long ago `earlier` was; zero when `earlier` lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub(crate) const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -83,21 +87,24 @@
     }
 }
 
-/// What the monotonic clock shows when the process starts.
+/// Reading of the monotonic clock at the start of the process.
 ///
-/// A process that starts is told of things that happened before. With a clock that begins at zero all
-/// of them would seem to have happened at the start: older weights were served on behind their bound.
+/// A starting process receives times of events before its start. With a clock that starts at zero,
+/// all of them would be clamped to the start of the process, and previous versions of weights were
+/// served past their deadline.
 const CLOCK_START: Duration = Duration::from_hours(24);
 
-/// Reads the monotonic clock. Only the edges of a process call this.
+/// Reads the monotonic clock. Only code that performs I/O calls this; decisions get the time as an
+/// argument.
 #[must_use]
 pub(crate) fn clock_now() -> ClockTime {
     static START: OnceLock<Instant> = OnceLock::new();
-    let running = START.get_or_init(Instant::now).elapsed();
-    ClockTime(micros(CLOCK_START + running))
+    let uptime = START.get_or_init(Instant::now).elapsed();
+    ClockTime(micros(CLOCK_START + uptime))
 }
 
-/// Reads the wall clock. Only the edges of a process call this.
+/// Reads the wall clock. Only code that performs I/O calls this; decisions get the time as an
+/// argument.
 #[must_use]
 pub(crate) fn wall_now() -> WallTime {
     let since_epoch = SystemTime::now()
