--- a/tests/catalogues.rs
+++ b/tests/catalogues.rs
@@ -1,4 +1,4 @@
-//! The catalogues in `docs/` say what the code says.
+//! The catalogues of errors and events in `docs/` match the code.
 
 use std::fs;
 
@@ -6,7 +6,7 @@
 
 fn page(name: &str) -> String {
     let path = format!("{}/docs/{name}", env!("CARGO_MANIFEST_DIR"));
-    fs::read_to_string(&path).expect("the page is there")
+    fs::read_to_string(&path).expect("the page is readable")
 }
 
 fn table_rows(page: &str, first_column: impl Fn(&str) -> bool) -> Vec<&str> {
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn error_codes_are_the_kinds_names() {
+fn error_codes_equal_the_names_of_their_kinds() {
     for kind in ErrorKind::ALL {
-        let name = serde_json::to_value(kind).expect("a kind is a plain name");
+        let name = serde_json::to_value(kind).expect("a kind serialises to its name");
         assert_eq!(name, error_spec(kind).code);
     }
 }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn event_numbers_are_told_apart() {
+fn event_numbers_are_unique() {
     let events = catalogue();
     assert!(
         events
--- a/tests/command_lines.rs
+++ b/tests/command_lines.rs
@@ -1,4 +1,4 @@
-//! What an operator sees who starts a program in the wrong way.
+//! Messages and exit codes of the programs for missing, invalid and unknown settings.
 
 use std::process::{Command, Output};
 
@@ -31,19 +31,19 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn entry_arguments<'a>(more: &[&'a str]) -> Vec<&'a str> {
-    let own = [
+fn entry_arguments<'a>(extra: &[&'a str]) -> Vec<&'a str> {
+    let entry_only = [
         "--caller-address=127.0.0.1:0",
         "--admin-address=127.0.0.1:0",
     ];
-    [COMMON, &own, more].concat()
+    [COMMON, &entry_only, extra].concat()
 }
 
 const DIGEST: &str =
     "--operator-key-digest=af1349b9f5f9a1a6a0404dea36dcc9499bcb25c9adc112b7cc9a93cae41f3262";
 
 #[test]
-fn missing_settings_are_told_all_at_once() {
+fn all_missing_settings_are_reported_at_once() {
     for (program, flags) in [
         (
             ENTRY,
@@ -61,16 +61,16 @@
         let text = error_text(&output);
         for flag in flags {
             let variable = format!("SAVORY_{}", flag.replace('-', "_").to_uppercase());
-            let told = text.lines().any(|line| {
+            let is_reported = text.lines().any(|line| {
                 line.contains(&format!("--{flag}: not given")) && line.contains(&variable)
             });
-            assert!(told, "{flag} in:\n{text}");
+            assert!(is_reported, "{flag} in:\n{text}");
         }
     }
 }
 
 #[test]
-fn wrong_values_are_told_all_at_once_with_what_was_given() {
+fn all_invalid_values_are_reported_at_once_with_the_given_value() {
     let arguments = [
         "--host-name=no name",
         "--peer-address=nowhere",
@@ -79,27 +79,27 @@
     let output = run(ENTRY, &arguments);
     assert!(!output.status.success());
     let text = error_text(&output);
-    for wanted in [
+    for expected in [
         "--host-name: \"no name\"",
         "--peer-address: \"nowhere\"",
         "--leave-linger-ms: \"-1\"",
     ] {
-        assert!(text.contains(wanted), "{wanted} in:\n{text}");
+        assert!(text.contains(expected), "{expected} in:\n{text}");
     }
 }
 
 #[test]
-fn check_settings_says_whether_they_hold_and_starts_nothing() {
-    let good = run(ENTRY, &entry_arguments(&[DIGEST, "--check-settings"]));
-    assert!(good.status.success(), "{}", error_text(&good));
-    let short = entry_arguments(&["--operator-key-digest=abc", "--check-settings"]);
-    let bad = run(ENTRY, &short);
-    assert!(!bad.status.success());
-    assert!(error_text(&bad).contains("--operator-key-digest"));
+fn check_settings_reports_whether_the_settings_are_valid() {
+    let valid = run(ENTRY, &entry_arguments(&[DIGEST, "--check-settings"]));
+    assert!(valid.status.success(), "{}", error_text(&valid));
+    let short_digest = entry_arguments(&["--operator-key-digest=abc", "--check-settings"]);
+    let invalid = run(ENTRY, &short_digest);
+    assert!(!invalid.status.success());
+    assert!(error_text(&invalid).contains("--operator-key-digest"));
 }
 
 #[test]
-fn settings_come_from_the_environment_too() {
+fn settings_are_read_from_the_environment() {
     let output = Command::new(ENTRY)
         .args(entry_arguments(&["--check-settings"]))
         .env(
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn wrong_flag_is_named() {
+fn an_unknown_flag_is_named() {
     for program in [ENTRY, HOST, LAB, OPERATOR] {
         let output = run(program, &["--no-such-flag"]);
         assert_eq!(output.status.code(), Some(2));
--- a/tests/early_signals.rs
+++ b/tests/early_signals.rs
@@ -1,4 +1,4 @@
-//! Signals that reach a program before it has done anything else.
+//! Stop signals that reach a program while it reads its settings still stop it gracefully.
 
 use std::fs::{self, File};
 use std::io::Write;
@@ -10,8 +10,8 @@
 use nix::unistd::Pid;
 
 /// Longer than a start and a stop take on a busy machine.
-const STOPPED_WITHIN: Duration = Duration::from_mins(1);
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const STOP_TIMEOUT: Duration = Duration::from_mins(1);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 const HOST_SETTINGS: &str = r#"
 node_name = "host-1"
@@ -39,7 +39,8 @@
 address = "127.0.0.1:1"
 "#;
 
-/// A named pipe in place of the settings file: the program waits in it until the test writes.
+/// A named pipe in place of the settings file: the program blocks on reading it until the test
+/// writes.
 struct SettingsPipe {
     folder: PathBuf,
     path: PathBuf,
@@ -50,8 +51,8 @@
         let folder = std::env::temp_dir().join(format!("savory-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a temporary folder");
         let path = folder.join("settings.toml");
-        let made = Command::new("mkfifo").arg(&path).status();
-        assert!(made.expect("mkfifo starts").success());
+        let status = Command::new("mkfifo").arg(&path).status();
+        assert!(status.expect("mkfifo starts").success());
         Self { folder, path }
     }
 }
@@ -72,40 +73,42 @@
         .expect("the program starts")
 }
 
-fn stops_gracefully_when_told_at_its_start(program: &str, name: &str, settings: &str) {
+fn assert_graceful_stop_during_start(program: &str, name: &str, settings: &str) {
     let pipe = SettingsPipe::new(name);
     let mut child = start(program, &pipe.path);
-    // Opens once the program has opened the other end.
+    // Blocks until the program has opened the pipe for reading.
     let mut writer = File::create(&pipe.path).expect("the pipe opens");
-    let id = Pid::from_raw(i32::try_from(child.id()).expect("an id"));
-    kill(id, Signal::SIGTERM).expect("the program is there");
-    // A program that the signal has ended reads no longer.
+    let id = Pid::from_raw(i32::try_from(child.id()).expect("a process id"));
+    kill(id, Signal::SIGTERM).expect("the program is running");
+    // The write fails if the signal has killed the program; the exit status is checked below.
     let _ = writer.write_all(settings.as_bytes());
     drop(writer);
-    let begun = Instant::now();
-    let ended = loop {
-        if let Some(ended) = child.try_wait().expect("the program's end") {
-            break ended;
+    let started = Instant::now();
+    let status = loop {
+        if let Some(status) = child.try_wait().expect("the program's status") {
+            break status;
         }
-        if begun.elapsed() > STOPPED_WITHIN {
-            child.kill().expect("the program is there");
-            panic!("{name} goes on after SIGTERM");
+        if started.elapsed() > STOP_TIMEOUT {
+            child.kill().expect("the program is running");
+            panic!("{name} still runs after SIGTERM");
         }
-        std::thread::sleep(LOOK_PAUSE);
+        std::thread::sleep(CHECK_INTERVAL);
     };
-    assert!(ended.success(), "{name}: {ended}");
+    assert!(status.success(), "{name}: {status}");
 }
 
-/// Guards against an end by SIGTERM itself, without a graceful stop, before a handler stands.
+/// Guards against a process that is killed by SIGTERM, without a graceful stop, because no handler
+/// is installed yet.
 #[test]
-fn a_host_told_to_stop_at_its_start_stops_gracefully() {
+fn a_host_stopped_during_its_start_stops_gracefully() {
     let program = env!("CARGO_BIN_EXE_savory-host");
-    stops_gracefully_when_told_at_its_start(program, "host", HOST_SETTINGS);
+    assert_graceful_stop_during_start(program, "host", HOST_SETTINGS);
 }
 
-/// Guards against an end by SIGTERM itself, without a graceful stop, before a handler stands.
+/// Guards against a process that is killed by SIGTERM, without a graceful stop, because no handler
+/// is installed yet.
 #[test]
-fn an_entry_host_told_to_stop_at_its_start_stops_gracefully() {
+fn an_entry_host_stopped_during_its_start_stops_gracefully() {
     let program = env!("CARGO_BIN_EXE_savory-entry");
-    stops_gracefully_when_told_at_its_start(program, "entry", ENTRY_SETTINGS);
+    assert_graceful_stop_during_start(program, "entry", ENTRY_SETTINGS);
 }
--- a/tests/operator_commands.rs
+++ b/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! `savoryctl` as a new user meets it: what it says, and with which exit code.
+//! Output and exit codes of `savoryctl`.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -8,26 +8,30 @@
     for variable in ["SAVORY_ADMIN_ADDRESS", "SAVORY_KEY_FILE"] {
         command.env_remove(variable);
     }
-    command.args(arguments).output().expect("it starts")
+    command.args(arguments).output().expect("savoryctl starts")
 }
 
-fn code(output: &Output) -> Option<i32> {
+fn exit_code(output: &Output) -> Option<i32> {
     output.status.code()
 }
 
-fn errors(output: &Output) -> String {
+fn error_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn in_crate(name: &str) -> String {
+fn path_in_crate(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(name);
     path.to_string_lossy().into_owned()
 }
 
 #[test]
-fn a_good_document_passes_the_check() {
-    let output = savoryctl(&["document", "check", &in_crate("samples/skupno/nadzor.json")]);
-    assert_eq!(code(&output), Some(0), "{}", errors(&output));
+fn a_valid_document_passes_the_check() {
+    let output = savoryctl(&[
+        "document",
+        "check",
+        &path_in_crate("samples/skupno/nadzor.json"),
+    ]);
+    assert_eq!(exit_code(&output), Some(0), "{}", error_text(&output));
     assert_eq!(
         String::from_utf8_lossy(&output.stdout),
         "nadzor: no faults\n"
@@ -35,53 +39,57 @@
 }
 
 #[test]
-fn what_is_no_document_fails_the_check() {
-    let output = savoryctl(&["document", "check", &in_crate("Cargo.toml")]);
-    assert_eq!(code(&output), Some(1));
+fn a_file_other_than_a_document_fails_the_check() {
+    let output = savoryctl(&["document", "check", &path_in_crate("Cargo.toml")]);
+    assert_eq!(exit_code(&output), Some(1));
     assert!(
-        errors(&output).contains("a JSON object"),
+        error_text(&output).contains("a JSON object"),
         "{}",
-        errors(&output)
+        error_text(&output)
     );
 }
 
 #[test]
-fn a_missing_setting_is_named_with_its_variable() {
+fn a_missing_setting_is_reported_with_flag_and_variable() {
     let output = savoryctl(&["state"]);
-    assert_eq!(code(&output), Some(2));
-    let text = errors(&output);
+    assert_eq!(exit_code(&output), Some(2));
+    let text = error_text(&output);
     assert!(text.contains("--admin-address"), "{text}");
     assert!(text.contains("SAVORY_ADMIN_ADDRESS"), "{text}");
 }
 
 #[test]
-fn a_wrong_address_is_told_with_what_was_given() {
+fn an_invalid_address_is_reported_with_the_given_value() {
     let output = savoryctl(&["--admin-address", "lima", "state"]);
-    assert_eq!(code(&output), Some(2));
-    assert!(errors(&output).contains("\"lima\""), "{}", errors(&output));
+    assert_eq!(exit_code(&output), Some(2));
+    assert!(
+        error_text(&output).contains("\"lima\""),
+        "{}",
+        error_text(&output)
+    );
 }
 
 #[test]
-fn a_put_without_the_replaced_version_is_wrong_use() {
+fn a_put_without_the_replaced_version_is_a_usage_error() {
     let output = savoryctl(&["document", "put", "any.json"]);
-    assert_eq!(code(&output), Some(2));
-    assert!(errors(&output).contains("--replaces"));
+    assert_eq!(exit_code(&output), Some(2));
+    assert!(error_text(&output).contains("--replaces"));
 }
 
 #[test]
-fn a_file_without_a_key_is_refused_before_anything_is_sent() {
+fn a_file_without_a_key_is_rejected_before_a_request_is_sent() {
     let output = savoryctl(&[
         "--admin-address",
         "127.0.0.1:9",
         "--key-file",
-        &in_crate("samples/skupno/nadzor.json"),
+        &path_in_crate("samples/skupno/nadzor.json"),
         "state",
     ]);
-    assert_eq!(code(&output), Some(2));
+    assert_eq!(exit_code(&output), Some(2));
     assert!(
-        errors(&output).contains("holds no key"),
+        error_text(&output).contains("holds no key"),
         "{}",
-        errors(&output)
+        error_text(&output)
     );
 }
 
@@ -105,7 +113,7 @@
         let mut arguments = command.to_vec();
         arguments.push("--help");
         let output = savoryctl(&arguments);
-        assert_eq!(code(&output), Some(0), "{command:?}");
+        assert_eq!(exit_code(&output), Some(0), "{command:?}");
         let text = String::from_utf8_lossy(&output.stdout);
         assert!(text.contains("Example: savoryctl"), "{command:?}: {text}");
     }
--- a/tests/frozen_entry.rs
+++ b/tests/paused_entry_host.rs
@@ -1,4 +1,4 @@
-//! An entry host's process that stands still while streams are under way.
+//! Streams in flight survive a pause of their entry host's process.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -19,25 +19,27 @@
 const STREAMS: usize = 40;
 const EVENTS: usize = 80;
 const EVENT_PAUSE: Duration = Duration::from_millis(50);
-/// Longer than a backend server may be silent, shorter than a client's patience.
-const FROZEN_SPAN: Duration = Duration::from_millis(1300);
-const BEGUN_SPAN: Duration = Duration::from_millis(700);
-const READY_WITHIN: Duration = Duration::from_secs(30);
-const READ_WITHIN: Duration = Duration::from_secs(10);
+/// Longer than the time-out of an unresponsive backend server, shorter than that of a client.
+const PAUSE_SPAN: Duration = Duration::from_millis(1300);
+/// Time from the start of the streams to the pause.
+const STREAMING_SPAN: Duration = Duration::from_millis(700);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers each request on its own thread until the connection closes.
+/// Starts a server that handles each connection on its own thread, with `respond` for each request,
+/// and returns its address.
 fn serve(
-    answer: impl Fn(&str, &mut TcpStream) -> Option<()> + Send + Sync + 'static,
+    respond: impl Fn(&str, &mut TcpStream) -> Option<()> + Send + Sync + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
-    let answer = Arc::new(answer);
+    let address = listener.local_addr().expect("the listener is bound");
+    let respond = Arc::new(respond);
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let answer = answer.clone();
+            let respond = respond.clone();
             thread::spawn(move || {
                 while let Some(head) = read_request(&mut stream) {
-                    answer(&head, &mut stream)?;
+                    respond(&head, &mut stream)?;
                 }
                 Some(())
             });
@@ -46,13 +48,13 @@
     address
 }
 
-/// The head of the next request, once its body was read as well.
+/// Reads the next request with its body and returns its text.
 fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut buffer = [0; 4096];
     loop {
         if let Some(end) = text.find("\r\n\r\n") {
-            let length = field(&text, "content-length").and_then(|text| text.parse().ok());
+            let length = header(&text, "content-length").and_then(|text| text.parse().ok());
             if text.len() >= end + 4 + length.unwrap_or(0) {
                 return Some(text);
             }
@@ -62,14 +64,14 @@
     }
 }
 
-fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         let (found, value) = line.split_once(':')?;
         found.eq_ignore_ascii_case(name).then(|| value.trim())
     })
 }
 
-/// A store in which nothing changes.
+/// Starts a store whose content never changes.
 fn start_store(backends: &[SocketAddr]) -> SocketAddr {
     let route = json!({
         "name": "talk", "host": "desk.example", "prefix": "/talk/", "kind": "streaming",
@@ -87,7 +89,7 @@
         row(&format!("i-{at}"), &facts)
     });
     let servers: Vec<Value> = servers.collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     serve(move |head, stream| {
         let rows = if head.contains("/v1/rows-feed") {
             thread::sleep(Duration::from_millis(500));
@@ -99,25 +101,26 @@
         } else {
             &[][..]
         };
-        let now = u64::try_from(begun.elapsed().as_millis()).unwrap_or(0) + 1_000;
+        let now = u64::try_from(started.elapsed().as_millis()).unwrap_or(0) + 1_000;
         let body = json!({ "rows": rows, "truncated": false, "ver": 1, "now_ms": now }).to_string();
         let length = body.len();
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}");
-        stream.write_all(answer.as_bytes()).ok()
+        let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}");
+        stream.write_all(response.as_bytes()).ok()
     })
 }
 
-/// A backend server that answers with a stream of events, behind the last that the client has.
+/// Starts a backend server that responds with a stream of events, from the one after the last event
+/// that the client has received. `arrivals` counts the requests.
 fn start_backend(arrivals: Arc<AtomicUsize>) -> SocketAddr {
     serve(move |head, stream| {
         arrivals.fetch_add(1, Ordering::Relaxed);
-        let attempt = field(head, "savoryswitch-attempt-id").unwrap_or_default();
-        let last = field(head, "last-event-id").and_then(|text| text.parse().ok());
-        let begin = format!(
+        let attempt = header(head, "savoryswitch-attempt-id").unwrap_or_default();
+        let last = header(head, "last-event-id").and_then(|text| text.parse().ok());
+        let response_head = format!(
             "HTTP/1.1 200 OK\r\nsavoryswitch-attempt-id: {attempt}\r\n\
              content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
         );
-        stream.write_all(begin.as_bytes()).ok()?;
+        stream.write_all(response_head.as_bytes()).ok()?;
         for id in last.unwrap_or(0) + 1..=EVENTS {
             let event = format!("id: {id}\ndata: part {id}\n\n");
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
@@ -128,16 +131,16 @@
     })
 }
 
-/// An entry host's process; it goes with the test.
+/// The process of an entry host, killed at the end of the test.
 struct EntryProcess {
     child: Child,
     folder: PathBuf,
-    callers: SocketAddr,
+    caller_address: SocketAddr,
 }
 
 impl EntryProcess {
     fn start(store: SocketAddr) -> Self {
-        let name = format!("savory-frozen-entry-{}", std::process::id());
+        let name = format!("savory-paused-entry-{}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder).expect("a temporary folder");
         let path = folder.join("settings.toml");
@@ -153,83 +156,91 @@
             .env("SAVORYSWITCH_CONFIG", &path)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        let output = child.stdout.take().expect("it is piped");
+            .expect("the entry host starts");
+        let output = child.stdout.take().expect("standard output is piped");
         let mut lines = BufReader::new(output).lines().map_while(Result::ok);
-        let callers = lines.find_map(|line| line.split_once("callers=")?.1.trim().parse().ok());
-        // What it prints later is read as well, or the pipe would be full.
+        let caller_address =
+            lines.find_map(|line| line.split_once("callers=")?.1.trim().parse().ok());
+        // Reads the remaining output too, so that the pipe does not fill up.
         thread::spawn(move || lines.for_each(|line| eprintln!("{line}")));
         Self {
             child,
             folder,
-            callers: callers.expect("it listens"),
+            caller_address: caller_address.expect("it logs its address"),
         }
     }
 
     fn signal(&self, signal: Signal) {
-        let id = i32::try_from(self.child.id()).expect("an id");
-        kill(Pid::from_raw(id), signal).expect("it lives");
+        let id = i32::try_from(self.child.id()).expect("a process id");
+        kill(Pid::from_raw(id), signal).expect("the entry host runs");
     }
 
-    /// All that comes back for a request, until the end of its answer or of the connection.
-    fn ask(&self, number: usize) -> String {
-        let mut stream = TcpStream::connect(self.callers).expect("it listens");
+    /// Sends a request and returns the response up to its end or to the end of the connection.
+    fn request(&self, number: usize) -> String {
+        let mut stream = TcpStream::connect(self.caller_address).expect("the entry host listens");
         stream
-            .set_read_timeout(Some(READ_WITHIN))
+            .set_read_timeout(Some(READ_TIMEOUT))
             .expect("a time limit");
         let text = format!(
             "POST /talk/x HTTP/1.1\r\nhost: desk.example\r\nsavoryswitch-attempt-id: a{number}\r\n\
              savoryswitch-deadline-ms: 30000\r\ncontent-length: 4\r\n\r\nbody"
         );
-        stream.write_all(text.as_bytes()).expect("it reads");
-        let mut answer = String::new();
+        stream
+            .write_all(text.as_bytes())
+            .expect("the request is sent");
+        let mut reply = String::new();
         let mut buffer = [0; 4096];
-        while !answer.ends_with("\r\n0\r\n\r\n") && !answer.starts_with("HTTP/1.1 5") {
+        while !reply.ends_with("\r\n0\r\n\r\n") && !reply.starts_with("HTTP/1.1 5") {
             match stream.read(&mut buffer) {
-                Ok(read) if read > 0 => answer.push_str(&String::from_utf8_lossy(&buffer[..read])),
+                Ok(read) if read > 0 => reply.push_str(&String::from_utf8_lossy(&buffer[..read])),
                 _ => break,
             }
         }
-        answer
+        reply
     }
 }
 
 impl Drop for EntryProcess {
     fn drop(&mut self) {
-        // What is left over harms nobody.
+        // Clean-up is best effort.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Guards against streams that are all taken for silent, and cut or sent anew, when the process goes on
-/// behind a standstill and looks at its timers before its sockets.
+/// Guards against streams that all count as unresponsive, and are cut or sent again, because the
+/// process checks its timers before its sockets after a pause.
 #[test]
-fn streams_outlast_a_standstill_of_their_entry_host() {
+fn streams_survive_a_pause_of_their_entry_host() {
     let arrivals = Arc::new(AtomicUsize::new(0));
     let backends = [(); 2].map(|()| start_backend(arrivals.clone()));
     let entry = EntryProcess::start(start_store(&backends));
-    let begun = Instant::now();
-    while !entry.ask(0).starts_with("HTTP/1.1 200") {
-        assert!(begun.elapsed() < READY_WITHIN, "it does not serve");
+    let started = Instant::now();
+    while !entry.request(0).starts_with("HTTP/1.1 200") {
+        assert!(
+            started.elapsed() < READY_TIMEOUT,
+            "the entry host does not serve"
+        );
         thread::sleep(Duration::from_millis(50));
     }
     arrivals.store(0, Ordering::Relaxed);
-    let answers: Vec<String> = thread::scope(|scope| {
+    let responses: Vec<String> = thread::scope(|scope| {
         let entry = &entry;
-        let asks = (1..=STREAMS).map(|number| scope.spawn(move || entry.ask(number)));
-        let asks: Vec<_> = asks.collect();
-        thread::sleep(BEGUN_SPAN);
+        let requests = (1..=STREAMS).map(|number| scope.spawn(move || entry.request(number)));
+        let requests: Vec<_> = requests.collect();
+        thread::sleep(STREAMING_SPAN);
         entry.signal(Signal::SIGSTOP);
-        thread::sleep(FROZEN_SPAN);
+        thread::sleep(PAUSE_SPAN);
         entry.signal(Signal::SIGCONT);
-        let answers = asks.into_iter().map(thread::ScopedJoinHandle::join);
-        answers.map(|answer| answer.expect("it ends")).collect()
+        let responses = requests.into_iter().map(thread::ScopedJoinHandle::join);
+        responses
+            .map(|response| response.expect("the request ends"))
+            .collect()
     });
     let last = format!("data: part {EVENTS}\n\n");
-    let whole = answers.iter().filter(|answer| answer.contains(&last));
-    assert_eq!(whole.count(), STREAMS, "all streams are whole");
+    let complete = responses.iter().filter(|response| response.contains(&last));
+    assert_eq!(complete.count(), STREAMS, "all streams are complete");
     let arrived = arrivals.load(Ordering::Relaxed);
-    assert_eq!(arrived, STREAMS, "no stream was sent anew");
+    assert_eq!(arrived, STREAMS, "no stream was sent again");
 }
--- a/tests/platform_soak.rs
+++ b/tests/platform_soak.rs
@@ -1,12 +1,13 @@
-//! Short runs of the fault soak: the daemons as they run on the users' platform, as processes, disturbed by
-//! one wave of faults. What is asserted is the verdict, and that the checks had calls to look at.
+//! Short runs of the fault soak: the daemons run as processes as on the users' platform, and one
+//! wave of faults is injected. The tests assert the verdict and that each check covered some calls.
 
 use std::process::Command;
 
 use serde_json::Value;
 
-/// Runs one wave of `seed` with the further arguments `more`; each of `checks` must have looked at calls.
-fn assert_promises_hold(seed: &str, more: &[&str], checks: &[&str]) {
+/// Runs one wave of faults drawn from `seed`, with the additional arguments `extra`, and asserts
+/// that no check failed and that each of `checks` covered at least one call.
+fn assert_guarantees_hold(seed: &str, extra: &[&str], checks: &[&str]) {
     let output = Command::new(env!("CARGO_BIN_EXE_savory-lab"))
         .args([
             "platform-soak",
@@ -16,16 +17,16 @@
             "--seed",
             seed,
         ])
-        .args(more)
+        .args(extra)
         .output()
         .expect("the lab starts");
-    let told = String::from_utf8_lossy(&output.stderr);
+    let errors = String::from_utf8_lossy(&output.stderr);
     let report: Value = serde_json::from_slice(&output.stdout).expect("the report is JSON");
-    assert!(output.status.success(), "{report:#}\n{told}");
+    assert!(output.status.success(), "{report:#}\n{errors}");
     assert_eq!(report["verdict"], "held");
     for check in checks {
         let count = report["counts"][check].as_u64();
-        assert!(count > Some(0), "{check} looked at nothing: {report:#}");
+        assert!(count > Some(0), "{check} covered no calls: {report:#}");
     }
 }
 
@@ -39,12 +40,12 @@
 ];
 
 #[test]
-fn promises_hold_through_a_wave_of_faults() {
-    assert_promises_hold("2", &[], &CHECKS);
+fn guarantees_hold_through_a_wave_of_faults() {
+    assert_guarantees_hold("2", &[], &CHECKS);
 }
 
-/// Guards against answers that end unfinished around planned work while engines pause.
+/// Guards against responses that are truncated around planned work while engines are paused.
 #[test]
-fn promises_hold_while_engines_pause() {
-    assert_promises_hold("2", &["--loaded-engines"], &CHECKS);
+fn guarantees_hold_while_engines_pause() {
+    assert_guarantees_hold("2", &["--loaded-engines"], &CHECKS);
 }
