--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -27,9 +27,9 @@
 }
 
 impl DrainState {
-    /// Creates a state without a stop. A stop lasts at least `min_duration`, so that senders and
-    /// the load balancer notice it while requests are still served. After that it waits at most
-    /// `max_wait` for requests in flight.
+    /// Creates the state of a running process. A stop lasts at least `min_duration`, so that
+    /// senders and the load balancer notice it while requests are still served. After that it waits
+    /// at most `max_wait` for requests in flight.
     pub(crate) fn new(min_duration: Duration, max_wait: Duration) -> Self {
         let draining = watch::Sender::new(false);
         let in_flight = watch::Sender::new(0);
--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -66,8 +66,8 @@
     let keys: Vec<String> = match value {
         Value::Object(fields) => fields.keys().cloned().collect(),
         Value::Array(items) if !items.is_empty() && u.ratio(1, 2)? => {
-            let at = u.choose_index(items.len())?;
-            return mutate_json(u, &mut items[at]);
+            let position = u.choose_index(items.len())?;
+            return mutate_json(u, &mut items[position]);
         }
         _ => Vec::new(),
     };
@@ -114,20 +114,20 @@
         &[0x91; 4000],
     ];
     for _ in 0..u.int_in_range(1..=3)? {
-        let at = u.int_in_range(0..=bytes.len())?;
+        let position = u.int_in_range(0..=bytes.len())?;
         match u.int_in_range(0..=3)? {
-            0 => bytes.truncate(at),
+            0 => bytes.truncate(position),
             1 => {
                 let header = u.choose(&HEADERS)?;
-                bytes.splice(at..at, header.iter().copied());
+                bytes.splice(position..position, header.iter().copied());
             }
             2 => {
                 let header = u.choose(&HEADERS)?;
-                let end = bytes.len().min(at + header.len());
-                bytes.splice(at..end, header.iter().copied());
+                let end = bytes.len().min(position + header.len());
+                bytes.splice(position..end, header.iter().copied());
             }
             _ => {
-                if let Some(byte) = bytes.get_mut(at) {
+                if let Some(byte) = bytes.get_mut(position) {
                     *byte = u.arbitrary()?;
                 }
             }
--- a/tests/paused_entry_host.rs
+++ b/tests/paused_entry_host.rs
@@ -81,12 +81,12 @@
     let document = json!({ "version": 1, "routes": [route], "services": [{ "name": "desk" }] });
     let row = |key: &str, value: &Value| json!({ "key": key, "ver": 1, "value": BASE64.encode(value.to_string()) });
     let operator = vec![row("config", &document)];
-    let servers = backends.iter().enumerate().map(|(at, address)| {
+    let servers = backends.iter().enumerate().map(|(index, address)| {
         let facts = json!({
             "service": "desk", "address": address.to_string(), "zone": "hall-a", "slots": 64,
             "state": "ready", "sequence": 1, "born": 1,
         });
-        row(&format!("i-{at}"), &facts)
+        row(&format!("i-{index}"), &facts)
     });
     let servers: Vec<Value> = servers.collect();
     let started = Instant::now();
