--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -21,7 +21,7 @@
 use crate::documents::ServiceKind;
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
 use crate::membership::ServingVersion;
-use crate::transport::json_reply;
+use crate::transport::json_response;
 
 /// Token limit of requests that set no `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
@@ -195,7 +195,7 @@
                 }
                 Some(CallerPart::Complete { reason, .. }) => {
                     let value = self.complete_value(&text, &reason, tokens);
-                    return Ok(json_reply(StatusCode::OK, &value));
+                    return Ok(json_response(StatusCode::OK, &value));
                 }
                 Some(CallerPart::Failed(error)) => return Err(error),
                 Some(_) => {}
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -14,7 +14,7 @@
 use super::routes::caller_routes;
 use super::settings::{EntrySettings, SPECS};
 use crate::control::{ControlEdges, ControlHandle, start_control};
-use crate::daemon::{DrainState, hold_stop_signals, probe_routes, run_process};
+use crate::daemon::{DrainState, probe_routes, register_stop_signals, run_process};
 use crate::delivery::{HostClient, events};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -39,7 +39,7 @@
 /// The main function of `savory-entry`. Exits with status 2 if a setting is invalid.
 #[must_use]
 pub fn entry_main() -> ExitCode {
-    hold_stop_signals();
+    register_stop_signals();
     let command = Command::new(NAME)
         .version(env!("CARGO_PKG_VERSION"))
         .about("Takes callers' requests, forwards them to backend servers and relays the answers")
@@ -49,10 +49,10 @@
         return run_on_platform(NAME, arguments, run_gateway);
     }
     let mut reader = SettingReader::new(matches, SPECS);
-    let only_checks = reader.only_checks();
+    let is_check_only = reader.is_check_only();
     let settings = EntrySettings::read(&mut reader);
     match reader.finish(settings) {
-        Ok(_) if only_checks => {
+        Ok(_) if is_check_only => {
             println!("the settings are valid");
             ExitCode::SUCCESS
         }
@@ -152,7 +152,7 @@
     drain: DrainState,
     linger: Duration,
 ) {
-    drain.begun().await;
+    drain.wait_begun().await;
     own_status.update(|status| status.leaving = true);
     sleep(linger).await;
     state.refuse_new();
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -165,7 +165,7 @@
         let pass = self.admit(&dispatcher, &job, order, now)?;
         let (sink, parts) = mpsc::channel(CALLER_BUFFER_PARTS);
         let run = RequestRunner::new(job, pass, self.host_caller.clone(), sink);
-        let in_flight = self.drain.enter();
+        let in_flight = self.drain.track_request();
         tokio::spawn(async move {
             run.run().await;
             drop(in_flight);
--- a/src/entry/tests/fake_host.rs
+++ b/src/entry/tests/fake_host.rs
@@ -25,8 +25,8 @@
 use crate::membership::{HostStatus, LoadReport, ServingVersion};
 use crate::stores::HostRole;
 use crate::transport::{
-    ClientLimits, FrameWriter, HttpServer, PeerClient, bind_listener, frame_channel, message_reply,
-    read_message,
+    ClientLimits, FrameWriter, HttpServer, PeerClient, bind_listener, frame_channel,
+    message_response, read_message,
 };
 use crate::weights::WeightsDigest;
 
@@ -78,7 +78,7 @@
         let settle = async |request: Request| {
             let query = read_message::<OutcomeQuery>(request.into_body(), BODY_BYTES_MAX).await;
             assert!(query.is_ok());
-            message_reply(&OutcomeReply::NotRun)
+            message_response(&OutcomeReply::NotRun)
         };
         let router = Router::new()
             .route("/peer/run", post(run))
--- a/src/gateway/buffered_body.rs
+++ b/src/gateway/buffered_body.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 
-use crate::daemon::LiveGuard;
+use crate::daemon::RequestGuard;
 
 /// Size of the frames that are passed to the connection. A connection takes the next frame when it
 /// has written most of the earlier ones.
@@ -17,12 +17,12 @@
 /// A response body in memory, with the guard that keeps its request in progress.
 pub(super) struct BufferedBody {
     rest: Bytes,
-    _live: LiveGuard,
+    _live: RequestGuard,
 }
 
 impl BufferedBody {
     /// Creates the body of `bytes`. It holds `live` until it is dropped.
-    pub(super) const fn new(bytes: Bytes, live: LiveGuard) -> Self {
+    pub(super) const fn new(bytes: Bytes, live: RequestGuard) -> Self {
         Self {
             rest: bytes,
             _live: live,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -20,11 +20,11 @@
 use super::request_log::{log_end, log_response_late, log_send_failed};
 use super::send_attempt::{OpenResponse, SendFailure, send_attempt};
 use super::stream_relay::{StreamRelay, return_connection};
-use crate::daemon::LiveGuard;
+use crate::daemon::RequestGuard;
 use crate::errors::{ErrorKind, SwitchResult};
 use crate::fleet::{BackendTicket, CallOutcome, PickRefusal, PickRequirements, VersionRequirement};
 use crate::time::{ClockTime, clock_now};
-use crate::transport::timeout_awake;
+use crate::transport::stall_tolerant_timeout;
 
 /// Largest response of a plain service that is buffered before it is passed on, in bytes.
 const RESPONSE_BYTES_MAX: usize = 16 * 1024 * 1024;
@@ -145,7 +145,9 @@
     let head_timeout = state.job.head_timeout();
     loop {
         let completed = match head_timeout {
-            Some(head_timeout) => timeout_awake(head_timeout, sends.next()).await.ok(),
+            Some(head_timeout) => stall_tolerant_timeout(head_timeout, sends.next())
+                .await
+                .ok(),
             None => Some(sends.next().await),
         };
         let Some(CompletedSend { backend, result }) = completed else {
@@ -243,7 +245,7 @@
 pub(super) async fn forward(
     gateway: &Arc<GatewayState>,
     job: RequestJob,
-    live: LiveGuard,
+    live: RequestGuard,
 ) -> SwitchResult<Response> {
     let is_stream = job.repeat().is_stream();
     let mut state = ForwardState::new(gateway.clone(), job);
@@ -288,7 +290,7 @@
 ) -> Result<Response, SendFailure> {
     let left = state.job.time_left(clock_now());
     let reading = Limited::new(&mut response.body, RESPONSE_BYTES_MAX).collect();
-    let reason = match timeout_awake(left, reading).await {
+    let reason = match stall_tolerant_timeout(left, reading).await {
         Ok(Ok(collected)) => {
             let bytes = collected.to_bytes();
             let job = &state.job;
@@ -301,7 +303,7 @@
             if response.facts.is_framed {
                 state.gateway.note_answered(job, clock_now());
             }
-            let body = BufferedBody::new(bytes, state.gateway.drain.enter());
+            let body = BufferedBody::new(bytes, state.gateway.drain.track_request());
             let reply = buffered_reply(&response, body);
             return_connection(state, response);
             return Ok(reply);
@@ -333,7 +335,7 @@
 async fn stream_reply(
     state: ForwardState,
     response: OpenResponse,
-    live: LiveGuard,
+    live: RequestGuard,
 ) -> SwitchResult<Response> {
     let status = response.facts.status;
     let mut headers = response.facts.headers.clone();
--- a/src/gateway/forward_state.rs
+++ b/src/gateway/forward_state.rs
@@ -219,7 +219,7 @@
         Some(if self.may_have_run {
             outcome_unknown(detail)
         } else {
-            SwitchError::new(ErrorKind::RequestQuarantined, detail).come_back_in(left)
+            SwitchError::new(ErrorKind::RequestQuarantined, detail).with_retry_after(left)
         })
     }
 
@@ -243,7 +243,7 @@
         };
         SwitchError::new(kind, detail)
             .with_outcome(RunOutcome::NotRun)
-            .come_back_in(retry_delay(rand::random()))
+            .with_retry_after(retry_delay(rand::random()))
     }
 
     /// Returns how long to wait for the next response head, if the request is cancelled at
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -7,7 +7,7 @@
 use super::events;
 use super::request_job::RequestJob;
 use super::stream_relay::StreamTiming;
-use crate::errors::{ErrorKind, SwitchError, answer_for};
+use crate::errors::{ErrorKind, SwitchError, error_spec};
 use crate::events::log_event;
 use crate::fleet::WeightsVersion;
 use crate::metrics;
@@ -65,7 +65,7 @@
         attempt_of(job),
         job.routed.rule.name,
         status.as_u16(),
-        answer_for(error.kind).code,
+        error_spec(error.kind).code,
         now.since(job.arrived).as_millis(),
         error.detail
     );
@@ -74,7 +74,7 @@
 /// Logs a send without a valid response.
 pub(super) fn log_send_failed(job: &RequestJob, backend: &str, kind: ErrorKind, detail: &str) {
     metrics::count_retry(kind);
-    let (attempt, code) = (attempt_of(job), answer_for(kind).code);
+    let (attempt, code) = (attempt_of(job), error_spec(kind).code);
     if kind == ErrorKind::AnswerCut {
         log_event!(
             events::SEND_FAILED,
--- a/src/gateway/send_attempt.rs
+++ b/src/gateway/send_attempt.rs
@@ -21,7 +21,7 @@
     ResponseHead, ResponseOutcome, SendFields, read_response_head, send_headers,
 };
 use crate::time::{ClockTime, clock_now};
-use crate::transport::timeout_awake;
+use crate::transport::stall_tolerant_timeout;
 
 /// How long a connection to a backend server may take to open. Data centres are 1 to 3 ms apart. A
 /// lost first packet is retransmitted only after a second; another backend server is faster.
@@ -222,7 +222,7 @@
         let check_after = slow_at.map_or(CANCEL_CHECK_INTERVAL, |at| {
             at.since(now).min(CANCEL_CHECK_INTERVAL)
         });
-        match timeout_awake(left.min(check_after), &mut sending).await {
+        match stall_tolerant_timeout(left.min(check_after), &mut sending).await {
             Ok(sent) => return Ok(sent),
             Err(_) if left <= check_after => return Err(HeadTimeout { wait, is_reported }),
             Err(_) => {}
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -15,11 +15,11 @@
 use super::request_log::{log_stream_broken, log_stream_cut, log_stream_end, log_stream_resumed};
 use super::send_attempt::OpenResponse;
 use super::stream_source::{SourceStep, StreamSource, next_step};
-use crate::daemon::LiveGuard;
+use crate::daemon::RequestGuard;
 use crate::errors::SwitchResult;
 use crate::fleet::CallOutcome;
 use crate::time::{ClockTime, clock_now};
-use crate::transport::timeout_awake;
+use crate::transport::stall_tolerant_timeout;
 
 /// How long a stream may pause before another backend server is asked to resume it. Clients give up
 /// after 2.4 s. An engine that reads a long prompt of another request pauses for 0.1 s; one whose
@@ -45,7 +45,7 @@
     last_event: Option<u64>,
     is_finished: bool,
     timing: StreamTiming,
-    _live: LiveGuard,
+    _live: RequestGuard,
 }
 
 /// Timing of the events of a stream, for its log line.
@@ -70,7 +70,7 @@
 
 impl StreamRelay {
     /// Creates the relay of the stream that `response` opens.
-    pub(super) fn new(mut state: ForwardState, response: OpenResponse, live: LiveGuard) -> Self {
+    pub(super) fn new(mut state: ForwardState, response: OpenResponse, live: RequestGuard) -> Self {
         state.note_stream_start();
         Self {
             gateway: state.gateway.clone(),
@@ -108,7 +108,7 @@
         loop {
             let left = self.time_left(clock_now());
             let waiting = next_step(&mut self.sources, self.last_event);
-            let received = match timeout_awake(SILENCE_MAX.min(left), waiting).await {
+            let received = match stall_tolerant_timeout(SILENCE_MAX.min(left), waiting).await {
                 Ok(received) => Some(received),
                 Err(_) if left <= SILENCE_MAX => return self.end_at_deadline(),
                 Err(_) => match self.find_successor().await {
--- a/src/gateway/tests/crash_detector.rs
+++ b/src/gateway/tests/crash_detector.rs
@@ -14,7 +14,7 @@
 use crate::overload::EntryHostId;
 use crate::quarantine::{BackendIncarnation, RecentAnswers};
 use crate::sync::SharedControlState;
-use crate::test_support::{digest_of, free_address};
+use crate::test_support::{digest_of, unused_address};
 use crate::time::{ClockTime, clock_now};
 
 /// Longer than a probe takes.
@@ -83,7 +83,7 @@
     let request = digest_of(b"");
     let now = clock_now();
     watch.note_answered(request, now);
-    let backend = facts(free_address().await);
+    let backend = facts(unused_address().await);
     let interrupted = InterruptedRequest {
         key: key_of(&backend),
         request,
@@ -135,5 +135,5 @@
 /// Guards against suspecting only one of several requests that were in progress at a crash.
 #[tokio::test]
 async fn all_requests_interrupted_by_a_crash_are_suspected() {
-    assert_eq!(suspects_at(free_address().await).await, 2);
+    assert_eq!(suspects_at(unused_address().await).await, 2);
 }
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -79,7 +79,7 @@
 #[test]
 fn retry_after_has_millisecond_precision() {
     let error =
-        SwitchError::new(ErrorKind::QueueFull, "").come_back_in(Duration::from_millis(1234));
+        SwitchError::new(ErrorKind::QueueFull, "").with_retry_after(Duration::from_millis(1234));
     let reply = refusal_reply(&error);
     assert_eq!(reply.status().as_u16(), 503);
     assert_eq!(reply.headers()["retry-after"], "1.234");
@@ -242,6 +242,6 @@
     let gateway = new_gateway(SharedSnapshot::default(), BOUNDS);
     let stop_start = ClockTime::from_millis(50_000);
     gateway.begin_stop(stop_start);
-    gateway.drain.drained().await;
+    gateway.drain.drain_and_wait().await;
     assert!(gateway.refuses_requests(stop_start + Duration::from_millis(1)));
 }
--- a/src/gateway/tests/resets.rs
+++ b/src/gateway/tests/resets.rs
@@ -167,5 +167,5 @@
         send_and_reset(&entry, &text).await;
     }
     assert_eq!(backend.arrivals(), 4);
-    assert_eq!(entry.gateway.drain.live_count(), 0);
+    assert_eq!(entry.gateway.drain.in_flight_count(), 0);
 }
--- a/src/gateway/tests/uninterrupted_responses.rs
+++ b/src/gateway/tests/uninterrupted_responses.rs
@@ -343,7 +343,7 @@
     let mut read = stream.read(&mut buffer).await.expect("the response begins");
     sleep(Duration::from_millis(300)).await;
     assert_eq!(
-        entry.gateway.drain.live_count(),
+        entry.gateway.drain.in_flight_count(),
         1,
         "most bytes are not sent yet"
     );
@@ -354,5 +354,5 @@
             .expect("the response continues");
     }
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(entry.gateway.drain.live_count(), 0);
+    assert_eq!(entry.gateway.drain.in_flight_count(), 0);
 }
--- a/src/guard/run_endpoints.rs
+++ b/src/guard/run_endpoints.rs
@@ -21,9 +21,9 @@
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::membership::{HostIdentity, StatusBoard};
-use crate::metrics::set_level;
+use crate::metrics::set_gauge;
 use crate::time::clock_now;
-use crate::transport::{error_reply, frame_channel, message_reply, read_message};
+use crate::transport::{error_response, frame_channel, message_response, read_message};
 
 /// Capacity of the frame channel to an entry host. When a slow entry host lets it fill up, the run
 /// waits.
@@ -98,13 +98,13 @@
 async fn handle_order(shared: Arc<GuardShared>, request: Request) -> Response {
     // Counted before the body is read, so that a shutdown that begins in the meantime waits for the
     // response.
-    let live = shared.drain.enter();
+    let live = shared.drain.track_request();
     let order: SwitchResult<RunOrder> = read_message(request.into_body(), ORDER_BYTES_MAX).await;
     let order = match order {
         Ok(order) => order,
         Err(error) => {
             log_event!(events::ORDER_UNREADABLE, "{error}");
-            return error_reply(&error);
+            return error_response(&error);
         }
     };
     let (writer, body) = frame_channel(FRAME_BUFFER_MAX);
@@ -124,8 +124,8 @@
     let query: SwitchResult<OutcomeQuery> =
         read_message(request.into_body(), ORDER_BYTES_MAX).await;
     match query {
-        Ok(query) => message_reply(&resolve(&shared, &query)),
-        Err(error) => error_reply(&error),
+        Ok(query) => message_response(&resolve(&shared, &query)),
+        Err(error) => error_response(&error),
     }
 }
 
@@ -148,8 +148,8 @@
         if let LocalBackend::Model(engine) = &shared.backend {
             load.waiting += monitor.check(&shared, engine).await;
         }
-        set_level("guard_running", &shared.service, load.running.into());
-        set_level("guard_waiting", &shared.service, load.waiting.into());
+        set_gauge("guard_running", &shared.service, load.running.into());
+        set_gauge("guard_waiting", &shared.service, load.waiting.into());
         shared.board.update(|status| status.load = load);
     }
 }
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -170,7 +170,7 @@
             tokio::select! {
                 biased;
                 _ = &mut start => return Ok(slot),
-                () = self.drain.begun() => {
+                () = self.drain.wait_begun() => {
                     return Err(refusal(ErrorKind::BackendLeaving, "this host is leaving"));
                 }
                 () = tokio::time::sleep(left.min(CANCEL_CHECK_INTERVAL)) => {}
@@ -275,6 +275,6 @@
             ErrorKind::DeadlineUnreachable,
             "the expected wait in the queue exceeds the deadline",
         )
-        .come_back_in(wait),
+        .with_retry_after(wait),
     }
 }
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -130,7 +130,7 @@
     context: WeightsComponents,
 ) -> Option<WeightsHandle> {
     let source = |address: SocketAddr| -> Arc<dyn WeightSource> {
-        let client = CommonSettings::patient_client(
+        let client = CommonSettings::client_with_timeout(
             address,
             ErrorKind::OriginUnavailable,
             ORIGIN_READ_TIMEOUT,
@@ -176,6 +176,6 @@
 
 /// Announces that this host is leaving as soon as its graceful stop begins.
 async fn announce_leaving(drain: DrainState, own_status: StatusBoard) {
-    drain.begun().await;
+    drain.wait_begun().await;
     own_status.update(|status| status.leaving = true);
 }
--- a/src/replication/chunk_routes.rs
+++ b/src/replication/chunk_routes.rs
@@ -11,7 +11,7 @@
 use super::chunk_store::ChunkStore;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
-use crate::transport::{error_reply, message_reply, read_message};
+use crate::transport::{error_response, message_response, read_message};
 use crate::weights::{ChunkAnnouncement, LinkDirection, LinkPacer};
 
 const QUERY_BYTES_MAX: usize = 4 * 1024;
@@ -49,21 +49,21 @@
 async fn answer(service: ChunkService, call: ChunkCall, request: Request) -> Response {
     let query = match read_message::<ChunkQuery>(request.into_body(), QUERY_BYTES_MAX).await {
         Ok(query) => query,
-        Err(error) => return error_reply(&error),
+        Err(error) => return error_response(&error),
     };
     let answered = match call {
         ChunkCall::Have => {
-            announcement_of(&service, &query).map(|announcement| message_reply(&announcement))
+            announcement_of(&service, &query).map(|announcement| message_response(&announcement))
         }
         ChunkCall::Get => chunk_of(&service, &query)
             .await
-            .map(|chunk| message_reply(&chunk)),
+            .map(|chunk| message_response(&chunk)),
         ChunkCall::Digests => match service.store.digests(&query.target) {
-            Some(digests) => Ok(message_reply(&*digests)),
+            Some(digests) => Ok(message_response(&*digests)),
             None => Err(not_here()),
         },
     };
-    answered.unwrap_or_else(|error| error_reply(&error))
+    answered.unwrap_or_else(|error| error_response(&error))
 }
 
 /// What this host holds of a version, and for how long its link is busy, so that other hosts can
@@ -86,7 +86,7 @@
     let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
     if let Err(backlog) = service.pacer.send_out(length, LINK_WAIT_MAX).await {
         let busy = SwitchError::new(ErrorKind::UploadBusy, "the link is busy with other chunks");
-        return Err(busy.come_back_in(backlog));
+        return Err(busy.with_retry_after(backlog));
     }
     metrics::count_event("chunks_sent", 1);
     Ok(ChunkResponse {
--- a/src/replication/tests/backend_host.rs
+++ b/src/replication/tests/backend_host.rs
@@ -16,7 +16,7 @@
 use crate::replication::chunk_messages::{ChunkQuery, HAVE_PATH};
 use crate::replication::run_backend_host;
 use crate::sync::{EntryRecord, SyncSettings, start_sync};
-use crate::test_support::free_address;
+use crate::test_support::unused_address;
 use crate::transport::{ClientLimits, PeerClient};
 use crate::weights::ChunkAnnouncement;
 
@@ -75,7 +75,7 @@
 
     /// Starts an entry host that follows the store and answers the host's queries.
     pub(super) async fn start_entry(&self) {
-        let control = free_address().await;
+        let control = unused_address().await;
         let settings = SyncSettings {
             me: EntryRecord {
                 host: "e".into(),
--- a/src/replication/tests/messages.rs
+++ b/src/replication/tests/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::replication::chunk_messages::{ChunkQuery, ChunkResponse};
-use crate::test_support::{run_cases, spoil_bytes};
+use crate::test_support::{corrupt_bytes, run_cases};
 use crate::transport::{decode_message, encode_message};
 use crate::weights::{ChunkAnnouncement, ChunkMap};
 
@@ -31,7 +31,7 @@
     let messages = messages.map(|message| message.expect("it encodes"));
     run_cases(CASES, CASE_BYTES, |u| {
         let mut bytes = u.choose(&messages)?.to_vec();
-        spoil_bytes(u, &mut bytes)?;
+        corrupt_bytes(u, &mut bytes)?;
         let _ = decode_message::<ChunkQuery>(&bytes);
         if let Ok(response) = decode_message::<ChunkResponse>(&bytes) {
             let _ = (
--- a/src/replication/view_poller.rs
+++ b/src/replication/view_poller.rs
@@ -19,7 +19,7 @@
     VIEW_PATH,
 };
 use crate::time::{ClockTime, clock_now};
-use crate::transport::{AnswerPace, PeerClient};
+use crate::transport::{PeerClient, ResponseTimeouts};
 
 /// How long an entry host holds a query open. It answers as soon as it knows of a new version. Four
 /// queries in a second and a half reported a version 0.2 s later on average.
@@ -28,10 +28,10 @@
 const POLL_PAUSE: Duration = Duration::from_millis(50);
 /// Time limits for a response: a document with 2,000 routes takes half a second of a host's entire
 /// link.
-const POLL_PACE: AnswerPace = AnswerPace {
+const POLL_PACE: ResponseTimeouts = ResponseTimeouts {
     head: Duration::from_millis(1300),
     idle: Duration::from_millis(500),
-    whole: Duration::from_secs(4),
+    total: Duration::from_secs(4),
 };
 /// Pause after a query without a response.
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
@@ -91,7 +91,7 @@
         query.can_wait_for_document = is_far_and_known || self.can_wait_for_document(sent_at);
         let called = self
             .client
-            .call_arriving::<_, PeerView>(address, VIEW_PATH, &query, POLL_PACE);
+            .call_with_timeouts::<_, PeerView>(address, VIEW_PATH, &query, POLL_PACE);
         if let Ok(view) = called.await {
             let received_at = clock_now();
             if view.document.is_some() {
--- a/src/sync/neighbour_queries.rs
+++ b/src/sync/neighbour_queries.rs
@@ -13,17 +13,17 @@
 use super::store_watch::StoreWatch;
 use crate::events::log_event;
 use crate::time::{ClockTime, clock_now};
-use crate::transport::AnswerPace;
+use crate::transport::ResponseTimeouts;
 
 /// Interval between queries while the store answers (`QUERY_PAUSE`) and while it does not.
 const QUERY_PAUSE: Duration = Duration::from_secs(1);
 const QUERY_PAUSE_CUT_OFF: Duration = Duration::from_millis(250);
 /// The store counts as unavailable after this time without an answer.
 const STORE_UNAVAILABLE_AFTER: Duration = Duration::from_millis(500);
-const NEIGHBOUR_PACE: AnswerPace = AnswerPace {
+const NEIGHBOUR_PACE: ResponseTimeouts = ResponseTimeouts {
     head: Duration::from_millis(400),
     idle: Duration::from_millis(400),
-    whole: Duration::from_millis(2500),
+    total: Duration::from_millis(2500),
 };
 /// Share of the queries that go to a neighbour in the same data centre.
 const NEAR_SHARE: f64 = 0.5;
@@ -127,9 +127,12 @@
         let mut query = self.state.read(ControlState::entry_query);
         let sent_at = clock_now();
         query.can_wait_for_document = !self.wants_document(place, sent_at);
-        let called =
-            self.client
-                .call_arriving::<_, PeerView>(address, VIEW_PATH, &query, NEIGHBOUR_PACE);
+        let called = self.client.call_with_timeouts::<_, PeerView>(
+            address,
+            VIEW_PATH,
+            &query,
+            NEIGHBOUR_PACE,
+        );
         match called.await {
             Ok(view) => {
                 let received_at = clock_now();
--- a/src/sync/operator_follow.rs
+++ b/src/sync/operator_follow.rs
@@ -16,16 +16,16 @@
 use super::target_update_time::FollowState;
 use crate::events::log_event;
 use crate::time::clock_now;
-use crate::transport::AnswerPace;
+use crate::transport::ResponseTimeouts;
 
 /// How long a reader holds a query open. If a reader does not answer, the next one is queried.
 const FOLLOW_WAIT: Duration = Duration::from_millis(600);
 /// Time limits of a response, in addition to the time that the query is held open. A document of
 /// 2,000 routes takes 0.1 s on a link of 40 Mbit/s, and a reader sends it to all followers at once.
-const FOLLOW_PACE: AnswerPace = AnswerPace {
+const FOLLOW_PACE: ResponseTimeouts = ResponseTimeouts {
     head: Duration::from_millis(300),
     idle: Duration::from_millis(300),
-    whole: Duration::from_millis(2500),
+    total: Duration::from_millis(2500),
 };
 /// Pause between two queries, and (`OUTDATED_PAUSE`) after a response of an outdated reader, which
 /// was not held open.
@@ -146,14 +146,14 @@
         query.wait_ms = u64::try_from(FOLLOW_WAIT.as_millis()).unwrap_or(0);
         let digest = self.state.read(ControlState::backends_digest);
         query_state.complete(&mut query, digest);
-        let pace = AnswerPace {
+        let pace = ResponseTimeouts {
             head: FOLLOW_WAIT + FOLLOW_PACE.head,
             ..FOLLOW_PACE
         };
         let sent_at = clock_now();
         let called =
             self.client
-                .call_arriving::<_, PeerView>(entry.control, VIEW_PATH, &query, pace);
+                .call_with_timeouts::<_, PeerView>(entry.control, VIEW_PATH, &query, pace);
         match called.await {
             Ok(view) => {
                 let received_at = clock_now();
--- a/src/sync/peer_routes.rs
+++ b/src/sync/peer_routes.rs
@@ -11,7 +11,7 @@
 use super::peer_messages::{PeerQuery, VIEW_PATH};
 use super::shared_control_state::SharedControlState;
 use crate::time::clock_now;
-use crate::transport::{error_reply, message_reply, read_message};
+use crate::transport::{error_response, message_response, read_message};
 
 const QUERY_BYTES_MAX: usize = 64 * 1024;
 /// The longest time a response is held. A connection that fails silently meanwhile is noticed only
@@ -59,8 +59,8 @@
             await_urgent_changes(&state, &query).await;
             let now = clock_now();
             let view = state.read(|state| state.answer(&query, now.since(sent_at), now));
-            message_reply(&view)
+            message_response(&view)
         }
-        Err(error) => error_reply(&error),
+        Err(error) => error_response(&error),
     }
 }
--- a/src/sync/target_versions.rs
+++ b/src/sync/target_versions.rs
@@ -124,7 +124,7 @@
                 .find(target)
                 .map_or(set_at, |at| self.announcements[at].set_at);
             let (certainty, named_ms) = (effective.certainty, millis_of(effective));
-            metrics::set_level("version_wanted", model, version);
+            metrics::set_gauge("version_wanted", model, version);
             log_event!(
                 events::TARGET_UPDATED,
                 "model={model} version={version} from={source} certainty={certainty:?} named_ms={named_ms}"
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -13,7 +13,7 @@
 use crate::overload::EntryHostId;
 use crate::sync::ControlState;
 use crate::sync::peer_messages::{PeerQuery, TargetAnnouncement};
-use crate::test_support::{run_cases, spoil_bytes};
+use crate::test_support::{corrupt_bytes, run_cases};
 use crate::time::WallTime;
 use crate::transport::{decode_message, encode_message};
 use crate::weights::{ChunkAnnouncement, ChunkMap};
@@ -201,7 +201,7 @@
     run_cases(CASES, CASE_BYTES, |u| {
         let mut bytes = u.choose(&messages)?.to_vec();
         decode_and_merge(&bytes);
-        spoil_bytes(u, &mut bytes)?;
+        corrupt_bytes(u, &mut bytes)?;
         decode_and_merge(&bytes);
         decode_and_merge(u.bytes(u.len())?);
         Ok(())
--- a/src/weights/peer_service.rs
+++ b/src/weights/peer_service.rs
@@ -21,7 +21,7 @@
 use super::version_routes::read_digest;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
-use crate::transport::{encode_message, error_reply, message_reply, read_message};
+use crate::transport::{encode_message, error_response, message_response, read_message};
 
 /// Maximum size of an announcement in bytes: two maps of the maximum number of chunks, and a name.
 pub(crate) const ANNOUNCEMENT_BYTES_MAX: usize = 64 * 1024;
@@ -94,13 +94,13 @@
     }
 
     fn manifest(&self, digest: &str) -> SwitchResult<Response> {
-        Ok(message_reply(self.find(digest)?.manifest()))
+        Ok(message_response(self.find(digest)?.manifest()))
     }
 
     async fn holdings(&self, digest: &str, request: Request) -> SwitchResult<Response> {
         let version = self.find(digest)?;
         self.receive_announcement(request).await?;
-        Ok(message_reply(&self.announcer.announcement(&version)))
+        Ok(message_response(&self.announcer.announcement(&version)))
     }
 
     async fn chunk(&self, digest: &str, index: u32, request: Request) -> SwitchResult<Response> {
@@ -156,12 +156,12 @@
 
 fn busy(wait: Duration) -> SwitchError {
     let error = SwitchError::new(ErrorKind::UploadBusy, "too many uploads in progress");
-    error.come_back_in(wait)
+    error.with_retry_after(wait)
 }
 
 fn refuse(error: &SwitchError) -> Response {
     metrics::count_refusal(error.kind, "weights");
-    error_reply(error)
+    error_response(error)
 }
 
 fn chunk_reply(head: &ChunkHead, bytes: Bytes, slot: UploadSlot) -> SwitchResult<Response> {
