--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -11,12 +11,12 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::control_machine::ControlMachine;
-use super::control_thread::{ControlEdges, ControlEvent, FreshMark};
+use super::control_thread::{ControlAdapters, ControlEvent, DocumentFreshness};
+use super::gossip_state::GossipSender;
 use super::peer_messages::PeerFrame;
 use super::peer_watch::PeerWatch;
-use super::platform_reads::{ReaderDuty, TableReading, read_list};
+use super::platform_reads::{TablePoller, TableReaderRole, read_list};
 use super::snapshot::SharedSnapshot;
-use super::spread_state::SpreadSender;
 use crate::daemon::DrainState;
 use crate::documents::DocumentVersion;
 use crate::stores::{HostEntry, HostRole};
@@ -38,14 +38,14 @@
 /// The control thread's loop.
 pub(super) struct ControlLoop {
     machine: ControlMachine,
-    edges: ControlEdges,
+    adapters: ControlAdapters,
     snapshot: SharedSnapshot,
-    spread: SpreadSender,
-    fresh: FreshMark,
+    gossip: GossipSender,
+    fresh: DocumentFreshness,
     sender: mpsc::Sender<ControlEvent>,
     receiver: mpsc::Receiver<ControlEvent>,
     drain: DrainState,
-    duty: watch::Sender<ReaderDuty>,
+    duty: watch::Sender<TableReaderRole>,
     watches: Vec<RunningWatch>,
     /// The neighbour that is being asked for documents.
     pulling: Option<ByteString>,
@@ -76,18 +76,18 @@
 impl ControlLoop {
     pub(super) fn new(
         machine: ControlMachine,
-        edges: ControlEdges,
+        adapters: ControlAdapters,
         snapshot: SharedSnapshot,
-        spread: SpreadSender,
-        fresh: FreshMark,
+        gossip: GossipSender,
+        fresh: DocumentFreshness,
         (sender, receiver): (mpsc::Sender<ControlEvent>, mpsc::Receiver<ControlEvent>),
         drain: DrainState,
     ) -> Self {
         Self {
             machine,
-            edges,
+            adapters,
             snapshot,
-            spread,
+            gossip,
             fresh,
             sender,
             receiver,
@@ -130,8 +130,8 @@
         } else {
             Duration::ZERO
         };
-        let reading = TableReading {
-            table: self.edges.table.clone(),
+        let reading = TablePoller {
+            table: self.adapters.table.clone(),
             duty: self.duty.subscribe(),
             fresh: self.fresh.clone(),
             events: self.sender.clone(),
@@ -139,7 +139,7 @@
         };
         tokio::spawn(reading.run());
         let own_host = self.machine.identity().host.clone();
-        let list = self.edges.list.clone();
+        let list = self.adapters.list.clone();
         tokio::spawn(read_list(list, own_host, self.sender.clone()));
     }
 
@@ -160,7 +160,7 @@
             ControlEvent::List(entries) => self.machine.on_list(&entries, now),
             ControlEvent::Watcher(facts) => self.machine.on_watcher(&facts, now),
             ControlEvent::Frame(host, frame) => self.on_frame(&host, *frame),
-            ControlEvent::Lost(host) => self.on_lost(&host),
+            ControlEvent::Lost(host) => self.on_stream_lost(&host),
             ControlEvent::Pulled(host, rows) => self.on_pulled(&host, rows),
         }
     }
@@ -171,7 +171,7 @@
             return;
         };
         self.machine
-            .on_heard(host, self.watches[at].watch.pace, now);
+            .on_frame_received(host, self.watches[at].watch.pace, now);
         match frame {
             PeerFrame::Status(status) => self.machine.on_status(*status, now),
             PeerFrame::Paced(load, age_ms) => {
@@ -193,8 +193,8 @@
         }
     }
 
-    fn on_lost(&mut self, host: &str) {
-        self.machine.on_lost(host, clock_now());
+    fn on_stream_lost(&mut self, host: &str) {
+        self.machine.on_stream_lost(host, clock_now());
         if let Some(at) = self.watch_of(host) {
             let running = &mut self.watches[at];
             running.asked = true;
@@ -289,8 +289,8 @@
             host: entry.host.clone(),
             address: entry.peer_address,
             pace,
-            client: self.edges.client.clone(),
-            spread: self.spread.subscribe(),
+            client: self.adapters.client.clone(),
+            gossip: self.gossip.subscribe(),
             events: self.sender.clone(),
         };
         RunningWatch {
@@ -311,11 +311,11 @@
     }
 
     fn publish(&mut self) {
-        if let Some(spread) = self.machine.take_spread() {
-            self.spread.send_replace(Arc::new(spread));
+        if let Some(gossip) = self.machine.take_gossip() {
+            self.gossip.send_replace(Arc::new(gossip));
         }
         if let Some(snapshot) = self.machine.take_snapshot() {
-            self.duty.send_replace(ReaderDuty {
+            self.duty.send_replace(TableReaderRole {
                 is_reader: self.machine.reads_table(),
                 held: self.machine.documents().clone(),
             });
--- a/src/control/control_machine.rs
+++ b/src/control/control_machine.rs
@@ -7,11 +7,11 @@
 use bytes::Bytes;
 use bytestring::ByteString;
 
+use super::gossip_state::GossipState;
 use super::peer_messages::LoadChange;
 use super::snapshot::{ControlSnapshot, MemberRecord, ServiceRecord};
-use super::spread_state::SpreadState;
 use super::warm_up::WarmUp;
-use crate::documents::{DocumentVersion, HeldDocument, HeldDocuments, OfferOutcome, events};
+use crate::documents::{ActiveDocument, ActiveDocuments, DocumentVersion, InstallOutcome, events};
 use crate::events::log_event;
 use crate::membership::{
     HostIdentity, HostStatus, LoadReport, MemberFacts, MemberTable, MemberView, choose_neighbours,
@@ -26,7 +26,7 @@
 pub(crate) struct ControlMachine {
     identity: HostIdentity,
     own_facts: MemberFacts,
-    documents: HeldDocuments,
+    documents: ActiveDocuments,
     /// The documents in force as readers see them.
     services: Vec<Arc<ServiceRecord>>,
     /// The hosts as readers see them, sorted by name.
@@ -66,7 +66,7 @@
             members: MemberTable::new(identity.host.clone()),
             identity,
             own_facts,
-            documents: HeldDocuments::default(),
+            documents: ActiveDocuments::default(),
             services: Vec::new(),
             records: Vec::new(),
             table_answers: false,
@@ -86,7 +86,7 @@
     }
 
     /// The documents in force.
-    pub(crate) const fn documents(&self) -> &HeldDocuments {
+    pub(crate) const fn documents(&self) -> &ActiveDocuments {
         &self.documents
     }
 
@@ -97,13 +97,13 @@
 
     /// A document's row came from the table, from a neighbour or from this host's operator.
     pub(crate) fn on_row(&mut self, row: &Bytes) {
-        match self.documents.offer(row) {
-            Ok(OfferOutcome::Installed) => {
+        match self.documents.install_if_newer(row) {
+            Ok(InstallOutcome::Installed) => {
                 self.changes.documents = true;
                 self.tell_installed(row);
             }
-            Ok(OfferOutcome::Known) => {}
-            Ok(OfferOutcome::Older) => metrics::count_event("document_row_older", 1),
+            Ok(InstallOutcome::Known) => {}
+            Ok(InstallOutcome::Older) => metrics::count_event("document_row_older", 1),
             Err(error) => {
                 metrics::count_refusal(error.kind, "documents");
                 log_event!(events::UNREADABLE, "{error}");
@@ -198,13 +198,13 @@
     }
 
     /// A frame came from a watched host.
-    pub(crate) fn on_heard(&mut self, host: &str, pace: Duration, now: ClockTime) {
-        self.members.on_heard(host, pace, now);
+    pub(crate) fn on_frame_received(&mut self, host: &str, pace: Duration, now: ClockTime) {
+        self.members.on_frame_received(host, pace, now);
     }
 
     /// The stream from a watched host broke or could not be opened.
-    pub(crate) fn on_lost(&mut self, host: &str, now: ClockTime) {
-        self.members.on_lost(host, now);
+    pub(crate) fn on_stream_lost(&mut self, host: &str, now: ClockTime) {
+        self.members.on_stream_lost(host, now);
     }
 
     /// A host is no longer watched.
@@ -231,7 +231,7 @@
     }
 
     /// The documents that this process acts on.
-    fn acted_on(&self) -> &[Arc<HeldDocument>] {
+    fn acted_on(&self) -> &[Arc<ActiveDocument>] {
         if self.warm_up.is_done() {
             self.documents.all()
         } else {
@@ -257,7 +257,7 @@
     }
 
     /// The state to pass on, if that changed since it was last taken.
-    pub(crate) fn take_spread(&mut self) -> Option<SpreadState> {
+    pub(crate) fn take_gossip(&mut self) -> Option<GossipState> {
         let changed = self.changes.documents || self.changes.facts;
         changed.then(|| {
             self.changes.facts = false;
@@ -265,7 +265,7 @@
                 self.changes.other = true;
                 self.renew_services();
             }
-            SpreadState {
+            GossipState {
                 documents: self.acted_on().to_vec(),
                 facts: self.facts_to_spread(),
             }
@@ -335,7 +335,7 @@
     }
 }
 
-fn service_record(held: &Arc<HeldDocument>) -> Arc<ServiceRecord> {
+fn service_record(held: &Arc<ActiveDocument>) -> Arc<ServiceRecord> {
     Arc::new(ServiceRecord {
         version: held.version.version,
         document: (*held.document).clone(),
--- a/src/control/control_thread.rs
+++ b/src/control/control_thread.rs
@@ -13,13 +13,13 @@
 use super::control_loop::ControlLoop;
 use super::control_machine::ControlMachine;
 use super::events;
-use super::peer_messages::{PeerFrame, WatchOrder};
+use super::gossip_state::{GossipReceiver, GossipState};
+use super::peer_messages::{PeerFrame, WatchRequest};
 use super::peer_routes::{PeerRouteState, peer_routes};
 use super::snapshot::SharedSnapshot;
-use super::spread_state::{SpreadReceiver, SpreadState};
 use crate::daemon::DrainState;
 use crate::events::log_event;
-use crate::membership::{HostIdentity, MemberFacts, StatusBoard};
+use crate::membership::{HostIdentity, MemberFacts, StatusPublisher};
 use crate::stores::{HostEntry, HostList, TableStore};
 use crate::time::ClockTime;
 use crate::transport::PeerClient;
@@ -31,7 +31,7 @@
 
 /// What the control thread works with.
 #[derive(Clone)]
-pub(crate) struct ControlEdges {
+pub(crate) struct ControlAdapters {
     /// The platform's table.
     pub(crate) table: Arc<dyn TableStore>,
     /// The platform's list of hosts.
@@ -61,11 +61,11 @@
 
 /// The time as of which the documents in force are known to be the table's. Clones share it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FreshMark {
+pub(crate) struct DocumentFreshness {
     micros: Arc<AtomicU64>,
 }
 
-impl FreshMark {
+impl DocumentFreshness {
     /// When, if ever.
     pub(crate) fn get(&self) -> Option<ClockTime> {
         let micros = self.micros.load(Ordering::Relaxed);
@@ -83,26 +83,26 @@
 pub(crate) struct ControlHandle {
     identity: HostIdentity,
     snapshot: SharedSnapshot,
-    edges: ControlEdges,
+    adapters: ControlAdapters,
     routes: PeerRouteState,
 }
 
 /// Starts the control thread.
 pub(crate) fn start_control(
     identity: HostIdentity,
-    edges: ControlEdges,
-    board: StatusBoard,
+    adapters: ControlAdapters,
+    publisher: StatusPublisher,
     drain: DrainState,
 ) -> ControlHandle {
     let snapshot = SharedSnapshot::default();
-    let fresh = FreshMark::default();
+    let fresh = DocumentFreshness::default();
     let (sender, receiver) = mpsc::channel(EVENTS_WAITING);
-    let (spread, spread_receiver) = watch::channel(Arc::new(SpreadState::default()));
+    let (gossip, spread_receiver) = watch::channel(Arc::new(GossipState::default()));
     let control = ControlLoop::new(
         ControlMachine::new(identity.clone()),
-        edges.clone(),
+        adapters.clone(),
         snapshot.clone(),
-        spread,
+        gossip,
         fresh.clone(),
         (sender.clone(), receiver),
         drain.clone(),
@@ -111,10 +111,10 @@
     ControlHandle {
         identity,
         snapshot,
-        edges,
+        adapters,
         routes: PeerRouteState {
-            board,
-            spread: spread_receiver,
+            publisher,
+            gossip: spread_receiver,
             events: sender,
             drain,
             fresh,
@@ -157,13 +157,13 @@
     }
 
     /// The edges that the control thread works with.
-    pub(crate) const fn edges(&self) -> &ControlEdges {
-        &self.edges
+    pub(crate) const fn adapters(&self) -> &ControlAdapters {
+        &self.adapters
     }
 
     /// What is passed on to neighbours: the documents' rows among it.
-    pub(crate) fn spread(&self) -> SpreadReceiver {
-        self.routes.spread.clone()
+    pub(crate) fn gossip(&self) -> GossipReceiver {
+        self.routes.gossip.clone()
     }
 
     /// The time as of which the documents in force are known to be the table's.
@@ -186,14 +186,14 @@
     }
 }
 
-impl WatchOrder {
-    /// The order of the process that passes on `spread`.
-    pub(super) fn of(host: &str, spread: &SpreadState, pace_ms: u64) -> Option<Self> {
-        let found = spread
+impl WatchRequest {
+    /// The order of the process that passes on `gossip`.
+    pub(super) fn of(host: &str, gossip: &GossipState, pace_ms: u64) -> Option<Self> {
+        let found = gossip
             .facts
             .binary_search_by(|facts| (*facts.entry.host).cmp(host));
         found.ok().map(|at| Self {
-            watcher: Some((*spread.facts[at]).clone()),
+            watcher: Some((*gossip.facts[at]).clone()),
             pace_ms,
         })
     }
--- a/src/control/spread_state.rs
+++ b/src/control/gossip_state.rs
@@ -7,23 +7,23 @@
 use tokio::sync::watch;
 
 use crate::derives::plain;
-use crate::documents::{DocumentVersion, HeldDocument};
+use crate::documents::{ActiveDocument, DocumentVersion};
 use crate::membership::MemberFacts;
 
 /// What is passed on.
 #[apply(plain!)]
 #[derive(Default)]
-pub(crate) struct SpreadState {
+pub(crate) struct GossipState {
     /// The documents in force, sorted by service.
-    pub(crate) documents: Vec<Arc<HeldDocument>>,
+    pub(crate) documents: Vec<Arc<ActiveDocument>>,
     /// What hosts said of themselves, this one included, sorted by host.
     pub(crate) facts: Vec<Arc<MemberFacts>>,
 }
 
-impl SpreadState {
+impl GossipState {
     /// The versions in force that are newer than in `sent`.
     pub(crate) fn versions_beyond(&self, sent: &Self) -> Vec<DocumentVersion> {
-        let version_there = |held: &HeldDocument| {
+        let version_there = |held: &ActiveDocument| {
             let found = sent
                 .documents
                 .binary_search_by(|there| there.version.service.cmp(&held.version.service));
@@ -38,7 +38,7 @@
 
     /// The rows of documents that one who has `have`, sorted by service, lacks.
     pub(crate) fn rows_beyond(&self, have: &[DocumentVersion]) -> Vec<bytes::Bytes> {
-        let version_there = |held: &HeldDocument| {
+        let version_there = |held: &ActiveDocument| {
             let found = have.binary_search_by(|there| there.service.cmp(&held.version.service));
             found.map_or(0, |at| have[at].version)
         };
@@ -67,6 +67,6 @@
 }
 
 /// The sending end, held by the control thread.
-pub(crate) type SpreadSender = watch::Sender<Arc<SpreadState>>;
+pub(crate) type GossipSender = watch::Sender<Arc<GossipState>>;
 /// The receiving end, held by the streams to watchers.
-pub(crate) type SpreadReceiver = watch::Receiver<Arc<SpreadState>>;
+pub(crate) type GossipReceiver = watch::Receiver<Arc<GossipState>>;
--- a/src/control/peer_messages.rs
+++ b/src/control/peer_messages.rs
@@ -1,6 +1,6 @@
-//! What control threads say to each other. `POST /peer/control/watch` takes a [`WatchOrder`] and
+//! What control threads say to each other. `POST /peer/control/watch` takes a [`WatchRequest`] and
 //! answers with [`PeerFrame`]s for as long as both ends live; `POST /peer/control/pull` takes a
-//! [`PullOrder`] and answers with a [`PullReply`].
+//! [`PullRequest`] and answers with a [`PullResponse`].
 
 use macro_rules_attribute::apply;
 
@@ -17,7 +17,7 @@
 
 /// Asks for a process's word about itself and for news, from now on.
 #[apply(message!)]
-pub(crate) struct WatchOrder {
+pub(crate) struct WatchRequest {
     /// Who asks; news to the one that is asked, too. None for one that is no host of the system.
     pub(crate) watcher: Option<MemberFacts>,
     /// Frames that are not urgent come at most this often, and some frame at least this often, in
@@ -45,14 +45,14 @@
 
 /// Asks for the documents that are newer than these.
 #[apply(message!)]
-pub(crate) struct PullOrder {
+pub(crate) struct PullRequest {
     /// What the asker has in force, sorted by service.
     pub(crate) have: Vec<DocumentVersion>,
 }
 
 /// The rows of documents that the asker lacks.
 #[apply(message!)]
-pub(crate) struct PullReply {
+pub(crate) struct PullResponse {
     /// Each as it stands in the table.
     pub(crate) rows: Vec<bytes::Bytes>,
 }
--- a/src/control/peer_routes.rs
+++ b/src/control/peer_routes.rs
@@ -11,14 +11,15 @@
 use volo_http::response::Response;
 use volo_http::server::route::{Router, post};
 
-use super::control_thread::{ControlEvent, FreshMark};
+use super::control_thread::{ControlEvent, DocumentFreshness};
+use super::gossip_state::{GossipReceiver, GossipState};
 use super::peer_messages::{
-    LoadChange, ORDER_BYTES_MAX, PULL_PATH, PeerFrame, PullOrder, PullReply, WATCH_PATH, WatchOrder,
+    LoadChange, ORDER_BYTES_MAX, PULL_PATH, PeerFrame, PullRequest, PullResponse, WATCH_PATH,
+    WatchRequest,
 };
-use super::spread_state::{SpreadReceiver, SpreadState};
 use crate::daemon::DrainState;
 use crate::errors::SwitchResult;
-use crate::membership::{HostStatus, StatusBoard};
+use crate::membership::{HostStatus, StatusPublisher};
 use crate::time::clock_now;
 use crate::transport::{FrameWriter, error_reply, frame_channel, message_reply, read_message};
 
@@ -31,11 +32,11 @@
 /// What the routes work with.
 #[derive(Clone)]
 pub(super) struct PeerRouteState {
-    pub(super) board: StatusBoard,
-    pub(super) spread: SpreadReceiver,
+    pub(super) publisher: StatusPublisher,
+    pub(super) gossip: GossipReceiver,
     pub(super) events: mpsc::Sender<ControlEvent>,
     pub(super) drain: DrainState,
-    pub(super) fresh: FreshMark,
+    pub(super) fresh: DocumentFreshness,
     /// Told whenever a neighbour has taken over documents.
     pub(super) passed_on: Arc<Notify>,
 }
@@ -56,20 +57,20 @@
 }
 
 async fn answer_pull(state: PeerRouteState, request: Request) -> Response {
-    match read_message::<PullOrder>(request.into_body(), ORDER_BYTES_MAX).await {
+    match read_message::<PullRequest>(request.into_body(), ORDER_BYTES_MAX).await {
         Ok(order) => {
-            let rows = state.spread.borrow().rows_beyond(&order.have);
+            let rows = state.gossip.borrow().rows_beyond(&order.have);
             if !rows.is_empty() {
                 state.passed_on.notify_waiters();
             }
-            message_reply(&PullReply { rows })
+            message_reply(&PullResponse { rows })
         }
         Err(error) => error_reply(&error),
     }
 }
 
 async fn open_watch(state: PeerRouteState, request: Request) -> Response {
-    let order: WatchOrder = match read_message(request.into_body(), ORDER_BYTES_MAX).await {
+    let order: WatchRequest = match read_message(request.into_body(), ORDER_BYTES_MAX).await {
         Ok(order) => order,
         Err(error) => return error_reply(&error),
     };
@@ -99,22 +100,22 @@
     writer: FrameWriter,
     pace: Duration,
 ) -> SwitchResult<()> {
-    let mut board = state.board.watch();
-    let mut status = board.borrow_and_update().clone();
+    let mut changes = state.publisher.watch();
+    let mut status = changes.borrow_and_update().clone();
     writer
         .write(&PeerFrame::Status(Box::new(status.clone())))
         .await?;
-    let mut sent = Arc::new(SpreadState::default());
-    send_spread(&mut state.spread, &mut sent, &writer, true).await?;
+    let mut sent = Arc::new(GossipState::default());
+    send_spread(&mut state.gossip, &mut sent, &writer, true).await?;
     let mut next_due = Instant::now() + pace;
     loop {
         tokio::select! {
             () = writer.closed() => return Ok(()),
-            _ = state.spread.changed() => {
-                send_spread(&mut state.spread, &mut sent, &writer, false).await?;
+            _ = state.gossip.changed() => {
+                send_spread(&mut state.gossip, &mut sent, &writer, false).await?;
             }
-            _ = board.changed() => {
-                let newest = board.borrow_and_update().clone();
+            _ = changes.changed() => {
+                let newest = changes.borrow_and_update().clone();
                 if is_urgent(&status, &newest) {
                     status = newest;
                     writer.write(&PeerFrame::Status(Box::new(status.clone()))).await?;
@@ -122,7 +123,7 @@
                 }
             }
             () = tokio::time::sleep_until(next_due) => {
-                let newest = board.borrow_and_update().clone();
+                let newest = changes.borrow_and_update().clone();
                 send_paced(&state, &writer, &status, &newest).await?;
                 status = newest;
                 next_due = Instant::now() + pace;
@@ -159,12 +160,12 @@
 }
 
 async fn send_spread(
-    spread: &mut SpreadReceiver,
-    sent: &mut Arc<SpreadState>,
+    gossip: &mut GossipReceiver,
+    sent: &mut Arc<GossipState>,
     writer: &FrameWriter,
     is_first: bool,
 ) -> SwitchResult<()> {
-    let newest = spread.borrow_and_update().clone();
+    let newest = gossip.borrow_and_update().clone();
     let changed = newest.versions_beyond(sent);
     if is_first || !changed.is_empty() {
         writer.write(&PeerFrame::Documents(changed)).await?;
--- a/src/control/peer_watch.rs
+++ b/src/control/peer_watch.rs
@@ -11,8 +11,10 @@
 use tokio::time::{sleep, timeout};
 
 use super::control_thread::ControlEvent;
-use super::peer_messages::{PULL_PATH, PeerFrame, PullOrder, PullReply, WATCH_PATH, WatchOrder};
-use super::spread_state::SpreadReceiver;
+use super::gossip_state::GossipReceiver;
+use super::peer_messages::{
+    PULL_PATH, PeerFrame, PullRequest, PullResponse, WATCH_PATH, WatchRequest,
+};
 use crate::documents::DocumentVersion;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::metrics;
@@ -35,7 +37,7 @@
     pub(super) address: SocketAddr,
     pub(super) pace: Duration,
     pub(super) client: Arc<PeerClient>,
-    pub(super) spread: SpreadReceiver,
+    pub(super) gossip: GossipReceiver,
     pub(super) events: mpsc::Sender<ControlEvent>,
 }
 
@@ -76,7 +78,7 @@
 
     async fn open(&self) -> SwitchResult<FrameReader> {
         let pace_ms = u64::try_from(self.pace.as_millis()).unwrap_or(u64::MAX);
-        let order = WatchOrder::of(&self.own_host, &self.spread.borrow(), pace_ms);
+        let order = WatchRequest::of(&self.own_host, &self.gossip.borrow(), pace_ms);
         let order = order
             .ok_or_else(|| SwitchError::new(ErrorKind::Internal, "own facts are not spread yet"))?;
         self.client
@@ -86,8 +88,8 @@
 
     /// Asks the neighbour for the documents beyond `have`.
     pub(super) async fn pull(self, have: Vec<DocumentVersion>) {
-        let order = PullOrder { have };
-        let reply: SwitchResult<PullReply> = self
+        let order = PullRequest { have };
+        let reply: SwitchResult<PullResponse> = self
             .client
             .call(self.address, PULL_PATH, &order, PULL_WITHIN)
             .await;
--- a/src/control/platform_reads.rs
+++ b/src/control/platform_reads.rs
@@ -8,10 +8,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-use super::control_thread::{ControlEvent, FreshMark};
+use super::control_thread::{ControlEvent, DocumentFreshness};
 use super::events;
 use crate::documents::{
-    DOCUMENTS_PREFIX, HINT_KEY, HeldDocuments, HintRecord, ReaderStep, TableReader, document_key,
+    ActiveDocuments, DOCUMENTS_PREFIX, HINT_KEY, HintRecord, TableReadScheduler, TableReadStep,
+    document_key,
 };
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -21,37 +22,37 @@
 
 /// What the table's reader needs to know of the control state.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ReaderDuty {
+pub(super) struct TableReaderRole {
     /// Whether this process reads for its data centre.
     pub(super) is_reader: bool,
     /// The documents in force.
-    pub(super) held: HeldDocuments,
+    pub(super) held: ActiveDocuments,
 }
 
 /// Reads the table as long as the process lives.
-pub(super) struct TableReading {
+pub(super) struct TablePoller {
     pub(super) table: Arc<dyn TableStore>,
-    pub(super) duty: watch::Receiver<ReaderDuty>,
-    pub(super) fresh: FreshMark,
+    pub(super) duty: watch::Receiver<TableReaderRole>,
+    pub(super) fresh: DocumentFreshness,
     pub(super) events: mpsc::Sender<ControlEvent>,
     pub(super) first_pause: Duration,
 }
 
 const CHECK_PAUSE: Duration = Duration::from_millis(250);
 
-impl TableReading {
+impl TablePoller {
     /// Reads the table as long as the process lives.
     pub(super) async fn run(self) {
-        let mut reader = TableReader::new(clock_now() + self.first_pause);
+        let mut reader = TableReadScheduler::new(clock_now() + self.first_pause);
         let mut answered = None;
         loop {
             let now = clock_now();
             if let Some(at) = self.fresh.get() {
-                reader.on_neighbour_fresh(at);
+                reader.on_neighbour_current(at);
             }
             let is_reader = self.duty.borrow().is_reader;
-            let step = reader.next_step(now, is_reader, spread());
-            let ReaderStep::WaitUntil(due) = step else {
+            let step = reader.next_step(now, is_reader, jitter());
+            let TableReadStep::WaitUntil(due) = step else {
                 let outcome = self.carry_out(&mut reader, step, now).await;
                 self.settle(&mut reader, outcome, &mut answered).await;
                 continue;
@@ -62,14 +63,14 @@
 
     async fn settle(
         &self,
-        reader: &mut TableReader,
+        reader: &mut TableReadScheduler,
         outcome: SwitchResult<()>,
         answered: &mut Option<bool>,
     ) {
         let answers = outcome.is_ok();
         if let Err(error) = outcome {
             metrics::count_refusal(error.kind, "control");
-            reader.on_away(clock_now(), spread());
+            reader.on_unavailable(clock_now(), jitter());
         }
         if *answered != Some(answers) {
             let event = if answers {
@@ -85,21 +86,21 @@
 
     async fn carry_out(
         &self,
-        reader: &mut TableReader,
-        step: ReaderStep,
+        reader: &mut TableReadScheduler,
+        step: TableReadStep,
         sent: ClockTime,
     ) -> SwitchResult<()> {
         metrics::count_event("table_reads", 1);
         match step {
-            ReaderStep::WaitUntil(_) => {}
-            ReaderStep::ReadAll => {
+            TableReadStep::WaitUntil(_) => {}
+            TableReadStep::ReadAll => {
                 let rows = self.table.list(DOCUMENTS_PREFIX).await?;
                 let rows = rows.into_iter().map(|row| row.value).collect();
                 self.tell(ControlEvent::Rows(rows)).await;
                 reader.on_all(sent, clock_now());
                 self.fresh.advance(sent);
             }
-            ReaderStep::ReadHint => {
+            TableReadStep::ReadHint => {
                 let row = self.table.read(HINT_KEY).await?;
                 let hint =
                     row.map_or_else(HintRecord::default, |row| HintRecord::from_row(&row.value));
@@ -107,7 +108,7 @@
                 reader.on_hint(&hint, &held, sent, clock_now());
                 self.fresh.advance(sent);
             }
-            ReaderStep::ReadDocument(service) => {
+            TableReadStep::ReadDocument(service) => {
                 let row = self.table.read(&document_key(&service)).await?;
                 let rows: Vec<Bytes> = row.into_iter().map(|row| row.value).collect();
                 self.tell(ControlEvent::Rows(rows)).await;
@@ -123,7 +124,7 @@
     }
 }
 
-fn spread() -> u8 {
+fn jitter() -> u8 {
     rand::rng().random()
 }
 
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -85,7 +85,7 @@
     /// It said, or the list said, that it is going; no new work.
     Leaving,
     /// It is not there.
-    Gone,
+    Unavailable,
 }
 
 /// The newest [`ControlSnapshot`]. Clones share it.
--- a/src/documents/acceptance.rs
+++ b/src/documents/acceptance.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use macro_rules_attribute::apply;
 
-use super::change::ChangeOrder;
-use super::hint::{HINT_KEY, HintRecord};
-use super::record::{DocumentRecord, document_key, history_key};
+use super::change_request::ChangeRequest;
+use super::document_record::{DocumentRecord, document_key, history_key};
+use super::hint_record::{HINT_KEY, HintRecord};
 use crate::derives::{key, plain};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::stores::{RowRevision, TableRow};
@@ -38,12 +38,12 @@
     /// Ask [`AcceptanceMachine::next_step`] again at that time.
     WaitUntil(ClockTime),
     /// It is over.
-    Done(Box<AcceptanceEnd>),
+    Done(Box<AcceptanceOutcome>),
 }
 
 /// What the table answered.
 #[apply(plain!)]
-pub(crate) enum TableEvent {
+pub(crate) enum TableResponse {
     /// The row that was read; `None` when it is absent.
     Row(Option<TableRow>),
     /// The write took effect.
@@ -56,7 +56,7 @@
 
 /// How the change ended.
 #[apply(plain!)]
-pub(crate) enum AcceptanceEnd {
+pub(crate) enum AcceptanceOutcome {
     /// It is accepted as this version. `row` is the new row, unless it was replaced meanwhile.
     Accepted {
         /// The version that it made.
@@ -94,7 +94,7 @@
 /// One change on its way into the table.
 #[derive(Debug)]
 pub(crate) struct AcceptanceMachine {
-    order: ChangeOrder,
+    order: ChangeRequest,
     wall: WallTime,
     ends: ClockTime,
     stage: Stage,
@@ -105,14 +105,14 @@
     hint: Option<(RowRevision, Bytes)>,
     /// Whether this try or an earlier one may have written the document's row, or still may.
     sent: bool,
-    end: Option<AcceptanceEnd>,
+    end: Option<AcceptanceOutcome>,
 }
 
 impl AcceptanceMachine {
     /// The change `order`, asked for at `now`.
-    pub(crate) fn new(order: ChangeOrder, now: ClockTime, wall: WallTime) -> Self {
+    pub(crate) fn new(order: ChangeRequest, now: ClockTime, wall: WallTime) -> Self {
         Self {
-            sent: !order.is_first_try,
+            sent: !order.is_first_attempt,
             order,
             wall,
             ends: now + ACCEPT_WITHIN,
@@ -172,9 +172,9 @@
     }
 
     /// Takes in what the table answered to the last step, at `now`.
-    pub(crate) fn on_answer(&mut self, event: TableEvent, now: ClockTime) {
-        if event == TableEvent::Away {
-            self.on_away(now);
+    pub(crate) fn on_answer(&mut self, event: TableResponse, now: ClockTime) {
+        if event == TableResponse::Away {
+            self.on_unavailable(now);
             return;
         }
         if let Err(error) = self.take_answer(event) {
@@ -182,15 +182,15 @@
         }
     }
 
-    fn take_answer(&mut self, event: TableEvent) -> SwitchResult<()> {
+    fn take_answer(&mut self, event: TableResponse) -> SwitchResult<()> {
         match (self.stage, event) {
-            (Stage::ReadStanding, TableEvent::Row(row)) => self.on_standing(row),
-            (Stage::ReadHint, TableEvent::Row(row)) => {
+            (Stage::ReadStanding, TableResponse::Row(row)) => self.on_standing(row),
+            (Stage::ReadHint, TableResponse::Row(row)) => {
                 self.hint = row.map(|row| (row.revision, row.value));
                 self.stage = Stage::WriteHint;
                 Ok(())
             }
-            (Stage::WriteHint, TableEvent::Written(_)) => {
+            (Stage::WriteHint, TableResponse::Written(_)) => {
                 let first = self.standing.is_none();
                 self.stage = if first {
                     Stage::WriteDocument
@@ -199,23 +199,23 @@
                 };
                 Ok(())
             }
-            (Stage::WriteHint, TableEvent::Conflict(row)) => {
+            (Stage::WriteHint, TableResponse::Conflict(row)) => {
                 self.hint = row.map(|row| (row.revision, row.value));
                 Ok(())
             }
             // A history row that exists already was written by an earlier try to replace the same
             // version, so it holds the same bytes.
-            (Stage::Archive, TableEvent::Written(_) | TableEvent::Conflict(_)) => {
+            (Stage::Archive, TableResponse::Written(_) | TableResponse::Conflict(_)) => {
                 self.stage = Stage::WriteDocument;
                 Ok(())
             }
-            (Stage::WriteDocument, TableEvent::Written(_)) => {
+            (Stage::WriteDocument, TableResponse::Written(_)) => {
                 let row = self.new_row()?;
                 self.accept(self.order.replaces + 1, Some(row));
                 Ok(())
             }
-            (Stage::WriteDocument, TableEvent::Conflict(row))
-            | (Stage::ReadBack, TableEvent::Row(row)) => self.on_read_back(row),
+            (Stage::WriteDocument, TableResponse::Conflict(row))
+            | (Stage::ReadBack, TableResponse::Row(row)) => self.on_read_back(row),
             (stage, event) => Err(SwitchError::new(
                 ErrorKind::Internal,
                 format!("{event:?} does not answer {stage:?}"),
@@ -223,7 +223,7 @@
         }
     }
 
-    fn on_away(&mut self, now: ClockTime) {
+    fn on_unavailable(&mut self, now: ClockTime) {
         self.not_before = now + PAUSE_AFTER_AWAY;
         match self.stage {
             // The write may have taken effect, and it may still be on its way.
@@ -315,7 +315,7 @@
     /// The same bytes at each try, so that a second write of them changes nothing.
     fn new_row(&self) -> SwitchResult<Bytes> {
         let standing = self.standing.as_ref().map(|(_, record)| record);
-        self.order.record_over(standing, self.wall).to_row()
+        self.order.next_record(standing, self.wall).to_row()
     }
 
     fn accept(&mut self, version: u64, row: Option<Bytes>) {
@@ -324,7 +324,7 @@
             "a change was about to be accepted as no version"
         );
         self.stage = Stage::Ended;
-        self.end = Some(AcceptanceEnd::Accepted { version, row });
+        self.end = Some(AcceptanceOutcome::Accepted { version, row });
     }
 
     fn refuse(&mut self, error: SwitchError, standing: Option<DocumentRecord>) {
@@ -336,7 +336,7 @@
             error
         };
         self.stage = Stage::Ended;
-        self.end = Some(AcceptanceEnd::Refused {
+        self.end = Some(AcceptanceOutcome::Refused {
             error,
             standing: standing.map(Box::new),
         });
--- a/src/documents/held.rs
+++ b/src/documents/active_documents.rs
@@ -6,7 +6,7 @@
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::record::DocumentRecord;
+use super::document_record::DocumentRecord;
 use super::schema::ServiceDocument;
 use crate::derives::{key, message, plain};
 use crate::errors::SwitchResult;
@@ -23,7 +23,7 @@
 
 /// A document in force.
 #[apply(plain!)]
-pub(crate) struct HeldDocument {
+pub(crate) struct ActiveDocument {
     /// Its service and version.
     pub(crate) version: DocumentVersion,
     /// The row as it stands in the table, to be passed on as it is.
@@ -36,7 +36,7 @@
 
 /// What became of a row that came from the table or from a neighbour.
 #[apply(key!)]
-pub(crate) enum OfferOutcome {
+pub(crate) enum InstallOutcome {
     /// It is in force now.
     Installed,
     /// It was in force already.
@@ -47,11 +47,11 @@
 
 /// The documents in force, sorted by service.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct HeldDocuments {
-    held: Vec<Arc<HeldDocument>>,
+pub(crate) struct ActiveDocuments {
+    held: Vec<Arc<ActiveDocument>>,
 }
 
-impl HeldDocuments {
+impl ActiveDocuments {
     /// Takes in a row if it is newer than what is in force.
     ///
     /// Rows come by several ways, of which some are slow: a neighbour that was cut off, a stale
@@ -62,18 +62,18 @@
     /// # Errors
     ///
     /// `MessageInvalid` when the row does not read; what is in force stays.
-    pub(crate) fn offer(&mut self, row: &Bytes) -> SwitchResult<OfferOutcome> {
+    pub(crate) fn install_if_newer(&mut self, row: &Bytes) -> SwitchResult<InstallOutcome> {
         let record = DocumentRecord::from_row(row)?;
-        let read = record.read_document()?;
+        let read = record.parse_document()?;
         let service = read.document.service.clone();
         let place = self.place_of(&service);
         let standing = place.ok().map(|at| self.held[at].version.version);
         match standing {
-            Some(standing) if record.version < standing => return Ok(OfferOutcome::Older),
-            Some(standing) if record.version == standing => return Ok(OfferOutcome::Known),
+            Some(standing) if record.version < standing => return Ok(InstallOutcome::Older),
+            Some(standing) if record.version == standing => return Ok(InstallOutcome::Known),
             _ => {}
         }
-        let held = Arc::new(HeldDocument {
+        let held = Arc::new(ActiveDocument {
             version: DocumentVersion {
                 service,
                 version: record.version,
@@ -86,10 +86,10 @@
             Ok(at) => self.replace(at, held),
             Err(at) => self.held.insert(at, held),
         }
-        Ok(OfferOutcome::Installed)
+        Ok(InstallOutcome::Installed)
     }
 
-    fn replace(&mut self, at: usize, held: Arc<HeldDocument>) {
+    fn replace(&mut self, at: usize, held: Arc<ActiveDocument>) {
         assert!(
             held.version.version > self.held[at].version.version,
             "a document in force was about to be replaced by an older one"
@@ -98,7 +98,7 @@
     }
 
     /// The document of `service`.
-    pub(crate) fn get(&self, service: &str) -> Option<&Arc<HeldDocument>> {
+    pub(crate) fn get(&self, service: &str) -> Option<&Arc<ActiveDocument>> {
         self.place_of(service).ok().map(|at| &self.held[at])
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// All of them, sorted by service.
-    pub(crate) fn all(&self) -> &[Arc<HeldDocument>] {
+    pub(crate) fn all(&self) -> &[Arc<ActiveDocument>] {
         &self.held
     }
 
--- a/src/documents/change.rs
+++ b/src/documents/change_request.rs
@@ -4,7 +4,7 @@
 use macro_rules_attribute::apply;
 use subtle::{Choice, ConstantTimeEq};
 
-use super::record::{ChangeMark, DocumentRecord, RECENT_CHANGES};
+use super::document_record::{AcceptedChange, DocumentRecord, RECENT_CHANGES};
 use super::schema::ServiceDocument;
 use crate::derives::plain;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -29,7 +29,7 @@
     }
 
     /// Whether it is among `digests`; all of them are compared, whichever fits.
-    pub(crate) fn is_among(&self, digests: &[ByteString]) -> bool {
+    pub(crate) fn matches_any(&self, digests: &[ByteString]) -> bool {
         let none = Choice::from(0);
         let found = digests
             .iter()
@@ -60,7 +60,7 @@
 
 /// A change that an operator asks for. The document has been checked.
 #[apply(plain!)]
-pub(crate) struct ChangeOrder {
+pub(crate) struct ChangeRequest {
     /// The service.
     pub(crate) service: ByteString,
     /// The version that the change replaces; 0 when there must be none yet.
@@ -69,7 +69,7 @@
     pub(crate) nonce: ByteString,
     /// Whether the author says that it was never asked for before. If not, an earlier try may
     /// still be on its way into the table.
-    pub(crate) is_first_try: bool,
+    pub(crate) is_first_attempt: bool,
     /// The author's name, for people.
     pub(crate) author: ByteString,
     /// The digest of the key that the author presented.
@@ -80,7 +80,7 @@
     pub(crate) document: serde_json::Value,
 }
 
-impl ChangeOrder {
+impl ChangeRequest {
     /// Whether the author may replace `standing`.
     ///
     /// The team that owns the service changes its document. The operators' key creates documents,
@@ -95,8 +95,8 @@
         let Some(standing) = standing else {
             return allow(is_operator, "only the operators' key creates a document");
         };
-        let owned = standing.read_document()?.document;
-        if self.key.is_among(&owned.change_key_digests) {
+        let owned = standing.parse_document()?.document;
+        if self.key.matches_any(&owned.change_key_digests) {
             return Ok(());
         }
         let only_keys = is_operator && self.changes_keys_only(&owned);
@@ -119,14 +119,14 @@
     }
 
     /// The record that the change makes over `standing`.
-    pub(crate) fn record_over(
+    pub(crate) fn next_record(
         &self,
         standing: Option<&DocumentRecord>,
         wall: WallTime,
     ) -> DocumentRecord {
         let version = self.replaces + 1;
         let mut recent = standing.map_or_else(Vec::new, |standing| standing.recent.clone());
-        recent.push(ChangeMark {
+        recent.push(AcceptedChange {
             version,
             nonce: self.nonce.clone(),
         });
--- a/src/documents/record.rs
+++ b/src/documents/document_record.rs
@@ -43,7 +43,7 @@
     pub(crate) changed_wall_ms: u64,
     /// The newest changes with their nonces, this one included, oldest first: a writer whose change
     /// was replaced before it read back still learns that it was accepted.
-    pub(crate) recent: Vec<ChangeMark>,
+    pub(crate) recent: Vec<AcceptedChange>,
     /// The document, whole: a process that does not know all of its fields passes on all of them.
     pub(crate) document: serde_json::Value,
 }
@@ -51,7 +51,7 @@
 /// One accepted change.
 #[apply(message!)]
 #[derive(Eq)]
-pub(crate) struct ChangeMark {
+pub(crate) struct AcceptedChange {
     /// The version that it made.
     pub(crate) version: u64,
     /// The change's nonce.
@@ -87,15 +87,15 @@
     /// # Errors
     ///
     /// `MessageInvalid` when what is known of it does not read either.
-    pub(crate) fn read_document(&self) -> SwitchResult<ReadDocument> {
+    pub(crate) fn parse_document(&self) -> SwitchResult<ParsedDocument> {
         let (document, unknown) = split_unknown(&self.document)?;
-        Ok(ReadDocument { document, unknown })
+        Ok(ParsedDocument { document, unknown })
     }
 }
 
 /// A document as this process understands it.
 #[apply(plain!)]
-pub(crate) struct ReadDocument {
+pub(crate) struct ParsedDocument {
     /// The document.
     pub(crate) document: ServiceDocument,
     /// The paths of the fields that were left out because this program does not know them.
--- a/src/documents/hint.rs
+++ b/src/documents/hint_record.rs
@@ -4,7 +4,7 @@
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::held::DocumentVersion;
+use super::active_documents::DocumentVersion;
 use crate::derives::message;
 
 /// The key of the hint row.
@@ -37,7 +37,7 @@
 
     /// Whether changes may have come and gone since `earlier` was read: the row is full, and nothing
     /// in it was there.
-    pub(crate) fn may_have_missed(&self, earlier: &Self) -> bool {
+    pub(crate) fn may_miss_changes(&self, earlier: &Self) -> bool {
         let is_new = |entry: &DocumentVersion| !earlier.expected.contains(entry);
         self.expected.len() >= HINT_ENTRIES && self.expected.iter().all(is_new)
     }
--- a/src/documents/mod.rs
+++ b/src/documents/mod.rs
@@ -2,28 +2,30 @@
 //! versioned by compare-and-set in the platform's table, and carried to every process.
 
 mod acceptance;
-mod change;
+mod active_documents;
+mod change_request;
 mod check;
+mod document_record;
 pub(crate) mod events;
-mod held;
-mod hint;
-mod record;
+mod hint_record;
+mod read_scheduler;
 mod schema;
-mod table_reader;
 #[cfg(test)]
 mod tests;
 mod unknown_fields;
 
-pub(crate) use acceptance::{AcceptanceEnd, AcceptanceMachine, AcceptanceStep, TableEvent};
-pub(crate) use change::{ChangeOrder, KeyDigest};
+pub(crate) use acceptance::{AcceptanceMachine, AcceptanceOutcome, AcceptanceStep, TableResponse};
+pub(crate) use active_documents::{
+    ActiveDocument, ActiveDocuments, DocumentVersion, InstallOutcome,
+};
+pub(crate) use change_request::{ChangeRequest, KeyDigest};
 pub(crate) use check::{DOCUMENT_BYTES_MAX, DocumentFault, check_document, json_schema};
-pub(crate) use held::{DocumentVersion, HeldDocument, HeldDocuments, OfferOutcome};
-pub(crate) use hint::{HINT_KEY, HintRecord};
-pub(crate) use record::{
-    ChangeMark, DOCUMENTS_PREFIX, DocumentRecord, document_key, history_prefix,
+pub(crate) use document_record::{
+    AcceptedChange, DOCUMENTS_PREFIX, DocumentRecord, document_key, history_prefix,
 };
+pub(crate) use hint_record::{HINT_KEY, HintRecord};
+pub(crate) use read_scheduler::{TableReadScheduler, TableReadStep};
 pub use schema::{
     AccountSpec, DeadlineSpec, HostSelection, OutageRule, RequestPriority, RetrySpec, RolloutSpec,
     RouteSpec, ServiceDocument, ServiceKind, SpreadObjective, TableAwayRule, WeightsSpec,
 };
-pub(crate) use table_reader::{ReaderStep, TableReader};
--- a/src/documents/table_reader.rs
+++ b/src/documents/read_scheduler.rs
@@ -6,8 +6,8 @@
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 
-use super::held::{DocumentVersion, HeldDocuments};
-use super::hint::HintRecord;
+use super::active_documents::{ActiveDocuments, DocumentVersion};
+use super::hint_record::HintRecord;
 use crate::derives::plain;
 use crate::time::ClockTime;
 
@@ -25,7 +25,7 @@
 
 /// What to read next.
 #[apply(plain!)]
-pub(crate) enum ReaderStep {
+pub(crate) enum TableReadStep {
     /// Nothing until then.
     WaitUntil(ClockTime),
     /// Every document.
@@ -38,7 +38,7 @@
 
 /// One process's reading of the table.
 #[derive(Debug)]
-pub(crate) struct TableReader {
+pub(crate) struct TableReadScheduler {
     /// The table's documents were all in force here, or on their way here, at this time.
     fresh_at: Option<ClockTime>,
     whole_due: ClockTime,
@@ -59,7 +59,7 @@
     first_seen: ClockTime,
 }
 
-impl TableReader {
+impl TableReadScheduler {
     /// A process that has just started; its first reading is due at `first`.
     pub(crate) const fn new(first: ClockTime) -> Self {
         Self {
@@ -82,31 +82,36 @@
     }
 
     /// A neighbour has everything that the table held at `at`, and so has this process.
-    pub(crate) fn on_neighbour_fresh(&mut self, at: ClockTime) {
+    pub(crate) fn on_neighbour_current(&mut self, at: ClockTime) {
         self.fresh_at = self.fresh_at.max(Some(at));
     }
 
-    /// What to read next; `is_reader` when this process reads for its data centre. `spread` in 0
+    /// What to read next; `is_reader` when this process reads for its data centre. `jitter` in 0
     /// to 255 moves the reads of processes apart.
-    pub(crate) fn next_step(&mut self, now: ClockTime, is_reader: bool, spread: u8) -> ReaderStep {
+    pub(crate) fn next_step(
+        &mut self,
+        now: ClockTime,
+        is_reader: bool,
+        jitter: u8,
+    ) -> TableReadStep {
         if let Some(service) = self.round.pop() {
-            return ReaderStep::ReadDocument(service);
+            return TableReadStep::ReadDocument(service);
         }
         if now < self.poll_due {
-            return ReaderStep::WaitUntil(self.poll_due);
+            return TableReadStep::WaitUntil(self.poll_due);
         }
         let is_stale = self.age(now).is_none_or(|age| age >= STALE_AFTER);
         // What neighbours say does not spare a new process its own first reading.
         if self.asked_once && !is_reader && !is_stale {
             let stale_at = self.fresh_at.unwrap_or(now) + STALE_AFTER;
-            let jitter = POLL_PAUSE * u32::from(spread) / u32::from(u8::MAX);
+            let jitter = POLL_PAUSE * u32::from(jitter) / u32::from(u8::MAX);
             self.poll_due = stale_at.max(now) + jitter;
-            return ReaderStep::WaitUntil(self.poll_due.min(now + POLL_PAUSE));
+            return TableReadStep::WaitUntil(self.poll_due.min(now + POLL_PAUSE));
         }
         if now >= self.whole_due {
-            return ReaderStep::ReadAll;
+            return TableReadStep::ReadAll;
         }
-        ReaderStep::ReadHint
+        TableReadStep::ReadHint
     }
 
     /// Every document was read; the reading was sent at `sent`.
@@ -120,7 +125,7 @@
     pub(crate) fn on_hint(
         &mut self,
         hint: &HintRecord,
-        held: &HeldDocuments,
+        held: &ActiveDocuments,
         sent: ClockTime,
         now: ClockTime,
     ) {
@@ -143,7 +148,7 @@
             .filter(|wanted| now.since(wanted.first_seen) < EXPECT_FOR)
             .map(|wanted| wanted.version.service.clone())
             .collect();
-        if hint.may_have_missed(&self.last_hint) {
+        if hint.may_miss_changes(&self.last_hint) {
             self.whole_due = now;
         }
         self.last_hint = hint.clone();
@@ -156,13 +161,13 @@
     }
 
     /// The table did not answer.
-    pub(crate) fn on_away(&mut self, now: ClockTime, spread: u8) {
+    pub(crate) fn on_unavailable(&mut self, now: ClockTime, jitter: u8) {
         self.asked_once = true;
         self.failures = self.failures.saturating_add(1);
         self.round.clear();
         let longest = POLL_PAUSE * 2u32.saturating_pow(self.failures.min(6));
         // Full jitter: processes that lost the table at the same moment come back one by one.
-        let pause = longest.min(AWAY_PAUSE_MAX) * u32::from(spread) / u32::from(u8::MAX);
+        let pause = longest.min(AWAY_PAUSE_MAX) * u32::from(jitter) / u32::from(u8::MAX);
         self.poll_due = now + pause.max(POLL_PAUSE / 4);
     }
 
--- a/src/documents/tests/mod.rs
+++ b/src/documents/tests/mod.rs
@@ -2,5 +2,5 @@
 
 mod acceptance;
 mod check;
-mod table_reader;
+mod read_scheduler;
 mod unknown_fields;
--- a/src/documents/tests/table_reader.rs
+++ b/src/documents/tests/read_scheduler.rs
@@ -1,34 +1,34 @@
 //! When a process reads the table.
 
-use crate::documents::{HeldDocuments, HintRecord, ReaderStep, TableReader};
+use crate::documents::{ActiveDocuments, HintRecord, TableReadScheduler, TableReadStep};
 use crate::time::ClockTime;
 
-const SPREAD: u8 = 128;
+const JITTER: u8 = 128;
 
 fn seconds(count: u64) -> ClockTime {
     ClockTime::from_millis(1000 * count)
 }
 
-fn waits(step: &ReaderStep) -> bool {
-    matches!(step, ReaderStep::WaitUntil(_))
+fn waits(step: &TableReadStep) -> bool {
+    matches!(step, TableReadStep::WaitUntil(_))
 }
 
 /// Reads the table in one run of `span` seconds, answered at once, the neighbours' word coming each
 /// second if `is_told`.
 fn reads_within(span: u64, is_reader: bool, is_told: bool) -> usize {
-    let mut reader = TableReader::new(seconds(0));
-    let held = HeldDocuments::default();
+    let mut reader = TableReadScheduler::new(seconds(0));
+    let held = ActiveDocuments::default();
     let mut reads = 0;
     for tick in 0..span * 10 {
         let now = ClockTime::from_millis(100 * tick);
         if is_told && tick % 10 == 0 {
-            reader.on_neighbour_fresh(now);
+            reader.on_neighbour_current(now);
         }
-        match reader.next_step(now, is_reader, SPREAD) {
-            ReaderStep::WaitUntil(_) => continue,
-            ReaderStep::ReadAll => reader.on_all(now, now),
-            ReaderStep::ReadHint => reader.on_hint(&HintRecord::default(), &held, now, now),
-            ReaderStep::ReadDocument(_) => reader.on_document(),
+        match reader.next_step(now, is_reader, JITTER) {
+            TableReadStep::WaitUntil(_) => continue,
+            TableReadStep::ReadAll => reader.on_all(now, now),
+            TableReadStep::ReadHint => reader.on_hint(&HintRecord::default(), &held, now, now),
+            TableReadStep::ReadDocument(_) => reader.on_document(),
         }
         reads += 1;
     }
@@ -51,17 +51,17 @@
 
 #[test]
 fn an_expected_change_is_looked_for_until_it_is_given_up() {
-    let mut reader = TableReader::new(seconds(0));
-    let held = HeldDocuments::default();
+    let mut reader = TableReadScheduler::new(seconds(0));
+    let held = ActiveDocuments::default();
     let mut hint = HintRecord::default();
     hint.expect(&"pisar".into(), 1);
     reader.on_all(seconds(0), seconds(0));
     let mut looks = 0;
     for second in 1..=30 {
         let now = seconds(second);
-        assert_eq!(reader.next_step(now, true, SPREAD), ReaderStep::ReadHint);
+        assert_eq!(reader.next_step(now, true, JITTER), TableReadStep::ReadHint);
         reader.on_hint(&hint, &held, now, now);
-        if reader.next_step(now, true, SPREAD) == ReaderStep::ReadDocument("pisar".into()) {
+        if reader.next_step(now, true, JITTER) == TableReadStep::ReadDocument("pisar".into()) {
             looks += 1;
             reader.on_document();
         }
@@ -74,8 +74,8 @@
 // names the last of them only.
 #[test]
 fn a_full_hint_row_of_news_leads_to_a_reading_of_all() {
-    let mut reader = TableReader::new(seconds(0));
-    let held = HeldDocuments::default();
+    let mut reader = TableReadScheduler::new(seconds(0));
+    let held = ActiveDocuments::default();
     let mut hint = HintRecord::default();
     reader.on_all(seconds(0), seconds(0));
     reader.on_hint(&hint, &held, seconds(1), seconds(1));
@@ -84,26 +84,26 @@
     }
     reader.on_hint(&hint, &held, seconds(2), seconds(2));
     for _ in 0..4 {
-        let step = reader.next_step(seconds(3), true, SPREAD);
-        assert!(matches!(step, ReaderStep::ReadDocument(_)), "{step:?}");
+        let step = reader.next_step(seconds(3), true, JITTER);
+        assert!(matches!(step, TableReadStep::ReadDocument(_)), "{step:?}");
     }
-    let step = reader.next_step(seconds(3), true, SPREAD);
-    assert_eq!(step, ReaderStep::ReadAll);
+    let step = reader.next_step(seconds(3), true, JITTER);
+    assert_eq!(step, TableReadStep::ReadAll);
 }
 
 #[test]
 fn failures_make_the_pauses_longer() {
-    let mut reader = TableReader::new(seconds(0));
+    let mut reader = TableReadScheduler::new(seconds(0));
     let mut now = seconds(0);
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        reader.on_away(now, u8::MAX);
-        let ReaderStep::WaitUntil(due) = reader.next_step(now, true, SPREAD) else {
+        reader.on_unavailable(now, u8::MAX);
+        let TableReadStep::WaitUntil(due) = reader.next_step(now, true, JITTER) else {
             panic!("it pauses");
         };
         pauses.push(due.since(now).as_secs());
         now = due;
     }
     assert_eq!(pauses, [2, 4, 8, 8, 8, 8]);
-    assert!(!waits(&reader.next_step(now, true, SPREAD)));
+    assert!(!waits(&reader.next_step(now, true, JITTER)));
 }
--- a/src/documents/tests/unknown_fields.rs
+++ b/src/documents/tests/unknown_fields.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 use super::super::unknown_fields::split_unknown;
-use crate::documents::{DocumentRecord, HeldDocuments};
+use crate::documents::{ActiveDocuments, DocumentRecord};
 
 fn newer_document() -> Value {
     json!({
@@ -45,8 +45,8 @@
         document: newer_document(),
     };
     let row: Bytes = record.to_row().expect("it writes");
-    let mut held = HeldDocuments::default();
-    held.offer(&row).expect("it reads");
+    let mut held = ActiveDocuments::default();
+    held.install_if_newer(&row).expect("it reads");
     let held = held.get("pisar").expect("it is in force");
     assert_eq!(held.row, row);
     assert_eq!(held.unknown.len(), 3);
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -12,13 +12,13 @@
 use super::routes::caller_routes;
 use super::settings::{EntrySettings, SPECS};
 use super::traffic::EntryTraffic;
-use crate::control::{ControlEdges, ControlHandle, start_control};
+use crate::control::{ControlAdapters, ControlHandle, start_control};
 use crate::daemon::{DrainState, hold_stop_signals, probe_routes, run_process};
 use crate::delivery::{HostCaller, events};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::gateway::run_gateway;
-use crate::membership::StatusBoard;
+use crate::membership::StatusPublisher;
 use crate::operator::admin_routes;
 use crate::platform::{PLATFORM_COMMAND, run_on_platform, with_platform};
 use crate::settings::{SettingReader, SettingsFaults};
@@ -122,11 +122,11 @@
     settings: &EntrySettings,
     client: &Arc<PeerClient>,
     drain: &DrainState,
-) -> (ControlHandle, StatusBoard) {
+) -> (ControlHandle, StatusPublisher) {
     let common = &settings.common;
     let identity = common.identity(HostRole::Entry, None);
-    let board = StatusBoard::new(identity.host.clone(), identity.incarnation);
-    let edges = ControlEdges {
+    let board = StatusPublisher::new(identity.host.clone(), identity.incarnation);
+    let edges = ControlAdapters {
         table: common.table(),
         list: common.host_list(),
         client: client.clone(),
@@ -147,7 +147,7 @@
 /// what still comes.
 async fn watch_leaving(
     traffic: Arc<EntryTraffic>,
-    board: StatusBoard,
+    board: StatusPublisher,
     drain: DrainState,
     linger: Duration,
 ) {
--- a/src/guard/run_edge.rs
+++ b/src/guard/run_edge.rs
@@ -20,7 +20,7 @@
 use crate::engines::EngineEdge;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::membership::{HostIdentity, StatusBoard};
+use crate::membership::{HostIdentity, StatusPublisher};
 use crate::metrics::set_level;
 use crate::time::clock_now;
 use crate::transport::{error_reply, frame_channel, message_reply, read_message};
@@ -40,7 +40,7 @@
     /// The gate that requests go through.
     pub(crate) gate: ServingGate,
     /// Where this process says how busy it is.
-    pub(crate) board: StatusBoard,
+    pub(crate) board: StatusPublisher,
     /// The graceful stop.
     pub(crate) drain: DrainState,
 }
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -14,7 +14,7 @@
 use crate::documents::RequestPriority;
 use crate::engines::{EngineEdge, PlainEdge};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
-use crate::membership::{LoadReport, StatusBoard};
+use crate::membership::{LoadReport, StatusPublisher};
 use crate::time::{ClockTime, clock_now};
 
 /// How often a call that waits looks whether anybody still wants it.
@@ -35,7 +35,7 @@
     pub(crate) incarnation: u64,
     pub(crate) backend: BackendServer,
     pub(crate) gate: ServingGate,
-    pub(crate) board: StatusBoard,
+    pub(crate) board: StatusPublisher,
     pub(crate) drain: DrainState,
     pub(crate) state: Mutex<GuardState>,
 }
--- a/src/guard/tests/fakes.rs
+++ b/src/guard/tests/fakes.rs
@@ -20,7 +20,7 @@
 use crate::guard::run_edge::{GuardHandle, settle};
 use crate::guard::run_task::run_order;
 use crate::guard::{BackendServer, GuardEdges, GuardLimits, ServingGate, start_guard};
-use crate::membership::{HostIdentity, StatusBoard};
+use crate::membership::{HostIdentity, StatusPublisher};
 use crate::stores::HostRole;
 use crate::transport::{FrameReader, frame_channel};
 
@@ -82,7 +82,7 @@
             incarnation,
         };
         let drain = DrainState::new(Duration::ZERO, Duration::from_secs(10));
-        let board = StatusBoard::new(host, incarnation);
+        let board = StatusPublisher::new(host, incarnation);
         let edges = GuardEdges {
             identity,
             backend,
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -8,12 +8,12 @@
 use volo_http::server::route::Router;
 
 use super::settings::{EngineDialect, HostSettings};
-use crate::control::{ControlEdges, ControlHandle, start_control};
+use crate::control::{ControlAdapters, ControlHandle, start_control};
 use crate::daemon::{DrainState, probe_routes};
 use crate::engines::{EngineEdge, HttpPlain, JsonStateEngine, MetricsTextEngine};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::guard::{BackendServer, GuardEdges, GuardLimits, ServingGate, start_guard};
-use crate::membership::StatusBoard;
+use crate::membership::StatusPublisher;
 use crate::settings::CommonSettings;
 use crate::stores::http::HttpWeights;
 use crate::stores::{HostRole, WeightSource};
@@ -44,7 +44,7 @@
 /// What runs in the process.
 struct HostParts {
     routes: Router,
-    board: StatusBoard,
+    board: StatusPublisher,
     drain: DrainState,
 }
 
@@ -53,10 +53,10 @@
         let common = &settings.common;
         let mut identity = common.identity(HostRole::Backend, Some(settings.service.clone()));
         identity.peer_address = address;
-        let board = StatusBoard::new(identity.host.clone(), identity.incarnation);
+        let board = StatusPublisher::new(identity.host.clone(), identity.incarnation);
         let drain = common.drain_state();
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
-        let edges = ControlEdges {
+        let edges = ControlAdapters {
             table: common.table(),
             list: common.host_list(),
             client: Arc::clone(&client),
@@ -115,7 +115,7 @@
     control: ControlHandle,
     client: Arc<PeerClient>,
     gate: ServingGate,
-    board: StatusBoard,
+    board: StatusPublisher,
     drain: DrainState,
 }
 
@@ -164,7 +164,7 @@
 }
 
 /// Says at once that the process is leaving, when its graceful stop begins.
-async fn tell_leaving(drain: DrainState, board: StatusBoard) {
+async fn tell_leaving(drain: DrainState, board: StatusPublisher) {
     drain.begun().await;
     board.update(|status| status.leaving = true);
 }
--- a/src/lab/documents/observer.rs
+++ b/src/lab/documents/observer.rs
@@ -7,7 +7,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-use crate::control::{PeerFrame, WATCH_PATH, WatchOrder};
+use crate::control::{PeerFrame, WATCH_PATH, WatchRequest};
 use crate::documents::DocumentVersion;
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{ClientLimits, PeerClient};
@@ -50,7 +50,7 @@
 
     async fn watch_once(&self, host: &str, address: SocketAddr) {
         let client = PeerClient::new(ClientLimits::default());
-        let order = WatchOrder {
+        let order = WatchRequest {
             watcher: None,
             pace_ms: PACE_MS,
         };
--- a/src/lab/documents/operators.rs
+++ b/src/lab/documents/operators.rs
@@ -9,7 +9,7 @@
 use crate::documents::{DocumentVersion, ServiceDocument};
 use crate::errors::ErrorKind;
 use crate::lab::launch::OPERATOR_KEY;
-use crate::operator::admin_client::{AdminCall, AdminClient, AdminFailure, ChangeName};
+use crate::operator::admin_client::{AdminCall, AdminClient, AdminFailure, ChangeIdentity};
 use crate::operator::messages::PutReply;
 use crate::time::{ClockTime, clock_now};
 
@@ -75,7 +75,7 @@
                 self.document.service, self.replaces
             ),
             body: body.into(),
-            change: Some(ChangeName {
+            change: Some(ChangeIdentity {
                 author: "lab".to_owned(),
                 nonce: self.nonce.clone(),
                 doubts,
--- a/src/lab/slopes/transports.rs
+++ b/src/lab/slopes/transports.rs
@@ -9,7 +9,7 @@
 
 use super::run::as_float;
 use super::sample::{ConnectionCount, read_connections};
-use crate::control::{PULL_PATH, PeerFrame, PullOrder, PullReply, WATCH_PATH, WatchOrder};
+use crate::control::{PULL_PATH, PeerFrame, PullRequest, PullResponse, WATCH_PATH, WatchRequest};
 use crate::derives::message;
 use crate::errors::SwitchResult;
 use crate::transport::{ClientLimits, PeerClient};
@@ -38,21 +38,21 @@
 
 async fn weigh_exchange(peer: SocketAddr) -> SwitchResult<f64> {
     let client = PeerClient::new(ClientLimits::default());
-    let order = PullOrder { have: Vec::new() };
+    let order = PullRequest { have: Vec::new() };
     // The first opens the connection and fetches what there is.
-    let reply: PullReply = client.call(peer, PULL_PATH, &order, WITHIN).await?;
+    let reply: PullResponse = client.call(peer, PULL_PATH, &order, WITHIN).await?;
     drop(reply);
-    let order = PullOrder {
+    let order = PullRequest {
         have: vec![crate::documents::DocumentVersion {
             service: "none".into(),
             version: 1,
         }],
     };
-    let first: PullReply = client.call(peer, PULL_PATH, &order, WITHIN).await?;
+    let first: PullResponse = client.call(peer, PULL_PATH, &order, WITHIN).await?;
     let body: usize = first.rows.iter().map(bytes::Bytes::len).sum();
     let before = own_bytes(peer).await?;
     for _ in 0..EXCHANGES {
-        let _: PullReply = client.call(peer, PULL_PATH, &order, WITHIN).await?;
+        let _: PullResponse = client.call(peer, PULL_PATH, &order, WITHIN).await?;
     }
     let after = own_bytes(peer).await?;
     let whole = as_float(after - before) / as_float(EXCHANGES);
@@ -62,7 +62,7 @@
 
 async fn weigh_frame(peer: SocketAddr) -> SwitchResult<f64> {
     let client = PeerClient::new(ClientLimits::default());
-    let order = WatchOrder {
+    let order = WatchRequest {
         watcher: None,
         pace_ms: u64::try_from(FRAME_PACE.as_millis()).unwrap_or(u64::MAX),
     };
--- a/src/lab/soak/documents.rs
+++ b/src/lab/soak/documents.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 
 use crate::documents::{
-    AcceptanceEnd, AcceptanceMachine, AcceptanceStep, ChangeOrder, DocumentRecord, HeldDocuments,
-    KeyDigest, TableEvent, document_key,
+    AcceptanceMachine, AcceptanceOutcome, AcceptanceStep, ActiveDocuments, ChangeRequest,
+    DocumentRecord, KeyDigest, TableResponse, document_key,
 };
 use crate::errors::ErrorKind;
 use crate::stores::{RowRevision, TableRow};
@@ -43,13 +43,13 @@
         self.rows.iter().find(|row| row.key == key).cloned()
     }
 
-    fn write(&mut self, write: &FakeWrite) -> TableEvent {
+    fn write(&mut self, write: &FakeWrite) -> TableResponse {
         let standing = self.read(&write.key);
         let revision = standing
             .as_ref()
             .map_or(RowRevision::ABSENT, |row| row.revision);
         if revision != write.expected {
-            return TableEvent::Conflict(standing);
+            return TableResponse::Conflict(standing);
         }
         self.last_revision += 1;
         let revision = RowRevision(self.last_revision);
@@ -66,7 +66,7 @@
             self.stood.push(write.value.clone());
             self.records.push(record);
         }
-        TableEvent::Written(revision)
+        TableResponse::Written(revision)
     }
 
     /// The record that the change `nonce` made, if it was ever accepted.
@@ -81,7 +81,7 @@
 
 /// One operator's change on its way, and the same change asked for again.
 struct Operator {
-    order: ChangeOrder,
+    order: ChangeRequest,
     machine: AcceptanceMachine,
 }
 
@@ -96,7 +96,7 @@
     refused: Vec<String>,
     /// Changes of which the author was told that they are accepted, with their versions.
     accepted: Vec<(String, u64)>,
-    processes: Vec<HeldDocuments>,
+    processes: Vec<ActiveDocuments>,
 }
 
 /// One run: changes, faults, and checks after each step.
@@ -113,7 +113,7 @@
         operators: Vec::new(),
         refused: Vec::new(),
         accepted: Vec::new(),
-        processes: vec![HeldDocuments::default(); PROCESSES],
+        processes: vec![ActiveDocuments::default(); PROCESSES],
     };
     for _ in 0..OPERATORS {
         let operator = run.new_change(u)?;
@@ -154,11 +154,11 @@
         } else {
             TEAM_KEY
         };
-        let order = ChangeOrder {
+        let order = ChangeRequest {
             service: SERVICE.into(),
             replaces,
             nonce: format!("change-{}", self.nonces).into(),
-            is_first_try: true,
+            is_first_attempt: true,
             author: "operator".into(),
             key: KeyDigest::of_key(key),
             operator_key_digest: KeyDigest::of_key(OPERATOR_KEY).hex().into(),
@@ -168,14 +168,14 @@
     }
 
     /// The author asks for the same change once more.
-    fn ask_again(&self, order: ChangeOrder) -> Operator {
-        self.ask(ChangeOrder {
-            is_first_try: false,
+    fn ask_again(&self, order: ChangeRequest) -> Operator {
+        self.ask(ChangeRequest {
+            is_first_attempt: false,
             ..order
         })
     }
 
-    fn ask(&self, order: ChangeOrder) -> Operator {
+    fn ask(&self, order: ChangeRequest) -> Operator {
         let machine = AcceptanceMachine::new(order.clone(), self.now, WallTime(self.now.0 / 1000));
         Operator { order, machine }
     }
@@ -191,9 +191,9 @@
             }
             AcceptanceStep::Read { key } => {
                 let event = if u.ratio(1, 5)? {
-                    TableEvent::Away
+                    TableResponse::Away
                 } else {
-                    TableEvent::Row(self.table.read(&key))
+                    TableResponse::Row(self.table.read(&key))
                 };
                 self.operators[index].machine.on_answer(event, self.now);
             }
@@ -214,16 +214,16 @@
         Ok(())
     }
 
-    fn write(&mut self, u: &mut Unstructured<'_>, write: FakeWrite) -> Result<TableEvent> {
+    fn write(&mut self, u: &mut Unstructured<'_>, write: FakeWrite) -> Result<TableResponse> {
         match u.int_in_range(0..=5)? {
-            0 => Ok(TableEvent::Away),
+            0 => Ok(TableResponse::Away),
             1 => {
                 self.table.write(&write);
-                Ok(TableEvent::Away)
+                Ok(TableResponse::Away)
             }
             2 => {
                 self.table.under_way.push(write);
-                Ok(TableEvent::Away)
+                Ok(TableResponse::Away)
             }
             _ => Ok(self.table.write(&write)),
         }
@@ -243,20 +243,22 @@
         &mut self,
         u: &mut Unstructured<'_>,
         index: usize,
-        end: AcceptanceEnd,
+        end: AcceptanceOutcome,
     ) -> Result<Operator> {
         let order = self.operators[index].order.clone();
         match end {
-            AcceptanceEnd::Accepted { version, .. } => {
+            AcceptanceOutcome::Accepted { version, .. } => {
                 self.accepted.push((order.nonce.to_string(), version));
                 if u.ratio(1, 4)? {
                     return Ok(self.ask_again(order));
                 }
             }
-            AcceptanceEnd::Refused { error, .. } if error.kind == ErrorKind::DocumentInDoubt => {
+            AcceptanceOutcome::Refused { error, .. }
+                if error.kind == ErrorKind::DocumentInDoubt =>
+            {
                 return Ok(self.ask_again(order));
             }
-            AcceptanceEnd::Refused { .. } => {
+            AcceptanceOutcome::Refused { .. } => {
                 self.refused.push(order.nonce.to_string());
             }
         }
@@ -271,7 +273,7 @@
         let row = self.table.stood[u.choose_index(self.table.stood.len())?].clone();
         let process = &mut self.processes[u.choose_index(PROCESSES)?];
         let before = process.version_of(SERVICE);
-        process.offer(&row).expect("a row of ours reads");
+        process.install_if_newer(&row).expect("a row of ours reads");
         let after = process.version_of(SERVICE);
         assert!(after >= before, "version {before} went back to {after}");
         Ok(())
@@ -299,7 +301,7 @@
         self.check();
         if let Some(row) = self.table.stood.last() {
             for process in &mut self.processes {
-                process.offer(row).expect("a row of ours reads");
+                process.install_if_newer(row).expect("a row of ours reads");
                 let newest = u64::try_from(self.table.stood.len()).unwrap_or(u64::MAX);
                 assert_eq!(process.version_of(SERVICE), newest, "not everyone has it");
             }
--- a/src/lab/soak/membership.rs
+++ b/src/lab/soak/membership.rs
@@ -192,7 +192,7 @@
     fn break_stream(&mut self, index: usize) {
         self.hosts[index].stream = false;
         let name = self.hosts[index].name.clone();
-        self.table.on_lost(&name, self.now);
+        self.table.on_stream_lost(&name, self.now);
     }
 
     /// The host's stream brings its newest word.
@@ -206,7 +206,7 @@
             host.speak();
         }
         let (name, status) = (host.name.clone(), host.status());
-        self.table.on_heard(&name, PACE, self.now);
+        self.table.on_frame_received(&name, PACE, self.now);
         self.hear(index, Word::Status(status));
     }
 
--- a/src/lab/soak/routing.rs
+++ b/src/lab/soak/routing.rs
@@ -88,7 +88,7 @@
             MemberState::Live,
             MemberState::Suspected,
             MemberState::Leaving,
-            MemberState::Gone,
+            MemberState::Unavailable,
         ])?;
         let before = member.status.as_ref().expect("made with a status");
         let mut status = HostStatus::clone(before);
--- a/src/lab/soak/spread.rs
+++ b/src/lab/soak/spread.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 
 use crate::control::ControlMachine;
-use crate::documents::{ChangeMark, DocumentRecord};
+use crate::documents::{AcceptedChange, DocumentRecord};
 use crate::membership::HostIdentity;
 use crate::stores::HostRole;
 use crate::time::ClockTime;
@@ -66,7 +66,7 @@
     }
 
     fn act(&mut self) {
-        self.machine.take_spread();
+        self.machine.take_gossip();
         let Some(snapshot) = self.machine.take_snapshot() else {
             return;
         };
@@ -220,7 +220,7 @@
         nonce: nonce.clone().into(),
         changed_by: "someone".into(),
         changed_wall_ms: 0,
-        recent: vec![ChangeMark {
+        recent: vec![AcceptedChange {
             version,
             nonce: nonce.into(),
         }],
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -81,8 +81,10 @@
 
     fn state_at(&self, now: ClockTime) -> MemberState {
         let health = match self.watch {
-            WatchHealth::NotWatched if self.listing == Listing::Dropped => MemberState::Gone,
-            WatchHealth::Silent { since } if now.since(since) >= GONE_AFTER => MemberState::Gone,
+            WatchHealth::NotWatched if self.listing == Listing::Dropped => MemberState::Unavailable,
+            WatchHealth::Silent { since } if now.since(since) >= GONE_AFTER => {
+                MemberState::Unavailable
+            }
             WatchHealth::Silent { .. } => MemberState::Suspected,
             WatchHealth::Heard { at, pace } if now.since(at) >= pace * SUSPECT_PACES => {
                 MemberState::Suspected
@@ -201,7 +203,7 @@
             if member.status.as_ref().is_some_and(is_earlier) {
                 member.status = None;
             }
-            if member.state == MemberState::Gone {
+            if member.state == MemberState::Unavailable {
                 member.watch = WatchHealth::Silent { since: now };
             }
         }
@@ -244,14 +246,14 @@
     pub(crate) fn on_watched(&mut self, host: &str, now: ClockTime) {
         if let Ok(at) = self.place_of(host) {
             let member = &mut self.members[at];
-            if member.state != MemberState::Gone {
+            if member.state != MemberState::Unavailable {
                 member.watch = WatchHealth::Silent { since: now };
             }
         }
     }
 
     /// A frame came on the stream from `host`, whose frames are at most `pace` apart.
-    pub(crate) fn on_heard(&mut self, host: &str, pace: Duration, now: ClockTime) {
+    pub(crate) fn on_frame_received(&mut self, host: &str, pace: Duration, now: ClockTime) {
         if let Ok(at) = self.place_of(host) {
             let member = &mut self.members[at];
             member.watch = WatchHealth::Heard { at: now, pace };
@@ -260,7 +262,7 @@
     }
 
     /// The stream from `host` broke or could not be opened.
-    pub(crate) fn on_lost(&mut self, host: &str, now: ClockTime) {
+    pub(crate) fn on_stream_lost(&mut self, host: &str, now: ClockTime) {
         let Ok(at) = self.place_of(host) else {
             return;
         };
@@ -280,7 +282,7 @@
     pub(crate) fn on_unwatched(&mut self, host: &str) {
         if let Ok(at) = self.place_of(host) {
             let member = &mut self.members[at];
-            if member.state != MemberState::Gone {
+            if member.state != MemberState::Unavailable {
                 member.watch = WatchHealth::NotWatched;
             }
             member.status = None;
@@ -293,7 +295,7 @@
         if let Ok(at) = self.place_of(host) {
             let member = &mut self.members[at];
             member.noted_at = now;
-            if member.state == MemberState::Gone {
+            if member.state == MemberState::Unavailable {
                 member.watch = WatchHealth::Silent { since: now };
             }
         }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -6,7 +6,7 @@
 mod member_table;
 mod messages;
 mod neighbours;
-mod status_board;
+mod status_publisher;
 #[cfg(test)]
 mod tests;
 
@@ -14,4 +14,4 @@
 pub(crate) use member_table::{MemberTable, MemberView};
 pub(crate) use messages::{HostStatus, LoadReport, MemberFacts, ServingVersion, StagingProgress};
 pub(crate) use neighbours::{choose_neighbours, choose_table_readers};
-pub(crate) use status_board::StatusBoard;
+pub(crate) use status_publisher::StatusPublisher;
--- a/src/membership/neighbours.rs
+++ b/src/membership/neighbours.rs
@@ -21,11 +21,11 @@
 
 /// The hosts that the process `own` watches, sorted by name.
 pub(crate) fn choose_neighbours(own: &HostIdentity, members: &[MemberView]) -> Vec<ByteString> {
-    let present = of_state(members, |state| state != MemberState::Gone);
+    let present = of_state(members, |state| state != MemberState::Unavailable);
     let mut chosen = choose_present(own, &present);
     // Hosts that were given up are asked again and again, a few at a time: when a data centre that
     // was cut off is joined again, nobody else would notice.
-    let lost = of_state(members, |state| state == MemberState::Gone);
+    let lost = of_state(members, |state| state == MemberState::Unavailable);
     let lost = lost
         .iter()
         .filter(|entry| own.role == HostRole::Entry || entry.role == HostRole::Entry);
--- a/src/membership/status_board.rs
+++ b/src/membership/status_publisher.rs
@@ -9,11 +9,11 @@
 
 /// This process's own [`HostStatus`]. Clones share it; watchers learn of every change at once.
 #[derive(Clone, Debug)]
-pub(crate) struct StatusBoard {
+pub(crate) struct StatusPublisher {
     status: Arc<watch::Sender<HostStatus>>,
 }
 
-impl StatusBoard {
+impl StatusPublisher {
     /// The status of a process that has just started.
     pub(crate) fn new(host: ByteString, incarnation: u64) -> Self {
         let status = HostStatus {
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -51,7 +51,7 @@
 }
 
 fn heard(table: &mut MemberTable, sequence: u64, now: ClockTime) {
-    table.on_heard("pisar-1", PACE, now);
+    table.on_frame_received("pisar-1", PACE, now);
     table.on_status(status(sequence), now);
 }
 
@@ -66,9 +66,9 @@
     assert_eq!(state_of(&mut table, start), MemberState::Live);
     let silent = start + PACE * 3;
     assert_eq!(state_of(&mut table, silent), MemberState::Suspected);
-    table.on_lost("pisar-1", silent);
+    table.on_stream_lost("pisar-1", silent);
     let later = silent + Duration::from_secs(15);
-    assert_eq!(state_of(&mut table, later), MemberState::Gone);
+    assert_eq!(state_of(&mut table, later), MemberState::Unavailable);
     heard(&mut table, 2, later);
     assert_eq!(state_of(&mut table, later), MemberState::Live);
 }
@@ -83,7 +83,7 @@
     for sequence in 1..=3 {
         heard(&mut table, sequence, now);
         now = now + Duration::from_secs(2);
-        table.on_lost("pisar-1", now);
+        table.on_stream_lost("pisar-1", now);
     }
     heard(&mut table, 4, now);
     assert_eq!(state_of(&mut table, now), MemberState::Suspected);
--- a/src/operator/change_put.rs
+++ b/src/operator/acceptance_driver.rs
@@ -4,7 +4,9 @@
 use tokio::time::sleep;
 
 use crate::control::ControlHandle;
-use crate::documents::{AcceptanceEnd, AcceptanceMachine, AcceptanceStep, ChangeOrder, TableEvent};
+use crate::documents::{
+    AcceptanceMachine, AcceptanceOutcome, AcceptanceStep, ChangeRequest, TableResponse,
+};
 use crate::errors::SwitchResult;
 use crate::metrics;
 use crate::stores::{TableStore, WriteResult};
@@ -14,15 +16,18 @@
 ///
 /// What was accepted goes to this host's control thread before the author learns of it: from there
 /// its neighbours learn of it within milliseconds, also when the table goes away right afterwards.
-pub(super) async fn accept_change(control: &ControlHandle, order: ChangeOrder) -> AcceptanceEnd {
+pub(super) async fn accept_change(
+    control: &ControlHandle,
+    order: ChangeRequest,
+) -> AcceptanceOutcome {
     let mut machine = AcceptanceMachine::new(order, clock_now(), wall_now());
-    let table = &*control.edges().table;
+    let table = &*control.adapters().table;
     loop {
         let now = clock_now();
         match machine.next_step(now) {
             AcceptanceStep::WaitUntil(due) => sleep(due.since(now)).await,
             AcceptanceStep::Done(end) => {
-                if let AcceptanceEnd::Accepted { row: Some(row), .. } = &*end {
+                if let AcceptanceOutcome::Accepted { row: Some(row), .. } = &*end {
                     control.put_in_force(row.clone()).await;
                 }
                 return *end;
@@ -35,9 +40,9 @@
     }
 }
 
-async fn carry_out(table: &dyn TableStore, step: AcceptanceStep) -> TableEvent {
+async fn carry_out(table: &dyn TableStore, step: AcceptanceStep) -> TableResponse {
     match step {
-        AcceptanceStep::Read { key } => answered(table.read(&key).await.map(TableEvent::Row)),
+        AcceptanceStep::Read { key } => answered(table.read(&key).await.map(TableResponse::Row)),
         AcceptanceStep::Write {
             key,
             expected,
@@ -45,17 +50,17 @@
         } => {
             let written = table.write(&key, expected, value).await;
             answered(written.map(|result| match result {
-                WriteResult::Written(revision) => TableEvent::Written(revision),
-                WriteResult::Conflict(standing) => TableEvent::Conflict(standing),
+                WriteResult::Written(revision) => TableResponse::Written(revision),
+                WriteResult::Conflict(standing) => TableResponse::Conflict(standing),
             }))
         }
-        AcceptanceStep::WaitUntil(_) | AcceptanceStep::Done(_) => TableEvent::Away,
+        AcceptanceStep::WaitUntil(_) | AcceptanceStep::Done(_) => TableResponse::Away,
     }
 }
 
-fn answered(outcome: SwitchResult<TableEvent>) -> TableEvent {
+fn answered(outcome: SwitchResult<TableResponse>) -> TableResponse {
     outcome.unwrap_or_else(|error| {
         metrics::count_retry(error.kind);
-        TableEvent::Away
+        TableResponse::Away
     })
 }
--- a/src/operator/admin.rs
+++ b/src/operator/admin.rs
@@ -11,13 +11,13 @@
 use volo_http::server::param::PathParams;
 use volo_http::server::route::{Router, get, post};
 
-use super::change_put::accept_change;
-use super::messages::{DocumentReply, FaultsReply, HistoryReply, PutReply, StandingReply};
-use super::state_views::{hosts_reply, requests_reply, state_reply};
+use super::acceptance_driver::accept_change;
+use super::messages::{CurrentDocumentReply, DocumentReply, FaultsReply, HistoryReply, PutReply};
+use super::state_replies::{hosts_reply, requests_reply, state_reply};
 use crate::control::ControlHandle;
 use crate::documents::{
-    AcceptanceEnd, ChangeOrder, DOCUMENT_BYTES_MAX, DocumentRecord, HeldDocument, KeyDigest,
-    check_document, document_key, events, history_prefix,
+    AcceptanceOutcome, ActiveDocument, ChangeRequest, DOCUMENT_BYTES_MAX, DocumentRecord,
+    KeyDigest, check_document, document_key, events, history_prefix,
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
@@ -100,7 +100,7 @@
 pub(super) enum AdminRefusal {
     Plain(SwitchError),
     Faults(SwitchError, FaultsReply),
-    Standing(SwitchError, Box<StandingReply>),
+    Standing(SwitchError, Box<CurrentDocumentReply>),
 }
 
 impl From<SwitchError> for AdminRefusal {
@@ -149,10 +149,10 @@
 impl AdminState {
     fn view(&self, headers: &HeaderMap, show: fn(&ControlHandle) -> Response) -> AdminResult {
         let key = bearer_key(headers)?;
-        let held = self.control.spread().borrow().documents.clone();
+        let held = self.control.gossip().borrow().documents.clone();
         let owns_any = held
             .iter()
-            .any(|held| key.is_among(&held.document.change_key_digests));
+            .any(|held| key.matches_any(&held.document.change_key_digests));
         if owns_any || key.is(&self.operator_key_digest) {
             return Ok(show(&self.control));
         }
@@ -171,11 +171,11 @@
             );
             return Err(SwitchError::new(ErrorKind::BadRequest, detail).into());
         }
-        let order = ChangeOrder {
+        let order = ChangeRequest {
             service: service.into(),
             replaces: query.replaces,
             nonce: change_nonce(&headers)?,
-            is_first_try: is_first_try(&headers),
+            is_first_attempt: is_first_attempt(&headers),
             author: text_header(&headers, AUTHOR_HEADER, AUTHOR_LENGTH_MAX)?
                 .unwrap_or_else(|| "unnamed".into()),
             key,
@@ -185,23 +185,23 @@
         self.settle_change(order).await
     }
 
-    async fn settle_change(&self, order: ChangeOrder) -> AdminResult {
+    async fn settle_change(&self, order: ChangeRequest) -> AdminResult {
         let service = order.service.to_string();
         match accept_change(&self.control, order).await {
-            AcceptanceEnd::Accepted { version, .. } => {
+            AcceptanceOutcome::Accepted { version, .. } => {
                 log_event!(events::ACCEPTED, "{service} {version}");
                 Ok(json_reply(StatusCode::OK, &PutReply { service, version }))
             }
-            AcceptanceEnd::Refused {
+            AcceptanceOutcome::Refused {
                 error,
                 standing: None,
             } => Err(AdminRefusal::Plain(error)),
-            AcceptanceEnd::Refused {
+            AcceptanceOutcome::Refused {
                 error,
                 standing: Some(record),
             } => {
                 let standing = self.document_reply(&service, *record, true);
-                let reply = StandingReply {
+                let reply = CurrentDocumentReply {
                     standing: Some(standing),
                 };
                 Err(AdminRefusal::Standing(error, Box::new(reply)))
@@ -220,7 +220,7 @@
     async fn standing(&self, service: &str) -> SwitchResult<DocumentReply> {
         let read = self
             .control
-            .edges()
+            .adapters()
             .table
             .read(&document_key(service))
             .await;
@@ -238,9 +238,9 @@
         Ok(self.document_reply(service, record, from_table))
     }
 
-    fn held(&self, service: &str) -> Option<Arc<HeldDocument>> {
-        let spread = self.control.spread();
-        let state = spread.borrow();
+    fn held(&self, service: &str) -> Option<Arc<ActiveDocument>> {
+        let gossip = self.control.gossip();
+        let state = gossip.borrow();
         let found = state
             .documents
             .iter()
@@ -255,7 +255,7 @@
         from_table: bool,
     ) -> DocumentReply {
         let in_force_here = self.held(service).map_or(0, |held| held.version.version);
-        let unknown = record.read_document().map_or_else(
+        let unknown = record.parse_document().map_or_else(
             |error| vec![format!("all of it: {}", error.detail)],
             |read| read.unknown,
         );
@@ -280,7 +280,7 @@
             .flatten()
             .filter_map(|digest| digest.as_str().map(ByteString::from))
             .collect();
-        if key.is_among(&digests) || key.is(&self.operator_key_digest) {
+        if key.matches_any(&digests) || key.is(&self.operator_key_digest) {
             return Ok(());
         }
         Err(not_allowed(
@@ -294,7 +294,7 @@
         self.check_reader(&key, &standing.document)?;
         let rows = self
             .control
-            .edges()
+            .adapters()
             .table
             .list(&history_prefix(service))
             .await?;
@@ -328,7 +328,7 @@
 
 /// A change that nobody named cannot have been asked for before; of a named one only its author
 /// knows.
-fn is_first_try(headers: &HeaderMap) -> bool {
+fn is_first_attempt(headers: &HeaderMap) -> bool {
     let attempt = headers.get(ATTEMPT_HEADER);
     !headers.contains_key(NONCE_HEADER) || attempt.is_some_and(|value| value == "1")
 }
--- a/src/operator/admin_client.rs
+++ b/src/operator/admin_client.rs
@@ -10,7 +10,7 @@
 use volo_http::body::Body;
 
 use super::admin::{ATTEMPT_HEADER, AUTHOR_HEADER, NONCE_HEADER};
-use super::messages::{FaultsReply, StandingReply};
+use super::messages::{CurrentDocumentReply, FaultsReply};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::transport::{ClientLimits, PeerClient, read_body};
 
@@ -31,12 +31,12 @@
     pub(crate) path: String,
     pub(crate) body: Bytes,
     /// What names the change, for a put.
-    pub(crate) change: Option<ChangeName>,
+    pub(crate) change: Option<ChangeIdentity>,
 }
 
 /// What names a change.
 #[derive(Clone)]
-pub(crate) struct ChangeName {
+pub(crate) struct ChangeIdentity {
     pub(crate) author: String,
     pub(crate) nonce: String,
     /// Tries of it before this call that may have been accepted.
@@ -59,7 +59,7 @@
 pub(crate) struct AdminFailure {
     pub(crate) error: SwitchError,
     pub(crate) faults: FaultsReply,
-    pub(crate) standing: Option<Box<StandingReply>>,
+    pub(crate) standing: Option<Box<CurrentDocumentReply>>,
 }
 
 impl From<SwitchError> for AdminFailure {
@@ -203,7 +203,7 @@
                 faults: body.faults,
             },
             standing: body.standing.map(|standing| {
-                Box::new(StandingReply {
+                Box::new(CurrentDocumentReply {
                     standing: Some(standing),
                 })
             }),
--- a/src/operator/document_commands.rs
+++ b/src/operator/document_commands.rs
@@ -8,11 +8,11 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use super::admin_client::{AdminCall, AdminClient, AdminFailure, ChangeName};
+use super::admin_client::{AdminCall, AdminClient, AdminFailure, ChangeIdentity};
 use super::command::text;
 use super::messages::{DocumentReply, HistoryReply, PutReply, StateReply};
 use super::run_command::{client_of, print_json, show};
-use super::tables::{cell, print_table};
+use super::text_table::{cell, print_table};
 use crate::documents::{DocumentFault, check_document};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::time::clock_now;
@@ -70,7 +70,7 @@
             document.service
         ),
         body: body.into(),
-        change: Some(ChangeName {
+        change: Some(ChangeIdentity {
             author,
             nonce: nonce.clone(),
             doubts,
--- a/src/operator/messages.rs
+++ b/src/operator/messages.rs
@@ -44,7 +44,7 @@
 
 /// What stands instead of a change that was refused.
 #[apply(message!)]
-pub(crate) struct StandingReply {
+pub(crate) struct CurrentDocumentReply {
     /// The document that stands; none when there is none.
     pub(crate) standing: Option<DocumentReply>,
 }
@@ -61,14 +61,14 @@
     /// How old, in milliseconds, what it has in force may be; none before it first knew.
     pub(crate) documents_age_ms: Option<u64>,
     /// The services with their versions.
-    pub(crate) services: Vec<ServiceLine>,
+    pub(crate) services: Vec<ServiceSummary>,
     /// Hosts by state.
     pub(crate) hosts: HostCounts,
 }
 
 /// One service in force.
 #[apply(message!)]
-pub(crate) struct ServiceLine {
+pub(crate) struct ServiceSummary {
     /// The service.
     pub(crate) service: String,
     /// The team that owns it.
@@ -99,7 +99,7 @@
 
 /// One host.
 #[apply(message!)]
-pub(crate) struct HostLine {
+pub(crate) struct HostSummary {
     /// Its name.
     pub(crate) host: String,
     /// Its data centre.
@@ -126,7 +126,7 @@
 #[apply(message!)]
 pub(crate) struct HostsReply {
     /// All of them.
-    pub(crate) hosts: Vec<HostLine>,
+    pub(crate) hosts: Vec<HostSummary>,
 }
 
 /// The versions of a document, the newest first.
@@ -140,12 +140,12 @@
 #[apply(message!)]
 pub(crate) struct RequestsReply {
     /// Each counter.
-    pub(crate) counters: Vec<CounterLine>,
+    pub(crate) counters: Vec<CounterValue>,
 }
 
 /// One counter.
 #[apply(message!)]
-pub(crate) struct CounterLine {
+pub(crate) struct CounterValue {
     /// Its name.
     pub(crate) name: String,
     /// Its labels, as `name=value` separated by spaces.
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,15 +1,15 @@
 //! Operators: the administration API and the command line on it.
 
+mod acceptance_driver;
 mod admin;
 pub(crate) mod admin_client;
-mod change_put;
 mod command;
 mod document_commands;
 pub(crate) mod messages;
+mod reply_tables;
 mod run_command;
-mod state_views;
-mod tables;
-mod views;
+mod state_replies;
+mod text_table;
 
 pub(crate) use admin::admin_routes;
 
--- a/src/operator/views.rs
+++ b/src/operator/reply_tables.rs
@@ -1,7 +1,7 @@
 //! The replies of the administration API as tables.
 
-use super::messages::{FaultsReply, HostLine, HostsReply, RequestsReply, StateReply};
-use super::tables::{cell, print_table};
+use super::messages::{FaultsReply, HostSummary, HostsReply, RequestsReply, StateReply};
+use super::text_table::{cell, print_table};
 
 pub(super) fn show_state(reply: &StateReply) {
     let age = reply.documents_age_ms;
@@ -72,7 +72,7 @@
 }
 
 pub(super) fn show_weights(reply: &HostsReply) {
-    let is_backend = |line: &&HostLine| line.role == "backend";
+    let is_backend = |line: &&HostSummary| line.role == "backend";
     let rows: Vec<Vec<String>> = reply
         .hosts
         .iter()
--- a/src/operator/run_command.rs
+++ b/src/operator/run_command.rs
@@ -13,7 +13,9 @@
     check_file, diff_document, get_document, put_document, show_history, watch_document,
 };
 use super::messages::{HostsReply, RequestsReply, StateReply};
-use super::views::{show_document_faults, show_hosts, show_requests, show_state, show_weights};
+use super::reply_tables::{
+    show_document_faults, show_hosts, show_requests, show_state, show_weights,
+};
 use crate::documents::{KeyDigest, json_schema};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult, answer_for};
 
--- a/src/operator/state_views.rs
+++ b/src/operator/state_replies.rs
@@ -1,7 +1,7 @@
 //! What an entry host knows, as operators see it.
 
 use super::messages::{
-    CounterLine, HostCounts, HostLine, HostsReply, RequestsReply, ServiceLine, StateReply,
+    CounterValue, HostCounts, HostSummary, HostsReply, RequestsReply, ServiceSummary, StateReply,
 };
 use crate::control::{ControlHandle, ControlSnapshot, MemberRecord, MemberState, ServiceRecord};
 use crate::metrics;
@@ -27,7 +27,7 @@
     }
 }
 
-fn service_line(record: &ServiceRecord, snapshot: &ControlSnapshot) -> ServiceLine {
+fn service_line(record: &ServiceRecord, snapshot: &ControlSnapshot) -> ServiceSummary {
     let document = &record.document;
     let weights = document.weights.as_ref();
     let backends = || {
@@ -43,7 +43,7 @@
             .and_then(|status| status.serving.as_ref());
         serving.map(|serving| &serving.version) == weights.map(|weights| &weights.version)
     };
-    ServiceLine {
+    ServiceSummary {
         service: document.service.to_string(),
         team: document.team.to_string(),
         version: record.version,
@@ -62,7 +62,7 @@
             MemberState::Live => counts.live += 1,
             MemberState::Suspected => counts.suspected += 1,
             MemberState::Leaving => counts.leaving += 1,
-            MemberState::Gone => counts.gone += 1,
+            MemberState::Unavailable => counts.gone += 1,
         }
     }
     counts
@@ -77,10 +77,10 @@
     }
 }
 
-fn host_line(member: &MemberRecord) -> HostLine {
+fn host_line(member: &MemberRecord) -> HostSummary {
     let status = member.status.as_ref();
     let staging = status.and_then(|status| status.staging.as_ref());
-    HostLine {
+    HostSummary {
         host: member.host.to_string(),
         data_centre: member.data_centre.to_string(),
         region: member.region.to_string(),
@@ -112,7 +112,7 @@
         MemberState::Live => "live",
         MemberState::Suspected => "suspected",
         MemberState::Leaving => "leaving",
-        MemberState::Gone => "gone",
+        MemberState::Unavailable => "gone",
     }
 }
 
@@ -124,7 +124,7 @@
 }
 
 /// One line of Prometheus text, `name{label="value",…} number`.
-fn counter_line(line: &str) -> Option<CounterLine> {
+fn counter_line(line: &str) -> Option<CounterValue> {
     let (series, value) = line.rsplit_once(' ')?;
     let (name, labels) = series.split_once('{').unwrap_or((series, ""));
     if !name.starts_with("savory_") || name.contains("_bucket") {
@@ -136,7 +136,7 @@
         .filter(|label| !label.starts_with("otel_"))
         .map(|label| label.replace('"', ""))
         .collect();
-    Some(CounterLine {
+    Some(CounterValue {
         name: name.to_owned(),
         labels: labels.join(" "),
         value: value.parse().ok()?,
--- a/src/routing/backend_pool.rs
+++ b/src/routing/backend_pool.rs
@@ -248,7 +248,7 @@
     /// ended, so that no other gets its key meanwhile.
     fn forget(&mut self, key: BackendKey) {
         if let Some(backend) = self.backend_mut(key) {
-            backend.state = MemberState::Gone;
+            backend.state = MemberState::Unavailable;
         }
         self.by_host.retain(|known| *known != key);
         self.release(key);
@@ -295,7 +295,7 @@
     };
     member.role == HostRole::Backend
         && member.service.as_ref() == Some(&document.service)
-        && member.state != MemberState::Gone
+        && member.state != MemberState::Unavailable
         && is_named
         && document.data_centres.contains(&member.data_centre)
 }
--- a/src/weights/weights_thread.rs
+++ b/src/weights/weights_thread.rs
@@ -16,7 +16,7 @@
 use crate::daemon::DrainState;
 use crate::engines::EngineEdge;
 use crate::guard::ServingGate;
-use crate::membership::StatusBoard;
+use crate::membership::StatusPublisher;
 use crate::stores::{TableStore, WeightSource};
 use crate::transport::PeerClient;
 
@@ -41,7 +41,7 @@
     /// The gate that requests go through.
     pub(crate) gate: ServingGate,
     /// Where this process says what it serves.
-    pub(crate) board: StatusBoard,
+    pub(crate) board: StatusPublisher,
     /// The graceful stop.
     pub(crate) drain: DrainState,
 }
