--- a/src/documents/acceptance.rs
+++ b/src/documents/acceptance.rs
@@ -51,7 +51,7 @@
     /// Another write came first; this is what stands.
     Conflict(Option<TableRow>),
     /// No answer; a write may have taken effect.
-    Away,
+    Unavailable,
 }
 
 /// How the change ended.
@@ -172,8 +172,8 @@
     }
 
     /// Takes in what the table answered to the last step, at `now`.
-    pub(crate) fn on_answer(&mut self, event: TableResponse, now: ClockTime) {
-        if event == TableResponse::Away {
+    pub(crate) fn on_response(&mut self, event: TableResponse, now: ClockTime) {
+        if event == TableResponse::Unavailable {
             self.on_unavailable(now);
             return;
         }
--- a/src/documents/schema.rs
+++ b/src/documents/schema.rs
@@ -189,7 +189,7 @@
 impl DeadlineSpec {
     /// The deadline of `priority`, in milliseconds from arrival to the first byte.
     #[must_use]
-    pub const fn of(&self, priority: RequestPriority) -> u64 {
+    pub const fn for_priority(&self, priority: RequestPriority) -> u64 {
         match priority {
             RequestPriority::Urgent => self.urgent_ms,
             RequestPriority::Normal => self.normal_ms,
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -118,7 +118,7 @@
         let account = find_account(&service.document.accounts, &head.account, &head.secret)?;
         let now = clock_now();
         let deadlines = &service.document.deadlines;
-        let longest = deadlines.of(head.priority);
+        let longest = deadlines.for_priority(head.priority);
         let deadline_ms = head.deadline_ms.map_or(longest, |asked| asked.min(longest));
         let job = RequestJob {
             request: Uuid::new_v4().to_string().into(),
--- a/src/lab/soak/documents.rs
+++ b/src/lab/soak/documents.rs
@@ -191,11 +191,11 @@
             }
             AcceptanceStep::Read { key } => {
                 let event = if u.ratio(1, 5)? {
-                    TableResponse::Away
+                    TableResponse::Unavailable
                 } else {
                     TableResponse::Row(self.table.read(&key))
                 };
-                self.operators[index].machine.on_answer(event, self.now);
+                self.operators[index].machine.on_response(event, self.now);
             }
             AcceptanceStep::Write {
                 key,
@@ -208,7 +208,7 @@
                     value,
                 };
                 let event = self.write(u, write)?;
-                self.operators[index].machine.on_answer(event, self.now);
+                self.operators[index].machine.on_response(event, self.now);
             }
         }
         Ok(())
@@ -216,14 +216,14 @@
 
     fn write(&mut self, u: &mut Unstructured<'_>, write: FakeWrite) -> Result<TableResponse> {
         match u.int_in_range(0..=5)? {
-            0 => Ok(TableResponse::Away),
+            0 => Ok(TableResponse::Unavailable),
             1 => {
                 self.table.write(&write);
-                Ok(TableResponse::Away)
+                Ok(TableResponse::Unavailable)
             }
             2 => {
                 self.table.under_way.push(write);
-                Ok(TableResponse::Away)
+                Ok(TableResponse::Unavailable)
             }
             _ => Ok(self.table.write(&write)),
         }
--- a/src/operator/acceptance_driver.rs
+++ b/src/operator/acceptance_driver.rs
@@ -34,7 +34,7 @@
             }
             step => {
                 let event = carry_out(table, step).await;
-                machine.on_answer(event, clock_now());
+                machine.on_response(event, clock_now());
             }
         }
     }
@@ -54,13 +54,13 @@
                 WriteResult::Conflict(standing) => TableResponse::Conflict(standing),
             }))
         }
-        AcceptanceStep::WaitUntil(_) | AcceptanceStep::Done(_) => TableResponse::Away,
+        AcceptanceStep::WaitUntil(_) | AcceptanceStep::Done(_) => TableResponse::Unavailable,
     }
 }
 
 fn answered(outcome: SwitchResult<TableResponse>) -> TableResponse {
     outcome.unwrap_or_else(|error| {
         metrics::count_retry(error.kind);
-        TableResponse::Away
+        TableResponse::Unavailable
     })
 }
