--- a/src/documents/acceptance.rs
+++ b/src/documents/acceptance.rs
@@ -1,5 +1,7 @@
-//! Accepting a change: the steps towards the table, and what its answers mean. A lost answer is
-//! settled by reading back and by writing the very same change again under the same revision.
+//! The state machine that writes a document change to the table.
+//!
+//! If the response to a write is lost, the machine reads the row back and, if necessary, repeats
+//! the identical write with the same expected revision, so that the change takes effect only once.
 
 use std::time::Duration;
 
@@ -14,11 +16,12 @@
 use crate::stores::{RowRevision, TableRow};
 use crate::time::{ClockTime, WallTime};
 
-/// How long a change is tried before its author is told that it is not accepted or in doubt.
+/// Time limit for writing a change. After it, the change is reported as not accepted or, if a write
+/// was sent, as having an unknown outcome.
 pub(crate) const ACCEPT_WITHIN: Duration = Duration::from_secs(5);
-const PAUSE_AFTER_AWAY: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// What to do next.
+/// The next step of an [`AcceptanceMachine`].
 #[apply(plain!)]
 pub(crate) enum AcceptanceStep {
     /// Read the row `key`.
@@ -26,112 +29,113 @@
         /// The row's key.
         key: String,
     },
-    /// Write the row `key` if it stands at revision `expected`.
+    /// Write the row `key` if its current revision is `expected`.
     Write {
         /// The row's key.
         key: String,
-        /// The revision that is expected.
+        /// The revision that the row must have.
         expected: RowRevision,
-        /// The row's bytes.
+        /// The row's new content.
         value: Bytes,
     },
-    /// Ask [`AcceptanceMachine::next_step`] again at that time.
+    /// Call [`AcceptanceMachine::next_step`] again at this time.
     WaitUntil(ClockTime),
-    /// It is over.
+    /// The change was accepted or refused.
     Done(Box<AcceptanceOutcome>),
 }
 
-/// What the table answered.
+/// The table's response to a step.
 #[apply(plain!)]
 pub(crate) enum TableResponse {
-    /// The row that was read; `None` when it is absent.
+    /// The row was read; `None` if it does not exist.
     Row(Option<TableRow>),
     /// The write took effect.
     Written(RowRevision),
-    /// Another write came first; this is what stands.
+    /// The row has another revision than expected; this is its current content.
     Conflict(Option<TableRow>),
-    /// No answer; a write may have taken effect.
+    /// The table did not respond; a write may have taken effect.
     Unavailable,
 }
 
-/// How the change ended.
+/// The outcome of a change.
 #[apply(plain!)]
 pub(crate) enum AcceptanceOutcome {
-    /// It is accepted as this version. `row` is the new row, unless it was replaced meanwhile.
+    /// The change was accepted.
     Accepted {
-        /// The version that it made.
+        /// The version that the change created.
         version: u64,
-        /// The row to put in force.
+        /// The row to put in force: the one that the change wrote or a newer one.
         row: Option<Bytes>,
     },
-    /// It is not.
+    /// The change was refused, or its outcome is unknown (`DocumentInDoubt`).
     Refused {
-        /// Why.
+        /// The reason.
         error: SwitchError,
-        /// What stands instead, where that is why.
-        standing: Option<Box<DocumentRecord>>,
+        /// The current record, if the change conflicts with it.
+        current: Option<Box<DocumentRecord>>,
     },
 }
 
 #[apply(key!)]
 enum Stage {
     /// The document's row is read.
-    ReadStanding,
+    ReadCurrent,
     /// The hint row is read.
     ReadHint,
     /// The hint row is written.
     WriteHint,
-    /// The version that stands is copied to its history row.
+    /// The current version is copied to its history row.
     Archive,
     /// The document's row is written.
     WriteDocument,
-    /// The document's row is read after an answer was lost.
+    /// The document's row is read after a conflict or a lost response.
     ReadBack,
-    /// Nothing is left to do.
+    /// The outcome is known.
     Ended,
 }
 
-/// One change on its way into the table.
+/// Writes one change to the table, step by step. It does no I/O itself: the caller executes each
+/// [`AcceptanceStep`] and passes the response back.
 #[derive(Debug)]
 pub(crate) struct AcceptanceMachine {
-    order: ChangeRequest,
+    request: ChangeRequest,
     wall: WallTime,
     ends: ClockTime,
     stage: Stage,
     not_before: ClockTime,
     /// The revision and record of the row that the change replaces.
-    standing: Option<(RowRevision, DocumentRecord)>,
-    standing_row: Bytes,
+    current: Option<(RowRevision, DocumentRecord)>,
+    current_row: Bytes,
     hint: Option<(RowRevision, Bytes)>,
-    /// Whether this try or an earlier one may have written the document's row, or still may.
-    sent: bool,
-    end: Option<AcceptanceOutcome>,
+    /// Whether a write of this attempt or of an earlier one may have taken effect, or may still.
+    write_sent: bool,
+    outcome: Option<AcceptanceOutcome>,
 }
 
 impl AcceptanceMachine {
-    /// The change `order`, asked for at `now`.
-    pub(crate) fn new(order: ChangeRequest, now: ClockTime, wall: WallTime) -> Self {
+    /// Starts the change `request` at `now`; `wall` is the time to record in the new version.
+    pub(crate) fn new(request: ChangeRequest, now: ClockTime, wall: WallTime) -> Self {
         Self {
-            sent: !order.is_first_attempt,
-            order,
+            write_sent: !request.is_first_attempt,
+            request,
             wall,
             ends: now + ACCEPT_WITHIN,
-            stage: Stage::ReadStanding,
+            stage: Stage::ReadCurrent,
             not_before: now,
-            standing: None,
-            standing_row: Bytes::new(),
+            current: None,
+            current_row: Bytes::new(),
             hint: None,
-            end: None,
+            outcome: None,
         }
     }
 
-    /// What to do next.
+    /// The next step at `now`.
     pub(crate) fn next_step(&mut self, now: ClockTime) -> AcceptanceStep {
-        if self.end.is_none() && now >= self.ends {
-            self.give_up();
+        if self.outcome.is_none() && now >= self.ends {
+            self.abandon();
         }
-        if let Some(end) = self.end.clone() {
-            return AcceptanceStep::Done(Box::new(end));
+        if let Some(outcome) = self.outcome.clone() {
+            return AcceptanceStep::Done(Box::new(outcome));
         }
         if now < self.not_before {
             return AcceptanceStep::WaitUntil(self.not_before);
@@ -147,22 +151,22 @@
 
     fn step(&mut self) -> SwitchResult<AcceptanceStep> {
         let step = match self.stage {
-            Stage::ReadStanding | Stage::ReadBack => AcceptanceStep::Read {
-                key: document_key(&self.order.service),
+            Stage::ReadCurrent | Stage::ReadBack => AcceptanceStep::Read {
+                key: document_key(&self.request.service),
             },
             Stage::ReadHint | Stage::Ended => AcceptanceStep::Read {
                 key: HINT_KEY.to_owned(),
             },
             Stage::WriteHint => self.hint_write()?,
             Stage::Archive => AcceptanceStep::Write {
-                key: history_key(&self.order.service, self.order.replaces),
+                key: history_key(&self.request.service, self.request.replaces),
                 expected: RowRevision::ABSENT,
-                value: self.standing_row.clone(),
+                value: self.current_row.clone(),
             },
             Stage::WriteDocument => {
-                self.sent = true;
+                self.write_sent = true;
                 AcceptanceStep::Write {
-                    key: document_key(&self.order.service),
+                    key: document_key(&self.request.service),
                     expected: self.expected(),
                     value: self.new_row()?,
                 }
@@ -171,27 +175,27 @@
         Ok(step)
     }
 
-    /// Takes in what the table answered to the last step, at `now`.
-    pub(crate) fn on_response(&mut self, event: TableResponse, now: ClockTime) {
-        if event == TableResponse::Unavailable {
+    /// Handles the table's response to the last step, received at `now`.
+    pub(crate) fn on_response(&mut self, response: TableResponse, now: ClockTime) {
+        if response == TableResponse::Unavailable {
             self.on_unavailable(now);
             return;
         }
-        if let Err(error) = self.take_answer(event) {
+        if let Err(error) = self.handle_response(response) {
             self.refuse(error, None);
         }
     }
 
-    fn take_answer(&mut self, event: TableResponse) -> SwitchResult<()> {
-        match (self.stage, event) {
-            (Stage::ReadStanding, TableResponse::Row(row)) => self.on_standing(row),
+    fn handle_response(&mut self, response: TableResponse) -> SwitchResult<()> {
+        match (self.stage, response) {
+            (Stage::ReadCurrent, TableResponse::Row(row)) => self.on_current_row(row),
             (Stage::ReadHint, TableResponse::Row(row)) => {
                 self.hint = row.map(|row| (row.revision, row.value));
                 self.stage = Stage::WriteHint;
                 Ok(())
             }
             (Stage::WriteHint, TableResponse::Written(_)) => {
-                let first = self.standing.is_none();
+                let first = self.current.is_none();
                 self.stage = if first {
                     Stage::WriteDocument
                 } else {
@@ -203,91 +207,94 @@
                 self.hint = row.map(|row| (row.revision, row.value));
                 Ok(())
             }
-            // A history row that exists already was written by an earlier try to replace the same
-            // version, so it holds the same bytes.
+            // An existing history row was written by an earlier attempt to replace the same version,
+            // so it has the same content.
             (Stage::Archive, TableResponse::Written(_) | TableResponse::Conflict(_)) => {
                 self.stage = Stage::WriteDocument;
                 Ok(())
             }
             (Stage::WriteDocument, TableResponse::Written(_)) => {
                 let row = self.new_row()?;
-                self.accept(self.order.replaces + 1, Some(row));
+                self.accept(self.request.replaces + 1, Some(row));
                 Ok(())
             }
             (Stage::WriteDocument, TableResponse::Conflict(row))
             | (Stage::ReadBack, TableResponse::Row(row)) => self.on_read_back(row),
-            (stage, event) => Err(SwitchError::new(
+            (stage, response) => Err(SwitchError::new(
                 ErrorKind::Internal,
-                format!("{event:?} does not answer {stage:?}"),
+                format!("unexpected response {response:?} in stage {stage:?}"),
             )),
         }
     }
 
     fn on_unavailable(&mut self, now: ClockTime) {
-        self.not_before = now + PAUSE_AFTER_AWAY;
+        self.not_before = now + RETRY_PAUSE;
         match self.stage {
-            // The write may have taken effect, and it may still be on its way.
+            // The write may have taken effect, or may take effect later.
             Stage::WriteDocument => self.stage = Stage::ReadBack,
             Stage::WriteHint => self.stage = Stage::ReadHint,
             _ => {}
         }
     }
 
-    fn on_standing(&mut self, row: Option<TableRow>) -> SwitchResult<()> {
-        let standing = match &row {
+    fn on_current_row(&mut self, row: Option<TableRow>) -> SwitchResult<()> {
+        let current = match &row {
             Some(row) => Some((row.revision, DocumentRecord::from_row(&row.value)?)),
             None => None,
         };
-        let record = standing.as_ref().map(|(_, record)| record);
-        if let Some(version) = record.and_then(|record| record.version_of(&self.order.nonce)) {
-            // The author asks again after a lost answer: the change stands already.
+        let record = current.as_ref().map(|(_, record)| record);
+        if let Some(version) = record.and_then(|record| record.version_of(&self.request.nonce)) {
+            // The author repeats the request after a lost response: the change is accepted already.
             self.accept(version, row.map(|row| row.value));
             return Ok(());
         }
-        self.order.check_author(record)?;
-        if record.map_or(0, |record| record.version) != self.order.replaces {
+        self.request.check_author(record)?;
+        if record.map_or(0, |record| record.version) != self.request.replaces {
             let record = record.cloned();
-            self.refuse_overtaken(record);
+            self.end_overtaken(record);
             return Ok(());
         }
-        self.standing = standing;
-        self.standing_row = row.map(|row| row.value).unwrap_or_default();
+        self.current = current;
+        self.current_row = row.map(|row| row.value).unwrap_or_default();
         self.stage = Stage::ReadHint;
         Ok(())
     }
 
-    /// The row as it stands after a conflict or a lost answer.
+    /// Handles the document's row as read after a conflict or a lost response.
     fn on_read_back(&mut self, row: Option<TableRow>) -> SwitchResult<()> {
         let revision = row.as_ref().map_or(RowRevision::ABSENT, |row| row.revision);
         let Some(row) = row.filter(|_| revision > self.expected()) else {
-            // Not written so far, or a stale read; the lost write may still arrive. The same change
-            // under the same revision takes effect once, whichever of the two comes first.
+            // Either the write has not taken effect yet or the read was stale; the lost write may
+            // still arrive. Since both writes expect the same revision, only the first to arrive
+            // takes effect.
             self.stage = Stage::WriteDocument;
             return Ok(());
         };
         let record = DocumentRecord::from_row(&row.value)?;
-        if let Some(version) = record.version_of(&self.order.nonce) {
+        if let Some(version) = record.version_of(&self.request.nonce) {
             self.accept(version, Some(row.value));
             return Ok(());
         }
-        self.refuse_overtaken(Some(record));
+        self.end_overtaken(Some(record));
         Ok(())
     }
 
-    /// Another version stands than the change was to replace. That is a refusal if no write of the
-    /// change can have taken effect, or if the row remembers whose change made the version that
-    /// this one would have made; else it is in doubt.
-    fn refuse_overtaken(&mut self, standing: Option<DocumentRecord>) {
-        let wanted = self.order.replaces + 1;
-        let recent = standing.as_ref().map(|record| &record.recent[..]);
-        let remembers = recent
+    /// Ends the change after another change has replaced the expected version.
+    ///
+    /// The change is refused if none of its writes can have taken effect, or if the row lists which
+    /// change created the version that this one would have created. Otherwise the outcome is
+    /// unknown.
+    fn end_overtaken(&mut self, current: Option<DocumentRecord>) {
+        let new_version = self.request.replaces + 1;
+        let recent = current.as_ref().map(|record| &record.recent[..]);
+        let lists_new_version = recent
             .unwrap_or_default()
             .iter()
-            .any(|mark| mark.version == wanted);
-        if remembers || !self.sent {
-            self.refuse_conflict(standing);
+            .any(|change| change.version == new_version);
+        if lists_new_version || !self.write_sent {
+            self.refuse_conflict(current);
         } else {
-            self.give_up();
+            self.abandon();
         }
     }
 
@@ -296,7 +303,7 @@
             Some((revision, row)) => (*revision, HintRecord::from_row(row)),
             None => (RowRevision::ABSENT, HintRecord::default()),
         };
-        record.expect(&self.order.service, self.order.replaces + 1);
+        record.add_change(&self.request.service, self.request.replaces + 1);
         let value = serde_json::to_vec(&record)
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
         Ok(AcceptanceStep::Write {
@@ -307,66 +314,68 @@
     }
 
     fn expected(&self) -> RowRevision {
-        self.standing
+        self.current
             .as_ref()
             .map_or(RowRevision::ABSENT, |(revision, _)| *revision)
     }
 
-    /// The same bytes at each try, so that a second write of them changes nothing.
+    /// The new content of the document's row; identical for every attempt of this machine, so that a
+    /// repeated write changes nothing.
     fn new_row(&self) -> SwitchResult<Bytes> {
-        let standing = self.standing.as_ref().map(|(_, record)| record);
-        self.order.next_record(standing, self.wall).to_row()
+        let current = self.current.as_ref().map(|(_, record)| record);
+        self.request.next_record(current, self.wall).to_row()
     }
 
     fn accept(&mut self, version: u64, row: Option<Bytes>) {
         assert!(
             version > 0,
-            "a change was about to be accepted as no version"
+            "a change was about to be accepted without a version"
         );
         self.stage = Stage::Ended;
-        self.end = Some(AcceptanceOutcome::Accepted { version, row });
+        self.outcome = Some(AcceptanceOutcome::Accepted { version, row });
     }
 
-    fn refuse(&mut self, error: SwitchError, standing: Option<DocumentRecord>) {
-        // After a write whose outcome is open, only a conflict is a refusal; the rest is doubt.
-        let is_open = self.sent && error.kind != ErrorKind::DocumentConflict;
-        let error = if is_open {
+    fn refuse(&mut self, error: SwitchError, current: Option<DocumentRecord>) {
+        // After a write with an unknown outcome, only a conflict proves that the change was refused.
+        let is_uncertain = self.write_sent && error.kind != ErrorKind::DocumentConflict;
+        let error = if is_uncertain {
             SwitchError::new(ErrorKind::DocumentInDoubt, error.detail)
         } else {
             error
         };
         self.stage = Stage::Ended;
-        self.end = Some(AcceptanceOutcome::Refused {
+        self.outcome = Some(AcceptanceOutcome::Refused {
             error,
-            standing: standing.map(Box::new),
+            current: current.map(Box::new),
         });
     }
 
-    fn refuse_conflict(&mut self, standing: Option<DocumentRecord>) {
-        let detail = match &standing {
+    fn refuse_conflict(&mut self, current: Option<DocumentRecord>) {
+        let detail = match &current {
             Some(record) => format!(
-                "version {} stands, changed by {}; the change was to replace version {}",
-                record.version, record.changed_by, self.order.replaces
+                "the current version is {}, changed by {}; the change replaces version {}",
+                record.version, record.changed_by, self.request.replaces
             ),
             None => format!(
-                "there is no document; the change was to replace version {}",
-                self.order.replaces
+                "there is no document; the change replaces version {}",
+                self.request.replaces
             ),
         };
         let error = SwitchError::new(ErrorKind::DocumentConflict, detail);
-        self.refuse(error, standing);
+        self.refuse(error, current);
     }
 
-    fn give_up(&mut self) {
-        let error = if self.sent {
+    /// Ends the change after the time limit or when it cannot be determined whether it was written.
+    fn abandon(&mut self) {
+        let error = if self.write_sent {
             SwitchError::new(
                 ErrorKind::DocumentInDoubt,
-                "it cannot be told whether the change was written; put it again with the same nonce",
+                "it is unknown whether the change was written; send it again with the same nonce",
             )
         } else {
             SwitchError::new(
                 ErrorKind::DocumentNotAccepted,
-                "the table does not answer; nothing was written",
+                "the table does not respond; nothing was written",
             )
         };
         self.refuse(error, None);
--- a/src/documents/active_documents.rs
+++ b/src/documents/active_documents.rs
@@ -1,4 +1,4 @@
-//! The documents that this process holds in force. A version only ever grows.
+//! The documents that are in force in this process. The version of a document never decreases.
 
 use std::sync::Arc;
 
@@ -26,99 +26,103 @@
 pub(crate) struct ActiveDocument {
     /// Its service and version.
     pub(crate) version: DocumentVersion,
-    /// The row as it stands in the table, to be passed on as it is.
+    /// The row exactly as stored in the table, to be forwarded unchanged to other processes.
     pub(crate) row: Bytes,
-    /// The document.
+    /// The parsed document, without unknown fields.
     pub(crate) document: Arc<ServiceDocument>,
-    /// The paths of fields that this program does not know.
+    /// JSON pointers to the fields that this version of the program does not know.
     pub(crate) unknown: Vec<String>,
 }
 
-/// What became of a row that came from the table or from a neighbour.
+/// The outcome of installing a row received from the table or from a neighbour.
 #[apply(key!)]
 pub(crate) enum InstallOutcome {
-    /// It is in force now.
+    /// The row's version was newer and is now in force.
     Installed,
-    /// It was in force already.
+    /// The row's version was in force already.
     Known,
-    /// A newer one is in force.
+    /// A newer version is in force.
     Older,
 }
 
 /// The documents in force, sorted by service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveDocuments {
-    held: Vec<Arc<ActiveDocument>>,
+    documents: Vec<Arc<ActiveDocument>>,
 }
 
 impl ActiveDocuments {
-    /// Takes in a row if it is newer than what is in force.
+    /// Puts the document in `row` in force if its version is newer than the one in force.
     ///
-    /// Rows come by several ways, of which some are slow: a neighbour that was cut off, a stale
-    /// read of the table, a message sent before a restart. Whichever came last would win, and an
-    /// operator would see an accepted change undone for a while. Only a greater version replaces
-    /// what is in force.
+    /// Rows arrive over several paths, and some of them are delayed: a neighbour that was
+    /// partitioned, a stale read of the table, or a message sent before a restart. If the last
+    /// arrival won, an accepted change could be undone temporarily. Therefore only a greater version
+    /// replaces the one in force.
     ///
     /// # Errors
     ///
-    /// `MessageInvalid` when the row does not read; what is in force stays.
+    /// `MessageInvalid` if the row cannot be parsed; the document in force is kept.
     pub(crate) fn install_if_newer(&mut self, row: &Bytes) -> SwitchResult<InstallOutcome> {
         let record = DocumentRecord::from_row(row)?;
-        let read = record.parse_document()?;
-        let service = read.document.service.clone();
-        let place = self.place_of(&service);
-        let standing = place.ok().map(|at| self.held[at].version.version);
-        match standing {
-            Some(standing) if record.version < standing => return Ok(InstallOutcome::Older),
-            Some(standing) if record.version == standing => return Ok(InstallOutcome::Known),
+        let parsed = record.parse_document()?;
+        let service = parsed.document.service.clone();
+        let position = self.find(&service);
+        let current = position.ok().map(|at| self.documents[at].version.version);
+        match current {
+            Some(current) if record.version < current => return Ok(InstallOutcome::Older),
+            Some(current) if record.version == current => return Ok(InstallOutcome::Known),
             _ => {}
         }
-        let held = Arc::new(ActiveDocument {
+        let active = Arc::new(ActiveDocument {
             version: DocumentVersion {
                 service,
                 version: record.version,
             },
             row: row.clone(),
-            document: Arc::new(read.document),
-            unknown: read.unknown,
+            document: Arc::new(parsed.document),
+            unknown: parsed.unknown,
         });
-        match place {
-            Ok(at) => self.replace(at, held),
-            Err(at) => self.held.insert(at, held),
+        match position {
+            Ok(at) => self.replace(at, active),
+            Err(at) => self.documents.insert(at, active),
         }
         Ok(InstallOutcome::Installed)
     }
 
-    fn replace(&mut self, at: usize, held: Arc<ActiveDocument>) {
+    fn replace(&mut self, at: usize, active: Arc<ActiveDocument>) {
         assert!(
-            held.version.version > self.held[at].version.version,
+            active.version.version > self.documents[at].version.version,
             "a document in force was about to be replaced by an older one"
         );
-        self.held[at] = held;
+        self.documents[at] = active;
     }
 
-    /// The document of `service`.
+    /// The document in force for `service`.
     pub(crate) fn get(&self, service: &str) -> Option<&Arc<ActiveDocument>> {
-        self.place_of(service).ok().map(|at| &self.held[at])
+        self.find(service).ok().map(|at| &self.documents[at])
     }
 
-    /// The version of `service` that is in force; 0 when there is none.
+    /// The version of the document in force for `service`; 0 if there is none.
     pub(crate) fn version_of(&self, service: &str) -> u64 {
-        self.get(service).map_or(0, |held| held.version.version)
+        self.get(service)
+            .map_or(0, |document| document.version.version)
     }
 
-    /// All of them, sorted by service.
+    /// All documents in force, sorted by service.
     pub(crate) fn all(&self) -> &[Arc<ActiveDocument>] {
-        &self.held
+        &self.documents
     }
 
-    /// What is in force, without the documents.
+    /// The versions in force, sorted by service.
     pub(crate) fn versions(&self) -> Vec<DocumentVersion> {
-        self.held.iter().map(|held| held.version.clone()).collect()
+        self.documents
+            .iter()
+            .map(|document| document.version.clone())
+            .collect()
     }
 
-    fn place_of(&self, service: &str) -> Result<usize, usize> {
-        self.held
-            .binary_search_by(|held| (*held.version.service).cmp(service))
+    fn find(&self, service: &str) -> Result<usize, usize> {
+        self.documents
+            .binary_search_by(|document| (*document.version.service).cmp(service))
     }
 }
--- a/src/documents/change_request.rs
+++ b/src/documents/change_request.rs
@@ -1,141 +1,144 @@
-//! A change of a document as an operator asks for it, and who may make it.
+//! An operator's request to change a document, and the check whether its author may make the change.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
 use subtle::{Choice, ConstantTimeEq};
 
-use super::document_record::{AcceptedChange, DocumentRecord, RECENT_CHANGES};
+use super::document_record::{AcceptedChange, DocumentRecord, RECENT_CHANGES_MAX};
 use super::schema::ServiceDocument;
 use crate::derives::plain;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::time::WallTime;
 
-/// The BLAKE3 digest of a key, in hex. The key itself is dropped where it was read.
+/// The BLAKE3 digest of a key, in hex. The key itself is never stored.
 #[derive(Clone, PartialEq, Eq)]
 pub(crate) struct KeyDigest(ByteString);
 
-/// How many characters of a digest name the key in history; too few to look it up anywhere.
-const KEY_NAME_LENGTH: usize = 8;
+/// Number of leading digest characters that identify a key in the history; too few to search for
+/// the full digest elsewhere.
+const SHORT_DIGEST_LENGTH: usize = 8;
 
 impl KeyDigest {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     pub(crate) fn of_key(key: &[u8]) -> Self {
         Self(blake3::hash(key).to_hex().as_str().into())
     }
 
-    /// Whether it is `digest`, in a time that does not depend on where they differ.
-    pub(crate) fn is(&self, digest: &str) -> bool {
-        self.same(digest).into()
+    /// Whether this digest equals `digest`, compared in constant time.
+    pub(crate) fn matches(&self, digest: &str) -> bool {
+        self.constant_time_eq(digest).into()
     }
 
-    /// Whether it is among `digests`; all of them are compared, whichever fits.
+    /// Whether this digest equals one of `digests`. All of them are compared, so that the time does
+    /// not depend on which one matches.
     pub(crate) fn matches_any(&self, digests: &[ByteString]) -> bool {
-        let none = Choice::from(0);
-        let found = digests
-            .iter()
-            .fold(none, |found, digest| found | self.same(digest));
+        let no_match = Choice::from(0);
+        let found = digests.iter().fold(no_match, |found, digest| {
+            found | self.constant_time_eq(digest)
+        });
         found.into()
     }
 
-    /// The whole digest, to be put into a document.
+    /// The full digest in hex, as documents contain it.
     pub(crate) fn hex(&self) -> &str {
         &self.0
     }
 
-    /// The beginning of the digest, to tell keys apart in history.
-    pub(crate) fn name(&self) -> &str {
-        &self.0[..KEY_NAME_LENGTH]
+    /// The first characters of the digest, which distinguish keys in the history.
+    pub(crate) fn short_hex(&self) -> &str {
+        &self.0[..SHORT_DIGEST_LENGTH]
     }
 
-    fn same(&self, digest: &str) -> Choice {
+    fn constant_time_eq(&self, digest: &str) -> Choice {
         self.0.as_bytes().ct_eq(digest.as_bytes())
     }
 }
 
 impl std::fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "KeyDigest({}…)", self.name())
+        write!(f, "KeyDigest({}…)", self.short_hex())
     }
 }
 
-/// A change that an operator asks for. The document has been checked.
+/// An operator's request to change a document that has already been validated.
 #[apply(plain!)]
 pub(crate) struct ChangeRequest {
-    /// The service.
+    /// The name of the service.
     pub(crate) service: ByteString,
-    /// The version that the change replaces; 0 when there must be none yet.
+    /// The version that the change replaces; 0 if no document may exist yet.
     pub(crate) replaces: u64,
-    /// Names the change; the same when it is asked for again.
+    /// Identifies the change; a repeated request carries the same nonce.
     pub(crate) nonce: ByteString,
-    /// Whether the author says that it was never asked for before. If not, an earlier try may
-    /// still be on its way into the table.
+    /// Whether the author declares this the first attempt. Otherwise a write of an earlier attempt
+    /// may still reach the table.
     pub(crate) is_first_attempt: bool,
-    /// The author's name, for people.
+    /// The author's name, shown in the history.
     pub(crate) author: ByteString,
     /// The digest of the key that the author presented.
     pub(crate) key: KeyDigest,
     /// The digest of the operators' key.
     pub(crate) operator_key_digest: ByteString,
-    /// The document, as it was given.
+    /// The new document as submitted, before parsing.
     pub(crate) document: serde_json::Value,
 }
 
 impl ChangeRequest {
-    /// Whether the author may replace `standing`.
+    /// Checks that the author may replace `current`.
     ///
-    /// The team that owns the service changes its document. The operators' key creates documents,
-    /// and may replace the list of the team's keys and nothing else, so that a team that lost its
-    /// keys gets its document back.
+    /// The team that owns the service may change its document. The operators' key may create
+    /// documents. In an existing document it may change only the list of the team's keys, so that a
+    /// team that has lost its keys regains access.
     ///
     /// # Errors
     ///
-    /// `NotAllowed` when not.
-    pub(crate) fn check_author(&self, standing: Option<&DocumentRecord>) -> SwitchResult<()> {
-        let is_operator = self.key.is(&self.operator_key_digest);
-        let Some(standing) = standing else {
-            return allow(is_operator, "only the operators' key creates a document");
+    /// `NotAllowed` if the author may not make this change, and `MessageInvalid` if the current
+    /// record cannot be parsed.
+    pub(crate) fn check_author(&self, current: Option<&DocumentRecord>) -> SwitchResult<()> {
+        let is_operator = self.key.matches(&self.operator_key_digest);
+        let Some(current) = current else {
+            return require_allowed(is_operator, "only the operators' key may create a document");
         };
-        let owned = standing.parse_document()?.document;
-        if self.key.matches_any(&owned.change_key_digests) {
+        let current_document = current.parse_document()?.document;
+        if self.key.matches_any(&current_document.change_key_digests) {
             return Ok(());
         }
-        let only_keys = is_operator && self.changes_keys_only(&owned);
+        let only_keys = is_operator && self.changes_keys_only(&current_document);
         let detail = format!(
-            "the key is none of team {}'s; the operators' key may change change_key_digests only",
-            owned.team
+            "the key does not belong to team {}; the operators' key may change change_key_digests only",
+            current_document.team
         );
-        allow(only_keys, &detail)
+        require_allowed(only_keys, &detail)
     }
 
-    fn changes_keys_only(&self, standing: &ServiceDocument) -> bool {
-        let wanted: Result<ServiceDocument, _> = serde_json::from_value(self.document.clone());
-        let Ok(mut wanted) = wanted else {
+    fn changes_keys_only(&self, current: &ServiceDocument) -> bool {
+        let requested: Result<ServiceDocument, _> = serde_json::from_value(self.document.clone());
+        let Ok(mut requested) = requested else {
             return false;
         };
-        wanted
+        requested
             .change_key_digests
-            .clone_from(&standing.change_key_digests);
-        wanted == *standing
+            .clone_from(&current.change_key_digests);
+        requested == *current
     }
 
-    /// The record that the change makes over `standing`.
+    /// The record that replaces `current` when the change is applied.
     pub(crate) fn next_record(
         &self,
-        standing: Option<&DocumentRecord>,
+        current: Option<&DocumentRecord>,
         wall: WallTime,
     ) -> DocumentRecord {
         let version = self.replaces + 1;
-        let mut recent = standing.map_or_else(Vec::new, |standing| standing.recent.clone());
+        let mut recent = current.map_or_else(Vec::new, |current| current.recent.clone());
         recent.push(AcceptedChange {
             version,
             nonce: self.nonce.clone(),
         });
-        let surplus = recent.len().saturating_sub(RECENT_CHANGES);
+        let surplus = recent.len().saturating_sub(RECENT_CHANGES_MAX);
         recent.drain(..surplus);
         DocumentRecord {
             version,
             nonce: self.nonce.clone(),
-            changed_by: format!("{} (key {})", self.author, self.key.name()).into(),
+            changed_by: format!("{} (key {})", self.author, self.key.short_hex()).into(),
             changed_wall_ms: wall.0,
             recent,
             document: self.document.clone(),
@@ -143,10 +146,10 @@
     }
 }
 
-fn allow(allowed: bool, otherwise: &str) -> SwitchResult<()> {
+fn require_allowed(allowed: bool, detail: &str) -> SwitchResult<()> {
     if allowed {
         Ok(())
     } else {
-        Err(SwitchError::new(ErrorKind::NotAllowed, otherwise))
+        Err(SwitchError::new(ErrorKind::NotAllowed, detail))
     }
 }
--- a/src/documents/check.rs
+++ b/src/documents/check.rs
@@ -1,5 +1,7 @@
-//! The check of a document as a whole: every fault at once, each with its path, what was given and
-//! what would do. The shape is checked against the published schema, the meaning here.
+//! Validation of service documents.
+//!
+//! All faults of a document are reported at once, each with its path, the value given and the value
+//! expected. The structure is validated against the published schema, the semantics in this module.
 
 use std::fmt::Display;
 use std::sync::OnceLock;
@@ -14,31 +16,31 @@
 use super::unknown_fields::split_unknown;
 use crate::derives::message;
 
-/// The largest document, in bytes; a thousand accounts fit several times.
+/// Maximum size of a document in bytes: several times that of a document with 1000 accounts.
 pub(crate) const DOCUMENT_BYTES_MAX: usize = 1024 * 1024;
 
-/// The format of documents that this program knows.
+/// The document format that this version of the program supports.
 const FORMAT: u32 = 1;
 const NAME_LENGTH_MAX: usize = 64;
-const DIGEST_LENGTH: usize = 64;
+const DIGEST_HEX_LENGTH: usize = 64;
 const GIVEN_LENGTH_MAX: usize = 80;
 const PERCENT_MAX: u32 = 100;
 const ATTEMPTS_MAX: u32 = 10;
 const DEADLINE_MAX_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// One fault of a document.
+/// A fault in a document.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct DocumentFault {
-    /// Where, as a JSON pointer.
+    /// The location, as a JSON pointer.
     pub(crate) path: String,
-    /// What was given.
+    /// The value that was given.
     pub(crate) given: String,
-    /// What would do.
+    /// The values that are valid.
     pub(crate) wanted: String,
 }
 
-/// The JSON schema of documents.
+/// The JSON schema of service documents.
 pub(crate) fn json_schema() -> Value {
     schema_for!(ServiceDocument).to_value()
 }
@@ -50,11 +52,12 @@
         .as_ref()
 }
 
-/// Reads a document from JSON `text` and checks it as a whole.
+/// Parses a document from JSON `text` and validates it completely.
 ///
 /// # Errors
 ///
-/// Every fault found. The meaning is checked as far as the shape lets the document be read.
+/// All faults found. If the structure has faults, the semantics are validated only if the document
+/// can still be parsed.
 pub(crate) fn check_document(text: &[u8]) -> Result<(Value, ServiceDocument), Vec<DocumentFault>> {
     if text.len() > DOCUMENT_BYTES_MAX {
         let given = format!("{} bytes", text.len());
@@ -63,17 +66,18 @@
     }
     let value: Value = serde_json::from_slice(text)
         .map_err(|error| vec![fault("", error.to_string(), "a JSON object")])?;
-    let mut faults = shape_faults(&value);
+    let mut faults = structure_faults(&value);
     if !faults.is_empty() {
-        // What reads in spite of them is checked too, so that one round of mending does.
+        // The semantics are validated as well if possible, so that the author sees all faults at
+        // once.
         if let Ok((document, _)) = split_unknown(&value) {
-            faults.extend(meaning_faults(&document));
+            faults.extend(semantic_faults(&document));
         }
         return Err(faults);
     }
     let document: ServiceDocument = serde_json::from_value(value.clone())
         .map_err(|error| vec![fault("", error.to_string(), "a document of the schema")])?;
-    let faults = meaning_faults(&document);
+    let faults = semantic_faults(&document);
     if faults.is_empty() {
         Ok((value, document))
     } else {
@@ -81,7 +85,7 @@
     }
 }
 
-fn shape_faults(value: &Value) -> Vec<DocumentFault> {
+fn structure_faults(value: &Value) -> Vec<DocumentFault> {
     let Some(validator) = validator() else {
         return Vec::new();
     };
@@ -91,7 +95,7 @@
         .collect()
 }
 
-/// The faults that one finding of the schema stands for.
+/// Converts one error of the schema validator to document faults.
 fn faults_of(error: &ValidationError<'_>) -> Vec<DocumentFault> {
     let path = error.instance_path().to_string();
     match error.kind() {
@@ -119,18 +123,18 @@
     }
 }
 
-/// What may stand where the schema at `place` offers a choice: the schema's own words would only
-/// say that nothing fits.
-fn choices_at(place: &str) -> Option<String> {
+/// Lists the alternatives that the schema allows at `schema_path`; `None` if it has no alternatives
+/// there. The validator's own message would only say that no alternative matches.
+fn choices_at(schema_path: &str) -> Option<String> {
     let schema = json_schema();
-    let choices = schema_at(&schema, place)?.as_array()?;
-    let words: Vec<String> = choices.iter().filter_map(choice_text).collect();
-    (!words.is_empty()).then(|| format!("one of: {}", words.join(", ")))
+    let choices = schema_at(&schema, schema_path)?.as_array()?;
+    let texts: Vec<String> = choices.iter().filter_map(choice_text).collect();
+    (!texts.is_empty()).then(|| format!("one of: {}", texts.join(", ")))
 }
 
 fn choice_text(choice: &Value) -> Option<String> {
-    if let Some(word) = choice.get("const") {
-        return Some(word.to_string());
+    if let Some(constant) = choice.get("const") {
+        return Some(constant.to_string());
     }
     let fields = choice.get("properties")?.as_object()?;
     let (name, field) = fields.iter().next()?;
@@ -138,10 +142,10 @@
     Some(format!("{{\"{name}\": {kind}}}"))
 }
 
-/// The part of `schema` at `place`, whose segments go through references.
-fn schema_at<'a>(schema: &'a Value, place: &str) -> Option<&'a Value> {
+/// The part of `schema` at `schema_path`, an evaluation path that may pass through `$ref`s.
+fn schema_at<'a>(schema: &'a Value, schema_path: &str) -> Option<&'a Value> {
     let mut part = schema;
-    for segment in place.split('/').filter(|segment| !segment.is_empty()) {
+    for segment in schema_path.split('/').filter(|segment| !segment.is_empty()) {
         part = match part {
             Value::Array(items) => items.get(segment.parse::<usize>().ok()?)?,
             other => other.get(segment)?,
@@ -168,24 +172,24 @@
     }
 }
 
-fn meaning_faults(document: &ServiceDocument) -> Vec<DocumentFault> {
+fn semantic_faults(document: &ServiceDocument) -> Vec<DocumentFault> {
     let mut faults = Faults::default();
     faults.require(
         document.format == FORMAT,
         "/format",
         document.format,
-        "1, the only format so far",
+        "1, the only supported format",
     );
     faults.name("/service", &document.service);
     faults.name("/team", &document.team);
-    faults.listed(
+    faults.unique_list(
         "/change_key_digests",
         &document.change_key_digests,
         Faults::digest,
     );
-    faults.listed("/data_centres", &document.data_centres, Faults::name);
+    faults.unique_list("/data_centres", &document.data_centres, Faults::name);
     if let HostSelection::Named(hosts) = &document.hosts {
-        faults.listed("/hosts/named", hosts, Faults::name);
+        faults.unique_list("/hosts/named", hosts, Faults::name);
     }
     faults.weights(document);
     faults.limits(document);
@@ -217,7 +221,7 @@
 
     fn digest(&mut self, path: &str, digest: &str) {
         let is_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-        let is_digest = digest.len() == DIGEST_LENGTH && digest.bytes().all(is_hex);
+        let is_digest = digest.len() == DIGEST_HEX_LENGTH && digest.bytes().all(is_hex);
         self.require(
             is_digest,
             path,
@@ -226,8 +230,8 @@
         );
     }
 
-    /// A list that must not be empty nor hold anything twice.
-    fn listed(
+    /// Validates a list that must not be empty or contain duplicates; `check` validates each item.
+    fn unique_list(
         &mut self,
         path: &str,
         items: &[bytestring::ByteString],
@@ -235,10 +239,10 @@
     ) {
         self.require(!items.is_empty(), path, "[]", "at least one");
         for (index, item) in items.iter().enumerate() {
-            let place = format!("{path}/{index}");
-            check(self, &place, item);
+            let item_path = format!("{path}/{index}");
+            check(self, &item_path, item);
             let is_first = !items[..index].contains(item);
-            self.require(is_first, &place, item, "each only once");
+            self.require(is_first, &item_path, item, "each only once");
         }
     }
 
@@ -261,15 +265,16 @@
                 self.require(false, "/weights", "weights", wanted);
             }
             (Some(weights), ServiceKind::Model) => {
-                self.name_of_version("/weights/version", &weights.version);
-                self.name_of_version("/weights/source", &weights.source);
+                self.weights_name("/weights/version", &weights.version);
+                self.weights_name("/weights/source", &weights.source);
                 self.digest("/weights/digest", &weights.digest);
             }
         }
     }
 
-    /// Names that stand in paths and rows, where `.` and `_` do no harm.
-    fn name_of_version(&mut self, path: &str, name: &str) {
+    /// Validates the name of a version or of a source of weights. These names occur in paths and row
+    /// keys, where `.` and `_` are safe.
+    fn weights_name(&mut self, path: &str, name: &str) {
         let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-._".contains(&byte);
         let is_name = !name.is_empty() && name.len() <= NAME_LENGTH_MAX && name.bytes().all(fits);
         self.require(is_name, path, name, "1 to 64 letters, digits, -, . and _");
@@ -310,13 +315,13 @@
             self.at_least_one(&format!("{path}/weight"), account.weight);
             self.percent(&format!("{path}/urgent_percent"), account.urgent_percent);
         }
-        self.names_once(accounts);
+        self.unique_account_names(accounts);
     }
 
-    fn names_once(&mut self, accounts: &[AccountSpec]) {
-        let mut order: Vec<usize> = (0..accounts.len()).collect();
-        order.sort_by_key(|index| (&accounts[*index].name, *index));
-        for pair in order.windows(2) {
+    fn unique_account_names(&mut self, accounts: &[AccountSpec]) {
+        let mut sorted: Vec<usize> = (0..accounts.len()).collect();
+        sorted.sort_by_key(|index| (&accounts[*index].name, *index));
+        for pair in sorted.windows(2) {
             let (first, second) = (&accounts[pair[0]].name, &accounts[pair[1]].name);
             let path = format!("/accounts/{}/name", pair[1]);
             self.require(first != second, &path, second, "each account only once");
@@ -335,8 +340,13 @@
             !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase())
         };
         let method = route.method.as_deref().unwrap_or("GET");
-        let place = format!("{path}/method");
-        self.require(is_method(method), &place, method, "a method in capitals");
+        let method_path = format!("{path}/method");
+        self.require(
+            is_method(method),
+            &method_path,
+            method,
+            "a method in capitals",
+        );
         self.require(
             kind == ServiceKind::Plain,
             path,
--- a/src/documents/document_record.rs
+++ b/src/documents/document_record.rs
@@ -1,4 +1,4 @@
-//! The row that a service's document is kept in, and what a process makes of it.
+//! The table row that stores a service's document, its keys, and its parsing.
 
 use bytes::Bytes;
 use bytestring::ByteString;
@@ -9,42 +9,42 @@
 use crate::derives::{message, plain};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// The prefix of every document's row.
+/// The key prefix of the rows that store current documents.
 pub(crate) const DOCUMENTS_PREFIX: &str = "documents/";
 
-/// How many earlier changes a row remembers by their nonces.
-pub(crate) const RECENT_CHANGES: usize = 16;
+/// Maximum number of recent changes whose nonces a row stores.
+pub(crate) const RECENT_CHANGES_MAX: usize = 16;
 
-/// The key of the row that holds the document of `service`.
+/// The key of the row that stores the current document of `service`.
 pub(crate) fn document_key(service: &str) -> String {
     format!("{DOCUMENTS_PREFIX}{service}")
 }
 
-/// The key of the row that keeps version `version` after it was replaced.
+/// The key of the row that archives version `version` once it is replaced.
 pub(crate) fn history_key(service: &str, version: u64) -> String {
     format!("{}{version:020}", history_prefix(service))
 }
 
-/// The prefix of the rows that keep replaced versions.
+/// The key prefix of the rows that archive replaced versions of `service`'s document.
 pub(crate) fn history_prefix(service: &str) -> String {
     format!("history/{service}/")
 }
 
-/// A document as its row holds it, in JSON.
+/// The content of a document's row, stored as JSON.
 #[apply(message!)]
 pub(crate) struct DocumentRecord {
-    /// Grows by one with each accepted change.
+    /// The version; increases by one with each accepted change.
     pub(crate) version: u64,
-    /// Names the change, so that its author can tell its own write from another's.
+    /// Identifies the change, so that its author can distinguish its own write from others.
     pub(crate) nonce: ByteString,
-    /// Who changed it, for people.
+    /// The author and the short digest of the key, as shown in the history.
     pub(crate) changed_by: ByteString,
-    /// When, in wall-clock milliseconds of the accepting host.
+    /// The time of the change, in Unix milliseconds by the wall clock of the accepting host.
     pub(crate) changed_wall_ms: u64,
-    /// The newest changes with their nonces, this one included, oldest first: a writer whose change
-    /// was replaced before it read back still learns that it was accepted.
+    /// The most recent changes including this one, oldest first. A writer whose change was replaced
+    /// before it could read the row back finds its nonce here and knows that it was accepted.
     pub(crate) recent: Vec<AcceptedChange>,
-    /// The document, whole: a process that does not know all of its fields passes on all of them.
+    /// The complete document. A process that does not know some of its fields still forwards them.
     pub(crate) document: serde_json::Value,
 }
 
@@ -52,52 +52,57 @@
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct AcceptedChange {
-    /// The version that it made.
+    /// The version that the change created.
     pub(crate) version: u64,
-    /// The change's nonce.
+    /// The nonce of the change.
     pub(crate) nonce: ByteString,
 }
 
 impl DocumentRecord {
-    /// The version that the change `nonce` made, if the row remembers it.
+    /// The version that the change with this nonce created, if it is among the recent changes.
     pub(crate) fn version_of(&self, nonce: &str) -> Option<u64> {
-        let mark = self.recent.iter().find(|mark| mark.nonce == *nonce);
-        mark.map(|mark| mark.version)
+        let change = self.recent.iter().find(|change| change.nonce == *nonce);
+        change.map(|change| change.version)
     }
 
-    /// The record in a row.
+    /// Parses the content of a row.
     ///
     /// # Errors
     ///
-    /// `MessageInvalid` when the row does not read as one.
+    /// `MessageInvalid` if the row is not a valid record.
     pub(crate) fn from_row(row: &[u8]) -> SwitchResult<Self> {
         serde_json::from_slice(row)
             .map_err(|fault| SwitchError::new(ErrorKind::MessageInvalid, fault.to_string()))
     }
 
-    /// The row that holds the record.
+    /// Serialises the record to the content of a row.
+    ///
+    /// # Errors
+    ///
+    /// `Internal` if serialisation fails.
     pub(crate) fn to_row(&self) -> SwitchResult<Bytes> {
         serde_json::to_vec(self)
             .map(Bytes::from)
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
     }
 
-    /// The document, and the paths of fields in it that this version of the program does not know.
+    /// Parses the document and lists the fields that this version of the program does not know.
     ///
     /// # Errors
     ///
-    /// `MessageInvalid` when what is known of it does not read either.
+    /// `MessageInvalid` if the document cannot be parsed even without the unknown fields.
     pub(crate) fn parse_document(&self) -> SwitchResult<ParsedDocument> {
         let (document, unknown) = split_unknown(&self.document)?;
         Ok(ParsedDocument { document, unknown })
     }
 }
 
-/// A document as this process understands it.
+/// A parsed document.
 #[apply(plain!)]
 pub(crate) struct ParsedDocument {
-    /// The document.
+    /// The document without unknown fields.
     pub(crate) document: ServiceDocument,
-    /// The paths of the fields that were left out because this program does not know them.
+    /// JSON pointers to the fields that were omitted because this version of the program does not
+    /// know them.
     pub(crate) unknown: Vec<String>,
 }
--- a/src/documents/events.rs
+++ b/src/documents/events.rs
@@ -11,8 +11,8 @@
 );
 pub(crate) const UNREADABLE: LogEvent = LogEvent::error(
     604,
-    "document row does not read; what was in force stays in force",
+    "document row cannot be parsed; the document in force is kept",
 );
 
-/// All of this slice's events.
+/// All events of this module.
 pub(crate) const ALL: &[LogEvent] = &[ACCEPTED, REFUSED, IN_FORCE, UNKNOWN_FIELDS, UNREADABLE];
--- a/src/documents/mod.rs
+++ b/src/documents/mod.rs
@@ -1,5 +1,7 @@
-//! Documents: one per service, owned by the team that owns the service, checked as a whole,
-//! versioned by compare-and-set in the platform's table, and carried to every process.
+//! Service documents: the configuration of each service, owned by the team that owns the service.
+//!
+//! A document is validated completely before it is accepted, versioned by compare-and-set in the
+//! platform's table, and distributed to every process.
 
 mod acceptance;
 mod active_documents;
--- a/src/documents/schema.rs
+++ b/src/documents/schema.rs
@@ -1,5 +1,6 @@
-//! What a document says. Unknown fields are refused, so that a misspelt limit is not silently no
-//! limit.
+//! The schema of service documents.
+//!
+//! Unknown fields are rejected, because a misspelt limit would otherwise be ignored silently.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
@@ -8,71 +9,72 @@
 
 use crate::derives::{key, message};
 
-/// One service, as its team wants it.
+/// The configuration of one service, as its team specifies it.
 #[apply(message!)]
 #[derive(JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceDocument {
-    /// The format of this document; 1.
+    /// The version of the document format; always 1.
     pub format: u32,
-    /// The service's name; callers name it as the model or in the path.
+    /// The name of the service. Callers give it as the model name or in the request path.
     #[schemars(with = "String")]
     pub service: ByteString,
     /// The team that owns the document.
     #[schemars(with = "String")]
     pub team: ByteString,
-    /// BLAKE3 digests, in hex, of the keys that may change this document.
+    /// BLAKE3 digests, in hex, of the keys that are allowed to change this document.
     #[schemars(with = "Vec<String>")]
     pub change_key_digests: Vec<ByteString>,
-    /// What stands behind the service.
+    /// The kind of backend that serves the service.
     pub kind: ServiceKind,
-    /// The data centres that serve it.
+    /// The data centres that serve the service.
     #[schemars(with = "Vec<String>")]
     pub data_centres: Vec<ByteString>,
-    /// Which hosts of these data centres serve it.
+    /// The hosts of these data centres that serve the service.
     pub hosts: HostSelection,
-    /// The weights that a model service runs; none for plain services.
+    /// The weights of a model service; absent for plain services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "WeightsSpec")]
     pub weights: Option<WeightsSpec>,
-    /// How a change of version goes through the hosts.
+    /// How a new version is rolled out to the hosts.
     #[serde(default)]
     pub rollout: RolloutSpec,
-    /// Who may call, and how much.
+    /// The client accounts that may call the service, with their limits.
     pub accounts: Vec<AccountSpec>,
-    /// How long requests of each priority may take.
+    /// The time limits of requests by priority.
     #[serde(default)]
     pub deadlines: DeadlineSpec,
-    /// What holds for single paths of a plain service; the first that matches counts.
+    /// Rules for individual paths of a plain service; the first matching rule applies.
     #[serde(default)]
     pub routes: Vec<RouteSpec>,
-    /// How much may be retried.
+    /// Limits on retries.
     #[serde(default)]
     pub retry: RetrySpec,
-    /// Whether requests with the same beginning should meet the same engine, for its prefix cache.
+    /// Whether requests with the same prefix are routed to the same engine when possible, so that
+    /// its prefix cache is used.
     #[serde(default)]
     pub prefix_affinity: bool,
 }
 
-/// What stands behind a service.
+/// The kind of backend that serves a service.
 #[apply(key!)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Model engines that load weights.
+    /// Model engines, which load weights.
     Model,
-    /// A plain service that gets requests as they are.
+    /// A service without weights, to which requests are forwarded unchanged.
     Plain,
 }
 
-/// Which hosts serve a service.
+/// Selects the hosts that serve a service.
 #[apply(message!)]
 #[derive(JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum HostSelection {
-    /// Those that the platform's list gives for the service.
+    /// The hosts that the platform's host list assigns to the service.
     Listed,
-    /// These.
+    /// The hosts with these names.
     Named(#[schemars(with = "Vec<String>")] Vec<ByteString>),
 }
 
@@ -81,40 +83,41 @@
 #[derive(JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WeightsSpec {
-    /// The version's name. Each change of weights needs a new one, a rollback too.
+    /// The name of the version. Every change of weights, including a rollback, needs a new name.
     #[schemars(with = "String")]
     pub version: ByteString,
     /// The name under which the origin publishes the weights.
     #[schemars(with = "String")]
     pub source: ByteString,
-    /// The BLAKE3 digest of the whole weights, in hex; pins what the source may hold.
+    /// The BLAKE3 digest of the complete weights, in hex. Data from the source with another digest
+    /// is rejected.
     #[schemars(with = "String")]
     pub digest: ByteString,
-    /// What to save: time, or the bytes read from the origin.
+    /// What the distribution of the weights minimises.
     pub objective: SpreadObjective,
 }
 
-/// What the spread of weights should save.
+/// What the distribution of weights minimises.
 #[apply(key!)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum SpreadObjective {
-    /// The time until every host has them.
+    /// The time until every host has the weights.
     Time,
-    /// The bytes read from the origin.
+    /// The number of bytes read from the origin.
     OriginBytes,
 }
 
-/// How a change of version goes through the hosts.
+/// How a new version is rolled out to the hosts.
 #[apply(message!)]
 #[derive(JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSpec {
-    /// How many of the service's hosts may be out of service at a time because of it.
+    /// The maximum number of the service's hosts that the rollout takes out of service at a time.
     pub max_out_of_service: u32,
-    /// What to do while the table cannot give permits.
+    /// What to do while the table is unavailable and cannot grant permits.
     pub table_away: TableAwayRule,
-    /// After how many hosts whose engines refused the version it is stopped.
+    /// The rollout stops when the engines of this many hosts have rejected the version.
     pub stop_after_failures: u32,
 }
 
@@ -128,14 +131,15 @@
     }
 }
 
-/// What a rollout does while the table is away.
+/// What a rollout does while the table is unavailable.
 #[apply(key!)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TableAwayRule {
-    /// Hosts that serve an older version go on serving it.
+    /// Hosts that serve a previous version continue to serve it.
     Wait,
-    /// Hosts that serve nothing may activate; those that serve an older version wait.
+    /// Hosts that serve no version may activate the new one; hosts that serve a previous version
+    /// wait.
     IdleHostsOnly,
 }
 
@@ -147,31 +151,31 @@
     /// The account's name.
     #[schemars(with = "String")]
     pub name: ByteString,
-    /// The BLAKE3 digest, in hex, of the key that its callers present.
+    /// The BLAKE3 digest, in hex, of the key that the account's callers present.
     #[schemars(with = "String")]
     pub key_digest: ByteString,
-    /// Requests a second, over all entry hosts of a data centre.
+    /// The maximum rate of requests per second, summed over all entry hosts of a data centre.
     pub requests_per_second: u32,
-    /// Requests in flight, over all entry hosts of a data centre.
+    /// The maximum number of requests in flight, summed over all entry hosts of a data centre.
     pub concurrency: u32,
-    /// Its share against other accounts when there is not enough for all.
+    /// The account's share of capacity relative to other accounts when capacity is insufficient.
     pub weight: u32,
-    /// How much of what it sends may be urgent, in percent of its rate.
+    /// The maximum share of urgent requests, in percent of the account's rate.
     pub urgent_percent: u32,
 }
 
-/// How long requests may take, by priority, in milliseconds.
+/// The time limits of requests by priority, in milliseconds.
 #[apply(message!)]
 #[derive(JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DeadlineSpec {
-    /// For urgent requests.
+    /// The deadline of urgent requests.
     pub urgent_ms: u64,
-    /// For normal requests.
+    /// The deadline of normal requests.
     pub normal_ms: u64,
-    /// For batch requests.
+    /// The deadline of batch requests.
     pub batch_ms: u64,
-    /// How long a stream may go on, of any priority.
+    /// The maximum duration of a streamed response, for every priority.
     pub stream_ms: u64,
 }
 
@@ -187,7 +191,8 @@
 }
 
 impl DeadlineSpec {
-    /// The deadline of `priority`, in milliseconds from arrival to the first byte.
+    /// The deadline of requests with `priority`: milliseconds from the arrival of the request to
+    /// the first byte of the response.
     #[must_use]
     pub const fn for_priority(&self, priority: RequestPriority) -> u64 {
         match priority {
@@ -198,64 +203,64 @@
     }
 }
 
-/// How urgent a request is; the first goes first.
+/// The priority of a request, most urgent first.
 #[apply(key!)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestPriority {
-    /// Before everything else.
+    /// Served before all other requests.
     Urgent,
-    /// The usual.
+    /// The default priority.
     Normal,
-    /// What is left.
+    /// Served with the remaining capacity.
     Batch,
 }
 
 impl RequestPriority {
-    /// All of them, the most urgent first.
+    /// All priorities, most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Batch];
 }
 
-/// What holds for some paths of a plain service.
+/// A rule for some paths of a plain service.
 #[apply(message!)]
 #[derive(JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSpec {
-    /// The method, in capitals; none means every method.
+    /// The HTTP method in capital letters; absent if the rule applies to every method.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "String")]
     pub method: Option<ByteString>,
-    /// The beginning of the path below the service.
+    /// The prefix of the path, relative to the service's path.
     #[schemars(with = "String")]
     pub path_prefix: ByteString,
-    /// Whether the call may be run again when it is not known whether it ran.
+    /// Whether a request may be executed again when it is unknown whether it was executed.
     pub repeatable: bool,
-    /// Has no effect any more: no call needs the table, so that calls run while it is away. Documents
-    /// that name it stay valid.
+    /// Obsolete, without effect: no request depends on the table, so requests are served while it is
+    /// unavailable. Documents that contain this field stay valid.
     #[serde(default)]
     pub in_outage: OutageRule,
 }
 
-/// What used to be done with unrepeatable calls while the table was away.
+/// Obsolete: how requests that must not be repeated were handled while the table was unavailable.
 #[apply(key!)]
 #[derive(Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum OutageRule {
-    /// They were refused.
+    /// The requests were rejected.
     #[default]
     Refuse,
-    /// Those whose key had just been made were run.
+    /// Requests with a newly created key were executed.
     Lease,
 }
 
-/// How much may be retried.
+/// Limits on retries.
 #[apply(message!)]
 #[derive(JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySpec {
-    /// Retries in percent of requests, by service and by account.
+    /// The maximum number of retries in percent of requests, per service and per account.
     pub budget_percent: u32,
-    /// Attempts of one request at most.
+    /// The maximum number of attempts for one request.
     pub attempts_max: u32,
 }
 
--- a/src/documents/tests/acceptance.rs
+++ b/src/documents/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! Accepting changes while the table fails in every way that it can.
+//! Accepting document changes while the table fails in various ways.
 
 use crate::lab::soak;
 use crate::test_support::run_cases;
@@ -6,10 +6,10 @@
 const CASES: u32 = 200;
 const CASE_BYTES: u32 = 4096;
 
-// Symptom: an operator is told "refused" and the change stands, or a change is accepted twice, or
-// a process falls back to an older version. Events: operators race; the table is away, loses
-// answers, and lets writes arrive late. Cause, without the protections: an answer that was lost is
-// taken for a refusal, or a row is taken for newer because it came later.
+// Guards against a change that is reported as refused but takes effect, a change that is accepted
+// twice, and a process that returns to a previous version. Operators make concurrent changes while
+// the table is unavailable, loses responses and applies writes late. The failures occur if a lost
+// response is treated as a refusal, or if a row counts as newer because it arrived later.
 #[test]
 fn changes_are_accepted_once_and_never_revert() {
     run_cases(CASES, CASE_BYTES, soak::documents::run_case);
--- a/src/documents/tests/check.rs
+++ b/src/documents/tests/check.rs
@@ -1,4 +1,4 @@
-//! The check of a document as a whole, the published schema and the samples.
+//! Tests of document validation, of the published schema and of the sample documents.
 
 use std::fs;
 use std::path::PathBuf;
@@ -21,8 +21,8 @@
 }
 
 fn sample(name: &str) -> Value {
-    let text = fs::read(path_of(&format!("samples/{name}.json"))).expect("the sample is there");
-    serde_json::from_slice(&text).expect("the sample is JSON")
+    let text = fs::read(path_of(&format!("samples/{name}.json"))).expect("the sample file exists");
+    serde_json::from_slice(&text).expect("the sample is valid JSON")
 }
 
 fn faults_of(document: &Value) -> Vec<DocumentFault> {
@@ -49,29 +49,30 @@
 
 #[test]
 fn published_schema_is_current() {
-    let text = fs::read(path_of("docs/schema/service-document.json")).expect("it is published");
-    let published: Value = serde_json::from_slice(&text).expect("it is JSON");
+    let text =
+        fs::read(path_of("docs/schema/service-document.json")).expect("the schema file exists");
+    let published: Value = serde_json::from_slice(&text).expect("the schema file is valid JSON");
     let hint = "run `savoryctl document schema > docs/schema/service-document.json`";
     assert_eq!(published, json_schema(), "{hint}");
 }
 
 #[test]
-fn all_faults_of_the_shape_are_told_at_once() {
+fn all_structural_faults_are_reported_at_once() {
     let mut document = sample("auroras/sky-writer");
     document["team"] = json!(7);
     document["rollot"] = json!({});
     document["accounts"][0]["weight"] = json!("heavy");
     document["weights"]["objective"] = json!("money");
     let faults = faults_of(&document);
-    let told: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
-    assert!(told.contains(&"/team"), "{faults:?}");
-    assert!(told.contains(&"/accounts/0/weight"), "{faults:?}");
-    assert!(told.contains(&"/rollot"), "{faults:?}");
+    let reported: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
+    assert!(reported.contains(&"/team"), "{faults:?}");
+    assert!(reported.contains(&"/accounts/0/weight"), "{faults:?}");
+    assert!(reported.contains(&"/rollot"), "{faults:?}");
     assert!(faults.iter().any(|fault| fault.given.contains("money")));
 }
 
 #[test]
-fn meaning_is_checked_beside_unknown_fields() {
+fn semantics_are_validated_despite_unknown_fields() {
     let mut document = sample("auroras/sky-writer");
     document["rollot"] = json!({});
     document["team"] = json!("sky briefings");
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn what_is_missing_is_named() {
+fn missing_fields_are_reported() {
     let mut document = sample("skupno/pisar");
     let fields = document.as_object_mut().expect("an object");
     fields.remove("team");
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn all_faults_of_the_meaning_are_told_at_once() {
+fn all_semantic_faults_are_reported_at_once() {
     let mut document = sample("auroras/alert-desk");
     document["service"] = json!("alert desk");
     document["change_key_digests"] = json!([]);
@@ -110,8 +111,8 @@
 }
 
 #[test]
-fn what_is_no_json_is_one_fault() {
-    let faults = check_document(b"{ not json").expect_err("it does not read");
+fn invalid_json_is_reported_as_one_fault() {
+    let faults = check_document(b"{ not json").expect_err("the text is not valid JSON");
     assert_eq!(faults.len(), 1);
     assert!(faults[0].wanted.contains("JSON"));
 }
--- a/src/documents/tests/mod.rs
+++ b/src/documents/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of documents.
+//! Tests of service documents.
 
 mod acceptance;
 mod check;
--- a/src/documents/tests/read_scheduler.rs
+++ b/src/documents/tests/read_scheduler.rs
@@ -1,4 +1,4 @@
-//! When a process reads the table.
+//! Tests of the schedule of table reads.
 
 use crate::documents::{ActiveDocuments, HintRecord, TableReadScheduler, TableReadStep};
 use crate::time::ClockTime;
@@ -9,101 +9,104 @@
     ClockTime::from_millis(1000 * count)
 }
 
-fn waits(step: &TableReadStep) -> bool {
+fn is_wait(step: &TableReadStep) -> bool {
     matches!(step, TableReadStep::WaitUntil(_))
 }
 
-/// Reads the table in one run of `span` seconds, answered at once, the neighbours' word coming each
-/// second if `is_told`.
-fn reads_within(span: u64, is_reader: bool, is_told: bool) -> usize {
-    let mut reader = TableReadScheduler::new(seconds(0));
-    let held = ActiveDocuments::default();
+/// Counts the table reads within `span` seconds. The table responds immediately; if
+/// `neighbours_current`, a neighbour reports current documents every second.
+fn reads_within(span: u64, is_reader: bool, neighbours_current: bool) -> usize {
+    let mut scheduler = TableReadScheduler::new(seconds(0));
+    let active = ActiveDocuments::default();
     let mut reads = 0;
     for tick in 0..span * 10 {
         let now = ClockTime::from_millis(100 * tick);
-        if is_told && tick % 10 == 0 {
-            reader.on_neighbour_current(now);
+        if neighbours_current && tick % 10 == 0 {
+            scheduler.on_neighbour_current(now);
         }
-        match reader.next_step(now, is_reader, JITTER) {
+        match scheduler.next_step(now, is_reader, JITTER) {
             TableReadStep::WaitUntil(_) => continue,
-            TableReadStep::ReadAll => reader.on_all(now, now),
-            TableReadStep::ReadHint => reader.on_hint(&HintRecord::default(), &held, now, now),
-            TableReadStep::ReadDocument(_) => reader.on_document(),
+            TableReadStep::ReadAll => scheduler.on_all(now, now),
+            TableReadStep::ReadHint => scheduler.on_hint(&HintRecord::default(), &active, now, now),
+            TableReadStep::ReadDocument(_) => scheduler.on_document(),
         }
         reads += 1;
     }
     reads
 }
 
-// Symptom: the table's reads grow with the processes. Events: nothing fails. Cause, without the age
-// that neighbours tell: everyone polls for itself.
+// Guards against a load on the table that grows with the number of processes although nothing fails.
+// Without the freshness that neighbours report, every process would poll the table itself.
 #[test]
-fn only_readers_poll_while_neighbours_tell() {
+fn only_readers_poll_while_neighbours_are_current() {
     assert_eq!(reads_within(120, true, true), 120);
     assert_eq!(reads_within(120, false, true), 1);
 }
 
 #[test]
-fn whoever_hears_nothing_fresh_reads_for_itself() {
+fn a_process_without_current_neighbours_reads_the_table() {
     let reads = reads_within(120, false, false);
     assert!((9..=11).contains(&reads), "{reads} reads");
 }
 
 #[test]
-fn an_expected_change_is_looked_for_until_it_is_given_up() {
-    let mut reader = TableReadScheduler::new(seconds(0));
-    let held = ActiveDocuments::default();
+fn a_hinted_change_is_searched_for_until_the_time_limit() {
+    let mut scheduler = TableReadScheduler::new(seconds(0));
+    let active = ActiveDocuments::default();
     let mut hint = HintRecord::default();
-    hint.expect(&"pisar".into(), 1);
-    reader.on_all(seconds(0), seconds(0));
-    let mut looks = 0;
+    hint.add_change(&"pisar".into(), 1);
+    scheduler.on_all(seconds(0), seconds(0));
+    let mut searches = 0;
     for second in 1..=30 {
         let now = seconds(second);
-        assert_eq!(reader.next_step(now, true, JITTER), TableReadStep::ReadHint);
-        reader.on_hint(&hint, &held, now, now);
-        if reader.next_step(now, true, JITTER) == TableReadStep::ReadDocument("pisar".into()) {
-            looks += 1;
-            reader.on_document();
+        assert_eq!(
+            scheduler.next_step(now, true, JITTER),
+            TableReadStep::ReadHint
+        );
+        scheduler.on_hint(&hint, &active, now, now);
+        if scheduler.next_step(now, true, JITTER) == TableReadStep::ReadDocument("pisar".into()) {
+            searches += 1;
+            scheduler.on_document();
         }
     }
-    assert_eq!(looks, 15, "an abandoned change is looked for 15 s");
+    assert_eq!(searches, 15, "an abandoned change is searched for 15 s");
 }
 
-// Symptom: a change is in force a minute late. Events: more changes than the hint row names come
-// between two polls, and their accepting host dies. Cause, without the look at the whole: the row
-// names the last of them only.
+// Guards against a change that is put in force a minute late. Between two polls, more changes are
+// made than fit into the hint row, and the accepting host fails. The row then lists only the last of
+// them, so without a read of all documents the others are not found until the next full read.
 #[test]
-fn a_full_hint_row_of_news_leads_to_a_reading_of_all() {
-    let mut reader = TableReadScheduler::new(seconds(0));
-    let held = ActiveDocuments::default();
+fn a_full_hint_row_of_new_changes_leads_to_a_full_read() {
+    let mut scheduler = TableReadScheduler::new(seconds(0));
+    let active = ActiveDocuments::default();
     let mut hint = HintRecord::default();
-    reader.on_all(seconds(0), seconds(0));
-    reader.on_hint(&hint, &held, seconds(1), seconds(1));
+    scheduler.on_all(seconds(0), seconds(0));
+    scheduler.on_hint(&hint, &active, seconds(1), seconds(1));
     for service in ["a", "b", "c", "d", "e"] {
-        hint.expect(&service.into(), 1);
+        hint.add_change(&service.into(), 1);
     }
-    reader.on_hint(&hint, &held, seconds(2), seconds(2));
+    scheduler.on_hint(&hint, &active, seconds(2), seconds(2));
     for _ in 0..4 {
-        let step = reader.next_step(seconds(3), true, JITTER);
+        let step = scheduler.next_step(seconds(3), true, JITTER);
         assert!(matches!(step, TableReadStep::ReadDocument(_)), "{step:?}");
     }
-    let step = reader.next_step(seconds(3), true, JITTER);
+    let step = scheduler.next_step(seconds(3), true, JITTER);
     assert_eq!(step, TableReadStep::ReadAll);
 }
 
 #[test]
-fn failures_make_the_pauses_longer() {
-    let mut reader = TableReadScheduler::new(seconds(0));
+fn pauses_grow_with_consecutive_failures() {
+    let mut scheduler = TableReadScheduler::new(seconds(0));
     let mut now = seconds(0);
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        reader.on_unavailable(now, u8::MAX);
-        let TableReadStep::WaitUntil(due) = reader.next_step(now, true, JITTER) else {
-            panic!("it pauses");
+        scheduler.on_unavailable(now, u8::MAX);
+        let TableReadStep::WaitUntil(due) = scheduler.next_step(now, true, JITTER) else {
+            panic!("the scheduler does not pause after a failure");
         };
         pauses.push(due.since(now).as_secs());
         now = due;
     }
     assert_eq!(pauses, [2, 4, 8, 8, 8, 8]);
-    assert!(!waits(&reader.next_step(now, true, JITTER)));
+    assert!(!is_wait(&scheduler.next_step(now, true, JITTER)));
 }
--- a/src/documents/tests/unknown_fields.rs
+++ b/src/documents/tests/unknown_fields.rs
@@ -1,4 +1,4 @@
-//! Documents written by a newer program.
+//! Tests of documents written by a newer version of the program.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -24,18 +24,19 @@
     })
 }
 
-// Symptom: after an upgrade of some entry hosts a new limit has no effect on the others, and nobody
-// is told. Events: a newer host accepts a document with a field that older ones do not know. Cause,
-// without the split: the older ones drop the field silently, or refuse the whole document.
+// Guards against a new limit that silently has no effect on some entry hosts during an upgrade. A
+// host with the newer version accepts a document with a field that older hosts do not know. Without
+// special handling they would drop the field silently or reject the complete document.
 #[test]
-fn unknown_fields_are_named_and_the_rest_is_in_force() {
-    let (document, unknown) = split_unknown(&newer_document()).expect("the rest reads");
+fn unknown_fields_are_reported_and_the_rest_is_in_force() {
+    let (document, unknown) =
+        split_unknown(&newer_document()).expect("the known part can be parsed");
     assert_eq!(document.retry.attempts_max, 2);
     assert_eq!(unknown, ["/accounts/0/colour", "/mirror", "/retry/spread"]);
 }
 
 #[test]
-fn unknown_fields_are_passed_on() {
+fn unknown_fields_are_forwarded() {
     let record = DocumentRecord {
         version: 1,
         nonce: "n".into(),
@@ -44,10 +45,12 @@
         recent: Vec::new(),
         document: newer_document(),
     };
-    let row: Bytes = record.to_row().expect("it writes");
-    let mut held = ActiveDocuments::default();
-    held.install_if_newer(&row).expect("it reads");
-    let held = held.get("pisar").expect("it is in force");
-    assert_eq!(held.row, row);
-    assert_eq!(held.unknown.len(), 3);
+    let row: Bytes = record.to_row().expect("the record can be serialised");
+    let mut documents = ActiveDocuments::default();
+    documents
+        .install_if_newer(&row)
+        .expect("the row can be parsed");
+    let document = documents.get("pisar").expect("the document is in force");
+    assert_eq!(document.row, row);
+    assert_eq!(document.unknown.len(), 3);
 }
--- a/src/documents/unknown_fields.rs
+++ b/src/documents/unknown_fields.rs
@@ -1,20 +1,22 @@
-//! Documents written by a newer program: what this one does not know is left out and named, never
-//! silently.
+//! Handles documents written by a newer version of the program: fields that this version does not
+//! know are removed and reported.
 
 use serde_json::Value;
 
 use super::schema::ServiceDocument;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// The document in `value`, and the paths of the fields that this program does not know.
+/// Parses the document in `value` and returns it with JSON pointers to the fields that this version
+/// of the program does not know.
 ///
-/// During an upgrade some processes are older than a document. Refusing it whole would keep an old
-/// version in force on them for hours; dropping fields silently would hide that a new limit is not
-/// kept there. One would notice neither. So the known part is put in force and the rest is named.
+/// During an upgrade, some processes run an older version than the one that wrote a document.
+/// Rejecting the document would keep its previous version in force on them for hours. Dropping
+/// fields silently would hide that a new limit is not enforced there. Both would go unnoticed, so
+/// the known part is put in force and the unknown fields are reported.
 ///
 /// # Errors
 ///
-/// `MessageInvalid` when what is left does not read as a document.
+/// `MessageInvalid` if the document cannot be parsed without the unknown fields.
 pub(crate) fn split_unknown(value: &Value) -> SwitchResult<(ServiceDocument, Vec<String>)> {
     if let Ok(document) = serde_json::from_value(value.clone()) {
         return Ok((document, Vec::new()));
@@ -22,7 +24,7 @@
     let schema = super::json_schema();
     let mut known = value.clone();
     let mut unknown = Vec::new();
-    strip(&mut known, &schema, &schema, "", &mut unknown);
+    remove_unknown(&mut known, &schema, &schema, "", &mut unknown);
     match serde_json::from_value(known) {
         Ok(document) => Ok((document, unknown)),
         Err(fault) => Err(SwitchError::new(
@@ -32,40 +34,47 @@
     }
 }
 
-/// Removes from `value` what `schema` does not name.
-fn strip(value: &mut Value, schema: &Value, root: &Value, path: &str, unknown: &mut Vec<String>) {
-    let schema = resolve(schema, root);
+/// Removes the fields from `value` that `schema` does not define, and appends their paths to
+/// `unknown`. `root` is the complete schema, to which references in `schema` are relative.
+fn remove_unknown(
+    value: &mut Value,
+    schema: &Value,
+    root: &Value,
+    path: &str,
+    unknown: &mut Vec<String>,
+) {
+    let schema = resolve_reference(schema, root);
     match value {
         Value::Object(fields) => {
             let Some(known) = schema.get("properties").and_then(Value::as_object) else {
                 return;
             };
             fields.retain(|name, field| {
-                let place = format!("{path}/{name}");
-                let Some(part) = known.get(name) else {
-                    unknown.push(place);
+                let field_path = format!("{path}/{name}");
+                let Some(field_schema) = known.get(name) else {
+                    unknown.push(field_path);
                     return false;
                 };
-                strip(field, part, root, &place, unknown);
+                remove_unknown(field, field_schema, root, &field_path, unknown);
                 true
             });
         }
         Value::Array(items) => {
-            let Some(part) = schema.get("items") else {
+            let Some(item_schema) = schema.get("items") else {
                 return;
             };
             for (index, item) in items.iter_mut().enumerate() {
-                strip(item, part, root, &format!("{path}/{index}"), unknown);
+                remove_unknown(item, item_schema, root, &format!("{path}/{index}"), unknown);
             }
         }
         _ => {}
     }
 }
 
-/// Follows a reference to the part that it names.
-fn resolve<'a>(schema: &'a Value, root: &'a Value) -> &'a Value {
+/// Follows the `$ref` in `schema`, if it has one, to the definition in `root`.
+fn resolve_reference<'a>(schema: &'a Value, root: &'a Value) -> &'a Value {
     let reference = schema.get("$ref").and_then(Value::as_str);
     let pointer = reference.map(|reference| reference.trim_start_matches('#'));
-    let named = pointer.and_then(|pointer| root.pointer(pointer));
-    named.unwrap_or(schema)
+    let target = pointer.and_then(|pointer| root.pointer(pointer));
+    target.unwrap_or(schema)
 }
--- a/src/operator/admin.rs
+++ b/src/operator/admin.rs
@@ -153,7 +153,7 @@
         let owns_any = held
             .iter()
             .any(|held| key.matches_any(&held.document.change_key_digests));
-        if owns_any || key.is(&self.operator_key_digest) {
+        if owns_any || key.matches(&self.operator_key_digest) {
             return Ok(show(&self.control));
         }
         Err(not_allowed("the key is neither the operators' nor any team's").into())
@@ -194,11 +194,11 @@
             }
             AcceptanceOutcome::Refused {
                 error,
-                standing: None,
+                current: None,
             } => Err(AdminRefusal::Plain(error)),
             AcceptanceOutcome::Refused {
                 error,
-                standing: Some(record),
+                current: Some(record),
             } => {
                 let standing = self.document_reply(&service, *record, true);
                 let reply = CurrentDocumentReply {
@@ -280,7 +280,7 @@
             .flatten()
             .filter_map(|digest| digest.as_str().map(ByteString::from))
             .collect();
-        if key.matches_any(&digests) || key.is(&self.operator_key_digest) {
+        if key.matches_any(&digests) || key.matches(&self.operator_key_digest) {
             return Ok(());
         }
         Err(not_allowed(
