--- a/src/membership/identity.rs
+++ b/src/membership/identity.rs
@@ -1,4 +1,4 @@
-//! Who this process is.
+//! The identity of this process.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,21 @@
 use crate::derives::plain;
 use crate::stores::HostRole;
 
-/// Who this process is, from its settings and its start.
+/// The identity of this process, determined by its settings and its start time.
 #[apply(plain!)]
 pub(crate) struct HostIdentity {
     /// The host's name.
     pub(crate) host: ByteString,
-    /// The data centre it stands in.
+    /// The data centre in which the host is located.
     pub(crate) data_centre: ByteString,
     /// The region of that data centre.
     pub(crate) region: ByteString,
-    /// What it is there for.
+    /// The role of the host.
     pub(crate) role: HostRole,
-    /// The service whose backend server it is; none for entry hosts.
+    /// The service whose backend server runs on the host; `None` for entry hosts.
     pub(crate) service: Option<ByteString>,
-    /// Where this process listens for the project's other processes.
+    /// The address at which this process accepts connections from the system's other processes.
     pub(crate) peer_address: SocketAddr,
-    /// The process's start by the wall clock, in microseconds.
+    /// The start time of the process by the wall clock, in Unix microseconds.
     pub(crate) incarnation: u64,
 }
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -1,6 +1,8 @@
-//! What this process knows of the other hosts, and what it makes of it. The platform's list lags
-//! and counts as a hint; a host's own word, told on by neighbours, goes before it; silence on a
-//! stream that this process watches makes a host suspected, then gone.
+//! The table of all other hosts that this process knows, with their states.
+//!
+//! The platform's host list lags and serves only as a hint. A host's own announcement, which its
+//! neighbours forward, takes precedence over it. If a watched stream from a host is silent, the host
+//! becomes suspected and later unavailable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,66 +16,67 @@
 use crate::stores::{HostEntry, ListedState};
 use crate::time::ClockTime;
 
-/// Paces of a watched stream without a frame after which its host is suspected.
-const SUSPECT_PACES: u32 = 3;
-/// How long a watched host is suspected before it counts as gone.
-const GONE_AFTER: Duration = Duration::from_secs(15);
-/// How long a host that is neither listed nor heard is remembered, so that an older word about it
-/// that still travels does not bring it back.
+/// Number of frame intervals without a frame on a watched stream after which the host is suspected.
+const SUSPECT_INTERVALS: u32 = 3;
+/// Time after which a watched host without a working stream changes from suspected to unavailable.
+const UNAVAILABLE_AFTER: Duration = Duration::from_secs(15);
+/// How long a host is kept in the table when it is neither listed nor heard from. Without this, a
+/// delayed announcement about it would add it again.
 const FORGET_AFTER: Duration = Duration::from_mins(10);
-/// Losses within [`FLAP_WINDOW`] from which on a host counts as flapping.
+/// Number of stream losses within [`FLAP_WINDOW`] from which a host counts as flapping.
 const FLAP_LOSSES: u32 = 3;
-/// How long losses are held against a host.
+/// The loss count restarts if the previous loss is at least this long ago.
 const FLAP_WINDOW: Duration = Duration::from_mins(1);
-/// How long a flapping host stays suspected after it was last lost.
+/// How long a flapping host stays suspected after its last stream loss.
 const FLAP_HOLD: Duration = Duration::from_secs(20);
 
-/// One host.
+/// What this process knows about one host.
 #[apply(plain!)]
 pub(crate) struct MemberView {
-    /// Who it is and whether it goes.
+    /// The host's identity and whether it is leaving.
     pub(crate) facts: MemberFacts,
-    /// Its newest word about itself, if it is watched and has spoken.
+    /// The host's most recent status announcement; `None` if the host is not watched or has not sent
+    /// one yet.
     pub(crate) status: Option<Arc<HostStatus>>,
-    /// What the platform's list says of it.
+    /// Whether the platform's host list contains the host.
     listing: Listing,
-    /// When anything was last heard about it: from the list, from itself or from a neighbour.
-    noted_at: ClockTime,
+    /// Time of the last information about the host from the list, the host itself or a neighbour.
+    updated_at: ClockTime,
     watch: WatchHealth,
     losses: u32,
     lost_at: ClockTime,
     state: MemberState,
 }
 
-/// What the platform's list says of a host.
+/// Whether the platform's host list contains a host.
 #[apply(key!)]
 enum Listing {
-    /// It has not been in the list so far.
+    /// The host has not been in the list so far.
     NotYet,
-    /// It was in the list when that was last read.
+    /// The host was in the list when it was last read.
     Listed,
-    /// It was in the list and is no longer.
+    /// The host was in the list earlier, but no longer is.
     Dropped,
 }
 
-/// How the stream from a host does.
+/// The condition of the stream from a host.
 #[apply(plain!)]
 enum WatchHealth {
-    /// This process does not watch it.
+    /// This process does not watch the host.
     NotWatched,
-    /// It is watched; nothing has come since `since`.
+    /// The host is watched, but there has been no working stream since `since`.
     Silent { since: ClockTime },
-    /// A frame came at `at`; the next is due within `pace`.
-    Heard { at: ClockTime, pace: Duration },
+    /// The last frame arrived at `at`; the next is due within `interval`.
+    Receiving { at: ClockTime, interval: Duration },
 }
 
 impl MemberView {
-    /// Whether it can be counted on.
+    /// The host's state as of the last [`MemberTable::on_tick`].
     pub(crate) const fn state(&self) -> MemberState {
         self.state
     }
 
-    /// Whether the last word about it is that it goes.
+    /// Whether the host is leaving according to its facts or its status.
     fn is_leaving(&self) -> bool {
         self.facts.entry.state == ListedState::Leaving
             || self.status.as_ref().is_some_and(|status| status.leaving)
@@ -82,15 +85,17 @@
     fn state_at(&self, now: ClockTime) -> MemberState {
         let health = match self.watch {
             WatchHealth::NotWatched if self.listing == Listing::Dropped => MemberState::Unavailable,
-            WatchHealth::Silent { since } if now.since(since) >= GONE_AFTER => {
+            WatchHealth::Silent { since } if now.since(since) >= UNAVAILABLE_AFTER => {
                 MemberState::Unavailable
             }
             WatchHealth::Silent { .. } => MemberState::Suspected,
-            WatchHealth::Heard { at, pace } if now.since(at) >= pace * SUSPECT_PACES => {
+            WatchHealth::Receiving { at, interval }
+                if now.since(at) >= interval * SUSPECT_INTERVALS =>
+            {
                 MemberState::Suspected
             }
-            WatchHealth::Heard { .. } if self.is_flapping(now) => MemberState::Suspected,
-            WatchHealth::NotWatched | WatchHealth::Heard { .. } => MemberState::Live,
+            WatchHealth::Receiving { .. } if self.is_flapping(now) => MemberState::Suspected,
+            WatchHealth::NotWatched | WatchHealth::Receiving { .. } => MemberState::Live,
         };
         match health {
             MemberState::Live | MemberState::Suspected if self.is_leaving() => MemberState::Leaving,
@@ -98,15 +103,16 @@
         }
     }
 
-    /// A host that is lost again and again would pull work to itself at each return and drop it at
-    /// each loss. One would notice retries in waves. Until it has been steady for a while it stays
-    /// suspected.
+    /// Whether the stream from the host breaks repeatedly.
+    ///
+    /// A flapping host would attract requests at each return and fail them at each loss, which
+    /// causes waves of retries. It stays suspected until it has been stable for [`FLAP_HOLD`].
     fn is_flapping(&self, now: ClockTime) -> bool {
         self.losses >= FLAP_LOSSES && now.since(self.lost_at) < FLAP_HOLD
     }
 }
 
-/// Every host that this process knows of, sorted by name, itself left out.
+/// All hosts known to this process except its own, sorted by name.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberTable {
     own_host: ByteString,
@@ -115,7 +121,7 @@
 }
 
 impl MemberTable {
-    /// An empty table of the process on `own_host`.
+    /// Creates an empty table for the process on `own_host`.
     pub(crate) const fn new(own_host: ByteString) -> Self {
         Self {
             own_host,
@@ -124,22 +130,22 @@
         }
     }
 
-    /// All members, sorted by host.
+    /// All members, sorted by host name.
     pub(crate) fn members(&self) -> &[MemberView] {
         &self.members
     }
 
-    /// The member `host`.
+    /// The member with the name `host`.
     pub(crate) fn get(&self, host: &str) -> Option<&MemberView> {
-        self.place_of(host).ok().map(|at| &self.members[at])
+        self.find(host).ok().map(|at| &self.members[at])
     }
 
-    /// Whether anything that readers see has changed since this was last asked.
+    /// Whether anything visible to readers has changed since the last call.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's host list.
     pub(crate) fn on_list(&mut self, entries: &[HostEntry], now: ClockTime) {
         for member in &mut self.members {
             if member.listing == Listing::Listed {
@@ -153,10 +159,10 @@
                 sequence: 0,
             };
             self.on_facts(&facts, now);
-            if let Ok(at) = self.place_of(&entry.host) {
+            if let Ok(at) = self.find(&entry.host) {
                 let member = &mut self.members[at];
                 member.listing = Listing::Listed;
-                member.noted_at = now;
+                member.updated_at = now;
                 if member.facts.incarnation == 0 && member.facts.entry != *entry {
                     member.facts.entry = entry.clone();
                     self.changed = true;
@@ -165,20 +171,21 @@
         }
     }
 
-    /// Takes in what a host said of itself, told on by anyone. Returns whether it was news.
+    /// Applies facts that a host announced about itself, received from any process. Returns whether
+    /// they were new.
     pub(crate) fn on_facts(&mut self, facts: &MemberFacts, now: ClockTime) -> bool {
         let host = &facts.entry.host;
         if *host == self.own_host {
             return false;
         }
-        match self.place_of(host) {
-            Ok(at) => self.renew_facts(at, facts, now),
+        match self.find(host) {
+            Ok(at) => self.update_facts(at, facts, now),
             Err(at) => {
                 let view = MemberView {
                     facts: facts.clone(),
                     status: None,
                     listing: Listing::NotYet,
-                    noted_at: now,
+                    updated_at: now,
                     watch: WatchHealth::NotWatched,
                     losses: 0,
                     lost_at: ClockTime(0),
@@ -191,16 +198,16 @@
         }
     }
 
-    fn renew_facts(&mut self, at: usize, facts: &MemberFacts, now: ClockTime) -> bool {
+    fn update_facts(&mut self, at: usize, facts: &MemberFacts, now: ClockTime) -> bool {
         let member = &mut self.members[at];
         if facts.order() <= member.facts.order() {
             return false;
         }
         if facts.incarnation > member.facts.incarnation {
-            // Another process stands there now: what the earlier one said of itself is void. Its own
-            // word may have come before its facts and then stays.
-            let is_earlier = |status: &Arc<HostStatus>| status.incarnation < facts.incarnation;
-            if member.status.as_ref().is_some_and(is_earlier) {
+            // A new process runs on the host, so the status of the earlier process is obsolete. The
+            // status of the new process may have arrived before its facts and is kept.
+            let is_obsolete = |status: &Arc<HostStatus>| status.incarnation < facts.incarnation;
+            if member.status.as_ref().is_some_and(is_obsolete) {
                 member.status = None;
             }
             if member.state == MemberState::Unavailable {
@@ -208,15 +215,16 @@
             }
         }
         member.facts = facts.clone();
-        member.noted_at = now;
+        member.updated_at = now;
         self.changed = true;
         true
     }
 
-    /// Takes in the word of a host about itself, from its own stream. Returns whether it counts:
-    /// the word of an earlier process on the host, or an earlier word of this one, does not.
+    /// Applies a status announcement received on the host's own stream. Returns whether it was
+    /// accepted; a status of an earlier process on the host, or an earlier status of the same
+    /// process, is ignored.
     pub(crate) fn on_status(&mut self, status: HostStatus, now: ClockTime) -> bool {
-        let Ok(at) = self.place_of(&status.host) else {
+        let Ok(at) = self.find(&status.host) else {
             return false;
         };
         let member = &mut self.members[at];
@@ -231,20 +239,21 @@
             return false;
         }
         if status.incarnation > member.facts.incarnation {
-            // Its facts come right behind; until then only its own word counts.
+            // The facts of the new process follow immediately; until then its status applies.
             member.facts.incarnation = status.incarnation;
             member.facts.sequence = 0;
             member.facts.entry.state = ListedState::Live;
         }
-        member.noted_at = now;
+        member.updated_at = now;
         member.status = Some(Arc::new(status));
         self.changed = true;
         true
     }
 
-    /// This process watches `host` from now on. One that is gone stays so until it speaks.
+    /// This process starts watching `host`. An unavailable host stays unavailable until it sends
+    /// something.
     pub(crate) fn on_watched(&mut self, host: &str, now: ClockTime) {
-        if let Ok(at) = self.place_of(host) {
+        if let Ok(at) = self.find(host) {
             let member = &mut self.members[at];
             if member.state != MemberState::Unavailable {
                 member.watch = WatchHealth::Silent { since: now };
@@ -252,22 +261,22 @@
         }
     }
 
-    /// A frame came on the stream from `host`, whose frames are at most `pace` apart.
-    pub(crate) fn on_frame_received(&mut self, host: &str, pace: Duration, now: ClockTime) {
-        if let Ok(at) = self.place_of(host) {
+    /// A frame arrived on the stream from `host`, whose frames are at most `interval` apart.
+    pub(crate) fn on_frame_received(&mut self, host: &str, interval: Duration, now: ClockTime) {
+        if let Ok(at) = self.find(host) {
             let member = &mut self.members[at];
-            member.watch = WatchHealth::Heard { at: now, pace };
-            member.noted_at = now;
+            member.watch = WatchHealth::Receiving { at: now, interval };
+            member.updated_at = now;
         }
     }
 
     /// The stream from `host` broke or could not be opened.
     pub(crate) fn on_stream_lost(&mut self, host: &str, now: ClockTime) {
-        let Ok(at) = self.place_of(host) else {
+        let Ok(at) = self.find(host) else {
             return;
         };
         let member = &mut self.members[at];
-        if !matches!(member.watch, WatchHealth::Heard { .. }) {
+        if !matches!(member.watch, WatchHealth::Receiving { .. }) {
             return;
         }
         if now.since(member.lost_at) >= FLAP_WINDOW {
@@ -278,9 +287,10 @@
         member.watch = WatchHealth::Silent { since: now };
     }
 
-    /// This process no longer watches `host`. One that is gone stays so until it shows itself.
+    /// This process stops watching `host`. An unavailable host stays unavailable until it is heard
+    /// from again.
     pub(crate) fn on_unwatched(&mut self, host: &str) {
-        if let Ok(at) = self.place_of(host) {
+        if let Ok(at) = self.find(host) {
             let member = &mut self.members[at];
             if member.state != MemberState::Unavailable {
                 member.watch = WatchHealth::NotWatched;
@@ -290,18 +300,20 @@
         }
     }
 
-    /// The process on `host` asked this one for something: it is there, whatever was thought.
+    /// The process on `host` sent a request to this process, so it is running even if it was
+    /// considered unavailable.
     pub(crate) fn on_contact(&mut self, host: &str, now: ClockTime) {
-        if let Ok(at) = self.place_of(host) {
+        if let Ok(at) = self.find(host) {
             let member = &mut self.members[at];
-            member.noted_at = now;
+            member.updated_at = now;
             if member.state == MemberState::Unavailable {
                 member.watch = WatchHealth::Silent { since: now };
             }
         }
     }
 
-    /// Works out every member's state at `now` and forgets those long gone.
+    /// Updates the state of every member at `now` and removes members that are neither listed nor
+    /// heard from for [`FORGET_AFTER`].
     pub(crate) fn on_tick(&mut self, now: ClockTime) {
         for member in &mut self.members {
             let state = member.state_at(now);
@@ -316,12 +328,12 @@
         }
         let count = self.members.len();
         self.members.retain(|member| {
-            member.listing == Listing::Listed || now.since(member.noted_at) < FORGET_AFTER
+            member.listing == Listing::Listed || now.since(member.updated_at) < FORGET_AFTER
         });
         self.changed |= count != self.members.len();
     }
 
-    fn place_of(&self, host: &str) -> Result<usize, usize> {
+    fn find(&self, host: &str) -> Result<usize, usize> {
         self.members
             .binary_search_by(|member| (*member.facts.entry.host).cmp(host))
     }
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! What a process says of itself to others.
+//! The announcements in which processes report their own state to others.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
@@ -7,77 +7,81 @@
 use crate::stores::HostEntry;
 use crate::weights::WeightsDigest;
 
-/// A process's word about itself. A greater (`incarnation`, `sequence`) replaces a smaller one.
+/// The status that a process announces about itself. An announcement with a greater
+/// (`incarnation`, `sequence`) replaces one with a smaller pair.
 #[apply(message!)]
 pub(crate) struct HostStatus {
     /// The host's name.
     pub(crate) host: ByteString,
-    /// Set once at the start of the process from the wall clock in microseconds, so that what an
-    /// earlier process on the host said or promised is told apart.
+    /// Start time of the process by the wall clock, in microseconds. It distinguishes announcements
+    /// and promises of this process from those of earlier processes on the same host.
     pub(crate) incarnation: u64,
-    /// Grows with each change.
+    /// Increases with each change of the status.
     pub(crate) sequence: u64,
-    /// Whether it takes no new work.
+    /// Whether the process is shutting down and accepts no new requests.
     pub(crate) leaving: bool,
-    /// How busy it is.
+    /// The current load.
     pub(crate) load: LoadReport,
-    /// What its engine serves; none for entry hosts and plain services, or when nothing is loaded.
+    /// The version that the engine serves; `None` for entry hosts and plain services, and while no
+    /// version is loaded.
     pub(crate) serving: Option<ServingVersion>,
-    /// How far the next version is.
+    /// The progress of fetching the next version; `None` if none is being fetched.
     pub(crate) staging: Option<StagingProgress>,
 }
 
-/// How busy a backend server is.
+/// The load of a backend server.
 #[apply(message!)]
 #[derive(Copy, Eq, Default)]
 pub(crate) struct LoadReport {
-    /// Requests that its engine runs.
+    /// Number of requests that the engine is running.
     pub(crate) running: u32,
-    /// Requests that wait before its engine, at the host process and inside the engine.
+    /// Number of requests waiting for the engine, in the host process and in the engine itself.
     pub(crate) waiting: u32,
-    /// Requests that it can run at a time.
+    /// Maximum number of requests that the engine runs at a time.
     pub(crate) capacity: u32,
-    /// Requests that it takes beyond those running.
+    /// Maximum number of requests that are queued in addition to those running.
     pub(crate) queue_room: u32,
 }
 
-/// A version that an engine reported to have loaded whole.
+/// A version that the engine reported as completely loaded.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct ServingVersion {
-    /// Its name in the document.
+    /// The version's name in the service document.
     pub(crate) version: ByteString,
-    /// The digest of its weights.
+    /// The digest of the version's weights.
     pub(crate) digest: WeightsDigest,
 }
 
-/// A version on its way to a host.
+/// The progress of fetching a version to a host.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct StagingProgress {
-    /// Its name in the document.
+    /// The version's name in the service document.
     pub(crate) version: ByteString,
-    /// Chunks that are there and checked.
+    /// Number of chunks that have been received and verified.
     pub(crate) chunks_done: u32,
-    /// Chunks of the version.
+    /// Total number of chunks of the version.
     pub(crate) chunks_all: u32,
 }
 
-/// What every process knows of a host: who it is and whether it goes. Told on from neighbour to
-/// neighbour; a greater (`incarnation`, `sequence`) replaces a smaller one.
+/// The identity of a host and whether it is leaving. Facts are forwarded from neighbour to neighbour
+/// until every process has them; a greater (`incarnation`, `sequence`) replaces a smaller pair.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct MemberFacts {
-    /// The host, as the platform's list would give it. Its state says whether the process goes.
+    /// The host in the format of the platform's host list. Its state says whether the process is
+    /// leaving.
     pub(crate) entry: HostEntry,
-    /// The incarnation of the process that said so; 0 for what the platform's list says.
+    /// The incarnation of the process that announced the facts; 0 if they come from the platform's
+    /// host list.
     pub(crate) incarnation: u64,
-    /// Grows with each change of the facts within the incarnation.
+    /// Increases with each change of the facts within an incarnation.
     pub(crate) sequence: u64,
 }
 
 impl MemberFacts {
-    /// What decides which of two words about a host is newer.
+    /// The key by which announcements about a host are ordered; the greatest is the newest.
     pub(crate) const fn order(&self) -> (u64, u64) {
         (self.incarnation, self.sequence)
     }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,5 +1,7 @@
-//! Who is there: hosts live, suspected, leaving or gone, from the platform's lagging list, from
-//! what hosts say of themselves, and from refusals.
+//! Membership: which hosts are live, suspected, leaving or unavailable.
+//!
+//! The state of a host is derived from the platform's host list, which lags, from the host's own
+//! announcements, and from failures of the streams that this process watches.
 
 pub(crate) mod events;
 mod identity;
--- a/src/membership/status_publisher.rs
+++ b/src/membership/status_publisher.rs
@@ -1,4 +1,4 @@
-//! Where a process's slices write what the process says of itself.
+//! Collects and publishes the status that this process announces about itself.
 
 use std::sync::Arc;
 
@@ -7,14 +7,15 @@
 
 use super::messages::{HostStatus, LoadReport};
 
-/// This process's own [`HostStatus`]. Clones share it; watchers learn of every change at once.
+/// Publishes this process's own [`HostStatus`]. Clones share the status; every change is sent to all
+/// subscribers immediately.
 #[derive(Clone, Debug)]
 pub(crate) struct StatusPublisher {
     status: Arc<watch::Sender<HostStatus>>,
 }
 
 impl StatusPublisher {
-    /// The status of a process that has just started.
+    /// Creates the publisher with the initial status of a process.
     pub(crate) fn new(host: ByteString, incarnation: u64) -> Self {
         let status = HostStatus {
             host,
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Changes the status; watchers are told when it differs.
+    /// Applies `change` to the status. If the status differs afterwards, its sequence number is
+    /// incremented and subscribers are notified.
     pub(crate) fn update(&self, change: impl FnOnce(&mut HostStatus)) {
         self.status.send_if_modified(|status| {
             let before = status.clone();
@@ -43,7 +45,7 @@
         });
     }
 
-    /// A watcher of changes.
+    /// Subscribes to the status.
     pub(crate) fn watch(&self) -> watch::Receiver<HostStatus> {
         self.status.subscribe()
     }
