--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -1,5 +1,5 @@
-//! The control thread's loop: takes in events, lets the machine decide, carries out what follows,
-//! and publishes the state.
+//! The event loop of the control thread: passes events to the state machine, carries out its
+//! decisions and publishes the resulting state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,17 +23,17 @@
 use crate::time::clock_now;
 
 const TICK: Duration = Duration::from_millis(200);
-/// Events taken in before the state is published.
-const EVENTS_AT_ONCE: usize = 64;
-/// The pace of frames from backend servers' processes that are not urgent, for each that is watched:
-/// the more there are, the slower each speaks, so that all of them together stay within what control
-/// may receive.
-const PACE_PER_BACKEND: Duration = Duration::from_millis(120);
-const BACKEND_PACE_SHORTEST: Duration = Duration::from_millis(500);
-/// The pace of frames from entry hosts that are not urgent; they tell no load.
-const ENTRY_PACE: Duration = Duration::from_secs(2);
-/// How long backend servers' processes wait at most before their first reading of the table.
-const FIRST_READ_WITHIN: Duration = Duration::from_millis(300);
+/// Maximum number of queued events handled before the state is published.
+const EVENT_BATCH_MAX: usize = 64;
+/// Contribution of each watched backend server to the frame interval requested from all of them.
+/// The interval grows with their number, which limits the total traffic that the control thread
+/// receives. Urgent frames are sent immediately.
+const FRAME_INTERVAL_PER_BACKEND: Duration = Duration::from_millis(120);
+const BACKEND_FRAME_INTERVAL_MIN: Duration = Duration::from_millis(500);
+/// Interval of frames from entry hosts that are not urgent; entry hosts report no load.
+const ENTRY_FRAME_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum random delay before the first table read of a process next to a backend server.
+const FIRST_READ_DELAY_MAX: Duration = Duration::from_millis(300);
 
 /// The control thread's loop.
 pub(super) struct ControlLoop {
@@ -41,31 +41,31 @@
     adapters: ControlAdapters,
     snapshot: SharedSnapshot,
     gossip: GossipSender,
-    fresh: DocumentFreshness,
+    freshness: DocumentFreshness,
     sender: mpsc::Sender<ControlEvent>,
     receiver: mpsc::Receiver<ControlEvent>,
     drain: DrainState,
-    duty: watch::Sender<TableReaderRole>,
+    reader_role: watch::Sender<TableReaderRole>,
     watches: Vec<RunningWatch>,
-    /// The neighbour that is being asked for documents.
+    /// The neighbour from which documents are being pulled.
     pulling: Option<ByteString>,
 }
 
 struct RunningWatch {
     watch: PeerWatch,
     task: JoinHandle<()>,
-    /// What the neighbour last said it has in force.
+    /// The versions that the neighbour last reported to be in force there.
     versions: Vec<DocumentVersion>,
-    /// Whether it has said so, or failed, since it is watched.
-    asked: bool,
+    /// Whether the neighbour has reported its versions, or failed, since the watch began.
+    settled: bool,
 }
 
 impl RunningWatch {
-    /// Takes in the versions that changed at the neighbour.
-    fn take_versions(&mut self, changed: Vec<DocumentVersion>) {
+    /// Applies changes of the versions in force at the neighbour.
+    fn update_versions(&mut self, changed: Vec<DocumentVersion>) {
         for version in changed {
-            let place = |known: &DocumentVersion| known.service.cmp(&version.service);
-            match self.versions.binary_search_by(place) {
+            let by_service = |known: &DocumentVersion| known.service.cmp(&version.service);
+            match self.versions.binary_search_by(by_service) {
                 Ok(at) => self.versions[at] = version,
                 Err(at) => self.versions.insert(at, version),
             }
@@ -79,7 +79,7 @@
         adapters: ControlAdapters,
         snapshot: SharedSnapshot,
         gossip: GossipSender,
-        fresh: DocumentFreshness,
+        freshness: DocumentFreshness,
         (sender, receiver): (mpsc::Sender<ControlEvent>, mpsc::Receiver<ControlEvent>),
         drain: DrainState,
     ) -> Self {
@@ -88,34 +88,34 @@
             adapters,
             snapshot,
             gossip,
-            fresh,
+            freshness,
             sender,
             receiver,
             drain,
-            duty: watch::Sender::default(),
+            reader_role: watch::Sender::default(),
             watches: Vec::new(),
             pulling: None,
         }
     }
 
-    /// Runs as long as the process lives.
+    /// Runs until the process ends.
     pub(super) async fn run(mut self) {
         self.start_reading();
         self.publish();
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut told_leaving = false;
+        let mut is_leaving = false;
         let drain = self.drain.clone();
         loop {
             tokio::select! {
                 event = self.receiver.recv() => {
                     let Some(event) = event else { return };
                     self.on_event(event);
-                    self.take_waiting();
+                    self.handle_queued();
                 }
                 _ = ticks.tick() => self.on_tick(),
-                () = drain.begun(), if !told_leaving => {
-                    told_leaving = true;
+                () = drain.begun(), if !is_leaving => {
+                    is_leaving = true;
                     self.machine.on_leaving();
                 }
             }
@@ -126,14 +126,14 @@
     fn start_reading(&self) {
         let is_backend = self.machine.identity().role == HostRole::Backend;
         let first_pause = if is_backend {
-            FIRST_READ_WITHIN.mul_f64(rand::rng().random())
+            FIRST_READ_DELAY_MAX.mul_f64(rand::rng().random())
         } else {
             Duration::ZERO
         };
         let reading = TablePoller {
             table: self.adapters.table.clone(),
-            duty: self.duty.subscribe(),
-            fresh: self.fresh.clone(),
+            reader_role: self.reader_role.subscribe(),
+            freshness: self.freshness.clone(),
             events: self.sender.clone(),
             first_pause,
         };
@@ -143,8 +143,8 @@
         tokio::spawn(read_list(list, own_host, self.sender.clone()));
     }
 
-    fn take_waiting(&mut self) {
-        for _ in 0..EVENTS_AT_ONCE {
+    fn handle_queued(&mut self) {
+        for _ in 0..EVENT_BATCH_MAX {
             match self.receiver.try_recv() {
                 Ok(event) => self.on_event(event),
                 Err(_) => return,
@@ -171,23 +171,23 @@
             return;
         };
         self.machine
-            .on_frame_received(host, self.watches[at].watch.pace, now);
+            .on_frame_received(host, self.watches[at].watch.frame_interval, now);
         match frame {
             PeerFrame::Status(status) => self.machine.on_status(*status, now),
             PeerFrame::Paced(load, age_ms) => {
                 if let Some(change) = load {
                     self.machine.on_load(host, change, now);
                 }
-                // Only once everything that the neighbour has is here too.
+                // The neighbour's freshness applies here only once all its documents are here too.
                 let lacks = self.machine.lacks_any(&self.watches[at].versions);
                 if let Some(age_ms) = age_ms.filter(|_| !lacks) {
-                    self.fresh.advance(now - Duration::from_millis(age_ms));
+                    self.freshness.advance(now - Duration::from_millis(age_ms));
                 }
             }
             PeerFrame::Members(facts) => self.machine.on_facts(&facts, now),
             PeerFrame::Documents(versions) => {
-                self.watches[at].take_versions(versions);
-                self.watches[at].asked = true;
+                self.watches[at].update_versions(versions);
+                self.watches[at].settled = true;
                 self.pull_from(at);
             }
         }
@@ -197,8 +197,8 @@
         self.machine.on_stream_lost(host, clock_now());
         if let Some(at) = self.watch_of(host) {
             let running = &mut self.watches[at];
-            running.asked = true;
-            // The process that comes next on that host may know less.
+            running.settled = true;
+            // The next process on that host may have fewer documents.
             running.versions.clear();
         }
     }
@@ -210,14 +210,14 @@
             self.machine.on_row(&row);
         }
         if let Some(at) = self.watch_of(host).filter(|_| answered) {
-            // What it did not give it does not have, whatever it said: asking it again and again
-            // would keep both busy.
+            // Versions that the neighbour reported but did not return are not available there.
+            // Forgetting them avoids repeated requests.
             let machine = &self.machine;
             self.watches[at]
                 .versions
-                .retain(|there| there.version <= machine.documents().version_of(&there.service));
+                .retain(|remote| remote.version <= machine.documents().version_of(&remote.service));
         }
-        // Another neighbour may have what this one did not give.
+        // Another neighbour may have the documents that this one did not return.
         let other = (0..self.watches.len())
             .filter(|at| *self.watches[*at].watch.host != *host)
             .find(|at| self.machine.lacks_any(&self.watches[*at].versions));
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Asks the neighbour for what it has and this process lacks; one neighbour at a time, so that
-    /// a change that several tell of is fetched once.
+    /// Requests documents from the neighbour that are newer than in this process. Only one request
+    /// runs at a time, so that a change reported by several neighbours is fetched once.
     fn pull_from(&mut self, at: usize) {
         if self.pulling.is_some() || !self.machine.lacks_any(&self.watches[at].versions) {
             return;
@@ -239,8 +239,8 @@
 
     fn on_tick(&mut self) {
         self.renew_watches();
-        let asked = self.pulling.is_none() && self.watches.iter().all(|running| running.asked);
-        self.machine.on_tick(asked, clock_now());
+        let settled = self.pulling.is_none() && self.watches.iter().all(|running| running.settled);
+        self.machine.on_tick(settled, clock_now());
         let lacking =
             (0..self.watches.len()).find(|at| self.machine.lacks_any(&self.watches[*at].versions));
         if let Some(at) = lacking {
@@ -248,47 +248,49 @@
         }
     }
 
-    /// Ends the watches that are no longer wanted and begins the new ones.
+    /// Ends watches of hosts that are no longer neighbours and begins watches of new neighbours.
     fn renew_watches(&mut self) {
-        let neighbours = self.machine.neighbours();
-        let wanted: Vec<HostEntry> = neighbours
+        let hosts = self.machine.neighbours();
+        let neighbours: Vec<HostEntry> = hosts
             .iter()
             .filter_map(|host| Some(self.machine.members().get(host)?.facts.entry.clone()))
             .collect();
-        let is_wanted = |running: &RunningWatch| {
-            let found = wanted.binary_search_by(|entry| entry.host.cmp(&running.watch.host));
-            found.is_ok_and(|at| wanted[at].peer_address == running.watch.address)
+        let is_neighbour = |running: &RunningWatch| {
+            let found = neighbours.binary_search_by(|entry| entry.host.cmp(&running.watch.host));
+            found.is_ok_and(|at| neighbours[at].peer_address == running.watch.address)
         };
         let (kept, ended): (Vec<_>, Vec<_>) = std::mem::take(&mut self.watches)
             .into_iter()
-            .partition(is_wanted);
+            .partition(is_neighbour);
         self.watches = kept;
         for running in ended {
             running.task.abort();
             self.machine.on_unwatched(&running.watch.host);
         }
         let is_backend = |entry: &&HostEntry| entry.role == HostRole::Backend;
-        let backends = u32::try_from(wanted.iter().filter(is_backend).count()).unwrap_or(u32::MAX);
-        let backend_pace = (PACE_PER_BACKEND * backends).max(BACKEND_PACE_SHORTEST);
-        for entry in wanted {
-            if let Err(at) = self.place_of(&entry.host) {
+        let backends =
+            u32::try_from(neighbours.iter().filter(is_backend).count()).unwrap_or(u32::MAX);
+        let backend_interval =
+            (FRAME_INTERVAL_PER_BACKEND * backends).max(BACKEND_FRAME_INTERVAL_MIN);
+        for entry in neighbours {
+            if let Err(at) = self.find(&entry.host) {
                 self.machine.on_watched(&entry.host, clock_now());
-                let pace = match entry.role {
-                    HostRole::Entry => ENTRY_PACE,
-                    HostRole::Backend => backend_pace,
+                let frame_interval = match entry.role {
+                    HostRole::Entry => ENTRY_FRAME_INTERVAL,
+                    HostRole::Backend => backend_interval,
                 };
-                let running = self.begin_watch(&entry, pace);
+                let running = self.begin_watch(&entry, frame_interval);
                 self.watches.insert(at, running);
             }
         }
     }
 
-    fn begin_watch(&self, entry: &HostEntry, pace: Duration) -> RunningWatch {
+    fn begin_watch(&self, entry: &HostEntry, frame_interval: Duration) -> RunningWatch {
         let watch = PeerWatch {
             own_host: self.machine.identity().host.clone(),
             host: entry.host.clone(),
             address: entry.peer_address,
-            pace,
+            frame_interval,
             client: self.adapters.client.clone(),
             gossip: self.gossip.subscribe(),
             events: self.sender.clone(),
@@ -297,15 +299,15 @@
             task: tokio::spawn(watch.clone().run()),
             watch,
             versions: Vec::new(),
-            asked: false,
+            settled: false,
         }
     }
 
     fn watch_of(&self, host: &str) -> Option<usize> {
-        self.place_of(host).ok()
+        self.find(host).ok()
     }
 
-    fn place_of(&self, host: &str) -> Result<usize, usize> {
+    fn find(&self, host: &str) -> Result<usize, usize> {
         self.watches
             .binary_search_by(|running| (*running.watch.host).cmp(host))
     }
@@ -315,9 +317,9 @@
             self.gossip.send_replace(Arc::new(gossip));
         }
         if let Some(snapshot) = self.machine.take_snapshot() {
-            self.duty.send_replace(TableReaderRole {
+            self.reader_role.send_replace(TableReaderRole {
                 is_reader: self.machine.reads_table(),
-                held: self.machine.documents().clone(),
+                active: self.machine.documents().clone(),
             });
             self.snapshot.replace(snapshot);
         }
--- a/src/control/control_machine.rs
+++ b/src/control/control_machine.rs
@@ -1,5 +1,7 @@
-//! The control state and what events make of it. No I/O: the control thread carries out what
-//! [`ControlMachine`] decides.
+//! The state machine of the control thread.
+//!
+//! [`ControlMachine`] does no I/O; the control loop passes events to it and carries out its
+//! decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,33 +23,33 @@
 use crate::stores::{HostEntry, ListedState};
 use crate::time::ClockTime;
 
-/// Everything that the control thread knows.
+/// The state of the control thread: documents in force and known hosts.
 #[derive(Debug)]
 pub(crate) struct ControlMachine {
     identity: HostIdentity,
     own_facts: MemberFacts,
     documents: ActiveDocuments,
-    /// The documents in force as readers see them.
+    /// The documents in force, as published in snapshots.
     services: Vec<Arc<ServiceRecord>>,
-    /// The hosts as readers see them, sorted by name.
-    records: Vec<Arc<MemberRecord>>,
+    /// The known hosts, as published in snapshots, sorted by name.
+    member_records: Vec<Arc<MemberRecord>>,
     members: MemberTable,
     table_answers: bool,
     warm_up: WarmUp,
     generation: u64,
-    changes: ChangeMarks,
+    changes: PendingChanges,
 }
 
-/// What has changed since it was last published.
+/// Which parts of the state have changed since they were last published.
 #[derive(Debug)]
-struct ChangeMarks {
+struct PendingChanges {
     documents: bool,
     facts: bool,
     other: bool,
 }
 
 impl ControlMachine {
-    /// The state of the process `identity` at its start: nothing is known.
+    /// Creates the state of a process that has just started and knows no documents or hosts.
     pub(crate) fn new(identity: HostIdentity) -> Self {
         let own_facts = MemberFacts {
             entry: HostEntry {
@@ -68,11 +70,11 @@
             own_facts,
             documents: ActiveDocuments::default(),
             services: Vec::new(),
-            records: Vec::new(),
+            member_records: Vec::new(),
             table_answers: false,
             warm_up: WarmUp::new(),
             generation: 0,
-            changes: ChangeMarks {
+            changes: PendingChanges {
                 documents: true,
                 facts: true,
                 other: true,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Who this process is.
+    /// The identity of this process.
     pub(crate) const fn identity(&self) -> &HostIdentity {
         &self.identity
     }
@@ -90,17 +92,18 @@
         &self.documents
     }
 
-    /// What is known of other hosts.
+    /// The other hosts that this process knows.
     pub(crate) const fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// A document's row came from the table, from a neighbour or from this host's operator.
+    /// A document's row was received from the table, from a neighbour or from an operator's request
+    /// to this host.
     pub(crate) fn on_row(&mut self, row: &Bytes) {
         match self.documents.install_if_newer(row) {
             Ok(InstallOutcome::Installed) => {
                 self.changes.documents = true;
-                self.tell_installed(row);
+                self.log_installed(row);
             }
             Ok(InstallOutcome::Known) => {}
             Ok(InstallOutcome::Older) => metrics::count_event("document_row_older", 1),
@@ -111,47 +114,51 @@
         }
     }
 
-    fn tell_installed(&self, row: &Bytes) {
-        let held = self.documents.all().iter().find(|held| held.row == *row);
-        if let Some(held) = held {
-            let version = &held.version;
+    fn log_installed(&self, row: &Bytes) {
+        let active = self
+            .documents
+            .all()
+            .iter()
+            .find(|active| active.row == *row);
+        if let Some(active) = active {
+            let version = &active.version;
             log_event!(events::IN_FORCE, "{} {}", version.service, version.version);
-            if !held.unknown.is_empty() {
-                let unknown = held.unknown.join(" ");
+            if !active.unknown.is_empty() {
+                let unknown = active.unknown.join(" ");
                 log_event!(events::UNKNOWN_FIELDS, "{} {unknown}", version.service);
             }
         }
     }
 
-    /// The table answered, or did not.
+    /// The table responded, or failed to respond.
     pub(crate) fn on_table(&mut self, answers: bool) {
         self.warm_up.on_table();
         self.changes.other |= self.table_answers != answers;
         self.table_answers = answers;
     }
 
-    /// The platform's list was read.
+    /// The platform's host list was read.
     pub(crate) fn on_list(&mut self, entries: &[HostEntry], now: ClockTime) {
         self.members.on_list(entries, now);
         self.warm_up.on_list();
     }
 
-    /// A neighbour told what hosts said of themselves.
+    /// A neighbour forwarded facts that hosts announced about themselves.
     pub(crate) fn on_facts(&mut self, facts: &[MemberFacts], now: ClockTime) {
         for facts in facts {
             self.changes.facts |= self.members.on_facts(facts, now);
         }
     }
 
-    /// A host asked this process for its word.
+    /// A host started to watch this process.
     pub(crate) fn on_watcher(&mut self, facts: &MemberFacts, now: ClockTime) {
         self.changes.facts |= self.members.on_facts(facts, now);
         self.members.on_contact(&facts.entry.host, now);
     }
 
-    /// A watched host spoke about itself.
+    /// A watched host announced its status.
     pub(crate) fn on_status(&mut self, status: HostStatus, now: ClockTime) {
-        let facts = self.facts_after(&status);
+        let facts = self.derive_facts(&status);
         self.members.on_status(status, now);
         if let Some(facts) = facts {
             self.members.on_facts(&facts, now);
@@ -159,8 +166,8 @@
         }
     }
 
-    /// The facts that follow from a host's own word, where they go beyond what is known.
-    fn facts_after(&self, status: &HostStatus) -> Option<MemberFacts> {
+    /// Derives new facts from a host's status; `None` if the status implies nothing new.
+    fn derive_facts(&self, status: &HostStatus) -> Option<MemberFacts> {
         let member = self.members.get(&status.host)?;
         let mut facts = member.facts.clone();
         let is_newer = status.incarnation > facts.incarnation;
@@ -174,7 +181,7 @@
         Some(facts)
     }
 
-    /// Only the load of a watched host changed.
+    /// A watched host reported a change of its load only.
     pub(crate) fn on_load(&mut self, host: &str, change: LoadChange, now: ClockTime) {
         let (sequence, [running, waiting, capacity, queue_room]) = change;
         let known = self
@@ -197,9 +204,9 @@
         }
     }
 
-    /// A frame came from a watched host.
-    pub(crate) fn on_frame_received(&mut self, host: &str, pace: Duration, now: ClockTime) {
-        self.members.on_frame_received(host, pace, now);
+    /// A frame was received from a watched host; its frames are at most `interval` apart.
+    pub(crate) fn on_frame_received(&mut self, host: &str, interval: Duration, now: ClockTime) {
+        self.members.on_frame_received(host, interval, now);
     }
 
     /// The stream from a watched host broke or could not be opened.
@@ -207,31 +214,32 @@
         self.members.on_stream_lost(host, now);
     }
 
-    /// A host is no longer watched.
+    /// This process stops watching `host`.
     pub(crate) fn on_unwatched(&mut self, host: &str) {
         self.members.on_unwatched(host);
     }
 
-    /// This process begins its graceful stop.
+    /// This process begins its graceful shutdown.
     pub(crate) fn on_leaving(&mut self) {
         self.own_facts.entry.state = ListedState::Leaving;
         self.own_facts.sequence = 1;
         self.changes.facts = true;
     }
 
-    /// A host is watched from now on.
+    /// This process starts watching `host`.
     pub(crate) fn on_watched(&mut self, host: &str, now: ClockTime) {
         self.members.on_watched(host, now);
     }
 
-    /// Time has passed; `asked` when every neighbour has answered or failed since the start.
-    pub(crate) fn on_tick(&mut self, asked: bool, now: ClockTime) {
+    /// Handles the passing of time. `neighbours_settled` says whether every neighbour has responded
+    /// or failed since the start.
+    pub(crate) fn on_tick(&mut self, neighbours_settled: bool, now: ClockTime) {
         self.members.on_tick(now);
-        self.changes.documents |= self.warm_up.on_tick(asked, now);
+        self.changes.documents |= self.warm_up.on_tick(neighbours_settled, now);
     }
 
-    /// The documents that this process acts on.
-    fn acted_on(&self) -> &[Arc<ActiveDocument>] {
+    /// The documents that this process acts on: none during the warm-up.
+    fn effective_documents(&self) -> &[Arc<ActiveDocument>] {
         if self.warm_up.is_done() {
             self.documents.all()
         } else {
@@ -239,14 +247,14 @@
         }
     }
 
-    /// Whether a neighbour with `versions` in force has something that this process lacks.
+    /// Whether any of `versions`, which are in force at a neighbour, is newer than in this process.
     pub(crate) fn lacks_any(&self, versions: &[DocumentVersion]) -> bool {
         versions
             .iter()
-            .any(|there| there.version > self.documents.version_of(&there.service))
+            .any(|remote| remote.version > self.documents.version_of(&remote.service))
     }
 
-    /// The hosts to watch.
+    /// The hosts that this process should watch.
     pub(crate) fn neighbours(&self) -> Vec<ByteString> {
         choose_neighbours(&self.identity, self.members.members())
     }
@@ -256,7 +264,7 @@
         choose_table_readers(&self.identity, self.members.members()).contains(&self.identity.host)
     }
 
-    /// The state to pass on, if that changed since it was last taken.
+    /// The state to send to watchers, if it has changed since the last call.
     pub(crate) fn take_gossip(&mut self) -> Option<GossipState> {
         let changed = self.changes.documents || self.changes.facts;
         changed.then(|| {
@@ -266,40 +274,42 @@
                 self.renew_services();
             }
             GossipState {
-                documents: self.acted_on().to_vec(),
-                facts: self.facts_to_spread(),
+                documents: self.effective_documents().to_vec(),
+                facts: self.announced_facts(),
             }
         })
     }
 
-    /// Makes the records of documents that changed; the others are shared with earlier snapshots.
+    /// Creates records for changed documents; other records are shared with earlier snapshots.
     fn renew_services(&mut self) {
-        let services = self.acted_on().iter().map(|held| {
+        let services = self.effective_documents().iter().map(|active| {
             let known = self.services.iter().find(|record| {
-                record.document.service == held.version.service
-                    && record.version == held.version.version
+                record.document.service == active.version.service
+                    && record.version == active.version.version
             });
-            known.cloned().unwrap_or_else(|| service_record(held))
+            known.cloned().unwrap_or_else(|| service_record(active))
         });
         self.services = services.collect();
     }
 
-    /// Makes the records of hosts that changed; the others are shared with earlier snapshots.
-    fn renew_records(&mut self) {
-        let known = std::mem::take(&mut self.records);
+    /// Creates records for changed hosts; other records are shared with earlier snapshots.
+    fn renew_member_records(&mut self) {
+        let known = std::mem::take(&mut self.member_records);
         let renew = |member: &MemberView| {
             let host = &member.facts.entry.host;
             let found = known.binary_search_by(|record| record.host.cmp(host));
             found
                 .ok()
                 .map(|at| &known[at])
-                .filter(|record| shows(record, member))
+                .filter(|record| is_current(record, member))
                 .map_or_else(|| member_record(member), Arc::clone)
         };
-        self.records = self.members.members().iter().map(renew).collect();
+        self.member_records = self.members.members().iter().map(renew).collect();
     }
 
-    fn facts_to_spread(&self) -> Vec<Arc<MemberFacts>> {
+    /// All announced facts, including those about this host, sorted by host. Facts from the host list
+    /// (incarnation 0) are not sent.
+    fn announced_facts(&self) -> Vec<Arc<MemberFacts>> {
         let own = std::iter::once(&self.own_facts);
         let others = self.members.members().iter().map(|member| &member.facts);
         let mut facts: Vec<_> = own
@@ -311,16 +321,16 @@
         facts
     }
 
-    /// A new snapshot, if readers would see a difference.
+    /// A new snapshot, if it differs from the last one.
     pub(crate) fn take_snapshot(&mut self) -> Option<ControlSnapshot> {
         let changed = self.members.take_changed() | std::mem::take(&mut self.changes.other);
         changed.then(|| {
             self.generation += 1;
-            self.renew_records();
+            self.renew_member_records();
             ControlSnapshot {
                 generation: self.generation,
                 services: self.services.clone(),
-                members: self.records.clone(),
+                members: self.member_records.clone(),
                 table_answers: self.table_answers,
             }
         })
@@ -335,15 +345,15 @@
     }
 }
 
-fn service_record(held: &Arc<ActiveDocument>) -> Arc<ServiceRecord> {
+fn service_record(active: &Arc<ActiveDocument>) -> Arc<ServiceRecord> {
     Arc::new(ServiceRecord {
-        version: held.version.version,
-        document: (*held.document).clone(),
+        version: active.version.version,
+        document: (*active.document).clone(),
     })
 }
 
-/// Whether `record` still says what is known of `member`.
-fn shows(record: &MemberRecord, member: &MemberView) -> bool {
+/// Whether `record` still agrees with `member`.
+fn is_current(record: &MemberRecord, member: &MemberView) -> bool {
     let entry = &member.facts.entry;
     let same_status = match (&record.status, &member.status) {
         (Some(left), Some(right)) => Arc::ptr_eq(left, right),
--- a/src/control/control_thread.rs
+++ b/src/control/control_thread.rs
@@ -1,4 +1,4 @@
-//! The control thread and the handle that the rest of the process has on it.
+//! Starts the control thread and gives the rest of the process a handle to it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,61 +24,62 @@
 use crate::time::ClockTime;
 use crate::transport::PeerClient;
 
-/// How long an accepting host waits for a neighbour to take over the change.
-const PASSED_ON_WITHIN: Duration = Duration::from_millis(250);
-/// Events that wait for the control thread at most.
-const EVENTS_WAITING: usize = 1024;
+/// How long an accepting host waits until a neighbour has fetched the change.
+const REPLICATION_WAIT: Duration = Duration::from_millis(250);
+/// Capacity of the queue of events for the control thread.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
 
-/// What the control thread works with.
+/// The adapters through which the control thread reaches the platform and other processes.
 #[derive(Clone)]
 pub(crate) struct ControlAdapters {
     /// The platform's table.
     pub(crate) table: Arc<dyn TableStore>,
-    /// The platform's list of hosts.
+    /// The platform's host list.
     pub(crate) list: Arc<dyn HostList>,
-    /// The way to other processes.
+    /// The client for requests to other processes.
     pub(crate) client: Arc<PeerClient>,
 }
 
-/// What the control thread is told.
+/// An event for the control thread.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// Rows of documents, from wherever.
+    /// Rows of documents, from any source.
     Rows(Vec<Bytes>),
-    /// Whether the table answered.
+    /// Whether the last table read succeeded.
     TableAnswered(bool),
-    /// The platform's list.
+    /// The platform's host list was read.
     List(Vec<HostEntry>),
-    /// What a host said of itself when it asked for this process's word.
+    /// A host started to watch this process and announced these facts about itself.
     Watcher(MemberFacts),
-    /// A frame from a watched host.
+    /// A frame was received from a watched host.
     Frame(ByteString, Box<PeerFrame>),
     /// The stream from a watched host broke or could not be opened.
     Lost(ByteString),
-    /// The documents that a neighbour had beyond this process's; `None` when it did not answer.
+    /// A neighbour returned its newer documents; `None` if the request failed.
     Pulled(ByteString, Option<Vec<Bytes>>),
 }
 
-/// The time as of which the documents in force are known to be the table's. Clones share it.
+/// The latest time at which the documents in force are known to have matched the table. Clones share
+/// the value.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DocumentFreshness {
     micros: Arc<AtomicU64>,
 }
 
 impl DocumentFreshness {
-    /// When, if ever.
+    /// The time; `None` before it is known.
     pub(crate) fn get(&self) -> Option<ClockTime> {
         let micros = self.micros.load(Ordering::Relaxed);
         (micros > 0).then_some(ClockTime(micros))
     }
 
-    /// Moves the mark forward to `at`.
+    /// Advances the time to `at` if that is later.
     pub(crate) fn advance(&self, at: ClockTime) {
         self.micros.fetch_max(at.0, Ordering::Relaxed);
     }
 }
 
-/// The rest of the process's hold on the control thread.
+/// A handle to the control thread for the rest of the process.
 #[derive(Clone)]
 pub(crate) struct ControlHandle {
     identity: HostIdentity,
@@ -95,15 +96,15 @@
     drain: DrainState,
 ) -> ControlHandle {
     let snapshot = SharedSnapshot::default();
-    let fresh = DocumentFreshness::default();
-    let (sender, receiver) = mpsc::channel(EVENTS_WAITING);
+    let freshness = DocumentFreshness::default();
+    let (sender, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let (gossip, spread_receiver) = watch::channel(Arc::new(GossipState::default()));
     let control = ControlLoop::new(
         ControlMachine::new(identity.clone()),
         adapters.clone(),
         snapshot.clone(),
         gossip,
-        fresh.clone(),
+        freshness.clone(),
         (sender.clone(), receiver),
         drain.clone(),
     );
@@ -117,13 +118,14 @@
             gossip: spread_receiver,
             events: sender,
             drain,
-            fresh,
-            passed_on: Arc::default(),
+            freshness,
+            replicated: Arc::default(),
         },
     }
 }
 
-/// One thread for all control state, so that no part of it needs a lock.
+/// Runs the control loop on a thread of its own. All control state is owned by this thread and needs
+/// no lock.
 fn run_on_thread(control: ControlLoop) {
     let thread = std::thread::Builder::new().name("control".to_owned());
     let started = thread.spawn(move || {
@@ -141,54 +143,55 @@
 }
 
 impl ControlHandle {
-    /// Who this process is.
+    /// The identity of this process.
     pub(crate) const fn identity(&self) -> &HostIdentity {
         &self.identity
     }
 
-    /// What the traffic threads see of the control state.
+    /// The control state as published to the traffic threads.
     pub(crate) fn snapshot(&self) -> SharedSnapshot {
         self.snapshot.clone()
     }
 
-    /// What other processes may ask of this one's control thread, under `/peer/control/`.
+    /// The routes under `/peer/control/` that serve requests from other processes.
     pub(crate) fn peer_routes(&self) -> Router {
         peer_routes(&self.routes)
     }
 
-    /// The edges that the control thread works with.
+    /// The adapters that the control thread uses.
     pub(crate) const fn adapters(&self) -> &ControlAdapters {
         &self.adapters
     }
 
-    /// What is passed on to neighbours: the documents' rows among it.
+    /// The state that is sent to neighbours, which includes the rows of documents.
     pub(crate) fn gossip(&self) -> GossipReceiver {
         self.routes.gossip.clone()
     }
 
-    /// The time as of which the documents in force are known to be the table's.
+    /// The latest time at which the documents in force are known to have matched the table.
     pub(crate) fn fresh_at(&self) -> Option<ClockTime> {
-        self.routes.fresh.get()
+        self.routes.freshness.get()
     }
 
-    /// Hands the row of an accepted document to the control thread, and returns when a neighbour has
-    /// taken it over, or after a short while.
+    /// Passes the row of an accepted document to the control thread and waits until a neighbour has
+    /// fetched it, at most for [`REPLICATION_WAIT`].
     ///
-    /// If this host died and the table went away at the same moment, right behind the author's
-    /// answer, nobody would know of the change until the table is back. One would notice an accepted
-    /// change that is in force nowhere. So a second process has it before the author is told.
+    /// If this host failed and the table became unavailable right after the response to the author,
+    /// the accepted change would not be in force anywhere until the table is available again.
+    /// Therefore a second process should have the change before the author gets the response.
     pub(crate) async fn put_in_force(&self, row: Bytes) {
-        let passed_on = self.routes.passed_on.notified();
-        // The control thread ends with the process only.
+        let replicated = self.routes.replicated.notified();
+        // Sending fails only when the process ends, since the control thread runs until then.
         let _ = self.routes.events.send(ControlEvent::Rows(vec![row])).await;
-        // Nobody takes it over when there is no neighbour; it stands in the table all the same.
-        let _ = timeout(PASSED_ON_WITHIN, passed_on).await;
+        // Without neighbours the wait times out; the change is stored in the table anyway.
+        let _ = timeout(REPLICATION_WAIT, replicated).await;
     }
 }
 
 impl WatchRequest {
-    /// The order of the process that passes on `gossip`.
-    pub(super) fn of(host: &str, gossip: &GossipState, pace_ms: u64) -> Option<Self> {
+    /// Creates the request of the process on `host`, whose facts are taken from `gossip`; `None` if
+    /// `gossip` lacks them.
+    pub(super) fn from_host(host: &str, gossip: &GossipState, pace_ms: u64) -> Option<Self> {
         let found = gossip
             .facts
             .binary_search_by(|facts| (*facts.entry.host).cmp(host));
--- a/src/control/gossip_state.rs
+++ b/src/control/gossip_state.rs
@@ -1,5 +1,7 @@
-//! What the streams to watchers send from: the newest state, swapped whole. A slow watcher skips
-//! what was replaced meanwhile; nothing queues up for it.
+//! The state that is sent to watchers.
+//!
+//! The control thread replaces it atomically. A slow watcher skips intermediate states, so that
+//! nothing is queued for it.
 
 use std::sync::Arc;
 
@@ -10,48 +12,48 @@
 use crate::documents::{ActiveDocument, DocumentVersion};
 use crate::membership::MemberFacts;
 
-/// What is passed on.
+/// The documents and host facts that this process propagates.
 #[apply(plain!)]
 #[derive(Default)]
 pub(crate) struct GossipState {
     /// The documents in force, sorted by service.
     pub(crate) documents: Vec<Arc<ActiveDocument>>,
-    /// What hosts said of themselves, this one included, sorted by host.
+    /// The facts that hosts, including this one, announced about themselves, sorted by host.
     pub(crate) facts: Vec<Arc<MemberFacts>>,
 }
 
 impl GossipState {
-    /// The versions in force that are newer than in `sent`.
+    /// The versions that are newer than in `sent`.
     pub(crate) fn versions_beyond(&self, sent: &Self) -> Vec<DocumentVersion> {
-        let version_there = |held: &ActiveDocument| {
+        let known_version = |active: &ActiveDocument| {
             let found = sent
                 .documents
-                .binary_search_by(|there| there.version.service.cmp(&held.version.service));
+                .binary_search_by(|known| known.version.service.cmp(&active.version.service));
             found.map_or(0, |at| sent.documents[at].version.version)
         };
         self.documents
             .iter()
-            .filter(|held| held.version.version > version_there(held))
-            .map(|held| held.version.clone())
+            .filter(|active| active.version.version > known_version(active))
+            .map(|active| active.version.clone())
             .collect()
     }
 
-    /// The rows of documents that one who has `have`, sorted by service, lacks.
+    /// The rows of documents that are newer than the versions in `have`, which is sorted by service.
     pub(crate) fn rows_beyond(&self, have: &[DocumentVersion]) -> Vec<bytes::Bytes> {
-        let version_there = |held: &ActiveDocument| {
-            let found = have.binary_search_by(|there| there.service.cmp(&held.version.service));
+        let known_version = |active: &ActiveDocument| {
+            let found = have.binary_search_by(|known| known.service.cmp(&active.version.service));
             found.map_or(0, |at| have[at].version)
         };
         self.documents
             .iter()
-            .filter(|held| held.version.version > version_there(held))
-            .map(|held| held.row.clone())
+            .filter(|active| active.version.version > known_version(active))
+            .map(|active| active.row.clone())
             .collect()
     }
 
     /// The facts that are newer than in `sent`.
     pub(crate) fn facts_beyond(&self, sent: &Self) -> Vec<MemberFacts> {
-        let order_there = |facts: &MemberFacts| {
+        let known_order = |facts: &MemberFacts| {
             let host = &facts.entry.host;
             let found = sent
                 .facts
@@ -60,13 +62,13 @@
         };
         self.facts
             .iter()
-            .filter(|facts| facts.order() > order_there(facts))
+            .filter(|facts| facts.order() > known_order(facts))
             .map(|facts| (**facts).clone())
             .collect()
     }
 }
 
-/// The sending end, held by the control thread.
+/// The sending end, used by the control thread.
 pub(crate) type GossipSender = watch::Sender<Arc<GossipState>>;
-/// The receiving end, held by the streams to watchers.
+/// The receiving end, used by the streams to watchers.
 pub(crate) type GossipReceiver = watch::Receiver<Arc<GossipState>>;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,7 @@
-//! Control: one thread that owns documents, membership and leases, and hands the traffic threads
-//! an immutable snapshot, swapped whole.
+//! The control thread, which owns documents and membership.
+//!
+//! It publishes an immutable snapshot to the traffic threads and replaces it atomically at each
+//! change.
 
 mod control_loop;
 mod control_machine;
--- a/src/control/peer_messages.rs
+++ b/src/control/peer_messages.rs
@@ -1,6 +1,8 @@
-//! What control threads say to each other. `POST /peer/control/watch` takes a [`WatchRequest`] and
-//! answers with [`PeerFrame`]s for as long as both ends live; `POST /peer/control/pull` takes a
-//! [`PullRequest`] and answers with a [`PullResponse`].
+//! The messages between control threads.
+//!
+//! `POST /peer/control/watch` takes a [`WatchRequest`] and responds with a stream of [`PeerFrame`]s
+//! that lasts until either process ends. `POST /peer/control/pull` takes a [`PullRequest`] and
+//! responds with a [`PullResponse`].
 
 use macro_rules_attribute::apply;
 
@@ -8,51 +10,56 @@
 use crate::documents::DocumentVersion;
 use crate::membership::{HostStatus, MemberFacts};
 
-/// Where streams are opened.
+/// The path at which streams are opened.
 pub(crate) const WATCH_PATH: &str = "/peer/control/watch";
-/// Where documents are pulled.
+/// The path at which documents are pulled.
 pub(crate) const PULL_PATH: &str = "/peer/control/pull";
-/// The largest order that is read, in bytes.
-pub(crate) const ORDER_BYTES_MAX: usize = 1024 * 1024;
+/// Maximum size of a request in bytes.
+pub(crate) const REQUEST_BYTES_MAX: usize = 1024 * 1024;
 
-/// Asks for a process's word about itself and for news, from now on.
+/// Subscribes to the status of a process and to changes of documents and host facts that it knows.
 #[apply(message!)]
 pub(crate) struct WatchRequest {
-    /// Who asks; news to the one that is asked, too. None for one that is no host of the system.
+    /// The facts of the requesting process, which may be new to the receiver; `None` if the sender is
+    /// not a host of the system.
     pub(crate) watcher: Option<MemberFacts>,
-    /// Frames that are not urgent come at most this often, and some frame at least this often, in
-    /// milliseconds.
+    /// The frame interval in milliseconds. Frames that are not urgent are sent at most once per
+    /// interval, and at least one frame is sent per interval.
     pub(crate) pace_ms: u64,
 }
 
-/// The load as it changed since the last frame: the status's new sequence, and what runs, waits,
-/// fits and may queue. Without field names, since it is most of what control sends.
+/// A change of the load since the last frame: the new sequence number of the status, and the running
+/// requests, waiting requests, capacity and queue room of [`crate::membership::LoadReport`]. It has
+/// no field names because it makes up most of the control traffic.
 pub(crate) type LoadChange = (u64, [u32; 4]);
 
-/// One frame of a watched stream. `Paced` also says how old, in milliseconds, what is in force there
-/// may be: every change that the table held before then is in force there.
+/// One frame of a watched stream.
 #[apply(message!)]
 pub(crate) enum PeerFrame {
-    /// The process's whole word about itself: at first, and at once when more than load changed.
+    /// The complete status of the process. Sent first, and immediately when the process starts to
+    /// leave or serves another version; other changes except load wait for the frame interval.
     Status(Box<HostStatus>),
-    /// Sent at the watcher's pace, whether anything changed or not.
+    /// The change of the load, if any, and the maximum age of the sender's documents in milliseconds:
+    /// every change that the table contained before then is in force at the sender. Sent at the frame
+    /// interval, whether or not anything changed.
     Paced(Option<LoadChange>, Option<u64>),
-    /// The versions in force there at first, and at once those that changed.
+    /// The versions in force at the sender: all of them at first, afterwards the changed ones
+    /// immediately.
     Documents(Vec<DocumentVersion>),
-    /// Facts about hosts that are news there.
+    /// Facts about hosts that are new at the sender.
     Members(Vec<MemberFacts>),
 }
 
-/// Asks for the documents that are newer than these.
+/// Requests the documents that are newer than the given versions.
 #[apply(message!)]
 pub(crate) struct PullRequest {
-    /// What the asker has in force, sorted by service.
+    /// The versions in force at the requesting process, sorted by service.
     pub(crate) have: Vec<DocumentVersion>,
 }
 
-/// The rows of documents that the asker lacks.
+/// The rows of documents that the requesting process lacks.
 #[apply(message!)]
 pub(crate) struct PullResponse {
-    /// Each as it stands in the table.
+    /// The rows, exactly as stored in the table.
     pub(crate) rows: Vec<bytes::Bytes>,
 }
--- a/src/control/peer_routes.rs
+++ b/src/control/peer_routes.rs
@@ -1,5 +1,7 @@
-//! What other processes may ask of this one's control thread. The routes run on the traffic
-//! threads; they read what the control thread publishes and hand it what it should know.
+//! The routes that serve requests of other processes to this process's control thread.
+//!
+//! They run on the traffic threads, read the state that the control thread publishes, and send it
+//! events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +16,7 @@
 use super::control_thread::{ControlEvent, DocumentFreshness};
 use super::gossip_state::{GossipReceiver, GossipState};
 use super::peer_messages::{
-    LoadChange, ORDER_BYTES_MAX, PULL_PATH, PeerFrame, PullRequest, PullResponse, WATCH_PATH,
+    LoadChange, PULL_PATH, PeerFrame, PullRequest, PullResponse, REQUEST_BYTES_MAX, WATCH_PATH,
     WatchRequest,
 };
 use crate::daemon::DrainState;
@@ -23,22 +25,23 @@
 use crate::time::clock_now;
 use crate::transport::{FrameWriter, error_reply, frame_channel, message_reply, read_message};
 
-/// Frames that wait for a slow watcher; more are not made, since only the newest state is sent.
-const STREAM_DEPTH: usize = 4;
-/// The range that a watcher's pace is held to.
-const PACE_SHORTEST: Duration = Duration::from_millis(200);
-const PACE_LONGEST: Duration = Duration::from_secs(30);
+/// Maximum number of frames that are queued for a slow watcher. No further frames are created
+/// meanwhile, since only the newest state is sent.
+const STREAM_QUEUE_CAPACITY: usize = 4;
+/// Limits of the frame interval that a watcher may request.
+const FRAME_INTERVAL_MIN: Duration = Duration::from_millis(200);
+const FRAME_INTERVAL_MAX: Duration = Duration::from_secs(30);
 
-/// What the routes work with.
+/// The state that the routes share.
 #[derive(Clone)]
 pub(super) struct PeerRouteState {
     pub(super) publisher: StatusPublisher,
     pub(super) gossip: GossipReceiver,
     pub(super) events: mpsc::Sender<ControlEvent>,
     pub(super) drain: DrainState,
-    pub(super) fresh: DocumentFreshness,
-    /// Told whenever a neighbour has taken over documents.
-    pub(super) passed_on: Arc<Notify>,
+    pub(super) freshness: DocumentFreshness,
+    /// Notified whenever a neighbour has fetched documents.
+    pub(super) replicated: Arc<Notify>,
 }
 
 /// The routes under `/peer/control/`.
@@ -48,20 +51,20 @@
     Router::new()
         .route(
             WATCH_PATH,
-            post(move |request: Request| open_watch(watch_state.clone(), request)),
+            post(move |request: Request| serve_watch(watch_state.clone(), request)),
         )
         .route(
             PULL_PATH,
-            post(move |request: Request| answer_pull(pull_state.clone(), request)),
+            post(move |request: Request| serve_pull(pull_state.clone(), request)),
         )
 }
 
-async fn answer_pull(state: PeerRouteState, request: Request) -> Response {
-    match read_message::<PullRequest>(request.into_body(), ORDER_BYTES_MAX).await {
+async fn serve_pull(state: PeerRouteState, request: Request) -> Response {
+    match read_message::<PullRequest>(request.into_body(), REQUEST_BYTES_MAX).await {
         Ok(order) => {
             let rows = state.gossip.borrow().rows_beyond(&order.have);
             if !rows.is_empty() {
-                state.passed_on.notify_waiters();
+                state.replicated.notify_waiters();
             }
             message_reply(&PullResponse { rows })
         }
@@ -69,36 +72,39 @@
     }
 }
 
-async fn open_watch(state: PeerRouteState, request: Request) -> Response {
-    let order: WatchRequest = match read_message(request.into_body(), ORDER_BYTES_MAX).await {
+async fn serve_watch(state: PeerRouteState, request: Request) -> Response {
+    let order: WatchRequest = match read_message(request.into_body(), REQUEST_BYTES_MAX).await {
         Ok(order) => order,
         Err(error) => return error_reply(&error),
     };
     if let Some(watcher) = order.watcher {
-        // A full channel means that the control thread is behind; the watcher's word comes again.
+        // If the channel is full, the control thread is overloaded. The facts can be dropped, since
+        // they are received again later.
         let _ = state.events.try_send(ControlEvent::Watcher(watcher));
     }
-    let pace = Duration::from_millis(order.pace_ms).clamp(PACE_SHORTEST, PACE_LONGEST);
-    let (writer, body) = frame_channel(STREAM_DEPTH);
+    let frame_interval =
+        Duration::from_millis(order.pace_ms).clamp(FRAME_INTERVAL_MIN, FRAME_INTERVAL_MAX);
+    let (writer, body) = frame_channel(STREAM_QUEUE_CAPACITY);
     tokio::spawn(async move {
         let drain = state.drain.clone();
         tokio::select! {
-            // The watcher has left, or the process is about to end: an open stream would hold up
-            // the end of a graceful stop.
-            _ = feed_watcher(state, writer, pace) => {}
+            // Ends when the watcher disconnects or this process finishes draining; an open stream
+            // would delay the end of a graceful shutdown.
+            _ = feed_watcher(state, writer, frame_interval) => {}
             () = drain.finished() => {}
         }
     });
-    let mut reply = Response::new(body);
-    *reply.status_mut() = StatusCode::OK;
-    reply
+    let mut response = Response::new(body);
+    *response.status_mut() = StatusCode::OK;
+    response
 }
 
-/// Sends what changed, urgent things at once and load at the watcher's pace, until it leaves.
+/// Sends changes until the watcher disconnects: urgent ones immediately, the load at the watcher's
+/// frame interval.
 async fn feed_watcher(
     mut state: PeerRouteState,
     writer: FrameWriter,
-    pace: Duration,
+    frame_interval: Duration,
 ) -> SwitchResult<()> {
     let mut changes = state.publisher.watch();
     let mut status = changes.borrow_and_update().clone();
@@ -107,7 +113,7 @@
         .await?;
     let mut sent = Arc::new(GossipState::default());
     send_spread(&mut state.gossip, &mut sent, &writer, true).await?;
-    let mut next_due = Instant::now() + pace;
+    let mut next_frame_due = Instant::now() + frame_interval;
     loop {
         tokio::select! {
             () = writer.closed() => return Ok(()),
@@ -119,20 +125,20 @@
                 if is_urgent(&status, &newest) {
                     status = newest;
                     writer.write(&PeerFrame::Status(Box::new(status.clone()))).await?;
-                    next_due = Instant::now() + pace;
+                    next_frame_due = Instant::now() + frame_interval;
                 }
             }
-            () = tokio::time::sleep_until(next_due) => {
+            () = tokio::time::sleep_until(next_frame_due) => {
                 let newest = changes.borrow_and_update().clone();
                 send_paced(&state, &writer, &status, &newest).await?;
                 status = newest;
-                next_due = Instant::now() + pace;
+                next_frame_due = Instant::now() + frame_interval;
             }
         }
     }
 }
 
-/// Whether more than load and progress changed.
+/// Whether the status changed in more than load and staging progress.
 fn is_urgent(sent: &HostStatus, newest: &HostStatus) -> bool {
     sent.leaving != newest.leaving || sent.serving != newest.serving
 }
@@ -148,7 +154,7 @@
         writer.write(&status).await?;
     }
     let load = (sent.load != newest.load).then(|| load_change(newest));
-    let age = state.fresh.get().map(|at| clock_now().since(at));
+    let age = state.freshness.get().map(|at| clock_now().since(at));
     let age_ms = age.and_then(|age| u64::try_from(age.as_millis()).ok());
     writer.write(&PeerFrame::Paced(load, age_ms)).await
 }
--- a/src/control/peer_watch.rs
+++ b/src/control/peer_watch.rs
@@ -1,5 +1,5 @@
-//! Watching one neighbour: a long-lived stream of frames, opened again when it breaks or goes
-//! silent.
+//! Watches one neighbour through a long-lived stream of frames, which is reopened when it breaks or
+//! becomes silent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,88 +20,92 @@
 use crate::metrics;
 use crate::transport::{FrameReader, PeerClient};
 
-const OPEN_WITHIN: Duration = Duration::from_secs(1);
-const PULL_WITHIN: Duration = Duration::from_secs(1);
-const REOPEN_SHORTEST: Duration = Duration::from_millis(100);
-const REOPEN_LONGEST: Duration = Duration::from_secs(3);
-/// Paces without a frame after which the stream counts as silent.
-const SILENT_PACES: u32 = 3;
-/// Added to the silence that is allowed, for a neighbour that is busy.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
+const PULL_TIMEOUT: Duration = Duration::from_secs(1);
+const REOPEN_PAUSE_MIN: Duration = Duration::from_millis(100);
+const REOPEN_PAUSE_MAX: Duration = Duration::from_secs(3);
+/// Number of frame intervals without a frame after which the stream counts as silent.
+const SILENT_INTERVALS: u32 = 3;
+/// Additional time without a frame that is allowed, for a neighbour under load.
 const SILENT_GRACE: Duration = Duration::from_millis(500);
 
-/// One neighbour to watch.
+/// The watch of one neighbour.
 #[derive(Clone)]
 pub(super) struct PeerWatch {
     pub(super) own_host: ByteString,
     pub(super) host: ByteString,
     pub(super) address: SocketAddr,
-    pub(super) pace: Duration,
+    pub(super) frame_interval: Duration,
     pub(super) client: Arc<PeerClient>,
     pub(super) gossip: GossipReceiver,
     pub(super) events: mpsc::Sender<ControlEvent>,
 }
 
 impl PeerWatch {
-    /// Watches until the task is ended.
+    /// Watches until the task is aborted.
     pub(super) async fn run(self) {
         let mut failures = 0;
         loop {
-            let heard = self.watch_once().await;
-            failures = if heard { 0 } else { failures + 1 };
+            let received = self.watch_once().await;
+            failures = if received { 0 } else { failures + 1 };
             metrics::count_event("watch_lost", 1);
             let lost = ControlEvent::Lost(self.host.clone());
             if self.events.send(lost).await.is_err() {
                 return;
             }
-            // What is open towards a neighbour that went silent is silent for good.
+            // Open connections to a neighbour that became silent will not recover.
             self.client.drop_pool(self.address);
             sleep(reopen_pause(failures)).await;
         }
     }
 
-    /// One stream until it breaks; returns whether anything came on it.
+    /// Reads one stream until it breaks; returns whether any frame was received.
     async fn watch_once(&self) -> bool {
         let Ok(mut stream) = self.open().await else {
             return false;
         };
-        let silence = self.pace * SILENT_PACES + SILENT_GRACE;
-        let mut heard = false;
-        while let Ok(Ok(Some(frame))) = timeout(silence, stream.next::<PeerFrame>()).await {
-            heard = true;
+        let silence_timeout = self.frame_interval * SILENT_INTERVALS + SILENT_GRACE;
+        let mut received = false;
+        while let Ok(Ok(Some(frame))) = timeout(silence_timeout, stream.next::<PeerFrame>()).await {
+            received = true;
             let event = ControlEvent::Frame(self.host.clone(), Box::new(frame));
             if self.events.send(event).await.is_err() {
-                return heard;
+                return received;
             }
         }
-        heard
+        received
     }
 
     async fn open(&self) -> SwitchResult<FrameReader> {
-        let pace_ms = u64::try_from(self.pace.as_millis()).unwrap_or(u64::MAX);
-        let order = WatchRequest::of(&self.own_host, &self.gossip.borrow(), pace_ms);
-        let order = order
-            .ok_or_else(|| SwitchError::new(ErrorKind::Internal, "own facts are not spread yet"))?;
+        let pace_ms = u64::try_from(self.frame_interval.as_millis()).unwrap_or(u64::MAX);
+        let request = WatchRequest::from_host(&self.own_host, &self.gossip.borrow(), pace_ms);
+        let request = request.ok_or_else(|| {
+            SwitchError::new(
+                ErrorKind::Internal,
+                "this host's own facts are not published yet",
+            )
+        })?;
         self.client
-            .open_stream(self.address, WATCH_PATH, &order, OPEN_WITHIN)
+            .open_stream(self.address, WATCH_PATH, &request, OPEN_TIMEOUT)
             .await
     }
 
-    /// Asks the neighbour for the documents beyond `have`.
+    /// Requests the documents that are newer than the versions in `have`.
     pub(super) async fn pull(self, have: Vec<DocumentVersion>) {
-        let order = PullRequest { have };
-        let reply: SwitchResult<PullResponse> = self
+        let request = PullRequest { have };
+        let response: SwitchResult<PullResponse> = self
             .client
-            .call(self.address, PULL_PATH, &order, PULL_WITHIN)
+            .call(self.address, PULL_PATH, &request, PULL_TIMEOUT)
             .await;
-        let rows = match reply {
-            Ok(reply) => Some(reply.rows),
+        let rows = match response {
+            Ok(response) => Some(response.rows),
             Err(error) => {
                 metrics::count_retry(error.kind);
                 self.client.drop_pool(self.address);
                 None
             }
         };
-        // The control thread ends with the process only.
+        // Sending fails only when the process ends, since the control thread runs until then.
         let _ = self
             .events
             .send(ControlEvent::Pulled(self.host, rows))
@@ -109,8 +113,9 @@
     }
 }
 
-/// Full jitter, so that the watchers of a host that returns do not all come at once.
+/// The pause before the next attempt to open the stream. Full jitter prevents the watchers of a host
+/// that returns from connecting all at once.
 fn reopen_pause(failures: u32) -> Duration {
-    let longest = (REOPEN_SHORTEST * 2u32.saturating_pow(failures.min(8))).min(REOPEN_LONGEST);
-    longest.mul_f64(rand::rng().random())
+    let pause_max = (REOPEN_PAUSE_MIN * 2u32.saturating_pow(failures.min(8))).min(REOPEN_PAUSE_MAX);
+    pause_max.mul_f64(rand::rng().random())
 }
--- a/src/control/platform_reads.rs
+++ b/src/control/platform_reads.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's table and list for the control thread.
+//! The tasks that read the platform's table and host list for the control thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,73 +20,79 @@
 use crate::stores::{HostList, TableStore};
 use crate::time::{ClockTime, clock_now};
 
-/// What the table's reader needs to know of the control state.
+/// The part of the control state that the table poller needs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TableReaderRole {
-    /// Whether this process reads for its data centre.
+    /// Whether this process reads the table for its data centre.
     pub(super) is_reader: bool,
     /// The documents in force.
-    pub(super) held: ActiveDocuments,
+    pub(super) active: ActiveDocuments,
 }
 
-/// Reads the table as long as the process lives.
+/// Reads the table until the process ends.
 pub(super) struct TablePoller {
     pub(super) table: Arc<dyn TableStore>,
-    pub(super) duty: watch::Receiver<TableReaderRole>,
-    pub(super) fresh: DocumentFreshness,
+    pub(super) reader_role: watch::Receiver<TableReaderRole>,
+    pub(super) freshness: DocumentFreshness,
     pub(super) events: mpsc::Sender<ControlEvent>,
     pub(super) first_pause: Duration,
 }
 
-const CHECK_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum pause between two checks whether a read is due.
+const CHECK_PAUSE_MAX: Duration = Duration::from_millis(250);
 
 impl TablePoller {
-    /// Reads the table as long as the process lives.
+    /// Reads the table until the process ends.
     pub(super) async fn run(self) {
-        let mut reader = TableReadScheduler::new(clock_now() + self.first_pause);
-        let mut answered = None;
+        let mut scheduler = TableReadScheduler::new(clock_now() + self.first_pause);
+        let mut last_available = None;
         loop {
             let now = clock_now();
-            if let Some(at) = self.fresh.get() {
-                reader.on_neighbour_current(at);
+            if let Some(at) = self.freshness.get() {
+                scheduler.on_neighbour_current(at);
             }
-            let is_reader = self.duty.borrow().is_reader;
-            let step = reader.next_step(now, is_reader, jitter());
+            let is_reader = self.reader_role.borrow().is_reader;
+            let step = scheduler.next_step(now, is_reader, jitter());
             let TableReadStep::WaitUntil(due) = step else {
-                let outcome = self.carry_out(&mut reader, step, now).await;
-                self.settle(&mut reader, outcome, &mut answered).await;
+                let outcome = self.execute(&mut scheduler, step, now).await;
+                self.handle_outcome(&mut scheduler, outcome, &mut last_available)
+                    .await;
                 continue;
             };
-            sleep(due.since(now).clamp(Duration::from_millis(5), CHECK_PAUSE)).await;
+            sleep(
+                due.since(now)
+                    .clamp(Duration::from_millis(5), CHECK_PAUSE_MAX),
+            )
+            .await;
         }
     }
 
-    async fn settle(
+    async fn handle_outcome(
         &self,
-        reader: &mut TableReadScheduler,
+        scheduler: &mut TableReadScheduler,
         outcome: SwitchResult<()>,
-        answered: &mut Option<bool>,
+        last_available: &mut Option<bool>,
     ) {
-        let answers = outcome.is_ok();
+        let is_available = outcome.is_ok();
         if let Err(error) = outcome {
             metrics::count_refusal(error.kind, "control");
-            reader.on_unavailable(clock_now(), jitter());
+            scheduler.on_unavailable(clock_now(), jitter());
         }
-        if *answered != Some(answers) {
-            let event = if answers {
-                events::TABLE_BACK
+        if *last_available != Some(is_available) {
+            let event = if is_available {
+                events::TABLE_AVAILABLE
             } else {
-                events::TABLE_AWAY
+                events::TABLE_UNAVAILABLE
             };
             log_event!(event);
-            *answered = Some(answers);
-            self.tell(ControlEvent::TableAnswered(answers)).await;
+            *last_available = Some(is_available);
+            self.send(ControlEvent::TableAnswered(is_available)).await;
         }
     }
 
-    async fn carry_out(
+    async fn execute(
         &self,
-        reader: &mut TableReadScheduler,
+        scheduler: &mut TableReadScheduler,
         step: TableReadStep,
         sent: ClockTime,
     ) -> SwitchResult<()> {
@@ -96,30 +102,30 @@
             TableReadStep::ReadAll => {
                 let rows = self.table.list(DOCUMENTS_PREFIX).await?;
                 let rows = rows.into_iter().map(|row| row.value).collect();
-                self.tell(ControlEvent::Rows(rows)).await;
-                reader.on_all(sent, clock_now());
-                self.fresh.advance(sent);
+                self.send(ControlEvent::Rows(rows)).await;
+                scheduler.on_all(sent, clock_now());
+                self.freshness.advance(sent);
             }
             TableReadStep::ReadHint => {
                 let row = self.table.read(HINT_KEY).await?;
                 let hint =
                     row.map_or_else(HintRecord::default, |row| HintRecord::from_row(&row.value));
-                let held = self.duty.borrow().held.clone();
-                reader.on_hint(&hint, &held, sent, clock_now());
-                self.fresh.advance(sent);
+                let active = self.reader_role.borrow().active.clone();
+                scheduler.on_hint(&hint, &active, sent, clock_now());
+                self.freshness.advance(sent);
             }
             TableReadStep::ReadDocument(service) => {
                 let row = self.table.read(&document_key(&service)).await?;
                 let rows: Vec<Bytes> = row.into_iter().map(|row| row.value).collect();
-                self.tell(ControlEvent::Rows(rows)).await;
-                reader.on_document();
+                self.send(ControlEvent::Rows(rows)).await;
+                scheduler.on_document();
             }
         }
         Ok(())
     }
 
-    async fn tell(&self, event: ControlEvent) {
-        // The control thread ends with the process only.
+    async fn send(&self, event: ControlEvent) {
+        // Sending fails only when the process ends, since the control thread runs until then.
         let _ = self.events.send(event).await;
     }
 }
@@ -128,14 +134,16 @@
     rand::rng().random()
 }
 
-/// How long the list is read often after the start, and while it does not name this host.
-const YOUNG_FOR: Duration = Duration::from_secs(20);
-const LIST_PAUSE_SHORTEST: Duration = Duration::from_secs(1);
-/// Hosts that make the pause between two readings a second longer: the list's bytes count against
-/// what control may send and receive, and hosts tell of themselves faster than the list does.
-const HOSTS_PER_SECOND: u32 = 2;
+/// Time after the start during which the list is read at the minimum interval. After that, the list
+/// is read at this interval only while it does not contain this host.
+const STARTUP_PERIOD: Duration = Duration::from_secs(20);
+const LIST_PAUSE_MIN: Duration = Duration::from_secs(1);
+/// The pause between two reads grows by one [`LIST_PAUSE_MIN`] per this number of hosts. The size of
+/// the list counts against the traffic budget of the control thread, and hosts announce themselves
+/// faster than the list is updated.
+const HOSTS_PER_PAUSE_STEP: u32 = 2;
 
-/// Reads the platform's list as long as the process lives.
+/// Reads the platform's host list until the process ends.
 pub(super) async fn read_list(
     list: Arc<dyn HostList>,
     own_host: bytestring::ByteString,
@@ -146,21 +154,21 @@
         let pause = match list.read_hosts().await {
             Ok(entries) => {
                 let is_listed = entries.iter().any(|entry| entry.host == own_host);
-                let is_young = clock_now().since(started) < YOUNG_FOR;
+                let is_startup = clock_now().since(started) < STARTUP_PERIOD;
                 let hosts = u32::try_from(entries.len()).unwrap_or(u32::MAX);
                 if events.send(ControlEvent::List(entries)).await.is_err() {
                     return;
                 }
-                if is_young || !is_listed {
-                    LIST_PAUSE_SHORTEST
+                if is_startup || !is_listed {
+                    LIST_PAUSE_MIN
                 } else {
-                    LIST_PAUSE_SHORTEST * (1 + hosts / HOSTS_PER_SECOND)
+                    LIST_PAUSE_MIN * (1 + hosts / HOSTS_PER_PAUSE_STEP)
                 }
             }
             Err(error) => {
                 metrics::count_refusal(error.kind, "control");
-                log_event!(events::LIST_AWAY, "{error}");
-                LIST_PAUSE_SHORTEST * 2
+                log_event!(events::LIST_UNAVAILABLE, "{error}");
+                LIST_PAUSE_MIN * 2
             }
         };
         let jitter = rand::rng().random_range(0.75..1.25);
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads see of the control state.
+//! The control state as published to the traffic threads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 use crate::membership::HostStatus;
 use crate::stores::HostRole;
 
-/// The control state at one moment. Never changes; a newer one replaces it whole, so that a reader
-/// takes no lock and never sees half of a change.
+/// The control state at one point in time. It is immutable and replaced atomically by a newer one, so
+/// that readers need no lock and never see a partial change.
 #[apply(plain!)]
 #[derive(Default)]
 pub(crate) struct ControlSnapshot {
-    /// Grows with each replacement.
+    /// Increases with each replacement.
     pub(crate) generation: u64,
     /// The services with an accepted document, sorted by name.
     pub(crate) services: Vec<Arc<ServiceRecord>>,
     /// The hosts, sorted by name.
     pub(crate) members: Vec<Arc<MemberRecord>>,
-    /// Whether the table answered when it was last asked.
+    /// Whether the last read of the table succeeded.
     pub(crate) table_answers: bool,
 }
 
 impl ControlSnapshot {
-    /// The record of service `name`.
+    /// The record of the service `name`.
     pub(crate) fn service(&self, name: &str) -> Option<&Arc<ServiceRecord>> {
         let found = self
             .services
@@ -36,7 +36,7 @@
         found.ok().map(|at| &self.services[at])
     }
 
-    /// The record of host `name`.
+    /// The record of the host `name`.
     pub(crate) fn member(&self, name: &str) -> Option<&Arc<MemberRecord>> {
         let found = self
             .members
@@ -48,43 +48,45 @@
 /// A service with the document in force.
 #[apply(plain!)]
 pub(crate) struct ServiceRecord {
-    /// The document's version; grows by one with each accepted change.
+    /// The document's version; increases by one with each accepted change.
     pub(crate) version: u64,
     /// The document.
     pub(crate) document: ServiceDocument,
 }
 
-/// What is known of a host.
+/// What this process knows about another host.
 #[apply(plain!)]
 pub(crate) struct MemberRecord {
     /// The host's name.
     pub(crate) host: ByteString,
-    /// The data centre it stands in.
+    /// The data centre in which the host is located.
     pub(crate) data_centre: ByteString,
     /// The region of that data centre.
     pub(crate) region: ByteString,
-    /// What it is there for.
+    /// The role of the host.
     pub(crate) role: HostRole,
-    /// The service whose backend server it is; none for entry hosts.
+    /// The service whose backend server runs on the host; `None` for entry hosts.
     pub(crate) service: Option<ByteString>,
-    /// Where the project's process on it listens for the project's other processes.
+    /// The address at which the system's process on the host accepts connections from others.
     pub(crate) peer_address: SocketAddr,
-    /// Whether it can be counted on.
+    /// The membership state of the host.
     pub(crate) state: MemberState,
-    /// Its newest word about itself, if any has come.
+    /// The host's most recent status announcement, if any was received.
     pub(crate) status: Option<Arc<HostStatus>>,
 }
 
-/// Whether a host can be counted on.
+/// The membership state of a host.
 #[apply(key!)]
 pub(crate) enum MemberState {
-    /// It is there.
+    /// The host is available.
     Live,
-    /// It has been silent; no new work while others can do it.
+    /// The host is silent or its stream breaks repeatedly. It gets no new requests while other hosts
+    /// can serve them.
     Suspected,
-    /// It said, or the list said, that it is going; no new work.
+    /// The host is shutting down according to its own announcement or the host list. It gets no new
+    /// requests.
     Leaving,
-    /// It is not there.
+    /// The host is considered failed or was removed.
     Unavailable,
 }
 
--- a/src/control/tests/mod.rs
+++ b/src/control/tests/mod.rs
@@ -6,10 +6,11 @@
 const CASES: u32 = 200;
 const CASE_BYTES: u32 = 4096;
 
-// Symptom: an accepted change is undone for a while. Events: processes are cut off, joined and
-// started anew; the table shows old rows. Cause, without the comparison of versions: what came last
-// wins; without the warm-up: a new process acts on the first thing that it reads.
+// Guards against an accepted change that is temporarily undone. Processes are partitioned,
+// reconnected and restarted, and the table returns stale rows. Without the comparison of versions,
+// the last row to arrive would win; without the warm-up, a new process would act on the first row
+// that it reads.
 #[test]
-fn what_is_acted_on_never_goes_back_and_converges() {
+fn effective_versions_never_decrease_and_converge() {
     run_cases(CASES, CASE_BYTES, soak::spread::run_case);
 }
--- a/src/control/warm_up.rs
+++ b/src/control/warm_up.rs
@@ -1,21 +1,21 @@
-//! The first moments of a process, in which it does not act on documents yet.
+//! The warm-up of a process, during which it does not act on documents yet.
 
 use std::time::Duration;
 
 use crate::time::ClockTime;
 
-/// How long a new process waits at most for what it asked.
-const WARM_WITHIN: Duration = Duration::from_secs(2);
+/// Maximum duration of the warm-up.
+const WARM_UP_MAX: Duration = Duration::from_secs(2);
 
-/// Holds back the documents of a process that has just started until it has asked the table and its
+/// Withholds the documents of a process that has just started until it has queried the table and its
 /// neighbours.
 ///
-/// A new process knows nothing, and the first answer may be old: a stale read of the table, or a
-/// neighbour that was cut off. Acting on it would undo an accepted change for a while, most of all
-/// when every entry host restarts at once and only the backend servers' processes still know. One
-/// would notice a version going back after a restart. So a process waits until the table and every
-/// neighbour has answered or failed, takes the greatest, and only then acts; after two seconds it
-/// acts on what it has.
+/// A new process has no documents, and the first response may be out of date: a stale read of the
+/// table, or a neighbour that was partitioned. Acting on it would temporarily undo an accepted
+/// change, and a version would decrease after a restart. The risk is greatest when every entry host
+/// restarts at once and only the processes next to backend servers still have the change. Therefore
+/// a process waits until the table and every neighbour have responded or failed, keeps the greatest
+/// version of each document, and acts only then. After [`WARM_UP_MAX`] it acts on what it has.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUp {
     ends: Option<ClockTime>,
@@ -25,7 +25,7 @@
 }
 
 impl WarmUp {
-    /// A process that knows nothing.
+    /// Starts the warm-up.
     pub(crate) const fn new() -> Self {
         Self {
             ends: None,
@@ -40,22 +40,22 @@
         self.done
     }
 
-    /// The table answered or failed for the first time.
+    /// The table responded or failed.
     pub(crate) const fn on_table(&mut self) {
         self.table_settled = true;
     }
 
-    /// The list of hosts was read: from now on the neighbours are known.
+    /// The host list was read, so the neighbours are known.
     pub(crate) const fn on_list(&mut self) {
         self.list_settled = true;
     }
 
-    /// Time has passed; `asked` when every neighbour has answered or failed. Returns whether this
-    /// ended the waiting.
-    pub(crate) fn on_tick(&mut self, asked: bool, now: ClockTime) -> bool {
-        let ends = *self.ends.get_or_insert(now + WARM_WITHIN);
-        let all = self.table_settled && self.list_settled && asked;
-        let ended = !self.done && (all || now >= ends);
+    /// Handles the passing of time. `neighbours_settled` says whether every neighbour has responded
+    /// or failed. Returns whether the warm-up ended with this call.
+    pub(crate) fn on_tick(&mut self, neighbours_settled: bool, now: ClockTime) -> bool {
+        let ends = *self.ends.get_or_insert(now + WARM_UP_MAX);
+        let all_settled = self.table_settled && self.list_settled && neighbours_settled;
+        let ended = !self.done && (all_settled || now >= ends);
         self.done |= ended;
         ended
     }
