--- a/src/lab/documents/leaving.rs
+++ b/src/lab/documents/leaving.rs
@@ -7,7 +7,7 @@
 use super::run::DocumentsRun;
 use crate::errors::SwitchResult;
 use crate::lab::launch::OPERATOR_KEY;
-use crate::operator::admin_client::{AdminCall, AdminClient, AdminFailure};
+use crate::operator::admin_client::{AdminClient, AdminFailure, AdminRequest};
 use crate::operator::messages::HostsReply;
 use crate::time::clock_now;
 
@@ -38,8 +38,9 @@
     async fn all_know(&self, leaver: &str) -> SwitchResult<bool> {
         let client = AdminClient::new(Vec::new(), OPERATOR_KEY.to_owned());
         for node in &self.system.entries {
-            let call = AdminCall::get("/admin/v1/hosts");
-            let reply: Result<HostsReply, AdminFailure> = client.ask_at(node.admin()?, &call).await;
+            let call = AdminRequest::get("/admin/v1/hosts");
+            let reply: Result<HostsReply, AdminFailure> =
+                client.send_to(node.admin()?, &call).await;
             let hosts = reply.map(|reply| reply.hosts).unwrap_or_default();
             let line = hosts.iter().find(|line| line.host == leaver);
             if line.is_none_or(|line| line.state != "leaving" && line.state != "gone") {
--- a/src/lab/documents/operators.rs
+++ b/src/lab/documents/operators.rs
@@ -9,7 +9,7 @@
 use crate::documents::{DocumentVersion, ServiceDocument};
 use crate::errors::ErrorKind;
 use crate::lab::launch::OPERATOR_KEY;
-use crate::operator::admin_client::{AdminCall, AdminClient, AdminFailure, ChangeIdentity};
+use crate::operator::admin_client::{AdminClient, AdminFailure, AdminRequest, ChangeIdentity};
 use crate::operator::messages::PutReply;
 use crate::time::{ClockTime, clock_now};
 
@@ -41,9 +41,10 @@
     pub(super) async fn put(&self, addresses: &[SocketAddr], gives_up: bool) -> PutEnd {
         let begun = clock_now();
         let client = AdminClient::new(addresses.to_vec(), OPERATOR_KEY.to_owned());
-        let mut doubts = 0;
+        let mut uncertain_attempts = 0;
         while clock_now().since(begun) < SETTLED_WITHIN {
-            let reply: Result<PutReply, AdminFailure> = client.ask(&self.call(doubts)).await;
+            let reply: Result<PutReply, AdminFailure> =
+                client.send(&self.call(uncertain_attempts)).await;
             match reply {
                 Ok(reply) => return self.accepted(reply.version),
                 Err(failure) => match failure.error.kind {
@@ -55,7 +56,7 @@
                 },
             }
             // An earlier try may be on its way.
-            doubts += 1;
+            uncertain_attempts += 1;
             sleep(PAUSE).await;
         }
         PutEnd::InDoubt
@@ -66,9 +67,9 @@
         PutEnd::Accepted(DocumentVersion { service, version }, clock_now())
     }
 
-    fn call(&self, doubts: u32) -> AdminCall {
+    fn call(&self, uncertain_attempts: u32) -> AdminRequest {
         let body = serde_json::to_vec(&self.document).unwrap_or_default();
-        AdminCall {
+        AdminRequest {
             method: Method::PUT,
             path: format!(
                 "/admin/v1/documents/{}?replaces={}",
@@ -78,7 +79,7 @@
             change: Some(ChangeIdentity {
                 author: "lab".to_owned(),
                 nonce: self.nonce.clone(),
-                doubts,
+                uncertain_attempts,
             }),
         }
     }
--- a/src/operator/admin_client.rs
+++ b/src/operator/admin_client.rs
@@ -26,7 +26,7 @@
 }
 
 /// What is asked.
-pub(crate) struct AdminCall {
+pub(crate) struct AdminRequest {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) body: Bytes,
@@ -40,10 +40,10 @@
     pub(crate) author: String,
     pub(crate) nonce: String,
     /// Tries of it before this call that may have been accepted.
-    pub(crate) doubts: u32,
+    pub(crate) uncertain_attempts: u32,
 }
 
-impl AdminCall {
+impl AdminRequest {
     /// A reading of `path`.
     pub(crate) fn get(path: impl Into<String>) -> Self {
         Self {
@@ -85,19 +85,19 @@
 
     /// Asks the entry hosts one after another until one answers for good. A change that is asked
     /// for again carries the same name, so that it is accepted once.
-    pub(crate) async fn ask<A: DeserializeOwned>(
+    pub(crate) async fn send<A: DeserializeOwned>(
         &self,
-        call: &AdminCall,
+        call: &AdminRequest,
     ) -> Result<A, AdminFailure> {
         let detail = "give --admin-address IP:PORT of an entry host";
         let mut last: AdminFailure = SwitchError::new(ErrorKind::SettingInvalid, detail).into();
         // A try that certainly wrote nothing does not count: the next is as good as the first.
-        let mut doubts = 0;
+        let mut uncertain_attempts = 0;
         for address in &self.addresses {
-            match self.try_at(*address, call, doubts).await {
+            match self.try_at(*address, call, uncertain_attempts).await {
                 Ok(answer) => return Ok(answer),
                 Err(failure) => {
-                    doubts += u32::from(leaves_doubt(failure.error.kind));
+                    uncertain_attempts += u32::from(leaves_doubt(failure.error.kind));
                     let is_final = !is_away(failure.error.kind);
                     last = failure;
                     if is_final {
@@ -108,17 +108,20 @@
         }
         // A refusal by a later host does not say what became of the try at an earlier one, unless
         // the table itself has told what stands.
-        if doubts > 0 && call.change.is_some() && last.error.kind != ErrorKind::DocumentConflict {
+        if uncertain_attempts > 0
+            && call.change.is_some()
+            && last.error.kind != ErrorKind::DocumentConflict
+        {
             last.error.kind = ErrorKind::DocumentInDoubt;
         }
         Err(last)
     }
 
     /// Asks the entry host at `address`.
-    pub(crate) async fn ask_at<A: DeserializeOwned>(
+    pub(crate) async fn send_to<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
-        call: &AdminCall,
+        call: &AdminRequest,
     ) -> Result<A, AdminFailure> {
         self.try_at(address, call, 0).await
     }
@@ -126,10 +129,10 @@
     async fn try_at<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
-        call: &AdminCall,
-        doubts: u32,
+        call: &AdminRequest,
+        uncertain_attempts: u32,
     ) -> Result<A, AdminFailure> {
-        let request = self.request(call, doubts)?;
+        let request = self.request(call, uncertain_attempts)?;
         let answer = self.client.send(address, request, ANSWER_WITHIN).await?;
         let status = answer.status();
         let text = read_body(answer.into_body(), ANSWER_BYTES_MAX).await?;
@@ -139,7 +142,11 @@
         Err(read_failure(status, &text))
     }
 
-    fn request(&self, call: &AdminCall, doubts: u32) -> SwitchResult<http::Request<Body>> {
+    fn request(
+        &self,
+        call: &AdminRequest,
+        uncertain_attempts: u32,
+    ) -> SwitchResult<http::Request<Body>> {
         let mut request = http::Request::builder()
             .method(call.method.clone())
             .uri(&call.path)
@@ -148,7 +155,10 @@
             request = request
                 .header(AUTHOR_HEADER, &change.author)
                 .header(NONCE_HEADER, &change.nonce)
-                .header(ATTEMPT_HEADER, change.doubts + doubts + 1);
+                .header(
+                    ATTEMPT_HEADER,
+                    change.uncertain_attempts + uncertain_attempts + 1,
+                );
         }
         request
             .body(Body::from(call.body.clone()))
--- a/src/operator/document_commands.rs
+++ b/src/operator/document_commands.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use super::admin_client::{AdminCall, AdminClient, AdminFailure, ChangeIdentity};
+use super::admin_client::{AdminClient, AdminFailure, AdminRequest, ChangeIdentity};
 use super::command::text;
 use super::messages::{DocumentReply, HistoryReply, PutReply, StateReply};
 use super::run_command::{client_of, print_json, show};
@@ -55,7 +55,7 @@
     let (_, document) = check_document(&body).map_err(invalid)?;
     let replaces = put.get_one::<u64>("replaces").copied().unwrap_or_default();
     // A name that the author gives is that of an earlier try.
-    let (nonce, doubts) = match text(put, "nonce") {
+    let (nonce, uncertain_attempts) = match text(put, "nonce") {
         given if given.is_empty() => (uuid::Uuid::new_v4().to_string(), 0),
         given => (given, 1),
     };
@@ -63,7 +63,7 @@
         given if given.is_empty() => "unnamed".to_owned(),
         given => given,
     };
-    let call = AdminCall {
+    let call = AdminRequest {
         method: Method::PUT,
         path: format!(
             "/admin/v1/documents/{}?replaces={replaces}",
@@ -73,10 +73,10 @@
         change: Some(ChangeIdentity {
             author,
             nonce: nonce.clone(),
-            doubts,
+            uncertain_attempts,
         }),
     };
-    let reply: Result<PutReply, AdminFailure> = client_of(matches)?.ask(&call).await;
+    let reply: Result<PutReply, AdminFailure> = client_of(matches)?.send(&call).await;
     match reply {
         Ok(reply) if is_json => print_json(&reply),
         Ok(reply) => println!("{}: version {} accepted", reply.service, reply.version),
@@ -94,8 +94,8 @@
 }
 
 async fn standing(matches: &ArgMatches, service: &str) -> Result<DocumentReply, AdminFailure> {
-    let call = AdminCall::get(format!("/admin/v1/documents/{service}"));
-    client_of(matches)?.ask(&call).await
+    let call = AdminRequest::get(format!("/admin/v1/documents/{service}"));
+    client_of(matches)?.send(&call).await
 }
 
 pub(super) async fn get_document(
@@ -172,8 +172,8 @@
     is_json: bool,
 ) -> Result<(), AdminFailure> {
     let service = text(history, "service");
-    let call = AdminCall::get(format!("/admin/v1/documents/{service}/history"));
-    let reply: HistoryReply = client_of(matches)?.ask(&call).await?;
+    let call = AdminRequest::get(format!("/admin/v1/documents/{service}/history"));
+    let reply: HistoryReply = client_of(matches)?.send(&call).await?;
     show(&reply, is_json, |reply| {
         let rows: Vec<Vec<String>> = reply.versions.iter().map(history_row).collect();
         print_table(&["VERSION", "CHANGED (UNIX MS)", "BY", "WEIGHTS"], &rows);
@@ -232,8 +232,8 @@
 async fn versions_in_force(client: &AdminClient, service: &str) -> Vec<Option<u64>> {
     let mut versions = Vec::new();
     for address in &client.addresses {
-        let call = AdminCall::get("/admin/v1/state");
-        let reply: Result<StateReply, AdminFailure> = client.ask_at(*address, &call).await;
+        let call = AdminRequest::get("/admin/v1/state");
+        let reply: Result<StateReply, AdminFailure> = client.send_to(*address, &call).await;
         let version = reply.ok().map(|reply| {
             let line = reply.services.iter().find(|line| line.service == service);
             line.map_or(0, |line| line.version)
--- a/src/operator/run_command.rs
+++ b/src/operator/run_command.rs
@@ -7,7 +7,7 @@
 use clap::ArgMatches;
 use serde::Serialize;
 
-use super::admin_client::{AdminCall, AdminClient, AdminFailure};
+use super::admin_client::{AdminClient, AdminFailure, AdminRequest};
 use super::command::text;
 use super::document_commands::{
     check_file, diff_document, get_document, put_document, show_history, watch_document,
@@ -67,15 +67,17 @@
     let client = client_of(matches)?;
     match view {
         "state" => {
-            let reply: StateReply = client.ask(&AdminCall::get("/admin/v1/state")).await?;
+            let reply: StateReply = client.send(&AdminRequest::get("/admin/v1/state")).await?;
             show(&reply, is_json, show_state);
         }
         "requests" => {
-            let reply: RequestsReply = client.ask(&AdminCall::get("/admin/v1/requests")).await?;
+            let reply: RequestsReply = client
+                .send(&AdminRequest::get("/admin/v1/requests"))
+                .await?;
             show(&reply, is_json, show_requests);
         }
         _ => {
-            let reply: HostsReply = client.ask(&AdminCall::get("/admin/v1/hosts")).await?;
+            let reply: HostsReply = client.send(&AdminRequest::get("/admin/v1/hosts")).await?;
             let table = if view == "weights" {
                 show_weights
             } else {
--- a/src/stores/http.rs
+++ b/src/stores/http.rs
@@ -27,24 +27,24 @@
 pub(crate) struct PlatformClient {
     address: SocketAddr,
     client: Arc<PeerClient>,
-    within: Duration,
-    away: ErrorKind,
+    timeout: Duration,
+    unavailable_kind: ErrorKind,
 }
 
 impl PlatformClient {
-    /// A client of the service at `address`. A call that takes longer than `within` fails, as does
-    /// one that is answered with a server error, with the kind `away`.
+    /// A client of the service at `address`. A call that takes longer than `timeout` fails, as does
+    /// one that is answered with a server error, with the kind `unavailable_kind`.
     pub(crate) const fn new(
         address: SocketAddr,
         client: Arc<PeerClient>,
-        within: Duration,
-        away: ErrorKind,
+        timeout: Duration,
+        unavailable_kind: ErrorKind,
     ) -> Self {
         Self {
             address,
             client,
-            within,
-            away,
+            timeout,
+            unavailable_kind,
         }
     }
 
@@ -59,16 +59,19 @@
 
     async fn send(&self, request: http::Request<Body>) -> SwitchResult<PlatformAnswer> {
         let whole = async {
-            let answer = self.client.send(self.address, request, self.within).await?;
+            let answer = self
+                .client
+                .send(self.address, request, self.timeout)
+                .await?;
             PlatformAnswer::read(answer).await
         };
-        let answer = match timeout_awake(self.within, Box::pin(whole)).await {
+        let answer = match timeout_awake(self.timeout, Box::pin(whole)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => return Err(self.fault(error.detail)),
             Err(_) => {
                 // What is open towards a silent platform is silent for good.
                 self.client.drop_pool(self.address);
-                return Err(self.fault(format!("no answer within {:?}", self.within)));
+                return Err(self.fault(format!("no answer within {:?}", self.timeout)));
             }
         };
         match answer.status {
@@ -83,7 +86,7 @@
     }
 
     fn fault(&self, detail: String) -> SwitchError {
-        SwitchError::new(self.away, detail)
+        SwitchError::new(self.unavailable_kind, detail)
     }
 
     fn unexpected(&self, answer: &PlatformAnswer) -> SwitchError {
