--- a/src/control/control_machine.rs
+++ b/src/control/control_machine.rs
@@ -307,8 +307,8 @@
         self.member_records = self.members.members().iter().map(renew).collect();
     }
 
-    /// All announced facts, including those about this host, sorted by host. Facts from the host list
-    /// (incarnation 0) are not sent.
+    /// All announced facts, including those about this host, sorted by host. Facts from the host
+    /// list (incarnation 0) are not sent.
     fn announced_facts(&self) -> Vec<Arc<MemberFacts>> {
         let own = std::iter::once(&self.own_facts);
         let others = self.members.members().iter().map(|member| &member.facts);
--- a/src/control/control_thread.rs
+++ b/src/control/control_thread.rs
@@ -59,8 +59,8 @@
     Pulled(ByteString, Option<Vec<Bytes>>),
 }
 
-/// The latest time at which the documents in force are known to have matched the table. Clones share
-/// the value.
+/// The latest time at which the documents in force are known to have matched the table. Clones
+/// share the value.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DocumentFreshness {
     micros: Arc<AtomicU64>,
@@ -124,8 +124,8 @@
     }
 }
 
-/// Runs the control loop on a thread of its own. All control state is owned by this thread and needs
-/// no lock.
+/// Runs the control loop on a thread of its own. All control state is owned by this thread and
+/// needs no lock.
 fn run_on_thread(control: ControlLoop) {
     let thread = std::thread::Builder::new().name("control".to_owned());
     let started = thread.spawn(move || {
--- a/src/control/gossip_state.rs
+++ b/src/control/gossip_state.rs
@@ -38,7 +38,8 @@
             .collect()
     }
 
-    /// The rows of documents that are newer than the versions in `have`, which is sorted by service.
+    /// The rows of documents that are newer than the versions in `have`, which is sorted by
+    /// service.
     pub(crate) fn rows_beyond(&self, have: &[DocumentVersion]) -> Vec<bytes::Bytes> {
         let known_version = |active: &ActiveDocument| {
             let found = have.binary_search_by(|known| known.service.cmp(&active.version.service));
--- a/src/control/peer_messages.rs
+++ b/src/control/peer_messages.rs
@@ -20,17 +20,18 @@
 /// Subscribes to the status of a process and to changes of documents and host facts that it knows.
 #[apply(message!)]
 pub(crate) struct WatchRequest {
-    /// The facts of the requesting process, which may be new to the receiver; `None` if the sender is
-    /// not a host of the system.
+    /// The facts of the requesting process, which may be new to the receiver; `None` if the sender
+    /// is not a host of the system.
     pub(crate) watcher: Option<MemberFacts>,
     /// The frame interval in milliseconds. Frames that are not urgent are sent at most once per
     /// interval, and at least one frame is sent per interval.
     pub(crate) pace_ms: u64,
 }
 
-/// A change of the load since the last frame: the new sequence number of the status, and the running
-/// requests, waiting requests, capacity and queue room of [`crate::membership::LoadReport`]. It has
-/// no field names because it makes up most of the control traffic.
+/// A change of the load since the last frame: the new sequence number of the status, and the
+/// running requests, waiting requests, capacity and queue room of
+/// [`crate::membership::LoadReport`]. It has no field names because it makes up most of the control
+/// traffic.
 pub(crate) type LoadChange = (u64, [u32; 4]);
 
 /// One frame of a watched stream.
@@ -39,9 +40,9 @@
     /// The complete status of the process. Sent first, and immediately when the process starts to
     /// leave or serves another version; other changes except load wait for the frame interval.
     Status(Box<HostStatus>),
-    /// The change of the load, if any, and the maximum age of the sender's documents in milliseconds:
-    /// every change that the table contained before then is in force at the sender. Sent at the frame
-    /// interval, whether or not anything changed.
+    /// The change of the load, if any, and the maximum age of the sender's documents in
+    /// milliseconds: every change that the table contained before then is in force at the sender.
+    /// Sent at the frame interval, whether or not anything changed.
     Paced(Option<LoadChange>, Option<u64>),
     /// The versions in force at the sender: all of them at first, afterwards the changed ones
     /// immediately.
--- a/src/control/peer_watch.rs
+++ b/src/control/peer_watch.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// The pause before the next attempt to open the stream. Full jitter prevents the watchers of a host
-/// that returns from connecting all at once.
+/// The pause before the next attempt to open the stream. Full jitter prevents the watchers of a
+/// host that returns from connecting all at once.
 fn reopen_pause(failures: u32) -> Duration {
     let pause_max = (REOPEN_PAUSE_MIN * 2u32.saturating_pow(failures.min(8))).min(REOPEN_PAUSE_MAX);
     pause_max.mul_f64(rand::rng().random())
--- a/src/control/platform_reads.rs
+++ b/src/control/platform_reads.rs
@@ -138,9 +138,9 @@
 /// is read at this interval only while it does not contain this host.
 const STARTUP_PERIOD: Duration = Duration::from_secs(20);
 const LIST_PAUSE_MIN: Duration = Duration::from_secs(1);
-/// The pause between two reads grows by one [`LIST_PAUSE_MIN`] per this number of hosts. The size of
-/// the list counts against the traffic budget of the control thread, and hosts announce themselves
-/// faster than the list is updated.
+/// The pause between two reads grows by one [`LIST_PAUSE_MIN`] per this number of hosts. The size
+/// of the list counts against the traffic budget of the control thread, and hosts announce
+/// themselves faster than the list is updated.
 const HOSTS_PER_PAUSE_STEP: u32 = 2;
 
 /// Reads the platform's host list until the process ends.
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -12,8 +12,8 @@
 use crate::membership::HostStatus;
 use crate::stores::HostRole;
 
-/// The control state at one point in time. It is immutable and replaced atomically by a newer one, so
-/// that readers need no lock and never see a partial change.
+/// The control state at one point in time. It is immutable and replaced atomically by a newer one,
+/// so that readers need no lock and never see a partial change.
 #[apply(plain!)]
 #[derive(Default)]
 pub(crate) struct ControlSnapshot {
@@ -80,8 +80,8 @@
 pub(crate) enum MemberState {
     /// The host is available.
     Live,
-    /// The host is silent or its stream breaks repeatedly. It gets no new requests while other hosts
-    /// can serve them.
+    /// The host is silent or its stream breaks repeatedly. It gets no new requests while other
+    /// hosts can serve them.
     Suspected,
     /// The host is shutting down according to its own announcement or the host list. It gets no new
     /// requests.
--- a/src/control/warm_up.rs
+++ b/src/control/warm_up.rs
@@ -7,8 +7,8 @@
 /// Maximum duration of the warm-up.
 const WARM_UP_MAX: Duration = Duration::from_secs(2);
 
-/// Withholds the documents of a process that has just started until it has queried the table and its
-/// neighbours.
+/// Withholds the documents of a process that has just started until it has queried the table and
+/// its neighbours.
 ///
 /// A new process has no documents, and the first response may be out of date: a stale read of the
 /// table, or a neighbour that was partitioned. Acting on it would temporarily undo an accepted
--- a/src/documents/acceptance.rs
+++ b/src/documents/acceptance.rs
@@ -207,8 +207,8 @@
                 self.hint = row.map(|row| (row.revision, row.value));
                 Ok(())
             }
-            // An existing history row was written by an earlier attempt to replace the same version,
-            // so it has the same content.
+            // An existing history row was written by an earlier attempt to replace the same
+            // version, so it has the same content.
             (Stage::Archive, TableResponse::Written(_) | TableResponse::Conflict(_)) => {
                 self.stage = Stage::WriteDocument;
                 Ok(())
@@ -319,8 +319,8 @@
             .map_or(RowRevision::ABSENT, |(revision, _)| *revision)
     }
 
-    /// The new content of the document's row; identical for every attempt of this machine, so that a
-    /// repeated write changes nothing.
+    /// The new content of the document's row; identical for every attempt of this machine, so that
+    /// a repeated write changes nothing.
     fn new_row(&self) -> SwitchResult<Bytes> {
         let current = self.current.as_ref().map(|(_, record)| record);
         self.request.next_record(current, self.wall).to_row()
@@ -336,7 +336,8 @@
     }
 
     fn refuse(&mut self, error: SwitchError, current: Option<DocumentRecord>) {
-        // After a write with an unknown outcome, only a conflict proves that the change was refused.
+        // After a write with an unknown outcome, only a conflict proves that the change was
+        // refused.
         let is_uncertain = self.write_sent && error.kind != ErrorKind::DocumentConflict;
         let error = if is_uncertain {
             SwitchError::new(ErrorKind::DocumentInDoubt, error.detail)
--- a/src/documents/active_documents.rs
+++ b/src/documents/active_documents.rs
@@ -56,8 +56,8 @@
     ///
     /// Rows arrive over several paths, and some of them are delayed: a neighbour that was
     /// partitioned, a stale read of the table, or a message sent before a restart. If the last
-    /// arrival won, an accepted change could be undone temporarily. Therefore only a greater version
-    /// replaces the one in force.
+    /// arrival won, an accepted change could be undone temporarily. Therefore only a greater
+    /// version replaces the one in force.
     ///
     /// # Errors
     ///
--- a/src/documents/change_request.rs
+++ b/src/documents/change_request.rs
@@ -1,4 +1,5 @@
-//! An operator's request to change a document, and the check whether its author may make the change.
+//! An operator's request to change a document, and the check whether its author may make the
+//! change.
 
 use bytestring::ByteString;
 use macro_rules_attribute::apply;
@@ -104,7 +105,7 @@
         }
         let only_keys = is_operator && self.changes_keys_only(&current_document);
         let detail = format!(
-            "the key does not belong to team {}; the operators' key may change change_key_digests only",
+            "the key is not one of team {}; the operators' key may change change_key_digests only",
             current_document.team
         );
         require_allowed(only_keys, &detail)
--- a/src/documents/check.rs
+++ b/src/documents/check.rs
@@ -272,8 +272,8 @@
         }
     }
 
-    /// Validates the name of a version or of a source of weights. These names occur in paths and row
-    /// keys, where `.` and `_` are safe.
+    /// Validates the name of a version or of a source of weights. These names occur in paths and
+    /// row keys, where `.` and `_` are safe.
     fn weights_name(&mut self, path: &str, name: &str) {
         let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-._".contains(&byte);
         let is_name = !name.is_empty() && name.len() <= NAME_LENGTH_MAX && name.bytes().all(fits);
--- a/src/documents/read_scheduler.rs
+++ b/src/documents/read_scheduler.rs
@@ -93,8 +93,8 @@
     }
 
     /// The next read at `now`. `is_reader` says whether this process reads the table for its data
-    /// centre. `jitter`, 0 to 255, is the part of the jitter range to add, which spreads the reads of
-    /// different processes over time.
+    /// centre. `jitter`, 0 to 255, is the part of the jitter range to add, which spreads the reads
+    /// of different processes over time.
     pub(crate) fn next_step(
         &mut self,
         now: ClockTime,
--- a/src/documents/schema.rs
+++ b/src/documents/schema.rs
@@ -235,8 +235,8 @@
     pub path_prefix: ByteString,
     /// Whether a request may be executed again when it is unknown whether it was executed.
     pub repeatable: bool,
-    /// Obsolete, without effect: no request depends on the table, so requests are served while it is
-    /// unavailable. Documents that contain this field stay valid.
+    /// Obsolete, without effect: no request depends on the table, so requests are served while it
+    /// is unavailable. Documents that contain this field stay valid.
     #[serde(default)]
     pub in_outage: OutageRule,
 }
--- a/src/documents/tests/read_scheduler.rs
+++ b/src/documents/tests/read_scheduler.rs
@@ -35,8 +35,8 @@
     reads
 }
 
-// Guards against a load on the table that grows with the number of processes although nothing fails.
-// Without the freshness that neighbours report, every process would poll the table itself.
+// Guards against a load on the table that grows with the number of processes although nothing
+// fails. Without the freshness that neighbours report, every process would poll the table itself.
 #[test]
 fn only_readers_poll_while_neighbours_are_current() {
     assert_eq!(reads_within(120, true, true), 120);
@@ -73,8 +73,8 @@
 }
 
 // Guards against a change that is put in force a minute late. Between two polls, more changes are
-// made than fit into the hint row, and the accepting host fails. The row then lists only the last of
-// them, so without a read of all documents the others are not found until the next full read.
+// made than fit into the hint row, and the accepting host fails. The row then lists only the last
+// of them, so without a read of all documents the others are not found until the next full read.
 #[test]
 fn a_full_hint_row_of_new_changes_leads_to_a_full_read() {
     let mut scheduler = TableReadScheduler::new(seconds(0));
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -1,8 +1,8 @@
 //! The table of all other hosts that this process knows, with their states.
 //!
 //! The platform's host list lags and serves only as a hint. A host's own announcement, which its
-//! neighbours forward, takes precedence over it. If a watched stream from a host is silent, the host
-//! becomes suspected and later unavailable.
+//! neighbours forward, takes precedence over it. If a watched stream from a host is silent, the
+//! host becomes suspected and later unavailable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,8 +35,8 @@
 pub(crate) struct MemberView {
     /// The host's identity and whether it is leaving.
     pub(crate) facts: MemberFacts,
-    /// The host's most recent status announcement; `None` if the host is not watched or has not sent
-    /// one yet.
+    /// The host's most recent status announcement; `None` if the host is not watched or has not
+    /// sent one yet.
     pub(crate) status: Option<Arc<HostStatus>>,
     /// Whether the platform's host list contains the host.
     listing: Listing,
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -65,8 +65,9 @@
     pub(crate) chunks_all: u32,
 }
 
-/// The identity of a host and whether it is leaving. Facts are forwarded from neighbour to neighbour
-/// until every process has them; a greater (`incarnation`, `sequence`) replaces a smaller pair.
+/// The identity of a host and whether it is leaving. Facts are forwarded from neighbour to
+/// neighbour until every process has them; a greater (`incarnation`, `sequence`) replaces a smaller
+/// pair.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct MemberFacts {
--- a/src/membership/neighbours.rs
+++ b/src/membership/neighbours.rs
@@ -27,8 +27,8 @@
 pub(crate) fn choose_neighbours(own: &HostIdentity, members: &[MemberView]) -> Vec<ByteString> {
     let available = entries_in_state(members, |state| state != MemberState::Unavailable);
     let mut chosen = choose_available(own, &available);
-    // Unavailable hosts are contacted repeatedly, a few at a time. Otherwise no process would notice
-    // that a partitioned data centre is connected again.
+    // Unavailable hosts are contacted repeatedly, a few at a time. Otherwise no process would
+    // notice that a partitioned data centre is connected again.
     let unavailable = entries_in_state(members, |state| state == MemberState::Unavailable);
     let unavailable = unavailable
         .iter()
--- a/src/membership/status_publisher.rs
+++ b/src/membership/status_publisher.rs
@@ -7,8 +7,8 @@
 
 use super::messages::{HostStatus, LoadReport};
 
-/// Publishes this process's own [`HostStatus`]. Clones share the status; every change is sent to all
-/// subscribers immediately.
+/// Publishes this process's own [`HostStatus`]. Clones share the status; every change is sent to
+/// all subscribers immediately.
 #[derive(Clone, Debug)]
 pub(crate) struct StatusPublisher {
     status: Arc<watch::Sender<HostStatus>>,
