--- a/src/stores/events.rs
+++ b/src/stores/events.rs
@@ -2,5 +2,5 @@
 
 use crate::events::LogEvent;
 
-/// All of this slice's events.
+/// All events of this module.
 pub(crate) const ALL: &[LogEvent] = &[];
--- a/src/stores/host_list.rs
+++ b/src/stores/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts. It lags: a hint about who may be there, never the last word.
+//! The platform's host list. It lags, so that it is only a hint as to which hosts may be available.
 
 use std::net::SocketAddr;
 
@@ -10,50 +10,50 @@
 use crate::derives::{key, message};
 use crate::errors::SwitchResult;
 
-/// What a host is there for.
+/// The role of a host.
 #[apply(key!)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum HostRole {
-    /// Runs `savory-entry`.
+    /// An entry host, which runs `savory-entry`.
     Entry,
-    /// Runs a backend server with `savory-host` beside it.
+    /// A host that runs a backend server and, next to it, `savory-host`.
     Backend,
 }
 
-/// What the list says of a host.
+/// The state of a host according to the host list.
 #[apply(key!)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ListedState {
     /// Listed as live.
     Live,
-    /// Listed as about to go.
+    /// Listed as about to shut down.
     Leaving,
 }
 
-/// One host in the list.
+/// One host in the host list.
 #[apply(message!)]
 #[derive(Eq)]
 pub(crate) struct HostEntry {
     /// The host's name, unique across data centres.
     pub(crate) host: ByteString,
-    /// The data centre it stands in.
+    /// The data centre in which the host is located.
     pub(crate) data_centre: ByteString,
     /// The region of that data centre.
     pub(crate) region: ByteString,
-    /// What it is there for.
+    /// The role of the host.
     pub(crate) role: HostRole,
-    /// The service whose backend server it is; none for entry hosts.
+    /// The service whose backend server runs on the host; `None` for entry hosts.
     pub(crate) service: Option<ByteString>,
-    /// Where the project's process on it listens for the project's other processes.
+    /// The address at which the system's process on the host accepts connections from others.
     pub(crate) peer_address: SocketAddr,
-    /// What the list says of it.
+    /// The state of the host according to the list.
     pub(crate) state: ListedState,
 }
 
-/// The list of hosts.
+/// The platform's host list.
 pub(crate) trait HostList: Send + Sync + 'static {
-    /// Reads the whole list, sorted by host name.
+    /// Reads the complete list, sorted by host name.
     fn read_hosts(&self) -> BoxFuture<'_, SwitchResult<Vec<HostEntry>>>;
 }
--- a/src/stores/http.rs
+++ b/src/stores/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, as `docs/PLATFORM.md` describes it.
+//! HTTP clients of the platform's services, according to `docs/PLATFORM.md`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,11 +18,12 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::transport::{PeerClient, read_body, timeout_awake};
 
-const ANSWER_BYTES_MAX: usize = 64 * 1024 * 1024;
+const RESPONSE_BYTES_MAX: usize = 64 * 1024 * 1024;
 const LIST_PAGE_ROWS: usize = 500;
-const LIMITED_WAIT: Duration = Duration::from_millis(500);
+/// Time to wait after a 429 response without a valid `retry-after-ms` header.
+const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(500);
 
-/// One platform service at one address.
+/// A client of one platform service at one address.
 #[derive(Clone)]
 pub(crate) struct PlatformClient {
     address: SocketAddr,
@@ -32,8 +33,8 @@
 }
 
 impl PlatformClient {
-    /// A client of the service at `address`. A call that takes longer than `timeout` fails, as does
-    /// one that is answered with a server error, with the kind `unavailable_kind`.
+    /// Creates a client of the service at `address`. Requests that take longer than `timeout` or
+    /// get a server error as response fail with the kind `unavailable_kind`.
     pub(crate) const fn new(
         address: SocketAddr,
         client: Arc<PeerClient>,
@@ -48,7 +49,12 @@
         }
     }
 
-    async fn call(&self, method: Method, path: &str, body: Bytes) -> SwitchResult<PlatformAnswer> {
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> SwitchResult<PlatformResponse> {
         let request = http::Request::builder()
             .method(method)
             .uri(path)
@@ -57,31 +63,31 @@
         self.send(request).await
     }
 
-    async fn send(&self, request: http::Request<Body>) -> SwitchResult<PlatformAnswer> {
-        let whole = async {
-            let answer = self
+    async fn send(&self, request: http::Request<Body>) -> SwitchResult<PlatformResponse> {
+        let exchange = async {
+            let response = self
                 .client
                 .send(self.address, request, self.timeout)
                 .await?;
-            PlatformAnswer::read(answer).await
+            PlatformResponse::read(response).await
         };
-        let answer = match timeout_awake(self.timeout, Box::pin(whole)).await {
-            Ok(Ok(answer)) => answer,
+        let response = match timeout_awake(self.timeout, Box::pin(exchange)).await {
+            Ok(Ok(response)) => response,
             Ok(Err(error)) => return Err(self.fault(error.detail)),
             Err(_) => {
-                // What is open towards a silent platform is silent for good.
+                // Open connections to a service that became silent will not recover.
                 self.client.drop_pool(self.address);
-                return Err(self.fault(format!("no answer within {:?}", self.timeout)));
+                return Err(self.fault(format!("no response within {:?}", self.timeout)));
             }
         };
-        match answer.status {
+        match response.status {
             StatusCode::TOO_MANY_REQUESTS => {
-                let wait = answer.retry_after.unwrap_or(LIMITED_WAIT);
-                let error = SwitchError::new(ErrorKind::OriginLimited, "asked to slow down");
+                let wait = response.retry_after.unwrap_or(RETRY_AFTER_DEFAULT);
+                let error = SwitchError::new(ErrorKind::OriginLimited, "rate limit reached");
                 Err(error.come_back_in(wait))
             }
-            status if status.is_server_error() => Err(self.fault(format!("answered {status}"))),
-            _ => Ok(answer),
+            status if status.is_server_error() => Err(self.fault(format!("responded {status}"))),
+            _ => Ok(response),
         }
     }
 
@@ -89,28 +95,28 @@
         SwitchError::new(self.unavailable_kind, detail)
     }
 
-    fn unexpected(&self, answer: &PlatformAnswer) -> SwitchError {
-        self.fault(format!("answered {}", answer.status))
+    fn unexpected_status(&self, response: &PlatformResponse) -> SwitchError {
+        self.fault(format!("responded {}", response.status))
     }
 }
 
-struct PlatformAnswer {
+struct PlatformResponse {
     status: StatusCode,
     retry_after: Option<Duration>,
     body: Bytes,
 }
 
-impl PlatformAnswer {
-    async fn read(answer: Response) -> SwitchResult<Self> {
-        let status = answer.status();
-        let header = answer
+impl PlatformResponse {
+    async fn read(response: Response) -> SwitchResult<Self> {
+        let status = response.status();
+        let header = response
             .headers()
             .get("retry-after-ms")
             .and_then(|value| value.to_str().ok());
         let retry_after = header
             .and_then(|text| text.parse().ok())
             .map(Duration::from_millis);
-        let body = read_body(answer.into_body(), ANSWER_BYTES_MAX).await?;
+        let body = read_body(response.into_body(), RESPONSE_BYTES_MAX).await?;
         Ok(Self {
             status,
             retry_after,
@@ -119,17 +125,17 @@
     }
 }
 
-/// The table over HTTP.
+/// The table, accessed over HTTP.
 pub(crate) struct HttpTable(pub(crate) PlatformClient);
 
 #[derive(Deserialize)]
-struct RowText {
+struct EncodedRow {
     key: String,
     revision: u64,
     value: String,
 }
 
-impl RowText {
+impl EncodedRow {
     fn into_row(self) -> SwitchResult<TableRow> {
         let value = BASE64.decode(&self.value).map_err(|fault| {
             SwitchError::new(
@@ -148,11 +154,11 @@
 impl HttpTable {
     async fn read_row(&self, key: &str) -> SwitchResult<Option<TableRow>> {
         let path = format!("/table/v1/row?key={key}");
-        let answer = self.0.call(Method::GET, &path, Bytes::new()).await?;
-        match answer.status {
-            StatusCode::OK => self.parse::<RowText>(&answer)?.into_row().map(Some),
+        let response = self.0.call(Method::GET, &path, Bytes::new()).await?;
+        match response.status {
+            StatusCode::OK => self.parse::<EncodedRow>(&response)?.into_row().map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(self.0.unexpected(&answer)),
+            _ => Err(self.0.unexpected_status(&response)),
         }
     }
 
@@ -162,11 +168,11 @@
             let after = rows.last().map_or("", |row| row.key.as_str());
             let path =
                 format!("/table/v1/rows?prefix={prefix}&after={after}&limit={LIST_PAGE_ROWS}");
-            let answer = self.0.call(Method::GET, &path, Bytes::new()).await?;
-            if answer.status != StatusCode::OK {
-                return Err(self.0.unexpected(&answer));
+            let response = self.0.call(Method::GET, &path, Bytes::new()).await?;
+            if response.status != StatusCode::OK {
+                return Err(self.0.unexpected_status(&response));
             }
-            let page = self.parse::<Vec<RowText>>(&answer)?;
+            let page = self.parse::<Vec<EncodedRow>>(&response)?;
             let is_last = page.len() < LIST_PAGE_ROWS;
             for row in page {
                 rows.push(row.into_row()?);
@@ -185,28 +191,31 @@
         value: Bytes,
     ) -> SwitchResult<WriteResult> {
         let path = format!("/table/v1/row?key={key}&if_revision={}", expected.0);
-        let answer = self.0.call(method, &path, value).await?;
-        match answer.status {
+        let response = self.0.call(method, &path, value).await?;
+        match response.status {
             StatusCode::OK => Ok(WriteResult::Written(RowRevision(
-                self.parse::<Written>(&answer)?.revision,
+                self.parse::<WriteReceipt>(&response)?.revision,
             ))),
             StatusCode::CONFLICT => {
-                let standing = self.parse::<Option<RowText>>(&answer)?;
+                let current = self.parse::<Option<EncodedRow>>(&response)?;
                 Ok(WriteResult::Conflict(
-                    standing.map(RowText::into_row).transpose()?,
+                    current.map(EncodedRow::into_row).transpose()?,
                 ))
             }
-            _ => Err(self.0.unexpected(&answer)),
+            _ => Err(self.0.unexpected_status(&response)),
         }
     }
 
-    fn parse<T: serde::de::DeserializeOwned>(&self, answer: &PlatformAnswer) -> SwitchResult<T> {
-        serde_json::from_slice(&answer.body).map_err(|fault| self.0.fault(fault.to_string()))
+    fn parse<T: serde::de::DeserializeOwned>(
+        &self,
+        response: &PlatformResponse,
+    ) -> SwitchResult<T> {
+        serde_json::from_slice(&response.body).map_err(|fault| self.0.fault(fault.to_string()))
     }
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct WriteReceipt {
     revision: u64,
 }
 
@@ -229,17 +238,17 @@
     }
 }
 
-/// The list of hosts over HTTP.
+/// The host list, accessed over HTTP.
 pub(crate) struct HttpHostList(pub(crate) PlatformClient);
 
 impl HostList for HttpHostList {
     fn read_hosts(&self) -> BoxFuture<'_, SwitchResult<Vec<HostEntry>>> {
         async move {
-            let answer = self.0.call(Method::GET, "/hosts/v1", Bytes::new()).await?;
-            if answer.status != StatusCode::OK {
-                return Err(self.0.unexpected(&answer));
+            let response = self.0.call(Method::GET, "/hosts/v1", Bytes::new()).await?;
+            if response.status != StatusCode::OK {
+                return Err(self.0.unexpected_status(&response));
             }
-            let mut hosts: Vec<HostEntry> = serde_json::from_slice(&answer.body)
+            let mut hosts: Vec<HostEntry> = serde_json::from_slice(&response.body)
                 .map_err(|fault| self.0.fault(fault.to_string()))?;
             hosts.sort_by(|left, right| left.host.cmp(&right.host));
             Ok(hosts)
@@ -248,7 +257,7 @@
     }
 }
 
-/// The origin or the weight store over HTTP.
+/// The origin or the weight store, accessed over HTTP.
 pub(crate) struct HttpWeights(pub(crate) PlatformClient);
 
 impl HttpWeights {
@@ -261,14 +270,14 @@
         let request = request
             .body(Body::empty())
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
-        let answer = self.0.send(request).await?;
-        match answer.status {
-            StatusCode::OK | StatusCode::PARTIAL_CONTENT => Ok(answer.body),
+        let response = self.0.send(request).await?;
+        match response.status {
+            StatusCode::OK | StatusCode::PARTIAL_CONTENT => Ok(response.body),
             StatusCode::NOT_FOUND => Err(SwitchError::new(
                 ErrorKind::ObjectMissing,
                 "no such weights",
             )),
-            _ => Err(self.0.unexpected(&answer)),
+            _ => Err(self.0.unexpected_status(&response)),
         }
     }
 }
--- a/src/stores/mod.rs
+++ b/src/stores/mod.rs
@@ -1,6 +1,8 @@
-//! The platform: what it offers, each offer behind a narrow trait, with one HTTP client for each.
-//! Another form of the same thing is put in by replacing one file. `docs/PLATFORM.md` has the
-//! protocols that the clients speak.
+//! The interfaces to the platform's services: the table, the host list and the sources of weights.
+//!
+//! Each service has a narrow trait with one HTTP client that implements it, so that another
+//! implementation can be substituted by replacing one file. `docs/PLATFORM.md` describes the
+//! protocols of the clients.
 
 pub(crate) mod events;
 pub(crate) mod host_list;
--- a/src/stores/table_store.rs
+++ b/src/stores/table_store.rs
@@ -1,4 +1,4 @@
-//! The transactional table: rows of bytes under a text key, written by compare-and-set.
+//! The platform's transactional table: rows of bytes with text keys, written by compare-and-set.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
@@ -8,47 +8,50 @@
 use crate::derives::{key, plain};
 use crate::errors::SwitchResult;
 
-/// The revision of a row. Grows with each write to the row; a row that was removed and made anew
-/// never gets an old revision back.
+/// The revision of a row. It increases with each write to the row. A row that is deleted and
+/// created again never reuses an earlier revision.
 #[apply(key!)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct RowRevision(pub(crate) u64);
 
 impl RowRevision {
-    /// The revision that a writer expects of a row that must not exist yet.
+    /// The expected revision of a row that must not exist yet.
     pub(crate) const ABSENT: Self = Self(0);
 }
 
-/// A row as it stood when it was read.
+/// A row with its content and revision at the time of the read.
 #[apply(plain!)]
 pub(crate) struct TableRow {
-    /// The row's key, segments separated by `/`.
+    /// The key of the row, with segments separated by `/`.
     pub(crate) key: String,
-    /// The revision to give back with a write.
+    /// The revision to expect in a later write of the row.
     pub(crate) revision: RowRevision,
-    /// The row's bytes.
+    /// The content of the row.
     pub(crate) value: Bytes,
 }
 
-/// What became of a compare-and-set that the table answered.
+/// The outcome of a compare-and-set to which the table responded.
 #[apply(plain!)]
 pub(crate) enum WriteResult {
-    /// It took effect; this is the new revision.
+    /// The write took effect; this is the new revision.
     Written(RowRevision),
-    /// Another write came first; this is what stands, `None` if the row is absent.
+    /// The row has another revision than expected. Contains the current row, or `None` if it does
+    /// not exist.
     Conflict(Option<TableRow>),
 }
 
-/// The table. An error of kind `TableUnavailable` after a write leaves open whether the write took
-/// effect: the answer may have been lost. The writer settles it by reading the row back.
+/// The platform's table.
+///
+/// After an error of kind `TableUnavailable` from a write, it is unknown whether the write took
+/// effect, since only the response may have been lost. The writer finds out by reading the row.
 pub(crate) trait TableStore: Send + Sync + 'static {
     /// Reads one row.
     fn read<'a>(&'a self, key: &'a str) -> BoxFuture<'a, SwitchResult<Option<TableRow>>>;
 
-    /// Reads every row whose key begins with `prefix`, sorted by key.
+    /// Reads all rows whose keys begin with `prefix`, sorted by key.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, SwitchResult<Vec<TableRow>>>;
 
-    /// Writes a row if it stands at revision `expected`.
+    /// Writes a row if its current revision is `expected`.
     fn write<'a>(
         &'a self,
         key: &'a str,
--- a/src/stores/weight_source.rs
+++ b/src/stores/weight_source.rs
@@ -1,19 +1,19 @@
-//! Where weights come from: the origin, and the platform's rate-limited weight store. Both answer
-//! range reads and may ask to slow down.
+//! The sources of weights: the origin, and the platform's rate-limited weight store. Both support
+//! range reads and may limit the rate of requests.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
 
 use crate::errors::SwitchResult;
 
-/// The origin or the weight store. An error of kind `OriginLimited` carries the wait that the
-/// source asked for.
+/// The origin or the weight store. An error of kind `OriginLimited` contains the time to wait that
+/// the source requested.
 pub(crate) trait WeightSource: Send + Sync + 'static {
     /// Reads the manifest published under `name`, as JSON bytes.
     fn read_manifest<'a>(&'a self, name: &'a str) -> BoxFuture<'a, SwitchResult<Bytes>>;
 
-    /// Reads `length` bytes of the weights `name`, from `offset`. The answer may be short, over-long
-    /// or corrupt: whoever asked checks it.
+    /// Reads `length` bytes of the weights `name`, starting at `offset`. The result may be too
+    /// short, too long or corrupt, so the caller must verify it.
     fn read_range<'a>(
         &'a self,
         name: &'a str,
