--- a/src/operator/acceptance_driver.rs
+++ b/src/operator/acceptance_driver.rs
@@ -1,5 +1,5 @@
-//! Carries out the steps of an acceptance against the table, and puts what was accepted in force
-//! here at once.
+//! Executes the steps of an [`AcceptanceMachine`] against the table, and puts an accepted change in
+//! force on this host immediately.
 
 use tokio::time::sleep;
 
@@ -12,53 +12,54 @@
 use crate::stores::{TableStore, WriteResult};
 use crate::time::{clock_now, wall_now};
 
-/// Takes the change `order` to its end.
+/// Writes the change `request` to the table and returns the outcome.
 ///
-/// What was accepted goes to this host's control thread before the author learns of it: from there
-/// its neighbours learn of it within milliseconds, also when the table goes away right afterwards.
+/// An accepted change is passed to this host's control thread before the author is notified. From
+/// there, its neighbours receive it within milliseconds even if the table becomes unavailable right
+/// afterwards.
 pub(super) async fn accept_change(
     control: &ControlHandle,
-    order: ChangeRequest,
+    request: ChangeRequest,
 ) -> AcceptanceOutcome {
-    let mut machine = AcceptanceMachine::new(order, clock_now(), wall_now());
+    let mut machine = AcceptanceMachine::new(request, clock_now(), wall_now());
     let table = &*control.adapters().table;
     loop {
         let now = clock_now();
         match machine.next_step(now) {
             AcceptanceStep::WaitUntil(due) => sleep(due.since(now)).await,
-            AcceptanceStep::Done(end) => {
-                if let AcceptanceOutcome::Accepted { row: Some(row), .. } = &*end {
+            AcceptanceStep::Done(outcome) => {
+                if let AcceptanceOutcome::Accepted { row: Some(row), .. } = &*outcome {
                     control.put_in_force(row.clone()).await;
                 }
-                return *end;
+                return *outcome;
             }
             step => {
-                let event = carry_out(table, step).await;
-                machine.on_response(event, clock_now());
+                let response = execute(table, step).await;
+                machine.on_response(response, clock_now());
             }
         }
     }
 }
 
-async fn carry_out(table: &dyn TableStore, step: AcceptanceStep) -> TableResponse {
+async fn execute(table: &dyn TableStore, step: AcceptanceStep) -> TableResponse {
     match step {
-        AcceptanceStep::Read { key } => answered(table.read(&key).await.map(TableResponse::Row)),
+        AcceptanceStep::Read { key } => response_of(table.read(&key).await.map(TableResponse::Row)),
         AcceptanceStep::Write {
             key,
             expected,
             value,
         } => {
             let written = table.write(&key, expected, value).await;
-            answered(written.map(|result| match result {
+            response_of(written.map(|result| match result {
                 WriteResult::Written(revision) => TableResponse::Written(revision),
-                WriteResult::Conflict(standing) => TableResponse::Conflict(standing),
+                WriteResult::Conflict(current) => TableResponse::Conflict(current),
             }))
         }
         AcceptanceStep::WaitUntil(_) | AcceptanceStep::Done(_) => TableResponse::Unavailable,
     }
 }
 
-fn answered(outcome: SwitchResult<TableResponse>) -> TableResponse {
+fn response_of(outcome: SwitchResult<TableResponse>) -> TableResponse {
     outcome.unwrap_or_else(|error| {
         metrics::count_retry(error.kind);
         TableResponse::Unavailable
--- a/src/operator/admin.rs
+++ b/src/operator/admin.rs
@@ -24,17 +24,18 @@
 use crate::metrics;
 use crate::transport::{error_reply, error_reply_with, json_reply, read_body};
 
-/// The header in which an author gives a name, for history.
+/// The header that contains the author's name for the history.
 pub(crate) const AUTHOR_HEADER: &str = "savory-author";
-/// The header in which a change is named, so that it can be asked for again.
+/// The header that identifies a change, so that the request can be repeated.
 pub(crate) const NONCE_HEADER: &str = "idempotency-key";
-/// The header that says how often a named change was asked for, this time included.
+/// The header that contains the number of this attempt at an identified change, starting at 1.
 pub(crate) const ATTEMPT_HEADER: &str = "savory-attempt";
 const NONCE_LENGTH_MAX: usize = 128;
 const AUTHOR_LENGTH_MAX: usize = 64;
 
-/// The administration API over what `control` knows. `operator_key_digest` is the BLAKE3 digest, in
-/// hex, of the key that may create documents and read everything.
+/// The routes of the administration API for the control thread of `control`. `operator_key_digest`
+/// is the BLAKE3 digest, in hex, of the operators' key, which may create documents and read
+/// everything.
 pub(crate) fn admin_routes(control: &ControlHandle, operator_key_digest: &str) -> Router {
     let admin = AdminState {
         control: control.clone(),
@@ -44,29 +45,29 @@
 }
 
 fn document_routes(admin: &AdminState) -> Router {
-    let (putter, reader) = (admin.clone(), admin.clone());
+    let (put_admin, get_admin) = (admin.clone(), admin.clone());
     let put_and_get = get(
         move |PathParams(service): PathParams<String>, request: Request| {
-            let admin = reader.clone();
-            async move { replied(admin.get_document(&service, request.headers()).await) }
+            let admin = get_admin.clone();
+            async move { to_response(admin.get_document(&service, request.headers()).await) }
         },
     )
     .put(
         move |PathParams(service): PathParams<String>,
               Query(query): Query<PutQuery>,
               request: Request| {
-            let admin = putter.clone();
-            async move { replied(admin.put_document(&service, query, request).await) }
+            let admin = put_admin.clone();
+            async move { to_response(admin.put_document(&service, query, request).await) }
         },
     );
-    let historian = admin.clone();
+    let history_admin = admin.clone();
     let history = get(
         move |PathParams(service): PathParams<String>, request: Request| {
-            let admin = historian.clone();
-            async move { replied(admin.history(&service, request.headers()).await) }
+            let admin = history_admin.clone();
+            async move { to_response(admin.history(&service, request.headers()).await) }
         },
     );
-    let check = post(async |request: Request| replied(check_only(request).await));
+    let check = post(async |request: Request| to_response(check_document_only(request).await));
     Router::new()
         .route("/admin/v1/check", check)
         .route("/admin/v1/documents/{service}", put_and_get)
@@ -78,7 +79,7 @@
         let admin = admin.clone();
         get(move |request: Request| {
             let admin = admin.clone();
-            async move { replied(admin.view(request.headers(), show)) }
+            async move { to_response(admin.view(request.headers(), show)) }
         })
     };
     let state = |control: &ControlHandle| json_reply(StatusCode::OK, &state_reply(control));
@@ -92,15 +93,15 @@
 
 #[derive(Deserialize)]
 struct PutQuery {
-    /// The version that the change replaces; 0 when there must be none yet.
+    /// The version that the change replaces; 0 if no document may exist yet.
     replaces: u64,
 }
 
-/// A refusal with what the author needs besides the error.
+/// A refusal with the details that the author needs in addition to the error.
 pub(super) enum AdminRefusal {
     Plain(SwitchError),
     Faults(SwitchError, FaultsReply),
-    Standing(SwitchError, Box<CurrentDocumentReply>),
+    Conflict(SwitchError, Box<CurrentDocumentReply>),
 }
 
 impl From<SwitchError> for AdminRefusal {
@@ -111,24 +112,24 @@
 
 type AdminResult = Result<Response, AdminRefusal>;
 
-fn replied(outcome: AdminResult) -> Response {
+fn to_response(outcome: AdminResult) -> Response {
     let refusal = match outcome {
         Ok(reply) => return reply,
         Err(refusal) => refusal,
     };
     let (AdminRefusal::Plain(error)
     | AdminRefusal::Faults(error, _)
-    | AdminRefusal::Standing(error, _)) = &refusal;
+    | AdminRefusal::Conflict(error, _)) = &refusal;
     metrics::count_refusal(error.kind, "admin");
     log_event!(events::REFUSED, "{error}");
     match &refusal {
         AdminRefusal::Plain(error) => error_reply(error),
         AdminRefusal::Faults(error, faults) => error_reply_with(error, faults),
-        AdminRefusal::Standing(error, standing) => error_reply_with(error, standing),
+        AdminRefusal::Conflict(error, current) => error_reply_with(error, current),
     }
 }
 
-async fn check_only(request: Request) -> AdminResult {
+async fn check_document_only(request: Request) -> AdminResult {
     let text = read_body(request.into_body(), DOCUMENT_BYTES_MAX).await?;
     check_document(&text).map_err(invalid)?;
     Ok(json_reply(StatusCode::OK, &FaultsReply::default()))
@@ -148,11 +149,11 @@
 
 impl AdminState {
     fn view(&self, headers: &HeaderMap, show: fn(&ControlHandle) -> Response) -> AdminResult {
-        let key = bearer_key(headers)?;
-        let held = self.control.gossip().borrow().documents.clone();
-        let owns_any = held
+        let key = bearer_key_digest(headers)?;
+        let documents = self.control.gossip().borrow().documents.clone();
+        let owns_any = documents
             .iter()
-            .any(|held| key.matches_any(&held.document.change_key_digests));
+            .any(|active| key.matches_any(&active.document.change_key_digests));
         if owns_any || key.matches(&self.operator_key_digest) {
             return Ok(show(&self.control));
         }
@@ -161,17 +162,17 @@
 
     async fn put_document(&self, service: &str, query: PutQuery, request: Request) -> AdminResult {
         let headers = request.headers().clone();
-        let key = bearer_key(&headers)?;
+        let key = bearer_key_digest(&headers)?;
         let text = read_body(request.into_body(), DOCUMENT_BYTES_MAX).await?;
         let (value, document) = check_document(&text).map_err(invalid)?;
         if *document.service != *service {
             let detail = format!(
-                "the path names {service}, the document {}",
+                "the path is for service {service}, the document for {}",
                 document.service
             );
             return Err(SwitchError::new(ErrorKind::BadRequest, detail).into());
         }
-        let order = ChangeRequest {
+        let change = ChangeRequest {
             service: service.into(),
             replaces: query.replaces,
             nonce: change_nonce(&headers)?,
@@ -182,12 +183,12 @@
             operator_key_digest: self.operator_key_digest.clone(),
             document: value,
         };
-        self.settle_change(order).await
+        self.apply_change(change).await
     }
 
-    async fn settle_change(&self, order: ChangeRequest) -> AdminResult {
-        let service = order.service.to_string();
-        match accept_change(&self.control, order).await {
+    async fn apply_change(&self, change: ChangeRequest) -> AdminResult {
+        let service = change.service.to_string();
+        match accept_change(&self.control, change).await {
             AcceptanceOutcome::Accepted { version, .. } => {
                 log_event!(events::ACCEPTED, "{service} {version}");
                 Ok(json_reply(StatusCode::OK, &PutReply { service, version }))
@@ -200,24 +201,25 @@
                 error,
                 current: Some(record),
             } => {
-                let standing = self.document_reply(&service, *record, true);
+                let current = self.document_reply(&service, *record, true);
                 let reply = CurrentDocumentReply {
-                    standing: Some(standing),
+                    standing: Some(current),
                 };
-                Err(AdminRefusal::Standing(error, Box::new(reply)))
+                Err(AdminRefusal::Conflict(error, Box::new(reply)))
             }
         }
     }
 
     async fn get_document(&self, service: &str, headers: &HeaderMap) -> AdminResult {
-        let key = bearer_key(headers)?;
-        let reply = self.standing(service).await?;
+        let key = bearer_key_digest(headers)?;
+        let reply = self.current_document(service).await?;
         self.check_reader(&key, &reply.document)?;
         Ok(json_reply(StatusCode::OK, &reply))
     }
 
-    /// The document from the table, or what is in force here while the table is away.
-    async fn standing(&self, service: &str) -> SwitchResult<DocumentReply> {
+    /// The current document from the table, or the one in force on this host if the table is
+    /// unavailable.
+    async fn current_document(&self, service: &str) -> SwitchResult<DocumentReply> {
         let read = self
             .control
             .adapters()
@@ -226,7 +228,11 @@
             .await;
         let (row, from_table) = match read {
             Ok(row) => (row.map(|row| row.value), true),
-            Err(_) => (self.held(service).map(|held| held.row.clone()), false),
+            Err(_) => (
+                self.active_document(service)
+                    .map(|active| active.row.clone()),
+                false,
+            ),
         };
         let row = row.ok_or_else(|| {
             SwitchError::new(
@@ -238,13 +244,13 @@
         Ok(self.document_reply(service, record, from_table))
     }
 
-    fn held(&self, service: &str) -> Option<Arc<ActiveDocument>> {
+    fn active_document(&self, service: &str) -> Option<Arc<ActiveDocument>> {
         let gossip = self.control.gossip();
         let state = gossip.borrow();
         let found = state
             .documents
             .iter()
-            .find(|held| *held.version.service == *service);
+            .find(|active| *active.version.service == *service);
         found.cloned()
     }
 
@@ -254,10 +260,12 @@
         record: DocumentRecord,
         from_table: bool,
     ) -> DocumentReply {
-        let in_force_here = self.held(service).map_or(0, |held| held.version.version);
+        let in_force_here = self
+            .active_document(service)
+            .map_or(0, |active| active.version.version);
         let unknown = record.parse_document().map_or_else(
-            |error| vec![format!("all of it: {}", error.detail)],
-            |read| read.unknown,
+            |error| vec![format!("the whole document: {}", error.detail)],
+            |parsed| parsed.unknown,
         );
         DocumentReply {
             version: record.version,
@@ -270,7 +278,8 @@
         }
     }
 
-    /// Who may change a document may read it, and the operators' key may read all.
+    /// Checks that `key` may read `document`. Keys that may change a document may read it, and the
+    /// operators' key may read all documents.
     fn check_reader(&self, key: &KeyDigest, document: &serde_json::Value) -> SwitchResult<()> {
         let digests = document
             .get("change_key_digests")
@@ -289,16 +298,16 @@
     }
 
     async fn history(&self, service: &str, headers: &HeaderMap) -> AdminResult {
-        let key = bearer_key(headers)?;
-        let standing = self.standing(service).await?;
-        self.check_reader(&key, &standing.document)?;
+        let key = bearer_key_digest(headers)?;
+        let current = self.current_document(service).await?;
+        self.check_reader(&key, &current.document)?;
         let rows = self
             .control
             .adapters()
             .table
             .list(&history_prefix(service))
             .await?;
-        let mut versions = vec![standing];
+        let mut versions = vec![current];
         for row in rows.iter().rev() {
             let record = DocumentRecord::from_row(&row.value)?;
             if versions[0].version > record.version {
@@ -313,8 +322,8 @@
     SwitchError::new(ErrorKind::NotAllowed, detail)
 }
 
-/// The digest of the key in `authorization: Bearer KEY`. The key goes no further.
-fn bearer_key(headers: &HeaderMap) -> SwitchResult<KeyDigest> {
+/// The digest of the key in the header `authorization: Bearer KEY`. The key itself is not kept.
+fn bearer_key_digest(headers: &HeaderMap) -> SwitchResult<KeyDigest> {
     let value = headers.get(header::AUTHORIZATION);
     let text = value.and_then(|value| value.as_bytes().strip_prefix(b"Bearer "));
     let key = text.ok_or_else(|| not_allowed("give a key as `authorization: Bearer KEY`"))?;
@@ -326,8 +335,8 @@
     Ok(given.unwrap_or_else(|| uuid::Uuid::new_v4().to_string().into()))
 }
 
-/// A change that nobody named cannot have been asked for before; of a named one only its author
-/// knows.
+/// Whether this is the first attempt at a change. A change without a nonce cannot have been sent
+/// before; for a change with a nonce, the author gives the number of the attempt.
 fn is_first_attempt(headers: &HeaderMap) -> bool {
     let attempt = headers.get(ATTEMPT_HEADER);
     !headers.contains_key(NONCE_HEADER) || attempt.is_some_and(|value| value == "1")
@@ -336,14 +345,14 @@
 fn text_header(
     headers: &HeaderMap,
     name: &'static str,
-    longest: usize,
+    length_max: usize,
 ) -> SwitchResult<Option<ByteString>> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default();
-    if text.is_empty() || text.len() > longest {
-        let detail = format!("{name}: give 1 to {longest} visible ASCII characters");
+    if text.is_empty() || text.len() > length_max {
+        let detail = format!("{name}: give 1 to {length_max} visible ASCII characters");
         return Err(SwitchError::new(ErrorKind::BadHeader, detail));
     }
     Ok(Some(text.into()))
--- a/src/operator/admin_client.rs
+++ b/src/operator/admin_client.rs
@@ -1,4 +1,4 @@
-//! The command line's side of the administration API.
+//! The client of the administration API that the command line uses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,9 +14,9 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::transport::{ClientLimits, PeerClient, read_body};
 
-/// Longer than an entry host tries a change.
-const ANSWER_WITHIN: Duration = Duration::from_secs(8);
-const ANSWER_BYTES_MAX: usize = 64 * 1024 * 1024;
+/// Timeout of a request; longer than the time limit of entry hosts for writing a change.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
+const RESPONSE_BYTES_MAX: usize = 64 * 1024 * 1024;
 
 /// A client of the entry hosts' administration API.
 pub(crate) struct AdminClient {
@@ -25,26 +25,26 @@
     client: PeerClient,
 }
 
-/// What is asked.
+/// A request to the administration API.
 pub(crate) struct AdminRequest {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) body: Bytes,
-    /// What names the change, for a put.
+    /// The identity of the change; only for a put.
     pub(crate) change: Option<ChangeIdentity>,
 }
 
-/// What names a change.
+/// Identifies a change, so that it is accepted only once even if the request is repeated.
 #[derive(Clone)]
 pub(crate) struct ChangeIdentity {
     pub(crate) author: String,
     pub(crate) nonce: String,
-    /// Tries of it before this call that may have been accepted.
+    /// Number of earlier attempts at this change whose outcome is unknown.
     pub(crate) uncertain_attempts: u32,
 }
 
 impl AdminRequest {
-    /// A reading of `path`.
+    /// A request that reads `path`.
     pub(crate) fn get(path: impl Into<String>) -> Self {
         Self {
             method: Method::GET,
@@ -55,11 +55,11 @@
     }
 }
 
-/// A refusal with what came beside it.
+/// An error with the details that the response contained.
 pub(crate) struct AdminFailure {
     pub(crate) error: SwitchError,
     pub(crate) faults: FaultsReply,
-    pub(crate) standing: Option<Box<CurrentDocumentReply>>,
+    pub(crate) current: Option<Box<CurrentDocumentReply>>,
 }
 
 impl From<SwitchError> for AdminFailure {
@@ -67,13 +67,13 @@
         Self {
             error,
             faults: FaultsReply::default(),
-            standing: None,
+            current: None,
         }
     }
 }
 
 impl AdminClient {
-    /// A client of the entry hosts at `addresses`, with `key`.
+    /// Creates a client of the entry hosts at `addresses` that authenticates with `key`.
     pub(crate) fn new(addresses: Vec<SocketAddr>, key: String) -> Self {
         let client = PeerClient::new(ClientLimits::default());
         Self {
@@ -83,22 +83,28 @@
         }
     }
 
-    /// Asks the entry hosts one after another until one answers for good. A change that is asked
-    /// for again carries the same name, so that it is accepted once.
+    /// Sends the request to the entry hosts one after another until one gives a final response.
+    /// Every attempt at a change carries the same nonce, so that the change is accepted only once.
+    ///
+    /// # Errors
+    ///
+    /// The last failure. `DocumentInDoubt` if the outcome of an earlier attempt at a change is
+    /// unknown and the last response does not settle it.
     pub(crate) async fn send<A: DeserializeOwned>(
         &self,
-        call: &AdminRequest,
+        request: &AdminRequest,
     ) -> Result<A, AdminFailure> {
         let detail = "give --admin-address IP:PORT of an entry host";
         let mut last: AdminFailure = SwitchError::new(ErrorKind::SettingInvalid, detail).into();
-        // A try that certainly wrote nothing does not count: the next is as good as the first.
+        // Attempts that certainly wrote nothing are not counted; after them, the next attempt can
+        // be treated as the first one.
         let mut uncertain_attempts = 0;
         for address in &self.addresses {
-            match self.try_at(*address, call, uncertain_attempts).await {
-                Ok(answer) => return Ok(answer),
+            match self.attempt_at(*address, request, uncertain_attempts).await {
+                Ok(response) => return Ok(response),
                 Err(failure) => {
-                    uncertain_attempts += u32::from(leaves_doubt(failure.error.kind));
-                    let is_final = !is_away(failure.error.kind);
+                    uncertain_attempts += u32::from(is_uncertain(failure.error.kind));
+                    let is_final = !is_retryable(failure.error.kind);
                     last = failure;
                     if is_final {
                         break;
@@ -106,10 +112,10 @@
                 }
             }
         }
-        // A refusal by a later host does not say what became of the try at an earlier one, unless
-        // the table itself has told what stands.
+        // A refusal by a later host does not tell the outcome of the attempt at an earlier one,
+        // except for a conflict, which reports the current document in the table.
         if uncertain_attempts > 0
-            && call.change.is_some()
+            && request.change.is_some()
             && last.error.kind != ErrorKind::DocumentConflict
         {
             last.error.kind = ErrorKind::DocumentInDoubt;
@@ -117,42 +123,45 @@
         Err(last)
     }
 
-    /// Asks the entry host at `address`.
+    /// Sends the request to the entry host at `address` only.
     pub(crate) async fn send_to<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
-        call: &AdminRequest,
+        request: &AdminRequest,
     ) -> Result<A, AdminFailure> {
-        self.try_at(address, call, 0).await
+        self.attempt_at(address, request, 0).await
     }
 
-    async fn try_at<A: DeserializeOwned>(
+    async fn attempt_at<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
-        call: &AdminRequest,
+        request: &AdminRequest,
         uncertain_attempts: u32,
     ) -> Result<A, AdminFailure> {
-        let request = self.request(call, uncertain_attempts)?;
-        let answer = self.client.send(address, request, ANSWER_WITHIN).await?;
-        let status = answer.status();
-        let text = read_body(answer.into_body(), ANSWER_BYTES_MAX).await?;
+        let http_request = self.http_request(request, uncertain_attempts)?;
+        let response = self
+            .client
+            .send(address, http_request, RESPONSE_TIMEOUT)
+            .await?;
+        let status = response.status();
+        let text = read_body(response.into_body(), RESPONSE_BYTES_MAX).await?;
         if status == StatusCode::OK {
             return Ok(read_json(&text)?);
         }
         Err(read_failure(status, &text))
     }
 
-    fn request(
+    fn http_request(
         &self,
-        call: &AdminRequest,
+        request: &AdminRequest,
         uncertain_attempts: u32,
     ) -> SwitchResult<http::Request<Body>> {
-        let mut request = http::Request::builder()
-            .method(call.method.clone())
-            .uri(&call.path)
+        let mut builder = http::Request::builder()
+            .method(request.method.clone())
+            .uri(&request.path)
             .header(header::AUTHORIZATION, format!("Bearer {}", self.key));
-        if let Some(change) = &call.change {
-            request = request
+        if let Some(change) = &request.change {
+            builder = builder
                 .header(AUTHOR_HEADER, &change.author)
                 .header(NONCE_HEADER, &change.nonce)
                 .header(
@@ -160,14 +169,14 @@
                     change.uncertain_attempts + uncertain_attempts + 1,
                 );
         }
-        request
-            .body(Body::from(call.body.clone()))
+        builder
+            .body(Body::from(request.body.clone()))
             .map_err(|fault| SwitchError::new(ErrorKind::BadRequest, fault.to_string()))
     }
 }
 
-/// Whether another entry host may do better.
-const fn is_away(kind: ErrorKind) -> bool {
+/// Whether the request may succeed at another entry host.
+const fn is_retryable(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::ConnectFailed
@@ -179,8 +188,8 @@
     )
 }
 
-/// Whether the change may have been accepted although this was the answer.
-const fn leaves_doubt(kind: ErrorKind) -> bool {
+/// Whether the change may have been accepted despite an error of this kind.
+const fn is_uncertain(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::PeerSilent | ErrorKind::AnswerCut | ErrorKind::DocumentInDoubt
@@ -212,12 +221,12 @@
             faults: FaultsReply {
                 faults: body.faults,
             },
-            standing: body.standing.map(|standing| {
+            current: body.standing.map(|current| {
                 Box::new(CurrentDocumentReply {
-                    standing: Some(standing),
+                    standing: Some(current),
                 })
             }),
         },
-        Err(_) => SwitchError::new(ErrorKind::MessageInvalid, format!("answered {status}")).into(),
+        Err(_) => SwitchError::new(ErrorKind::MessageInvalid, format!("responded {status}")).into(),
     }
 }
--- a/src/operator/command.rs
+++ b/src/operator/command.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
 const AFTER_HELP: &str = "\
-Exit codes: 0 done; 1 refused or failed; 2 wrong use; 3 in doubt, put the same change again.
+Exit codes: 0 done; 1 refused or failed; 2 wrong usage; 3 unknown outcome, repeat the put.
 
 Examples:
   export SAVORY_ADMIN_ADDRESS=127.0.0.1:7001,127.0.0.1:7002
@@ -12,11 +12,11 @@
   savoryctl document put sky-writer.json --replaces 4
   savoryctl state";
 
-/// The whole command line.
+/// The definition of the command line.
 pub(super) fn command() -> Command {
     Command::new("savoryctl")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Checks, changes and shows what savoryswitch does, through its entry hosts")
+        .about("Checks and changes service documents and shows the state of entry hosts")
         .after_help(AFTER_HELP)
         .subcommand_required(true)
         .arg_required_else_help(true)
@@ -24,7 +24,7 @@
         .subcommand(document_command())
         .subcommand(view(
             "state",
-            "Show what an entry host knows: services, versions, hosts",
+            "Show the state known to an entry host: services, versions, hosts",
             "state",
         ))
         .subcommand(view("hosts", "Show the hosts and their state", "hosts"))
@@ -52,7 +52,7 @@
             .global(true)
             .value_name("IP:PORT,…")
             .env("SAVORY_ADMIN_ADDRESS")
-            .help("Administration addresses of entry hosts; the next is tried when one is away"),
+            .help("Administration addresses of entry hosts, tried in this order"),
         Arg::new("key-file")
             .long("key-file")
             .global(true)
@@ -63,7 +63,7 @@
             .long("json")
             .global(true)
             .action(ArgAction::SetTrue)
-            .help("Print JSON for programs instead of tables for people"),
+            .help("Print JSON instead of tables"),
     ]
 }
 
@@ -92,24 +92,24 @@
         .subcommand(put_command())
         .subcommand(of_service(
             "get",
-            "Print the document that stands",
+            "Print the current document",
             "get sky-writer",
         ))
         .subcommand(
             Command::new("diff")
-                .about("Show where a document differs from the one that stands")
+                .about("Show where a document differs from the current one")
                 .arg(file_arg())
                 .after_help("Example: savoryctl document diff sky-writer.json"),
         )
         .subcommand(of_service(
             "history",
-            "List the versions and who made them",
+            "List the versions and their authors",
             "history sky-writer",
         ))
         .subcommand(
             of_service(
                 "watch",
-                "Show until when a version is in force on each entry host given",
+                "Show the version in force on each given entry host until all have it",
                 "watch sky-writer --until 5",
             )
             .arg(
@@ -134,7 +134,7 @@
 
 fn put_command() -> Command {
     Command::new("put")
-        .about("Change a document; the version that it replaces must be named")
+        .about("Change a document; the version that it replaces must be given")
         .arg(file_arg())
         .arg(
             Arg::new("replaces")
@@ -157,7 +157,7 @@
             Arg::new("nonce")
                 .long("nonce")
                 .value_name("TEXT")
-                .help("The name of an earlier put that ended in doubt, to settle it"),
+                .help("The nonce of an earlier put with an unknown outcome, to repeat it"),
         )
         .after_help("Example: savoryctl document put sky-writer.json --replaces 4")
 }
--- a/src/operator/document_commands.rs
+++ b/src/operator/document_commands.rs
@@ -1,4 +1,4 @@
-//! The commands below `savoryctl document`.
+//! The subcommands of `savoryctl document`.
 
 use std::fs;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
-fn read_document(matches: &ArgMatches) -> SwitchResult<Vec<u8>> {
+fn read_file(matches: &ArgMatches) -> SwitchResult<Vec<u8>> {
     let file = text(matches, "file");
     fs::read(&file).map_err(|fault| {
         SwitchError::new(
@@ -37,7 +37,7 @@
 }
 
 pub(super) fn check_file(matches: &ArgMatches, is_json: bool) -> Result<(), AdminFailure> {
-    let (_, document) = check_document(&read_document(matches)?).map_err(invalid)?;
+    let (_, document) = check_document(&read_file(matches)?).map_err(invalid)?;
     if is_json {
         print_json(&serde_json::json!({ "service": &*document.service, "faults": [] }));
     } else {
@@ -51,10 +51,10 @@
     put: &ArgMatches,
     is_json: bool,
 ) -> Result<(), AdminFailure> {
-    let body = read_document(put)?;
+    let body = read_file(put)?;
     let (_, document) = check_document(&body).map_err(invalid)?;
     let replaces = put.get_one::<u64>("replaces").copied().unwrap_or_default();
-    // A name that the author gives is that of an earlier try.
+    // A nonce given by the author is that of an earlier attempt, whose outcome is unknown.
     let (nonce, uncertain_attempts) = match text(put, "nonce") {
         given if given.is_empty() => (uuid::Uuid::new_v4().to_string(), 0),
         given => (given, 1),
@@ -63,7 +63,7 @@
         given if given.is_empty() => "unnamed".to_owned(),
         given => given,
     };
-    let call = AdminRequest {
+    let request = AdminRequest {
         method: Method::PUT,
         path: format!(
             "/admin/v1/documents/{}?replaces={replaces}",
@@ -76,14 +76,14 @@
             uncertain_attempts,
         }),
     };
-    let reply: Result<PutReply, AdminFailure> = client_of(matches)?.send(&call).await;
+    let reply: Result<PutReply, AdminFailure> = client_of(matches)?.send(&request).await;
     match reply {
         Ok(reply) if is_json => print_json(&reply),
         Ok(reply) => println!("{}: version {} accepted", reply.service, reply.version),
         Err(mut failure) => {
             if failure.error.kind == ErrorKind::DocumentInDoubt {
                 failure.error.detail = format!(
-                    "{}; settle it by the same command with --nonce {nonce}",
+                    "{}; to settle the outcome, repeat the command with --nonce {nonce}",
                     failure.error.detail
                 );
             }
@@ -93,26 +93,26 @@
     Ok(())
 }
 
-async fn standing(matches: &ArgMatches, service: &str) -> Result<DocumentReply, AdminFailure> {
-    let call = AdminRequest::get(format!("/admin/v1/documents/{service}"));
-    client_of(matches)?.send(&call).await
+async fn fetch_current(matches: &ArgMatches, service: &str) -> Result<DocumentReply, AdminFailure> {
+    let request = AdminRequest::get(format!("/admin/v1/documents/{service}"));
+    client_of(matches)?.send(&request).await
 }
 
 pub(super) async fn get_document(
     matches: &ArgMatches,
     get: &ArgMatches,
 ) -> Result<(), AdminFailure> {
-    let reply = standing(matches, &text(get, "service")).await?;
+    let reply = fetch_current(matches, &text(get, "service")).await?;
     if matches.get_flag("json") {
         print_json(&reply);
         return Ok(());
     }
     eprintln!("version {}, changed by {}", reply.version, reply.changed_by);
     if !reply.from_table {
-        eprintln!("the table is away: this is what is in force on the entry host that answered");
+        eprintln!("the table is unavailable; this is the version in force on the responding host");
     }
     for path in &reply.unknown {
-        eprintln!("{path}: unknown to the entry host that answered; it has no effect there");
+        eprintln!("{path}: unknown to the responding entry host; it has no effect there");
     }
     print_json(&reply.document);
     Ok(())
@@ -123,10 +123,10 @@
     diff: &ArgMatches,
     is_json: bool,
 ) -> Result<(), AdminFailure> {
-    let (wanted, document) = check_document(&read_document(diff)?).map_err(invalid)?;
-    let reply = standing(matches, &document.service).await?;
+    let (given, document) = check_document(&read_file(diff)?).map_err(invalid)?;
+    let reply = fetch_current(matches, &document.service).await?;
     let mut rows = Vec::new();
-    differences(&reply.document, &wanted, "", &mut rows);
+    collect_differences(&reply.document, &given, "", &mut rows);
     if is_json {
         let lines: Vec<Value> = rows
             .iter()
@@ -141,8 +141,8 @@
     Ok(())
 }
 
-fn differences(stands: &Value, given: &Value, path: &str, rows: &mut Vec<Vec<String>>) {
-    match (stands, given) {
+fn collect_differences(current: &Value, given: &Value, path: &str, rows: &mut Vec<Vec<String>>) {
+    match (current, given) {
         (Value::Object(left), Value::Object(right)) => {
             let mut names: Vec<&String> = left.keys().chain(right.keys()).collect();
             names.sort_unstable();
@@ -150,17 +150,26 @@
             for name in names {
                 let (left, right) = (&left.get(name), &right.get(name));
                 let none = &Value::Null;
-                let place = format!("{path}/{name}");
-                differences(left.unwrap_or(none), right.unwrap_or(none), &place, rows);
+                let field_path = format!("{path}/{name}");
+                collect_differences(
+                    left.unwrap_or(none),
+                    right.unwrap_or(none),
+                    &field_path,
+                    rows,
+                );
             }
         }
         (Value::Array(left), Value::Array(right)) if left.len() == right.len() => {
             for (index, (left, right)) in left.iter().zip(right).enumerate() {
-                differences(left, right, &format!("{path}/{index}"), rows);
+                collect_differences(left, right, &format!("{path}/{index}"), rows);
             }
         }
-        (stands, given) if stands != given => {
-            rows.push(vec![path.to_owned(), stands.to_string(), given.to_string()]);
+        (current, given) if current != given => {
+            rows.push(vec![
+                path.to_owned(),
+                current.to_string(),
+                given.to_string(),
+            ]);
         }
         _ => {}
     }
@@ -172,8 +181,8 @@
     is_json: bool,
 ) -> Result<(), AdminFailure> {
     let service = text(history, "service");
-    let call = AdminRequest::get(format!("/admin/v1/documents/{service}/history"));
-    let reply: HistoryReply = client_of(matches)?.send(&call).await?;
+    let request = AdminRequest::get(format!("/admin/v1/documents/{service}/history"));
+    let reply: HistoryReply = client_of(matches)?.send(&request).await?;
     show(&reply, is_json, |reply| {
         let rows: Vec<Vec<String>> = reply.versions.iter().map(history_row).collect();
         print_table(&["VERSION", "CHANGED (UNIX MS)", "BY", "WEIGHTS"], &rows);
@@ -191,7 +200,8 @@
     ]
 }
 
-/// Shows the version in force on each entry host until all have the wanted one.
+/// Prints the version in force on each entry host whenever one changes, until all have the target
+/// version or the time limit has passed.
 pub(super) async fn watch_document(
     matches: &ArgMatches,
     watch: &ArgMatches,
@@ -206,18 +216,18 @@
     loop {
         let versions = versions_in_force(&client, &service).await;
         if versions != shown {
-            tell_versions(&client, &versions, is_json);
+            print_versions(&client, &versions, is_json);
             shown.clone_from(&versions);
         }
-        let wanted = until.unwrap_or(u64::MAX);
+        let target = until.unwrap_or(u64::MAX);
         if versions
             .iter()
-            .all(|version| version.is_some_and(|version| version >= wanted))
+            .all(|version| version.is_some_and(|version| version >= target))
         {
             return Ok(());
         }
         if clock_now().since(started) >= Duration::from_secs(within) {
-            let detail = format!("not everywhere in force after {within} s");
+            let detail = format!("not in force on every entry host after {within} s");
             let is_failure = until.is_some();
             return if is_failure {
                 Err(SwitchError::new(ErrorKind::DeadlinePassed, detail).into())
@@ -232,18 +242,21 @@
 async fn versions_in_force(client: &AdminClient, service: &str) -> Vec<Option<u64>> {
     let mut versions = Vec::new();
     for address in &client.addresses {
-        let call = AdminRequest::get("/admin/v1/state");
-        let reply: Result<StateReply, AdminFailure> = client.send_to(*address, &call).await;
+        let request = AdminRequest::get("/admin/v1/state");
+        let reply: Result<StateReply, AdminFailure> = client.send_to(*address, &request).await;
         let version = reply.ok().map(|reply| {
-            let line = reply.services.iter().find(|line| line.service == service);
-            line.map_or(0, |line| line.version)
+            let summary = reply
+                .services
+                .iter()
+                .find(|summary| summary.service == service);
+            summary.map_or(0, |summary| summary.version)
         });
         versions.push(version);
     }
     versions
 }
 
-fn tell_versions(client: &AdminClient, versions: &[Option<u64>], is_json: bool) {
+fn print_versions(client: &AdminClient, versions: &[Option<u64>], is_json: bool) {
     let pairs = client.addresses.iter().zip(versions);
     if is_json {
         let lines: Vec<Value> = pairs
--- a/src/operator/messages.rs
+++ b/src/operator/messages.rs
@@ -1,155 +1,157 @@
-//! What the administration API answers, in JSON; `savoryctl` reads the same types.
+//! The JSON replies of the administration API, which `savoryctl` parses with the same types.
 
 use macro_rules_attribute::apply;
 
 use crate::derives::message;
 use crate::documents::DocumentFault;
 
-/// A change was accepted.
+/// The reply to an accepted change.
 #[apply(message!)]
 pub(crate) struct PutReply {
     /// The service.
     pub(crate) service: String,
-    /// The version that the change made.
+    /// The version that the change created.
     pub(crate) version: u64,
 }
 
-/// A document as it stands.
+/// One version of a document.
 #[apply(message!)]
 pub(crate) struct DocumentReply {
-    /// Its version.
+    /// The version number.
     pub(crate) version: u64,
-    /// Who changed it.
+    /// The author of the version and the short digest of the author's key.
     pub(crate) changed_by: String,
-    /// When, in Unix milliseconds.
+    /// The time of the change, in Unix milliseconds.
     pub(crate) changed_wall_ms: u64,
-    /// Whether it was read from the table just now; otherwise it is what is in force on the host
-    /// that answers.
+    /// Whether the document was read from the table for this reply. Otherwise it is the version in
+    /// force on the responding host.
     pub(crate) from_table: bool,
-    /// The version in force on the host that answers.
+    /// The version in force on the responding host; 0 if there is none.
     pub(crate) in_force_here: u64,
-    /// Paths of fields that the host that answers does not know; they have no effect there.
+    /// JSON pointers to fields that the responding host does not know; they have no effect there.
     pub(crate) unknown: Vec<String>,
     /// The document.
     pub(crate) document: serde_json::Value,
 }
 
-/// The faults of a document; empty when it has none.
+/// The faults of a document; empty if it is valid.
 #[apply(message!)]
 #[derive(Default)]
 pub(crate) struct FaultsReply {
-    /// All of them.
+    /// All faults that were found.
     pub(crate) faults: Vec<DocumentFault>,
 }
 
-/// What stands instead of a change that was refused.
+/// The current document, sent with the refusal of a conflicting change.
 #[apply(message!)]
 pub(crate) struct CurrentDocumentReply {
-    /// The document that stands; none when there is none.
+    /// The current document; `None` if there is none.
     pub(crate) standing: Option<DocumentReply>,
 }
 
-/// What one entry host knows.
+/// The state known to one entry host.
 #[apply(message!)]
 pub(crate) struct StateReply {
-    /// The host that answers.
+    /// The responding host.
     pub(crate) host: String,
-    /// Its data centre.
+    /// The data centre of the host.
     pub(crate) data_centre: String,
-    /// Whether the table answered it when it last asked.
+    /// Whether the host's last read of the table succeeded.
     pub(crate) table_answers: bool,
-    /// How old, in milliseconds, what it has in force may be; none before it first knew.
+    /// Maximum age, in milliseconds, of the documents in force on the host; `None` before it is
+    /// known.
     pub(crate) documents_age_ms: Option<u64>,
     /// The services with their versions.
     pub(crate) services: Vec<ServiceSummary>,
-    /// Hosts by state.
+    /// The number of hosts in each state.
     pub(crate) hosts: HostCounts,
 }
 
-/// One service in force.
+/// One service with its document in force.
 #[apply(message!)]
 pub(crate) struct ServiceSummary {
     /// The service.
     pub(crate) service: String,
     /// The team that owns it.
     pub(crate) team: String,
-    /// The document's version in force.
+    /// The version of the document in force.
     pub(crate) version: u64,
-    /// The weights that it names.
+    /// The version of the weights that the document specifies.
     pub(crate) weights: Option<String>,
-    /// Backend servers that can be counted on.
+    /// Number of live backend servers.
     pub(crate) live: usize,
-    /// Backend servers whose engines report these weights.
+    /// Number of backend servers whose engines report that they serve these weights.
     pub(crate) serving: usize,
 }
 
-/// Hosts by state.
+/// The number of hosts in each membership state.
 #[apply(message!)]
 #[derive(Copy, Eq, Default)]
 pub(crate) struct HostCounts {
-    /// Live.
+    /// Live hosts.
     pub(crate) live: usize,
-    /// Suspected.
+    /// Suspected hosts.
     pub(crate) suspected: usize,
-    /// Leaving.
+    /// Leaving hosts.
     pub(crate) leaving: usize,
-    /// Gone.
+    /// Unavailable hosts.
     pub(crate) gone: usize,
 }
 
-/// One host.
+/// One host with its state and load.
 #[apply(message!)]
 pub(crate) struct HostSummary {
-    /// Its name.
+    /// The host's name.
     pub(crate) host: String,
-    /// Its data centre.
+    /// The host's data centre.
     pub(crate) data_centre: String,
-    /// Its region.
+    /// The region of the data centre.
     pub(crate) region: String,
     /// `entry` or `backend`.
     pub(crate) role: String,
-    /// The service, for backend servers.
+    /// The service; only for backend servers.
     pub(crate) service: Option<String>,
-    /// `live`, `suspected`, `leaving` or `gone`.
+    /// The membership state: `live`, `suspected`, `leaving` or `gone` (unavailable).
     pub(crate) state: String,
-    /// Requests that its engine runs, if it is watched from here.
+    /// Number of requests that the engine is running; only if the responding host watches this
+    /// host.
     pub(crate) running: Option<u32>,
-    /// Requests that wait there.
+    /// Number of requests waiting for the engine.
     pub(crate) waiting: Option<u32>,
-    /// The version that its engine serves.
+    /// The version that the engine serves.
     pub(crate) serving: Option<String>,
-    /// The version on its way there, with its progress in percent.
+    /// The version that the host is fetching, with the progress in percent.
     pub(crate) staging: Option<String>,
 }
 
 /// The hosts, sorted by name.
 #[apply(message!)]
 pub(crate) struct HostsReply {
-    /// All of them.
+    /// All known hosts.
     pub(crate) hosts: Vec<HostSummary>,
 }
 
-/// The versions of a document, the newest first.
+/// The versions of a document, newest first.
 #[apply(message!)]
 pub(crate) struct HistoryReply {
-    /// All of them.
+    /// The current version and the archived ones.
     pub(crate) versions: Vec<DocumentReply>,
 }
 
-/// Counters of requests on the host that answers.
+/// The request counters of the responding host.
 #[apply(message!)]
 pub(crate) struct RequestsReply {
-    /// Each counter.
+    /// All counters.
     pub(crate) counters: Vec<CounterValue>,
 }
 
-/// One counter.
+/// The value of one counter.
 #[apply(message!)]
 pub(crate) struct CounterValue {
-    /// Its name.
+    /// The name of the metric.
     pub(crate) name: String,
-    /// Its labels, as `name=value` separated by spaces.
+    /// The labels, as `name=value` separated by spaces.
     pub(crate) labels: String,
-    /// Its value.
+    /// The value.
     pub(crate) value: f64,
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,5 @@
-//! Operators: the administration API and the command line on it.
+//! The operators' interface: the administration API of entry hosts and the `savoryctl` command line
+//! that uses it.
 
 mod acceptance_driver;
 mod admin;
@@ -15,7 +16,7 @@
 
 use std::process::ExitCode;
 
-/// The program's main function.
+/// The main function of `savoryctl`.
 #[must_use]
 pub fn operator_main() -> ExitCode {
     let matches = command::command().get_matches();
--- a/src/operator/reply_tables.rs
+++ b/src/operator/reply_tables.rs
@@ -1,4 +1,4 @@
-//! The replies of the administration API as tables.
+//! Prints replies of the administration API as tables.
 
 use super::messages::{FaultsReply, HostSummary, HostsReply, RequestsReply, StateReply};
 use super::text_table::{cell, print_table};
@@ -6,8 +6,8 @@
 pub(super) fn show_state(reply: &StateReply) {
     let age = reply.documents_age_ms;
     let freshness = age.map_or_else(
-        || "not known to be the table's yet".to_owned(),
-        |age| format!("the table's as of {age} ms ago"),
+        || "not confirmed by the table yet".to_owned(),
+        |age| format!("current as of {age} ms ago"),
     );
     let table = if reply.table_answers {
         "answers"
@@ -26,14 +26,14 @@
     let rows: Vec<Vec<String>> = reply
         .services
         .iter()
-        .map(|line| {
+        .map(|summary| {
             vec![
-                line.service.clone(),
-                line.team.clone(),
-                line.version.to_string(),
-                cell(line.weights.as_ref()),
-                line.live.to_string(),
-                line.serving.to_string(),
+                summary.service.clone(),
+                summary.team.clone(),
+                summary.version.to_string(),
+                cell(summary.weights.as_ref()),
+                summary.live.to_string(),
+                summary.serving.to_string(),
             ]
         })
         .collect();
@@ -47,19 +47,19 @@
     let rows: Vec<Vec<String>> = reply
         .hosts
         .iter()
-        .map(|line| {
+        .map(|summary| {
             vec![
-                line.host.clone(),
-                line.data_centre.clone(),
-                line.role.clone(),
-                cell(line.service.as_ref()),
-                line.state.clone(),
-                cell(line.running.as_ref()),
-                cell(line.waiting.as_ref()),
+                summary.host.clone(),
+                summary.data_centre.clone(),
+                summary.role.clone(),
+                cell(summary.service.as_ref()),
+                summary.state.clone(),
+                cell(summary.running.as_ref()),
+                cell(summary.waiting.as_ref()),
             ]
         })
         .collect();
-    let heads = [
+    let headings = [
         "HOST",
         "DATA CENTRE",
         "ROLE",
@@ -68,23 +68,23 @@
         "RUNNING",
         "WAITING",
     ];
-    print_table(&heads, &rows);
+    print_table(&headings, &rows);
 }
 
 pub(super) fn show_weights(reply: &HostsReply) {
-    let is_backend = |line: &&HostSummary| line.role == "backend";
+    let is_backend = |summary: &&HostSummary| summary.role == "backend";
     let rows: Vec<Vec<String>> = reply
         .hosts
         .iter()
         .filter(is_backend)
-        .map(|line| {
+        .map(|summary| {
             vec![
-                line.host.clone(),
-                line.data_centre.clone(),
-                cell(line.service.as_ref()),
-                line.state.clone(),
-                cell(line.serving.as_ref()),
-                cell(line.staging.as_ref()),
+                summary.host.clone(),
+                summary.data_centre.clone(),
+                cell(summary.service.as_ref()),
+                summary.state.clone(),
+                cell(summary.serving.as_ref()),
+                cell(summary.staging.as_ref()),
             ]
         })
         .collect();
@@ -105,11 +105,11 @@
     let rows: Vec<Vec<String>> = reply
         .counters
         .iter()
-        .map(|line| {
+        .map(|summary| {
             vec![
-                line.name.clone(),
-                line.labels.clone(),
-                line.value.to_string(),
+                summary.name.clone(),
+                summary.labels.clone(),
+                summary.value.to_string(),
             ]
         })
         .collect();
--- a/src/operator/run_command.rs
+++ b/src/operator/run_command.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of `savoryctl`.
+//! Runs the commands of `savoryctl`.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,26 +19,26 @@
 use crate::documents::{KeyDigest, json_schema};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult, answer_for};
 
-const EXIT_WRONG_USE: u8 = 2;
-const EXIT_IN_DOUBT: u8 = 3;
+const EXIT_WRONG_USAGE: u8 = 2;
+const EXIT_UNKNOWN_OUTCOME: u8 = 3;
 
-/// Carries out the command in `matches`.
+/// Runs the command in `matches`.
 pub(super) async fn run_command(matches: &ArgMatches) -> ExitCode {
     let is_json = matches.get_flag("json");
-    match carry_out(matches, is_json).await {
+    match execute(matches, is_json).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            tell_failure(&failure, is_json);
+            print_failure(&failure, is_json);
             match failure.error.kind {
-                ErrorKind::DocumentInDoubt => ExitCode::from(EXIT_IN_DOUBT),
-                ErrorKind::SettingInvalid => ExitCode::from(EXIT_WRONG_USE),
+                ErrorKind::DocumentInDoubt => ExitCode::from(EXIT_UNKNOWN_OUTCOME),
+                ErrorKind::SettingInvalid => ExitCode::from(EXIT_WRONG_USAGE),
                 _ => ExitCode::FAILURE,
             }
         }
     }
 }
 
-async fn carry_out(matches: &ArgMatches, is_json: bool) -> Result<(), AdminFailure> {
+async fn execute(matches: &ArgMatches, is_json: bool) -> Result<(), AdminFailure> {
     match matches.subcommand() {
         Some(("document", document)) => match document.subcommand() {
             Some(("check", check)) => check_file(check, is_json),
@@ -109,8 +109,8 @@
     let mut addresses: Vec<SocketAddr> = Vec::new();
     for part in given.split(',').filter(|part| !part.is_empty()) {
         let address = part.trim().parse().map_err(|fault| {
-            setting(format!(
-                "--admin-address: \"{part}\" does not read as IP:PORT: {fault}"
+            invalid_setting(format!(
+                "--admin-address: \"{part}\" is not a valid IP:PORT: {fault}"
             ))
         })?;
         addresses.push(address);
@@ -118,7 +118,7 @@
     if addresses.is_empty() {
         let detail =
             "--admin-address: not given; give IP:PORT of entry hosts (or set SAVORY_ADMIN_ADDRESS)";
-        return Err(setting(detail.to_owned()));
+        return Err(invalid_setting(detail.to_owned()));
     }
     Ok(AdminClient::new(addresses, read_key(matches)?))
 }
@@ -128,29 +128,30 @@
     if file.is_empty() {
         let detail =
             "--key-file: not given; give a file that holds your key (or set SAVORY_KEY_FILE)";
-        return Err(setting(detail.to_owned()));
+        return Err(invalid_setting(detail.to_owned()));
     }
     let key = fs::read_to_string(&file)
-        .map_err(|fault| setting(format!("--key-file: cannot read {file}: {fault}")))?;
+        .map_err(|fault| invalid_setting(format!("--key-file: cannot read {file}: {fault}")))?;
     let key = key.trim();
     if key.is_empty() || !key.bytes().all(|byte| byte.is_ascii_graphic()) {
-        let detail = format!("--key-file: {file} holds no key; give one line of letters and signs");
-        return Err(setting(detail));
+        let detail =
+            format!("--key-file: {file} holds no key; give one line of visible ASCII characters");
+        return Err(invalid_setting(detail));
     }
     Ok(key.to_owned())
 }
 
-fn setting(detail: String) -> SwitchError {
+fn invalid_setting(detail: String) -> SwitchError {
     SwitchError::new(ErrorKind::SettingInvalid, detail)
 }
 
-fn tell_failure(failure: &AdminFailure, is_json: bool) {
+fn print_failure(failure: &AdminFailure, is_json: bool) {
     let code = answer_for(failure.error.kind).code;
     if is_json {
         print_json(&serde_json::json!({
             "error": { "code": code, "message": failure.error.detail },
             "faults": failure.faults.faults,
-            "standing": failure.standing.as_ref().and_then(|reply| reply.standing.as_ref()),
+            "standing": failure.current.as_ref().and_then(|reply| reply.standing.as_ref()),
         }));
         return;
     }
@@ -160,14 +161,14 @@
         failure.error.detail
     );
     show_document_faults(&failure.faults);
-    if let Some(standing) = failure
-        .standing
+    if let Some(current) = failure
+        .current
         .as_ref()
         .and_then(|reply| reply.standing.as_ref())
     {
         eprintln!(
-            "version {} stands, changed by {} at {} (Unix ms); get it, merge, and put again",
-            standing.version, standing.changed_by, standing.changed_wall_ms
+            "the current version is {}, changed by {} at {} (Unix ms); get, merge and put it again",
+            current.version, current.changed_by, current.changed_wall_ms
         );
     }
 }
--- a/src/operator/state_replies.rs
+++ b/src/operator/state_replies.rs
@@ -1,4 +1,4 @@
-//! What an entry host knows, as operators see it.
+//! Creates the replies of the administration API from the state that an entry host knows.
 
 use super::messages::{
     CounterValue, HostCounts, HostSummary, HostsReply, RequestsReply, ServiceSummary, StateReply,
@@ -8,7 +8,7 @@
 use crate::stores::HostRole;
 use crate::time::clock_now;
 
-/// What the host of `control` knows.
+/// The state of the host to which `control` belongs.
 pub(super) fn state_reply(control: &ControlHandle) -> StateReply {
     let snapshot = control.snapshot().load();
     let now = clock_now();
@@ -21,13 +21,13 @@
         services: snapshot
             .services
             .iter()
-            .map(|record| service_line(record, &snapshot))
+            .map(|record| service_summary(record, &snapshot))
             .collect(),
         hosts: host_counts(&snapshot),
     }
 }
 
-fn service_line(record: &ServiceRecord, snapshot: &ControlSnapshot) -> ServiceSummary {
+fn service_summary(record: &ServiceRecord, snapshot: &ControlSnapshot) -> ServiceSummary {
     let document = &record.document;
     let weights = document.weights.as_ref();
     let backends = || {
@@ -68,16 +68,16 @@
     counts
 }
 
-/// The hosts that the host of `control` knows of.
+/// The hosts known to the host to which `control` belongs.
 pub(super) fn hosts_reply(control: &ControlHandle) -> HostsReply {
     let snapshot = control.snapshot().load();
     let hosts = snapshot.members.iter();
     HostsReply {
-        hosts: hosts.map(|member| host_line(member)).collect(),
+        hosts: hosts.map(|member| host_summary(member)).collect(),
     }
 }
 
-fn host_line(member: &MemberRecord) -> HostSummary {
+fn host_summary(member: &MemberRecord) -> HostSummary {
     let status = member.status.as_ref();
     let staging = status.and_then(|status| status.staging.as_ref());
     HostSummary {
@@ -116,15 +116,16 @@
     }
 }
 
-/// The counters of this process that concern requests.
+/// The request counters of this process.
 pub(super) fn requests_reply() -> RequestsReply {
     let text = metrics::render_text();
-    let counters = text.lines().filter_map(counter_line).collect();
+    let counters = text.lines().filter_map(counter_value).collect();
     RequestsReply { counters }
 }
 
-/// One line of Prometheus text, `name{label="value",…} number`.
-fn counter_line(line: &str) -> Option<CounterValue> {
+/// Parses one line of Prometheus text, `name{label="value",…} number`. Returns `None` for other
+/// lines, for histogram buckets and for metrics that are not prefixed `savory_`.
+fn counter_value(line: &str) -> Option<CounterValue> {
     let (series, value) = line.rsplit_once(' ')?;
     let (name, labels) = series.split_once('{').unwrap_or((series, ""));
     if !name.starts_with("savory_") || name.contains("_bucket") {
--- a/src/operator/text_table.rs
+++ b/src/operator/text_table.rs
@@ -1,15 +1,18 @@
-//! Tables for people.
+//! Plain-text tables on standard output.
 
-/// Prints `rows` under `heads`, each column as wide as its widest cell.
-pub(super) fn print_table(heads: &[&str], rows: &[Vec<String>]) {
-    let mut widths: Vec<usize> = heads.iter().map(|head| head.chars().count()).collect();
+/// Prints `rows` below the column headings `headings`. Each column is as wide as its widest cell.
+pub(super) fn print_table(headings: &[&str], rows: &[Vec<String>]) {
+    let mut widths: Vec<usize> = headings
+        .iter()
+        .map(|heading| heading.chars().count())
+        .collect();
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
         }
     }
-    let heads: Vec<String> = heads.iter().map(ToString::to_string).collect();
-    print_row(&heads, &widths);
+    let headings: Vec<String> = headings.iter().map(ToString::to_string).collect();
+    print_row(&headings, &widths);
     for row in rows {
         print_row(row, &widths);
     }
@@ -24,7 +27,7 @@
     println!("{}", padded.join("  ").trim_end());
 }
 
-/// The text of an optional cell.
+/// The text of an optional cell; `-` if it is empty.
 pub(super) fn cell<T: ToString>(value: Option<&T>) -> String {
     value.map_or_else(|| "-".to_owned(), ToString::to_string)
 }
