--- a/src/documents/acceptance.rs
+++ b/src/documents/acceptance.rs
@@ -106,6 +106,7 @@
     /// The revision and record of the row that the change replaces.
     current: Option<(RowRevision, DocumentRecord)>,
     current_row: Bytes,
+    /// The revision and content of the hint row as last read; `None` if it does not exist.
     hint: Option<(RowRevision, Bytes)>,
     /// Whether a write of this attempt or of an earlier one may have taken effect, or may still.
     write_sent: bool,
--- a/src/documents/read_scheduler.rs
+++ b/src/documents/read_scheduler.rs
@@ -51,6 +51,7 @@
     failures: u32,
     /// Whether at least one read has completed or failed since the start.
     attempted: bool,
+    /// Changes listed in the hint row that are not in force in this process yet.
     searched: Vec<SearchedChange>,
     /// The hint row as last read.
     last_hint: HintRecord,
@@ -58,6 +59,7 @@
     pending: Vec<ByteString>,
 }
 
+/// A change from the hint row whose document is read until it is in force or [`SEARCH_FOR`] ends.
 #[derive(Debug)]
 struct SearchedChange {
     version: DocumentVersion,
--- a/src/documents/schema.rs
+++ b/src/documents/schema.rs
@@ -210,7 +210,7 @@
 pub enum RequestPriority {
     /// Served before all other requests.
     Urgent,
-    /// The default priority.
+    /// Served after urgent requests and before batch requests.
     Normal,
     /// Served with the remaining capacity.
     Batch,
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -43,7 +43,9 @@
     /// Time of the last information about the host from the list, the host itself or a neighbour.
     updated_at: ClockTime,
     watch: WatchHealth,
+    /// Number of stream losses, restarted after [`FLAP_WINDOW`] without one.
     losses: u32,
+    /// Time of the last stream loss.
     lost_at: ClockTime,
     state: MemberState,
 }
