--- a/src/documents/tests/mod.rs
+++ b/src/documents/tests/mod.rs
@@ -1,6 +1,6 @@
-//! Tests of documents.
+//! Tests of service documents.
 
 mod acceptance;
 mod check;
-mod table_reader;
+mod read_scheduler;
 mod unknown_fields;
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -13,13 +13,13 @@
 use super::entry_state::EntryState;
 use super::routes::caller_routes;
 use super::settings::{EntrySettings, SPECS};
-use crate::control::{ControlEdges, ControlHandle, start_control};
+use crate::control::{ControlAdapters, ControlHandle, start_control};
 use crate::daemon::{DrainState, probe_routes, register_stop_signals, run_process};
 use crate::delivery::{HostClient, events};
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::gateway::run_gateway;
-use crate::membership::StatusBoard;
+use crate::membership::StatusPublisher;
 use crate::operator::admin_routes;
 use crate::platform::{PLATFORM_COMMAND, run_on_platform, with_platform};
 use crate::settings::{SettingReader, SettingsFaults};
@@ -123,11 +123,11 @@
     settings: &EntrySettings,
     client: &Arc<PeerClient>,
     drain: &DrainState,
-) -> (ControlHandle, StatusBoard) {
+) -> (ControlHandle, StatusPublisher) {
     let common = &settings.common;
     let identity = common.identity(HostRole::Entry, None);
-    let own_status = StatusBoard::new(identity.host.clone(), identity.incarnation);
-    let edges = ControlEdges {
+    let own_status = StatusPublisher::new(identity.host.clone(), identity.incarnation);
+    let edges = ControlAdapters {
         table: common.table(),
         list: common.host_list(),
         client: client.clone(),
@@ -148,7 +148,7 @@
 /// refused only after `linger`, when the load balancer has had time to stop sending them.
 async fn leave_on_drain(
     state: Arc<EntryState>,
-    own_status: StatusBoard,
+    own_status: StatusPublisher,
     drain: DrainState,
     linger: Duration,
 ) {
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -143,7 +143,7 @@
         )?;
         let now = clock_now();
         let deadlines = &service.document.deadlines;
-        let longest = deadlines.of(headers.priority);
+        let longest = deadlines.for_priority(headers.priority);
         let deadline_ms = headers
             .deadline_ms
             .map_or(longest, |requested| requested.min(longest));
--- a/src/guard/run_endpoints.rs
+++ b/src/guard/run_endpoints.rs
@@ -20,7 +20,7 @@
 use crate::engines::EngineAdapter;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
-use crate::membership::{HostIdentity, StatusBoard};
+use crate::membership::{HostIdentity, StatusPublisher};
 use crate::metrics::set_gauge;
 use crate::time::clock_now;
 use crate::transport::{error_response, frame_channel, message_response, read_message};
@@ -41,7 +41,7 @@
     /// The gate between requests and changes of version.
     pub(crate) gate: ServingGate,
     /// Publishes the load of this process.
-    pub(crate) board: StatusBoard,
+    pub(crate) board: StatusPublisher,
     /// State of the graceful shutdown.
     pub(crate) drain: DrainState,
 }
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -14,7 +14,7 @@
 use crate::documents::RequestPriority;
 use crate::engines::{EngineAdapter, PlainAdapter};
 use crate::errors::{ErrorKind, RunOutcome, SwitchError, SwitchResult};
-use crate::membership::{LoadReport, StatusBoard};
+use crate::membership::{LoadReport, StatusPublisher};
 use crate::time::{ClockTime, clock_now};
 
 /// Interval at which a queued call checks whether it was withdrawn.
@@ -35,7 +35,7 @@
     pub(crate) incarnation: u64,
     pub(crate) backend: LocalBackend,
     pub(crate) gate: ServingGate,
-    pub(crate) board: StatusBoard,
+    pub(crate) board: StatusPublisher,
     pub(crate) drain: DrainState,
     pub(crate) state: Mutex<GuardState>,
 }
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -9,12 +9,12 @@
 use volo_http::server::route::Router;
 
 use super::settings::{EngineDialect, HostSettings};
-use crate::control::{ControlEdges, ControlHandle, start_control};
+use crate::control::{ControlAdapters, ControlHandle, start_control};
 use crate::daemon::{DrainState, probe_routes};
 use crate::engines::{EngineAdapter, HttpPlainAdapter, JsonStateAdapter, MetricsTextAdapter};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::guard::{GuardContext, GuardLimits, LocalBackend, ServingGate, start_guard};
-use crate::membership::StatusBoard;
+use crate::membership::StatusPublisher;
 use crate::settings::CommonSettings;
 use crate::stores::http::HttpWeights;
 use crate::stores::{HostRole, WeightSource};
@@ -47,7 +47,7 @@
 /// The handles to the started components that [`run_host`] needs.
 struct HostComponents {
     routes: Router,
-    own_status: StatusBoard,
+    own_status: StatusPublisher,
     drain: DrainState,
 }
 
@@ -56,10 +56,10 @@
         let common = &settings.common;
         let mut identity = common.identity(HostRole::Backend, Some(settings.service.clone()));
         identity.peer_address = address;
-        let own_status = StatusBoard::new(identity.host.clone(), identity.incarnation);
+        let own_status = StatusPublisher::new(identity.host.clone(), identity.incarnation);
         let drain = common.drain_state();
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
-        let edges = ControlEdges {
+        let edges = ControlAdapters {
             table: common.table(),
             list: common.host_list(),
             client: Arc::clone(&client),
@@ -119,7 +119,7 @@
     control: ControlHandle,
     client: Arc<PeerClient>,
     gate: ServingGate,
-    own_status: StatusBoard,
+    own_status: StatusPublisher,
     drain: DrainState,
 }
 
@@ -175,7 +175,7 @@
 }
 
 /// Announces that this host is leaving as soon as its graceful stop begins.
-async fn announce_leaving(drain: DrainState, own_status: StatusBoard) {
+async fn announce_leaving(drain: DrainState, own_status: StatusPublisher) {
     drain.wait_begun().await;
     own_status.update(|status| status.leaving = true);
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,21 +1,22 @@
-//! Operators: the administration API and the command line on it.
+//! The operators' interface: the administration API of entry hosts and the `savoryctl` command line
+//! that uses it.
 
+mod acceptance_driver;
 mod admin;
 pub(crate) mod admin_client;
-mod change_put;
 mod command;
 mod document_commands;
 pub(crate) mod messages;
+mod reply_tables;
 mod run_command;
-mod state_views;
-mod tables;
-mod views;
+mod state_replies;
+mod text_table;
 
 pub(crate) use admin::admin_routes;
 
 use std::process::ExitCode;
 
-/// The program's main function.
+/// The main function of `savoryctl`.
 #[must_use]
 pub fn operator_main() -> ExitCode {
     let matches = command::command().get_matches();
--- a/src/operator/run_command.rs
+++ b/src/operator/run_command.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of `savoryctl`.
+//! Runs the commands of `savoryctl`.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -7,36 +7,38 @@
 use clap::ArgMatches;
 use serde::Serialize;
 
-use super::admin_client::{AdminCall, AdminClient, AdminFailure};
+use super::admin_client::{AdminClient, AdminFailure, AdminRequest};
 use super::command::text;
 use super::document_commands::{
     check_file, diff_document, get_document, put_document, show_history, watch_document,
 };
 use super::messages::{HostsReply, RequestsReply, StateReply};
-use super::views::{show_document_faults, show_hosts, show_requests, show_state, show_weights};
+use super::reply_tables::{
+    show_document_faults, show_hosts, show_requests, show_state, show_weights,
+};
 use crate::documents::{KeyDigest, json_schema};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult, error_spec};
 
-const EXIT_WRONG_USE: u8 = 2;
-const EXIT_IN_DOUBT: u8 = 3;
+const EXIT_WRONG_USAGE: u8 = 2;
+const EXIT_UNKNOWN_OUTCOME: u8 = 3;
 
-/// Carries out the command in `matches`.
+/// Runs the command in `matches`.
 pub(super) async fn run_command(matches: &ArgMatches) -> ExitCode {
     let is_json = matches.get_flag("json");
-    match carry_out(matches, is_json).await {
+    match execute(matches, is_json).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            tell_failure(&failure, is_json);
+            print_failure(&failure, is_json);
             match failure.error.kind {
-                ErrorKind::DocumentInDoubt => ExitCode::from(EXIT_IN_DOUBT),
-                ErrorKind::SettingInvalid => ExitCode::from(EXIT_WRONG_USE),
+                ErrorKind::DocumentInDoubt => ExitCode::from(EXIT_UNKNOWN_OUTCOME),
+                ErrorKind::SettingInvalid => ExitCode::from(EXIT_WRONG_USAGE),
                 _ => ExitCode::FAILURE,
             }
         }
     }
 }
 
-async fn carry_out(matches: &ArgMatches, is_json: bool) -> Result<(), AdminFailure> {
+async fn execute(matches: &ArgMatches, is_json: bool) -> Result<(), AdminFailure> {
     match matches.subcommand() {
         Some(("document", document)) => match document.subcommand() {
             Some(("check", check)) => check_file(check, is_json),
@@ -65,15 +67,17 @@
     let client = client_of(matches)?;
     match view {
         "state" => {
-            let reply: StateReply = client.ask(&AdminCall::get("/admin/v1/state")).await?;
+            let reply: StateReply = client.send(&AdminRequest::get("/admin/v1/state")).await?;
             show(&reply, is_json, show_state);
         }
         "requests" => {
-            let reply: RequestsReply = client.ask(&AdminCall::get("/admin/v1/requests")).await?;
+            let reply: RequestsReply = client
+                .send(&AdminRequest::get("/admin/v1/requests"))
+                .await?;
             show(&reply, is_json, show_requests);
         }
         _ => {
-            let reply: HostsReply = client.ask(&AdminCall::get("/admin/v1/hosts")).await?;
+            let reply: HostsReply = client.send(&AdminRequest::get("/admin/v1/hosts")).await?;
             let table = if view == "weights" {
                 show_weights
             } else {
@@ -105,8 +109,8 @@
     let mut addresses: Vec<SocketAddr> = Vec::new();
     for part in given.split(',').filter(|part| !part.is_empty()) {
         let address = part.trim().parse().map_err(|fault| {
-            setting(format!(
-                "--admin-address: \"{part}\" does not read as IP:PORT: {fault}"
+            invalid_setting(format!(
+                "--admin-address: \"{part}\" is not a valid IP:PORT: {fault}"
             ))
         })?;
         addresses.push(address);
@@ -114,7 +118,7 @@
     if addresses.is_empty() {
         let detail =
             "--admin-address: not given; give IP:PORT of entry hosts (or set SAVORY_ADMIN_ADDRESS)";
-        return Err(setting(detail.to_owned()));
+        return Err(invalid_setting(detail.to_owned()));
     }
     Ok(AdminClient::new(addresses, read_key(matches)?))
 }
@@ -124,29 +128,30 @@
     if file.is_empty() {
         let detail =
             "--key-file: not given; give a file that holds your key (or set SAVORY_KEY_FILE)";
-        return Err(setting(detail.to_owned()));
+        return Err(invalid_setting(detail.to_owned()));
     }
     let key = fs::read_to_string(&file)
-        .map_err(|fault| setting(format!("--key-file: cannot read {file}: {fault}")))?;
+        .map_err(|fault| invalid_setting(format!("--key-file: cannot read {file}: {fault}")))?;
     let key = key.trim();
     if key.is_empty() || !key.bytes().all(|byte| byte.is_ascii_graphic()) {
-        let detail = format!("--key-file: {file} holds no key; give one line of letters and signs");
-        return Err(setting(detail));
+        let detail =
+            format!("--key-file: {file} holds no key; give one line of visible ASCII characters");
+        return Err(invalid_setting(detail));
     }
     Ok(key.to_owned())
 }
 
-fn setting(detail: String) -> SwitchError {
+fn invalid_setting(detail: String) -> SwitchError {
     SwitchError::new(ErrorKind::SettingInvalid, detail)
 }
 
-fn tell_failure(failure: &AdminFailure, is_json: bool) {
+fn print_failure(failure: &AdminFailure, is_json: bool) {
     let code = error_spec(failure.error.kind).code;
     if is_json {
         print_json(&serde_json::json!({
             "error": { "code": code, "message": failure.error.detail },
             "faults": failure.faults.faults,
-            "standing": failure.standing.as_ref().and_then(|reply| reply.standing.as_ref()),
+            "standing": failure.current.as_ref().and_then(|reply| reply.standing.as_ref()),
         }));
         return;
     }
@@ -156,14 +161,14 @@
         failure.error.detail
     );
     show_document_faults(&failure.faults);
-    if let Some(standing) = failure
-        .standing
+    if let Some(current) = failure
+        .current
         .as_ref()
         .and_then(|reply| reply.standing.as_ref())
     {
         eprintln!(
-            "version {} stands, changed by {} at {} (Unix ms); get it, merge, and put again",
-            standing.version, standing.changed_by, standing.changed_wall_ms
+            "the current version is {}, changed by {} at {} (Unix ms); get, merge and put it again",
+            current.version, current.changed_by, current.changed_wall_ms
         );
     }
 }
--- a/src/operator/state_views.rs
+++ b/src/operator/state_replies.rs
@@ -1,14 +1,14 @@
-//! What an entry host knows, as operators see it.
+//! Creates the replies of the administration API from the state that an entry host knows.
 
 use super::messages::{
-    CounterLine, HostCounts, HostLine, HostsReply, RequestsReply, ServiceLine, StateReply,
+    CounterValue, HostCounts, HostSummary, HostsReply, RequestsReply, ServiceSummary, StateReply,
 };
 use crate::control::{ControlHandle, ControlSnapshot, MemberRecord, MemberState, ServiceRecord};
 use crate::metrics;
 use crate::stores::HostRole;
 use crate::time::clock_now;
 
-/// What the host of `control` knows.
+/// The state of the host to which `control` belongs.
 pub(super) fn state_reply(control: &ControlHandle) -> StateReply {
     let snapshot = control.snapshot().load();
     let now = clock_now();
@@ -21,13 +21,13 @@
         services: snapshot
             .services
             .iter()
-            .map(|record| service_line(record, &snapshot))
+            .map(|record| service_summary(record, &snapshot))
             .collect(),
         hosts: host_counts(&snapshot),
     }
 }
 
-fn service_line(record: &ServiceRecord, snapshot: &ControlSnapshot) -> ServiceLine {
+fn service_summary(record: &ServiceRecord, snapshot: &ControlSnapshot) -> ServiceSummary {
     let document = &record.document;
     let weights = document.weights.as_ref();
     let backends = || {
@@ -43,7 +43,7 @@
             .and_then(|status| status.serving.as_ref());
         serving.map(|serving| &serving.version) == weights.map(|weights| &weights.version)
     };
-    ServiceLine {
+    ServiceSummary {
         service: document.service.to_string(),
         team: document.team.to_string(),
         version: record.version,
@@ -62,25 +62,25 @@
             MemberState::Live => counts.live += 1,
             MemberState::Suspected => counts.suspected += 1,
             MemberState::Leaving => counts.leaving += 1,
-            MemberState::Gone => counts.gone += 1,
+            MemberState::Unavailable => counts.gone += 1,
         }
     }
     counts
 }
 
-/// The hosts that the host of `control` knows of.
+/// The hosts known to the host to which `control` belongs.
 pub(super) fn hosts_reply(control: &ControlHandle) -> HostsReply {
     let snapshot = control.snapshot().load();
     let hosts = snapshot.members.iter();
     HostsReply {
-        hosts: hosts.map(|member| host_line(member)).collect(),
+        hosts: hosts.map(|member| host_summary(member)).collect(),
     }
 }
 
-fn host_line(member: &MemberRecord) -> HostLine {
+fn host_summary(member: &MemberRecord) -> HostSummary {
     let status = member.status.as_ref();
     let staging = status.and_then(|status| status.staging.as_ref());
-    HostLine {
+    HostSummary {
         host: member.host.to_string(),
         data_centre: member.data_centre.to_string(),
         region: member.region.to_string(),
@@ -112,19 +112,20 @@
         MemberState::Live => "live",
         MemberState::Suspected => "suspected",
         MemberState::Leaving => "leaving",
-        MemberState::Gone => "gone",
+        MemberState::Unavailable => "gone",
     }
 }
 
-/// The counters of this process that concern requests.
+/// The request counters of this process.
 pub(super) fn requests_reply() -> RequestsReply {
     let text = metrics::render_text();
-    let counters = text.lines().filter_map(counter_line).collect();
+    let counters = text.lines().filter_map(counter_value).collect();
     RequestsReply { counters }
 }
 
-/// One line of Prometheus text, `name{label="value",…} number`.
-fn counter_line(line: &str) -> Option<CounterLine> {
+/// Parses one line of Prometheus text, `name{label="value",…} number`. Returns `None` for other
+/// lines, for histogram buckets and for metrics that are not prefixed `savory_`.
+fn counter_value(line: &str) -> Option<CounterValue> {
     let (series, value) = line.rsplit_once(' ')?;
     let (name, labels) = series.split_once('{').unwrap_or((series, ""));
     if !name.starts_with("savory_") || name.contains("_bucket") {
@@ -136,7 +137,7 @@
         .filter(|label| !label.starts_with("otel_"))
         .map(|label| label.replace('"', ""))
         .collect();
-    Some(CounterLine {
+    Some(CounterValue {
         name: name.to_owned(),
         labels: labels.join(" "),
         value: value.parse().ok()?,
--- a/src/routing/backend_pool.rs
+++ b/src/routing/backend_pool.rs
@@ -252,7 +252,7 @@
     /// that its key is not reused before.
     fn remove(&mut self, key: BackendKey) {
         if let Some(backend) = self.backend_mut(key) {
-            backend.state = MemberState::Gone;
+            backend.state = MemberState::Unavailable;
         }
         self.by_host.retain(|known| *known != key);
         self.release(key);
@@ -299,7 +299,7 @@
     };
     member.role == HostRole::Backend
         && member.service.as_ref() == Some(&document.service)
-        && member.state != MemberState::Gone
+        && member.state != MemberState::Unavailable
         && is_selected
         && document.data_centres.contains(&member.data_centre)
 }
--- a/src/weights/weights_tasks.rs
+++ b/src/weights/weights_tasks.rs
@@ -16,7 +16,7 @@
 use crate::daemon::DrainState;
 use crate::engines::EngineAdapter;
 use crate::guard::ServingGate;
-use crate::membership::StatusBoard;
+use crate::membership::StatusPublisher;
 use crate::stores::{TableStore, WeightSource};
 use crate::transport::PeerClient;
 
@@ -41,7 +41,7 @@
     /// The gate that admits requests.
     pub(crate) gate: ServingGate,
     /// Publishes the version that this process serves.
-    pub(crate) board: StatusBoard,
+    pub(crate) board: StatusPublisher,
     /// State of the graceful stop.
     pub(crate) drain: DrainState,
 }
