--- a/src/fleet/backend_facts.rs
+++ b/src/fleet/backend_facts.rs
@@ -91,7 +91,8 @@
     /// Its name. A restarted backend server keeps its name but none of its former state.
     pub(crate) id: ByteString,
     /// Start time by its own clock, if reported. Together with `id` it identifies an incarnation.
-    pub(crate) born: Option<WallTime>,
+    #[serde(rename = "born")]
+    pub(crate) start_time: Option<WallTime>,
     /// Sequence number of this update among the updates of this incarnation, if reported.
     #[serde(rename = "told")]
     pub(crate) sequence: Option<u64>,
@@ -122,15 +123,15 @@
 }
 
 impl IncarnationOrder {
-    /// Compares an incarnation that started at `born` with one that started at `known`.
+    /// Compares an incarnation that started at `start_time` with one that started at `known`.
     ///
     /// A restarted backend server has no weights and no requests, while reports, responses and
     /// store entries of its former incarnation may still arrive. If these were applied, requests
     /// would go to an engine without weights, or an engine in service would get none.
-    pub(crate) fn of(born: Option<WallTime>, known: Option<WallTime>) -> Self {
-        match (born, known) {
-            (Some(born), Some(known)) if born < known => Self::Older,
-            (Some(born), Some(known)) if born > known => Self::Newer,
+    pub(crate) fn of(start_time: Option<WallTime>, known: Option<WallTime>) -> Self {
+        match (start_time, known) {
+            (Some(start_time), Some(known)) if start_time < known => Self::Older,
+            (Some(start_time), Some(known)) if start_time > known => Self::Newer,
             _ => Self::Same,
         }
     }
@@ -151,7 +152,8 @@
     /// The backend server's address for requests.
     pub(crate) address: SocketAddr,
     /// Its start time by its own clock, if known.
-    pub(crate) born: Option<WallTime>,
+    #[serde(rename = "born")]
+    pub(crate) start_time: Option<WallTime>,
     /// Requests in progress.
     pub(crate) active: u32,
     /// Queued requests.
@@ -170,7 +172,7 @@
     /// ignored.
     pub(crate) fn changes_weights(&self, known: &Self) -> bool {
         self.is_loading != known.is_loading
-            || self.born != known.born
+            || self.start_time != known.start_time
             || self.holdings != known.holdings
     }
 }
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -110,7 +110,7 @@
     /// gets no requests before its new entry, which follows within a heartbeat.
     pub(super) fn facts_after_restart(&self, report: &LoadReport) -> BackendFacts {
         BackendFacts {
-            born: report.born,
+            start_time: report.start_time,
             sequence: None,
             holdings: report.holdings.clone(),
             ..(*self.facts).clone()
@@ -121,15 +121,15 @@
         if self.facts.holdings != facts.holdings {
             self.holdings = facts.holdings.clone();
         }
-        let born = facts.born.or(self.facts.born);
+        let start_time = facts.start_time.or(self.facts.start_time);
         self.facts = facts.clone();
-        self.set_born(born);
+        self.set_start_time(start_time);
     }
 
-    fn set_born(&mut self, born: Option<WallTime>) {
-        if self.facts.born != born {
+    fn set_start_time(&mut self, start_time: Option<WallTime>) {
+        if self.facts.start_time != start_time {
             let mut facts = (*self.facts).clone();
-            facts.born = born;
+            facts.start_time = start_time;
             self.facts = Arc::new(facts);
         }
     }
@@ -226,7 +226,7 @@
 
     /// Takes in a load report from the process colocated with it.
     pub(super) fn note_report(&mut self, report: LoadReport, now: ClockTime) {
-        self.set_born(report.born.or(self.facts.born));
+        self.set_start_time(report.start_time.or(self.facts.start_time));
         self.set_reported(report.active.saturating_add(report.queued), now);
         let span = if report.is_loading {
             LOADING_EXPIRY
--- a/src/fleet/backend_registry.rs
+++ b/src/fleet/backend_registry.rs
@@ -118,7 +118,7 @@
     }
 
     fn apply_listed(&mut self, facts: &Arc<BackendFacts>) {
-        if IncarnationOrder::of(facts.born, self.newest_start_time(&facts.id))
+        if IncarnationOrder::of(facts.start_time, self.newest_start_time(&facts.id))
             == IncarnationOrder::Older
         {
             return;
@@ -141,7 +141,9 @@
         let Some(record) = self.get_mut(key) else {
             return;
         };
-        if IncarnationOrder::of(facts.born, record.facts.born) == IncarnationOrder::Newer {
+        if IncarnationOrder::of(facts.start_time, record.facts.start_time)
+            == IncarnationOrder::Newer
+        {
             self.replace(at, facts);
             return;
         }
@@ -160,17 +162,17 @@
         found.ok().map(|at| self.start_times[at].1)
     }
 
-    /// Remembers that an incarnation of `id` started at `born`.
-    fn note_start_time(&mut self, id: &ByteString, born: Option<WallTime>) {
-        let Some(born) = born else {
+    /// Remembers that an incarnation of `id` started at `start_time`.
+    fn note_start_time(&mut self, id: &ByteString, start_time: Option<WallTime>) {
+        let Some(start_time) = start_time else {
             return;
         };
         match self
             .start_times
             .binary_search_by(|(known, _)| known.cmp(id))
         {
-            Ok(at) => self.start_times[at].1 = self.start_times[at].1.max(born),
-            Err(at) => self.start_times.insert(at, (id.clone(), born)),
+            Ok(at) => self.start_times[at].1 = self.start_times[at].1.max(start_time),
+            Err(at) => self.start_times.insert(at, (id.clone(), start_time)),
         }
         if self.start_times.len() > START_TIMES_MAX {
             let listed = &self.by_id;
@@ -202,7 +204,7 @@
             facts.holdings
         );
         self.records.push(Some(BackendRecord::new(facts.clone())));
-        self.note_start_time(&facts.id, facts.born);
+        self.note_start_time(&facts.id, facts.start_time);
         key
     }
 
@@ -316,7 +318,7 @@
         let Some(record) = self.get_mut(key) else {
             return;
         };
-        match IncarnationOrder::of(report.born, record.facts.born) {
+        match IncarnationOrder::of(report.start_time, record.facts.start_time) {
             IncarnationOrder::Older => {}
             IncarnationOrder::Same => record.note_report(report, now),
             IncarnationOrder::Newer => {
--- a/src/fleet/registry_limits.rs
+++ b/src/fleet/registry_limits.rs
@@ -32,7 +32,8 @@
             return;
         };
         if let Some(record) = self.get_mut(key)
-            && IncarnationOrder::of(announcement.born, record.facts.born) == IncarnationOrder::Same
+            && IncarnationOrder::of(announcement.start_time, record.facts.start_time)
+                == IncarnationOrder::Same
             && record.limit.apply_announcement(announcement)
         {
             log_limit_change(record, announcement.rate);
@@ -47,7 +48,7 @@
             let (rate, at) = record.limit.take_pending(now)?;
             Some(LimitAnnouncement {
                 address: record.facts.address,
-                born: record.facts.born,
+                start_time: record.facts.start_time,
                 rate,
                 at,
             })
--- a/src/fleet/request_limit.rs
+++ b/src/fleet/request_limit.rs
@@ -20,7 +20,8 @@
     /// The backend server's address for requests.
     pub(crate) address: SocketAddr,
     /// Its start time by its own clock, if known.
-    pub(crate) born: Option<WallTime>,
+    #[serde(rename = "born")]
+    pub(crate) start_time: Option<WallTime>,
     /// Requests per second; none if it no longer advertises a limit.
     pub(crate) rate: Option<f64>,
     /// When it advertised this, on the store's clock.
--- a/src/fleet/tests/incarnations.rs
+++ b/src/fleet/tests/incarnations.rs
@@ -9,24 +9,24 @@
 
 const LATER: Duration = Duration::from_millis(50);
 
-fn started_at(born: u64, version: u64) -> BackendFacts {
+fn started_at(start_time: u64, version: u64) -> BackendFacts {
     BackendFacts {
-        born: Some(WallTime(born)),
+        start_time: Some(WallTime(start_time)),
         ..facts("a", "here", version)
     }
 }
 
-fn empty_since(born: u64) -> BackendFacts {
+fn empty_since(start_time: u64) -> BackendFacts {
     BackendFacts {
         holdings: EngineHoldings::default(),
-        ..started_at(born, 1)
+        ..started_at(start_time, 1)
     }
 }
 
 fn report_of(facts: &BackendFacts, active: u32) -> LoadReport {
     LoadReport {
         address: facts.address,
-        born: facts.born,
+        start_time: facts.start_time,
         active,
         queued: 0,
         is_loading: false,
--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -19,7 +19,7 @@
 fn facts(id: &str, data_centre: &str, version: u64) -> BackendFacts {
     let version = WeightsVersion(version);
     BackendFacts {
-        born: None,
+        start_time: None,
         sequence: None,
         id: ByteString::from(id),
         service: "writer".into(),
@@ -119,7 +119,7 @@
 fn the_announcement_of_a_load_expires() {
     let backend = facts("a", "here", 1);
     let report = LoadReport {
-        born: None,
+        start_time: None,
         address: backend.address,
         active: 0,
         queued: 0,
--- a/src/fleet/tests/request_limits.rs
+++ b/src/fleet/tests/request_limits.rs
@@ -51,7 +51,7 @@
 fn announcement(rate: Option<f64>, at: ClockTime) -> LimitAnnouncement {
     LimitAnnouncement {
         address: ([10, 0, 0, 1], 80).into(),
-        born: None,
+        start_time: None,
         rate,
         at: StoreTime(at.0),
     }
@@ -111,16 +111,16 @@
     let registry = shared_registry();
     registry.lock().apply_limit(&announcement(Some(0.0), NOW));
     let mut restarted = facts("a", "here", 1);
-    restarted.born = Some(WallTime(2));
+    restarted.start_time = Some(WallTime(2));
     let mut started = restarted.clone();
-    started.born = Some(WallTime(3));
+    started.start_time = Some(WallTime(3));
     for facts in [restarted, started] {
         let backends = vec![facts.into()];
         registry.lock().set_fleet(&FleetView { backends });
     }
     assert_eq!(sent_to_a(&registry, NOW), 100);
     registry.lock().apply_limit(&LimitAnnouncement {
-        born: Some(WallTime(2)),
+        start_time: Some(WallTime(2)),
         ..announcement(Some(0.0), NOW)
     });
     assert_eq!(sent_to_a(&registry, NOW), 100);
--- a/src/fleet/tests/thundering_herds.rs
+++ b/src/fleet/tests/thundering_herds.rs
@@ -48,7 +48,7 @@
     let facts = engine(id);
     LoadReport {
         address: facts.address,
-        born: None,
+        start_time: None,
         active,
         queued: 0,
         is_loading: false,
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -148,7 +148,7 @@
                 for registry in &mut self.registries {
                     let report = LoadReport {
                         address: facts.address,
-                        born: None,
+                        start_time: None,
                         active: load,
                         queued: 0,
                         is_loading: false,
--- a/src/gateway/crash_detector.rs
+++ b/src/gateway/crash_detector.rs
@@ -13,7 +13,7 @@
 use crate::fleet::{BackendFacts, BackendKey};
 use crate::metrics;
 use crate::quarantine::{BackendIncarnation, RecentAnswers, RequestDigest};
-use crate::sync::SharedControlState;
+use crate::sync::SharedDeploymentState;
 use crate::time::{ClockTime, clock_now};
 
 /// How long requests are collected that were interrupted together with the first one.
@@ -33,17 +33,17 @@
 /// Detects crashes and records the requests that were in progress. Clones share their state.
 #[derive(Clone, Debug)]
 pub(super) struct CrashDetector {
-    control_state: SharedControlState,
+    deployment_state: SharedDeploymentState,
     /// Interrupted requests at backend servers that are being probed.
     interrupted: Arc<Mutex<Vec<InterruptedRequest>>>,
     answered: Arc<Mutex<RecentAnswers>>,
 }
 
 impl CrashDetector {
-    /// Creates a detector that records crashes in `control_state`.
-    pub(super) fn new(control_state: SharedControlState) -> Self {
+    /// Creates a detector that records crashes in `deployment_state`.
+    pub(super) fn new(deployment_state: SharedDeploymentState) -> Self {
         Self {
-            control_state,
+            deployment_state,
             interrupted: Arc::default(),
             answered: Arc::default(),
         }
@@ -64,7 +64,7 @@
             is_probed
         };
         if !is_probed {
-            let incarnation = BackendIncarnation::of(&backend.id, backend.born);
+            let incarnation = BackendIncarnation::of(&backend.id, backend.start_time);
             let (id, address) = (backend.id.clone(), backend.address);
             tokio::spawn(
                 self.clone()
@@ -94,7 +94,7 @@
                 "backend={id} requests={}",
                 request_list.join(",")
             );
-            self.control_state
+            self.deployment_state
                 .change(|state| state.note_crash(incarnation, &requests, now));
         }
     }
@@ -116,7 +116,7 @@
     /// Records that `request` was answered in full at `now`.
     pub(super) fn note_answered(&self, request: RequestDigest, now: ClockTime) {
         self.lock_answered().push(request, now);
-        let crashes = self.control_state.snapshot().load().crashes.clone();
+        let crashes = self.deployment_state.snapshot().load().crashes.clone();
         if crashes.is_at_risk(request, now) {
             self.clear(request);
         }
@@ -125,7 +125,7 @@
     /// Returns how long after `now` `request` must not be sent to any backend server, or `None` if
     /// it is not quarantined.
     pub(super) fn quarantine(&self, request: RequestDigest, now: ClockTime) -> Option<Duration> {
-        let crashes = self.control_state.snapshot().load().crashes.clone();
+        let crashes = self.deployment_state.snapshot().load().crashes.clone();
         let left = crashes.quarantine(request, now)?;
         if self.was_answered(request, now) {
             // Entry hosts that have not seen the complete response still suspect it.
@@ -137,11 +137,11 @@
 
     /// Returns whether there are any crash records.
     pub(super) fn has_suspects(&self) -> bool {
-        !self.control_state.snapshot().load().crashes.is_empty()
+        !self.deployment_state.snapshot().load().crashes.is_empty()
     }
 
     fn clear(&self, request: RequestDigest) {
-        self.control_state
+        self.deployment_state
             .change(|state| state.clear_request(request));
     }
 
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -20,7 +20,7 @@
 use crate::events::log_event;
 use crate::overload::EntryHostId;
 use crate::platform::{PlatformBounds, PlatformSettings, READY_PATH};
-use crate::sync::{ControlState, EntryRecord, SharedControlState, SyncSettings, start_sync};
+use crate::sync::{DeploymentState, EntryRecord, SharedDeploymentState, SyncSettings, start_sync};
 use crate::time::clock_now;
 use crate::transport::{HttpServer, bind_listener, start_metrics};
 
@@ -53,10 +53,10 @@
     let callers = bind_listener(callers).await?;
     let ready = bind_listener(ready).await?;
     start_metrics(settings.metrics_address, drain.clone()).await?;
-    let control_state = start_sync(sync, drain.clone());
+    let deployment_state = start_sync(sync, drain.clone());
     let gateway = Arc::new(GatewayState::new(GatewayParts {
-        snapshot: control_state.snapshot(),
-        crash_detector: CrashDetector::new(control_state.clone()),
+        snapshot: deployment_state.snapshot(),
+        crash_detector: CrashDetector::new(deployment_state.clone()),
         me: EntryHostId {
             data_centre: settings.data_centre.clone(),
             host: settings.host.clone(),
@@ -64,7 +64,7 @@
         drain: drain.clone(),
         bounds: settings.bounds,
     }));
-    let relay = ReportRelay::bind(gateway.clone(), control_state.clone(), me).await?;
+    let relay = ReportRelay::bind(gateway.clone(), deployment_state.clone(), me).await?;
     tokio::spawn(relay.run());
     tokio::spawn(watch_stop(gateway.clone()));
     log_event!(
@@ -77,7 +77,7 @@
             .map_or_else(|_| "-".to_owned(), |address| address.to_string())
     );
     let caller_routes = caller_routes(gateway);
-    let ready_routes = ready_routes(control_state, drain.clone());
+    let ready_routes = ready_routes(deployment_state, drain.clone());
     tokio::select! {
         () = HttpServer::on(callers, caller_routes).run(drain.clone()) => {}
         () = HttpServer::on(ready, ready_routes).run(drain.clone()) => {}
@@ -118,10 +118,10 @@
     Router::new().fallback(move |request: Request| answer_request(gateway.clone(), request))
 }
 
-fn ready_routes(control_state: SharedControlState, drain: DrainState) -> Router {
+fn ready_routes(deployment_state: SharedDeploymentState, drain: DrainState) -> Router {
     let was_ready = Arc::new(AtomicBool::new(false));
     let readiness = move || {
-        let is_ready = control_state.read(ControlState::is_usable) && !drain.is_draining();
+        let is_ready = deployment_state.read(DeploymentState::is_usable) && !drain.is_draining();
         if was_ready.swap(is_ready, Ordering::Relaxed) != is_ready {
             log_event!(events::READY_CHANGED, "ready={is_ready}");
         }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -208,7 +208,7 @@
             is_returned: job.is_retry(),
             work: job.engine_work(&snapshot),
         };
-        let refusal = match gateway.desk.pick(&need, now) {
+        let refusal = match gateway.registry.pick(&need, now) {
             Ok(ticket) => {
                 let cancel_after = gateway.cancel_after();
                 return Ok(ChosenBackend {
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -16,7 +16,7 @@
 };
 use crate::overload::EntryHostId;
 use crate::platform::PlatformBounds;
-use crate::sync::{ControlSnapshot, EntryRecord, SharedSnapshot};
+use crate::sync::{DeploymentSnapshot, EntryRecord, SharedSnapshot};
 use crate::time::ClockTime;
 
 /// How long before the deadline of a target version requests stop going to previous versions: time
@@ -35,9 +35,9 @@
 /// State of an entry host that its requests share.
 pub(super) struct GatewayState {
     snapshot: SharedSnapshot,
-    /// Snapshot that was last applied to `desk`.
-    applied: Mutex<Option<Arc<ControlSnapshot>>>,
-    pub(super) desk: SharedRegistry,
+    /// Snapshot that was last applied to `registry`.
+    applied: Mutex<Option<Arc<DeploymentSnapshot>>>,
+    pub(super) registry: SharedRegistry,
     pub(super) pool: ConnectionPool,
     crash_detector: CrashDetector,
     pub(super) drain: DrainState,
@@ -74,7 +74,7 @@
             snapshot,
             crash_detector,
             applied: Mutex::new(None),
-            desk: SharedRegistry::new(BackendRegistry::new(me)),
+            registry: SharedRegistry::new(BackendRegistry::new(me)),
             pool: ConnectionPool::default(),
             drain,
             stop_started: OnceLock::new(),
@@ -85,12 +85,12 @@
     }
 
     /// Returns the newest control state without applying it.
-    pub(super) fn newest_snapshot(&self) -> Arc<ControlSnapshot> {
+    pub(super) fn newest_snapshot(&self) -> Arc<DeploymentSnapshot> {
         self.snapshot.load()
     }
 
-    /// Returns the newest control state after applying it to `desk`.
-    pub(super) fn snapshot(&self) -> Arc<ControlSnapshot> {
+    /// Returns the newest control state after applying it to `registry`.
+    pub(super) fn snapshot(&self) -> Arc<DeploymentSnapshot> {
         let newest = self.snapshot.load();
         let mut applied = self.applied.lock().unwrap_or_else(PoisonError::into_inner);
         let is_applied = applied
@@ -98,11 +98,11 @@
             .is_some_and(|applied| Arc::ptr_eq(applied, &newest));
         if !is_applied {
             let retired = {
-                let mut desk = self.desk.lock();
-                desk.set_clock(newest.clock);
-                desk.set_fleet(&newest.fleet);
-                desk.assign_shares(&entry_host_ids(&newest));
-                desk.take_retired()
+                let mut registry = self.registry.lock();
+                registry.set_clock(newest.clock);
+                registry.set_fleet(&newest.fleet);
+                registry.assign_shares(&entry_host_ids(&newest));
+                registry.take_retired()
             };
             self.drop_connections(&retired);
             *applied = Some(newest.clone());
@@ -157,11 +157,11 @@
         now: ClockTime,
     ) {
         let retired = {
-            let mut desk = self.desk.lock();
+            let mut registry = self.registry.lock();
             for report in reports {
-                desk.note_report(report, now);
+                registry.note_report(report, now);
             }
-            desk.take_retired()
+            registry.take_retired()
         };
         self.drop_connections(&retired);
         self.freed.notify_waiters();
@@ -169,22 +169,22 @@
 
     /// Applies rate limits that another entry host announced.
     pub(super) fn apply_limits(&self, limits: &[LimitAnnouncement]) {
-        let mut desk = self.desk.lock();
+        let mut registry = self.registry.lock();
         for limit in limits {
-            desk.apply_limit(limit);
+            registry.apply_limit(limit);
         }
     }
 
     /// Takes the rate limits that are to be announced to other entry hosts at `now`.
     pub(super) fn take_pending_limits(&self, now: ClockTime) -> Vec<LimitAnnouncement> {
-        self.desk.lock().take_pending_limits(now)
+        self.registry.lock().take_pending_limits(now)
     }
 
     /// Records that the backend server of `ticket` closed the connection while it ran `job`.
     pub(super) fn note_interrupted(&self, job: &RequestJob, ticket: &BackendTicket) {
         let backend = {
-            let desk = self.desk.lock();
-            let record = desk.get(ticket.key);
+            let registry = self.registry.lock();
+            let record = registry.get(ticket.key);
             // A leaving backend server ends by itself and closes the connections of unfinished
             // requests.
             let serving = record.filter(|record| record.facts.phase == BackendPhase::Serving);
@@ -251,7 +251,7 @@
     }
 }
 
-fn entry_host_ids(snapshot: &ControlSnapshot) -> Vec<EntryHostId> {
+fn entry_host_ids(snapshot: &DeploymentSnapshot) -> Vec<EntryHostId> {
     let id = |entry: &EntryRecord| EntryHostId {
         data_centre: entry.data_centre.clone(),
         host: entry.host.clone(),
--- a/src/gateway/report_relay.rs
+++ b/src/gateway/report_relay.rs
@@ -17,7 +17,7 @@
 use crate::load_reports::{
     DigestQueue, DigestReach, LEASE_RENEWAL, LimitDigest, LoadDigest, ReportDatagram, ReportLease,
 };
-use crate::sync::{ControlSnapshot, ControlState, EntryRecord, SharedControlState};
+use crate::sync::{DeploymentSnapshot, DeploymentState, EntryRecord, SharedDeploymentState};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{decode_message, encode_datagram};
 
@@ -29,7 +29,7 @@
 /// Receives and forwards load reports and rate limits over UDP.
 pub(super) struct ReportRelay {
     gateway: Arc<GatewayState>,
-    control_state: SharedControlState,
+    deployment_state: SharedDeploymentState,
     me: EntryRecord,
     /// Port at which the hosts of backend servers receive leases.
     host_port: u16,
@@ -46,7 +46,7 @@
     /// `SettingInvalid` if the address cannot be bound.
     pub(super) async fn bind(
         gateway: Arc<GatewayState>,
-        control_state: SharedControlState,
+        deployment_state: SharedDeploymentState,
         me: EntryRecord,
     ) -> SwitchResult<Self> {
         let socket = UdpSocket::bind(me.reports).await.map_err(|fault| {
@@ -58,7 +58,7 @@
         })?;
         Ok(Self {
             gateway,
-            control_state,
+            deployment_state,
             host_port: me.reports.port(),
             me,
             socket,
@@ -144,7 +144,7 @@
     /// read the store are the relays: both use the same order of entry hosts, and the same
     /// neighbours replace a failed one.
     async fn renew_leases(&mut self) {
-        let is_relay = self.control_state.read(ControlState::reads_store);
+        let is_relay = self.deployment_state.read(DeploymentState::reads_store);
         if std::mem::replace(&mut self.is_relay, is_relay) != is_relay {
             log_event!(events::RELAY_CHANGED, "relays={is_relay}");
             self.queue = DigestQueue::default();
@@ -204,7 +204,7 @@
 }
 
 /// Returns the lease addresses of the hosts that run engines in `data_centre`.
-fn engine_hosts(snapshot: &ControlSnapshot, data_centre: &str, port: u16) -> Vec<SocketAddr> {
+fn engine_hosts(snapshot: &DeploymentSnapshot, data_centre: &str, port: u16) -> Vec<SocketAddr> {
     let has_engine = |service: &ByteString| {
         let catalog = snapshot.catalog.as_ref();
         let found = catalog.and_then(|catalog| catalog.service(service));
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -14,7 +14,7 @@
 use crate::platform::{PRIORITY_MAX, RequestHead};
 use crate::quarantine::{RequestDigest, RequestParts};
 use crate::routing::name_hash;
-use crate::sync::ControlSnapshot;
+use crate::sync::DeploymentSnapshot;
 use crate::time::ClockTime;
 
 /// How long clients wait for an event of a stream, including the first one: the maximum of
@@ -130,7 +130,7 @@
     }
 
     /// Returns the work that the request causes at a model engine; `None` for a plain service.
-    pub(super) fn engine_work(&self, snapshot: &ControlSnapshot) -> Option<EngineWork> {
+    pub(super) fn engine_work(&self, snapshot: &DeploymentSnapshot) -> Option<EngineWork> {
         let engine = self.engine_facts(snapshot)?;
         Some(EngineWork {
             speed: engine.speed,
@@ -138,7 +138,7 @@
         })
     }
 
-    fn engine_facts<'a>(&self, snapshot: &'a ControlSnapshot) -> Option<&'a EngineFacts> {
+    fn engine_facts<'a>(&self, snapshot: &'a DeploymentSnapshot) -> Option<&'a EngineFacts> {
         let catalog = snapshot.catalog.as_ref()?;
         catalog.service(&self.routed.service)?.engine.as_ref()
     }
@@ -146,7 +146,7 @@
     /// Returns the versions of weights that may answer the request at `now`.
     pub(super) fn version_need(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         previous_version_span: Duration,
         now: ClockTime,
     ) -> VersionRequirement {
@@ -173,7 +173,7 @@
     /// connection closes.
     pub(super) fn cancel_at(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         version: Option<WeightsVersion>,
         cancel_after: Duration,
     ) -> Option<ClockTime> {
--- a/src/gateway/tests/cancelled_requests.rs
+++ b/src/gateway/tests/cancelled_requests.rs
@@ -17,7 +17,7 @@
     PickRequirements, TargetTimeCertainty, TargetWeights, VersionRequirement, WeightsVersion,
 };
 use crate::gateway::send_attempt::{HeadWait, SendFailure, send_attempt};
-use crate::sync::{ControlSnapshot, SharedSnapshot};
+use crate::sync::{DeploymentSnapshot, SharedSnapshot};
 use crate::time::{ClockTime, clock_now};
 
 /// Sends a request on the route `kind` that is cancelled at `until`.
@@ -35,7 +35,7 @@
         is_returned: false,
         work: None,
     };
-    let ticket = entry.gateway.desk.pick(&need, now);
+    let ticket = entry.gateway.registry.pick(&need, now);
     let wait = HeadWait {
         until,
         timeout_end: CallOutcome::Inconclusive,
@@ -86,7 +86,7 @@
         version: WeightsVersion(1),
     };
     let facts = BackendFacts {
-        born: None,
+        start_time: None,
         sequence: None,
         id: "i-0".into(),
         service: "desk".into(),
@@ -99,11 +99,11 @@
             layers: vec![layers],
         },
     };
-    let known = ControlSnapshot {
+    let known = DeploymentSnapshot {
         fleet: Arc::new(FleetView {
             backends: vec![Arc::new(facts)],
         }),
-        ..ControlSnapshot::default()
+        ..DeploymentSnapshot::default()
     };
     let snapshot = SharedSnapshot::default();
     snapshot.store(known.clone());
@@ -124,7 +124,7 @@
         is_returned: false,
         work: None,
     };
-    let ticket = gateway.desk.pick(&need, now).expect("a slot is free");
+    let ticket = gateway.registry.pick(&need, now).expect("a slot is free");
     let wait = HeadWait {
         until: now + Duration::from_secs(5),
         timeout_end: CallOutcome::Failed,
@@ -140,7 +140,7 @@
         target_set_at: now - BOUNDS.weights_deadline,
         certainty: TargetTimeCertainty::Witnessed,
     };
-    snapshot.store(ControlSnapshot {
+    snapshot.store(DeploymentSnapshot {
         targets: Arc::new(vec![second]),
         ..known
     });
--- a/src/gateway/tests/crash_detector.rs
+++ b/src/gateway/tests/crash_detector.rs
@@ -13,7 +13,7 @@
 use crate::gateway::crash_detector::{CrashDetector, InterruptedRequest};
 use crate::overload::EntryHostId;
 use crate::quarantine::{BackendIncarnation, RecentAnswers};
-use crate::sync::SharedControlState;
+use crate::sync::SharedDeploymentState;
 use crate::test_support::{digest_of, free_address};
 use crate::time::{ClockTime, clock_now};
 
@@ -23,7 +23,7 @@
 fn facts(address: SocketAddr) -> BackendFacts {
     BackendFacts {
         id: "i-1".into(),
-        born: None,
+        start_time: None,
         sequence: None,
         service: "desk".into(),
         address,
@@ -35,11 +35,11 @@
 }
 
 fn key_of(facts: &BackendFacts) -> BackendKey {
-    let mut desk = BackendRegistry::new(EntryHostId {
+    let mut registry = BackendRegistry::new(EntryHostId {
         data_centre: "here".into(),
         host: "e1".into(),
     });
-    desk.set_fleet(&FleetView {
+    registry.set_fleet(&FleetView {
         backends: vec![facts.clone().into()],
     });
     let need = PickRequirements {
@@ -50,15 +50,15 @@
         is_returned: false,
         work: None,
     };
-    let picked = SharedRegistry::new(desk).pick(&need, ClockTime(0));
+    let picked = SharedRegistry::new(registry).pick(&need, ClockTime(0));
     picked.expect("a slot is free").key
 }
 
 /// Returns how many of two requests are suspected that are interrupted at a backend server at
 /// `address`.
 async fn suspects_at(address: SocketAddr) -> usize {
-    let control_state = SharedControlState::default();
-    let watch = CrashDetector::new(control_state.clone());
+    let deployment_state = SharedDeploymentState::default();
+    let watch = CrashDetector::new(deployment_state.clone());
     let backend = facts(address);
     let key = key_of(&backend);
     let requests = [digest_of(b"one"), digest_of(b"two")];
@@ -66,7 +66,7 @@
         watch.note_interrupted(InterruptedRequest { key, request }, &backend);
     }
     sleep(PROBE_SPAN).await;
-    let crashes = control_state.snapshot().load().crashes.clone();
+    let crashes = deployment_state.snapshot().load().crashes.clone();
     assert_eq!(crashes.quarantine(requests[0], clock_now()), None);
     let suspects = requests
         .iter()
@@ -78,8 +78,8 @@
 /// failed at once.
 #[tokio::test]
 async fn a_recently_answered_request_is_not_suspected() {
-    let control_state = SharedControlState::default();
-    let watch = CrashDetector::new(control_state.clone());
+    let deployment_state = SharedDeploymentState::default();
+    let watch = CrashDetector::new(deployment_state.clone());
     let request = digest_of(b"");
     let now = clock_now();
     watch.note_answered(request, now);
@@ -90,14 +90,14 @@
     };
     watch.note_interrupted(interrupted, &backend);
     sleep(PROBE_SPAN).await;
-    assert!(!control_state.snapshot().load().crashes.suspects(request));
+    assert!(!deployment_state.snapshot().load().crashes.suspects(request));
     // The crashes were observed by another entry host, which has received no such call before.
     for backend in 1..=3 {
-        control_state
+        deployment_state
             .change(|state| state.note_crash(BackendIncarnation(backend), &[request], now));
     }
     assert_eq!(watch.quarantine(request, now), None);
-    assert!(!control_state.snapshot().load().crashes.suspects(request));
+    assert!(!deployment_state.snapshot().load().crashes.suspects(request));
 }
 
 /// Guards against treating a request as harmless forever because it once was.
--- a/src/gateway/tests/crashing_requests.rs
+++ b/src/gateway/tests/crashing_requests.rs
@@ -66,13 +66,13 @@
     /// Runs until the test ends, with a new incarnation after each crash.
     async fn run(self) {
         let mut address = SocketAddr::from(([127, 0, 0, 1], 0));
-        for born in 1.. {
+        for start_time in 1.. {
             let listener = TcpListener::bind(address)
                 .await
                 .expect("the address is free");
             address = listener.local_addr().expect("the socket is bound");
             let id = format!("i-{:02}", self.number);
-            let text = plain_entry_sample((address, born));
+            let text = plain_entry_sample((address, start_time));
             self.store.put(TableName::Backends, &id, &text);
             self.serve_until_crash(listener).await;
             sleep(DOWN_SPAN).await;
--- a/src/gateway/tests/fake_backend.rs
+++ b/src/gateway/tests/fake_backend.rs
@@ -20,7 +20,7 @@
 use crate::gateway::gateway_state::GatewayState;
 use crate::platform::PlatformBounds;
 use crate::platform::samples::{ATTEMPT, BACKEND_ID, DEADLINE, NOT_RUN, SEAL};
-use crate::sync::{ControlSnapshot, SharedControlState, SharedSnapshot};
+use crate::sync::{DeploymentSnapshot, SharedDeploymentState, SharedSnapshot};
 use crate::transport::{HttpServer, bind_listener};
 
 /// How a fake backend server handles a request.
@@ -296,7 +296,7 @@
     pub(super) address: SocketAddr,
     pub(super) gateway: Arc<GatewayState>,
     /// Source of the crash records.
-    pub(super) control_state: SharedControlState,
+    pub(super) deployment_state: SharedDeploymentState,
 }
 
 impl EntryFixture {
@@ -310,7 +310,7 @@
         let snapshot = SharedSnapshot::default();
         let facts = backends.iter().enumerate().map(|(at, backend)| {
             Arc::new(BackendFacts {
-                born: None,
+                start_time: None,
                 sequence: None,
                 id: format!("i-{at}").into(),
                 service: "desk".into(),
@@ -326,15 +326,15 @@
                 holdings: EngineHoldings::default(),
             })
         });
-        snapshot.store(ControlSnapshot {
+        snapshot.store(DeploymentSnapshot {
             catalog: Some(Arc::new(catalog())),
             fleet: Arc::new(FleetView {
                 backends: facts.collect(),
             }),
-            ..ControlSnapshot::default()
+            ..DeploymentSnapshot::default()
         });
-        let control_state = SharedControlState::default();
-        let gateway = Arc::new(new_gateway_with(snapshot, bounds, control_state.clone()));
+        let deployment_state = SharedDeploymentState::default();
+        let gateway = Arc::new(new_gateway_with(snapshot, bounds, deployment_state.clone()));
         let listener = bind_listener(([127, 0, 0, 1], 0).into())
             .await
             .expect("a free port");
@@ -345,7 +345,7 @@
         Self {
             address,
             gateway,
-            control_state,
+            deployment_state,
         }
     }
 
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -29,7 +29,7 @@
 use crate::gateway::request_job::{RequestJob, route_request};
 use crate::overload::EntryHostId;
 use crate::platform::{PlatformBounds, RequestHead};
-use crate::sync::{ControlSnapshot, SharedControlState, SharedSnapshot};
+use crate::sync::{DeploymentSnapshot, SharedDeploymentState, SharedSnapshot};
 use crate::time::ClockTime;
 
 fn read_events(reader: &mut EventReader) -> Vec<(Option<u64>, String)> {
@@ -101,14 +101,14 @@
 };
 
 fn new_gateway(snapshot: SharedSnapshot, bounds: PlatformBounds) -> GatewayState {
-    new_gateway_with(snapshot, bounds, SharedControlState::default())
+    new_gateway_with(snapshot, bounds, SharedDeploymentState::default())
 }
 
-/// Creates a gateway that takes crash records from `control_state`.
+/// Creates a gateway that takes crash records from `deployment_state`.
 fn new_gateway_with(
     snapshot: SharedSnapshot,
     bounds: PlatformBounds,
-    control_state: SharedControlState,
+    deployment_state: SharedDeploymentState,
 ) -> GatewayState {
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
     let me = EntryHostId {
@@ -117,7 +117,7 @@
     };
     GatewayState::new(GatewayParts {
         snapshot,
-        crash_detector: CrashDetector::new(control_state),
+        crash_detector: CrashDetector::new(deployment_state),
         me,
         drain,
         bounds,
@@ -206,13 +206,13 @@
         model: "m".into(),
         version: WeightsVersion(2),
     };
-    let snapshot = ControlSnapshot {
+    let snapshot = DeploymentSnapshot {
         targets: Arc::new(vec![TargetWeights {
             target,
             target_set_at,
             certainty: TargetTimeCertainty::Witnessed,
         }]),
-        ..ControlSnapshot::default()
+        ..DeploymentSnapshot::default()
     };
     let now = target_set_at + Duration::from_secs(7);
     let gateway = Arc::new(new_gateway(SharedSnapshot::default(), BOUNDS));
--- a/src/gateway/tests/stream_pauses.rs
+++ b/src/gateway/tests/stream_pauses.rs
@@ -94,7 +94,7 @@
         is_returned: false,
         work: None,
     };
-    entry.gateway.desk.pick(&need, clock_now()).ok()
+    entry.gateway.registry.pick(&need, clock_now()).ok()
 }
 
 /// Guards against aborting a stream because no slot is free at the moment of the interruption.
@@ -189,7 +189,7 @@
         for id in ["i-7", "i-8", "i-9"] {
             let start = BackendIncarnation::of(&id.into(), None);
             entry
-                .control_state
+                .deployment_state
                 .change(|state| state.note_crash(start, &[request], clock_now()));
         }
     };
--- a/src/gateway/tests/uninterrupted_responses.rs
+++ b/src/gateway/tests/uninterrupted_responses.rs
@@ -19,7 +19,7 @@
 use crate::gateway::daemon::caller_routes;
 use crate::gateway::gateway_state::GatewayState;
 use crate::platform::samples::{ATTEMPT, DEADLINE, SEAL};
-use crate::sync::{ControlSnapshot, SharedSnapshot};
+use crate::sync::{DeploymentSnapshot, SharedSnapshot};
 use crate::transport::{HttpServer, bind_listener};
 
 const EVENTS: u64 = 40;
@@ -86,7 +86,7 @@
 fn fleet_of(addresses: &[SocketAddr], phase: BackendPhase) -> Arc<FleetView> {
     let facts = addresses.iter().enumerate().map(|(at, address)| {
         Arc::new(BackendFacts {
-            born: None,
+            start_time: None,
             sequence: None,
             id: format!("i-{at}").into(),
             service: "desk".into(),
@@ -112,10 +112,10 @@
 impl MutableEntry {
     async fn start(backends: &[SocketAddr]) -> Self {
         let snapshot = SharedSnapshot::default();
-        snapshot.store(ControlSnapshot {
+        snapshot.store(DeploymentSnapshot {
             catalog: Some(Arc::new(changed_catalog(|_| {}))),
             fleet: fleet_of(backends, BackendPhase::Serving),
-            ..ControlSnapshot::default()
+            ..DeploymentSnapshot::default()
         });
         let gateway = Arc::new(new_gateway(snapshot.clone(), NO_RETRIES));
         let local = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -199,13 +199,13 @@
 #[tokio::test]
 async fn a_stream_continues_after_any_change_of_the_document() {
     let backend = [start_stream_backend()];
-    let next = |catalog: ServiceCatalog, fleet: Arc<FleetView>| ControlSnapshot {
+    let next = |catalog: ServiceCatalog, fleet: Arc<FleetView>| DeploymentSnapshot {
         catalog: Some(Arc::new(ServiceCatalog {
             version: CatalogVersion(2),
             ..catalog
         })),
         fleet,
-        ..ControlSnapshot::default()
+        ..DeploymentSnapshot::default()
     };
     let serving = || fleet_of(&backend, BackendPhase::Serving);
     let without_routes = ServiceCatalog {
--- a/src/load_reports/messages.rs
+++ b/src/load_reports/messages.rs
@@ -64,7 +64,8 @@
 #[apply(message!)]
 struct DigestRow {
     address: SocketAddr,
-    born: Option<WallTime>,
+    #[serde(rename = "born")]
+    start_time: Option<WallTime>,
     active: u32,
     queued: u32,
     is_loading: bool,
@@ -90,7 +91,7 @@
             });
             DigestRow {
                 address: report.address,
-                born: report.born,
+                start_time: report.start_time,
                 active: report.active,
                 queued: report.queued,
                 is_loading: report.is_loading,
@@ -110,7 +111,7 @@
         self.rows.iter().filter_map(|row| {
             Some(LoadReport {
                 address: row.address,
-                born: row.born,
+                start_time: row.start_time,
                 active: row.active,
                 queued: row.queued,
                 is_loading: row.is_loading,
--- a/src/load_reports/tests/mod.rs
+++ b/src/load_reports/tests/mod.rs
@@ -39,7 +39,7 @@
 fn report(number: u16, active: u32) -> LoadReport {
     LoadReport {
         address: address(number),
-        born: Some(WallTime(1_764_748_800_123)),
+        start_time: Some(WallTime(1_764_748_800_123)),
         active,
         queued: 0,
         is_loading: false,
@@ -50,7 +50,7 @@
 
 fn any_report(u: &mut Unstructured<'_>) -> Result<LoadReport> {
     let mut report = report(u.int_in_range(0..=300)?, u.arbitrary()?);
-    report.born = u.arbitrary::<Option<u64>>()?.map(WallTime);
+    report.start_time = u.arbitrary::<Option<u64>>()?.map(WallTime);
     report.is_loading = u.arbitrary()?;
     report.holdings = holdings(u.int_in_range(0..=3)?);
     Ok(report)
--- a/src/platform/backend_row.rs
+++ b/src/platform/backend_row.rs
@@ -31,8 +31,8 @@
     slots: NonZeroU32,
     state: StateText,
     /// The start of the backend server in Unix milliseconds.
-    #[serde(default, deserialize_with = "non_null")]
-    born: Option<u64>,
+    #[serde(default, deserialize_with = "non_null", rename = "born")]
+    start_time: Option<u64>,
     /// Counts the entries that it wrote since its start; unrelated to the store's revisions.
     #[serde(default, deserialize_with = "non_null")]
     sequence: Option<u64>,
@@ -102,7 +102,7 @@
     };
     Ok(BackendFacts {
         id: ByteString::from(id),
-        born: text.born.map(WallTime),
+        start_time: text.start_time.map(WallTime),
         sequence: text.sequence,
         service: text.service.into(),
         address: text.address,
--- a/src/platform/engine_calls.rs
+++ b/src/platform/engine_calls.rs
@@ -84,7 +84,7 @@
     /// The versions and layers that are loaded.
     pub(crate) holdings: EngineHoldings,
     /// The start of the engine by its own clock; none if it does not report one.
-    pub(crate) born: Option<WallTime>,
+    pub(crate) start_time: Option<WallTime>,
     /// Whether the engine is carrying out an order.
     pub(crate) is_busy: bool,
     /// The number of orders accepted since the start. The next order must carry this number.
@@ -102,7 +102,8 @@
     #[serde(flatten)]
     holdings: HoldingsText,
     /// The start of the engine in Unix milliseconds.
-    born: Option<u64>,
+    #[serde(rename = "born")]
+    start_time: Option<u64>,
     #[serde(default)]
     busy: bool,
     /// The number of accepted orders; unrelated to the store's revisions.
@@ -128,7 +129,7 @@
     })?;
     Ok(EngineReport {
         holdings: read_holdings(text.holdings),
-        born: text.born.map(WallTime),
+        start_time: text.start_time.map(WallTime),
         is_busy: text.busy,
         orders_accepted: text.sequence,
         queued: text.queued,
--- a/src/platform/fake_engine.rs
+++ b/src/platform/fake_engine.rs
@@ -25,9 +25,9 @@
 
 const BODY_BYTES_MAX: usize = 1024 * 1024;
 /// The start of the first incarnation of a fake engine, in Unix milliseconds.
-const FIRST_BORN: u64 = 1_700_000_000_000;
+const FIRST_START_TIME: u64 = 1_700_000_000_000;
 /// The milliseconds between the starts of successive incarnations.
-const BORN_STEP: u64 = 20_000;
+const START_TIME_STEP: u64 = 20_000;
 
 /// The state of the staged chunks after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -93,7 +93,7 @@
 struct EngineState {
     rule: CallRule,
     /// The start of the incarnation, in Unix milliseconds.
-    born: u64,
+    start_time: u64,
     start_time_field: Option<StartTimeField>,
     /// The version that is loaded completely.
     held: Option<u64>,
@@ -156,7 +156,7 @@
     /// fake backend server passes calls to [`FakeEngine::respond`].
     pub(crate) fn new(start_time_field: StartTimeField, load_duration: Duration) -> Self {
         let state = EngineState {
-            born: FIRST_BORN,
+            start_time: FIRST_START_TIME,
             start_time_field: Some(start_time_field),
             staged: vec![None; CHUNKS as usize],
             load_duration,
@@ -322,7 +322,7 @@
     fn restart(&mut self, staged: StagedAfterRestart) {
         self.previous_report = Some(self.current_report());
         self.rule = CallRule::Respond;
-        self.born += BORN_STEP;
+        self.start_time += START_TIME_STEP;
         self.held = None;
         self.layer = None;
         self.reports = 0;
@@ -371,7 +371,7 @@
             "active": self.active,
         });
         if self.start_time_field == Some(StartTimeField::Present) {
-            report["born"] = self.born.into();
+            report["born"] = self.start_time.into();
         }
         report
     }
--- a/src/platform/samples.rs
+++ b/src/platform/samples.rs
@@ -54,20 +54,21 @@
 }
 
 /// The entry of a backend server in `phase`, with `sequence` and, if given, the start of the
-/// incarnation `born` in Unix milliseconds.
+/// incarnation `start_time` in Unix milliseconds.
 #[cfg(test)]
-pub(crate) fn entry_sample(born: Option<u64>, sequence: u64, phase: BackendPhase) -> String {
+pub(crate) fn entry_sample(start_time: Option<u64>, sequence: u64, phase: BackendPhase) -> String {
     let state = state_text(phase);
     let fields = "\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"slots\":1";
-    let born = born.map_or_else(String::new, |born| format!(",\"born\":{born}"));
-    format!("{{{fields},\"state\":\"{state}\",\"sequence\":{sequence}{born}}}")
+    let start_time =
+        start_time.map_or_else(String::new, |start_time| format!(",\"born\":{start_time}"));
+    format!("{{{fields},\"state\":\"{state}\",\"sequence\":{sequence}{start_time}}}")
 }
 
 /// As [`entry_sample`], at `address` and with all 16 layers of `version` of the model `m` loaded,
 /// or with no layers if `version` is 0.
 #[cfg(test)]
 pub(crate) fn loaded_entry_sample(
-    (address, born): (SocketAddr, u64),
+    (address, start_time): (SocketAddr, u64),
     sequence: u64,
     phase: BackendPhase,
     version: u64,
@@ -83,16 +84,16 @@
     };
     let location =
         format!("\"service\":\"s\",\"address\":\"{address}\",\"zone\":\"z\",\"slots\":4");
-    let status = format!("\"state\":\"{state}\",\"sequence\":{sequence},\"born\":{born}");
+    let status = format!("\"state\":\"{state}\",\"sequence\":{sequence},\"born\":{start_time}");
     format!("{{{location},{status},{holdings}}}")
 }
 
 /// The entry of a serving backend server without an engine, with the start of the incarnation
-/// `born` in Unix milliseconds.
+/// `start_time` in Unix milliseconds.
 #[cfg(test)]
-pub(crate) fn plain_entry_sample((address, born): (SocketAddr, u64)) -> String {
+pub(crate) fn plain_entry_sample((address, start_time): (SocketAddr, u64)) -> String {
     let location = format!("\"service\":\"plain\",\"address\":\"{address}\",\"zone\":\"hall-a\"");
-    format!("{{{location},\"slots\":16,\"state\":\"ready\",\"sequence\":1,\"born\":{born}}}")
+    format!("{{{location},\"slots\":16,\"state\":\"ready\",\"sequence\":1,\"born\":{start_time}}}")
 }
 
 #[cfg(test)]
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -81,7 +81,7 @@
     /// The outcome of the write.
     pub(crate) outcome: WriteOutcome,
     /// The time of the store's clock at its response.
-    pub(crate) told_at: StoreTime,
+    pub(crate) store_time: StoreTime,
 }
 
 #[derive(Serialize)]
@@ -158,14 +158,15 @@
             let page = parse_page(&response)?;
             // Pages may have different revisions. A watch from the first one reports what changed
             // between them.
-            let (revision, told_at) = *first.get_or_insert((page.view.revision, page.view.told_at));
+            let (revision, store_time) =
+                *first.get_or_insert((page.view.revision, page.view.store_time));
             let read = rows.len();
             rows.extend(page.view.rows);
             if !page.is_truncated {
                 return Ok(TableView {
                     rows,
                     revision,
-                    told_at,
+                    store_time,
                 });
             }
             // The next request would be the same, so the loop would never end.
@@ -291,17 +292,19 @@
                 let done = read_done(&body)?;
                 Ok(WriteResponse {
                     outcome: WriteOutcome::Done { revision: done.ver },
-                    told_at: StoreTime::from_millis(done.now_ms),
+                    store_time: StoreTime::from_millis(done.now_ms),
                 })
             }
             StatusCode::PRECONDITION_FAILED => {
                 let TableView {
-                    mut rows, told_at, ..
+                    mut rows,
+                    store_time,
+                    ..
                 } = parse_page(&body)?.view;
                 rows.retain(|row| row.key == key && row.value.is_some());
                 Ok(WriteResponse {
                     outcome: WriteOutcome::Refused { row: rows.pop() },
-                    told_at,
+                    store_time,
                 })
             }
             status => Err(refused(status)),
--- a/src/platform/store_rows.rs
+++ b/src/platform/store_rows.rs
@@ -37,7 +37,7 @@
     /// The store's revision when it read the rows.
     pub(crate) revision: u64,
     /// The time of the store's clock at its response.
-    pub(crate) told_at: StoreTime,
+    pub(crate) store_time: StoreTime,
 }
 
 /// The rows of one response.
@@ -72,7 +72,7 @@
         view: TableView {
             rows: text.rows.iter().filter_map(read_row).collect(),
             revision: text.ver,
-            told_at: StoreTime::from_millis(text.now_ms),
+            store_time: StoreTime::from_millis(text.now_ms),
         },
         is_truncated: text.truncated,
     })
--- a/src/platform/tests/backend_rows.rs
+++ b/src/platform/tests/backend_rows.rs
@@ -47,7 +47,7 @@
     let facts = read(&complete_entry()).expect("the entry is complete");
     assert_eq!(facts.phase, BackendPhase::Serving);
     assert_eq!(
-        (facts.slots, facts.born),
+        (facts.slots, facts.start_time),
         (16, Some(WallTime(1_790_000_000_000)))
     );
     for field in ["service", "address", "zone", "slots", "state"] {
@@ -101,8 +101,8 @@
             );
         }
     }
-    for born in [json!(-1), json!(1.5), json!(1e30), json!("1790000000000")] {
-        assert!(read(&changed("born", born)).is_err());
+    for start_time in [json!(-1), json!(1.5), json!(1e30), json!("1790000000000")] {
+        assert!(read(&changed("born", start_time)).is_err());
     }
     let foreign = changed("something new", json!({"x": [1]}));
     assert!(read(&foreign).is_ok(), "unknown fields are ignored");
@@ -162,7 +162,7 @@
             assert_eq!(entry["slots"], facts.slots);
             assert_eq!(
                 entry.get("born").and_then(Value::as_u64),
-                facts.born.map(|born| born.0)
+                facts.start_time.map(|start_time| start_time.0)
             );
         }
         let other = any_json(u)?;
--- a/src/platform/tests/engine_reports.rs
+++ b/src/platform/tests/engine_reports.rs
@@ -23,7 +23,7 @@
 fn a_report_is_decoded_with_its_incarnation() {
     let report =
         read_report(complete_report().to_string().as_bytes()).expect("the report is complete");
-    assert_eq!(report.born, Some(WallTime(1_790_000_000_000)));
+    assert_eq!(report.start_time, Some(WallTime(1_790_000_000_000)));
     assert_eq!(
         (report.orders_accepted, report.active, report.queued),
         (2, 12, 1)
--- a/src/platform/tests/store_rows.rs
+++ b/src/platform/tests/store_rows.rs
@@ -126,5 +126,5 @@
     let view = read.await.expect("the store responds");
     assert_eq!(view.rows.len(), 2);
     assert_eq!(view.revision, 7);
-    assert_eq!(view.told_at, StoreTime::from_millis(700));
+    assert_eq!(view.store_time, StoreTime::from_millis(700));
 }
--- a/src/replication/engine_incarnation.rs
+++ b/src/replication/engine_incarnation.rs
@@ -32,7 +32,7 @@
 /// What is remembered of the last report.
 #[apply(plain!)]
 struct LastReport {
-    born: Option<WallTime>,
+    start_time: Option<WallTime>,
     orders_accepted: u64,
     holds_any: bool,
 }
@@ -66,7 +66,7 @@
             self.incarnation = EngineIncarnation(self.incarnation.0 + 1);
         }
         self.last = Some(LastReport {
-            born: report.born,
+            start_time: report.start_time,
             orders_accepted: report.orders_accepted,
             holds_any: !holds_nothing(report),
         });
@@ -92,9 +92,9 @@
 
 impl LastReport {
     fn origin_of(&self, report: &EngineReport, was_unresponsive: bool) -> ReportOrigin {
-        match (self.born, report.born) {
-            (Some(last), Some(born)) if born > last => ReportOrigin::Restarted,
-            (Some(last), Some(born)) if born < last => ReportOrigin::Older,
+        match (self.start_time, report.start_time) {
+            (Some(last), Some(start_time)) if start_time > last => ReportOrigin::Restarted,
+            (Some(last), Some(start_time)) if start_time < last => ReportOrigin::Older,
             (Some(_), Some(_)) => ReportOrigin::Known,
             _ if self.has_lost_state(report, was_unresponsive) => ReportOrigin::Restarted,
             _ => ReportOrigin::Known,
--- a/src/replication/engine_monitor.rs
+++ b/src/replication/engine_monitor.rs
@@ -110,8 +110,8 @@
             ReportOrigin::Known => {}
             ReportOrigin::Older => return None,
             ReportOrigin::Restarted => {
-                let born = report.born.map(|born| born.0);
-                log_event!(events::ENGINE_RESTARTED, "born_ms={born:?}");
+                let start_time = report.start_time.map(|start_time| start_time.0);
+                log_event!(events::ENGINE_RESTARTED, "born_ms={start_time:?}");
                 self.store.forget_engine();
             }
         }
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -19,7 +19,7 @@
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, TargetWeights, WeightsVersion};
 use crate::platform::{EngineClient, EngineReport, LoadOrder, OrderOutcome};
-use crate::sync::{ControlSnapshot, SharedControlState};
+use crate::sync::{DeploymentSnapshot, SharedDeploymentState};
 use crate::time::{ClockTime, clock_now};
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -47,7 +47,7 @@
 /// Loads complete versions into the engine.
 pub(super) struct EngineUpdater {
     pub(super) identity: HostIdentity,
-    pub(super) book: SharedControlState,
+    pub(super) deployment_state: SharedDeploymentState,
     pub(super) engine: EngineClient,
     pub(super) store: ChunkStore,
     pub(super) monitor: Arc<EngineMonitor>,
@@ -147,7 +147,7 @@
     }
 
     async fn step(&self, pending: &mut Option<PendingVersion>) {
-        let snapshot = self.book.snapshot().load();
+        let snapshot = self.deployment_state.snapshot().load();
         let Some(found) = self.find_complete(&snapshot) else {
             self.waits.set_load(None);
             if let Some(expired) = self.find_expired(&snapshot, clock_now())
@@ -184,7 +184,7 @@
     }
 
     /// The newest complete version that is newer than the one that the engine serves.
-    fn find_complete(&self, snapshot: &ControlSnapshot) -> Option<CompleteVersion> {
+    fn find_complete(&self, snapshot: &DeploymentSnapshot) -> Option<CompleteVersion> {
         let (model, layers) = self.identity.model_of(snapshot)?;
         let state = self.monitor.state()?;
         let served = state.report.holdings.complete_version(&model, layers);
@@ -199,7 +199,7 @@
     /// When to load `version`. An engine that serves nothing loads at once.
     fn load_at(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         version: &PendingVersion,
         served: Option<WeightsVersion>,
     ) -> ClockTime {
@@ -278,7 +278,7 @@
 
     /// Whether all requests of this host's service can resume at another backend server.
     pub(super) fn may_abort(&self) -> bool {
-        let snapshot = self.book.snapshot().load();
+        let snapshot = self.deployment_state.snapshot().load();
         let catalog = snapshot.catalog.as_ref();
         catalog.is_some_and(|catalog| catalog.can_resume_elsewhere(&self.identity.service))
     }
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -20,7 +20,7 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::platform::{EngineClient, PlatformSettings, StoreClient};
-use crate::sync::SharedControlState;
+use crate::sync::SharedDeploymentState;
 use crate::transport::{ClientLimits, HttpServer, PeerClient, start_metrics};
 use crate::weights::{HostLocation, LinkPacer};
 
@@ -72,7 +72,7 @@
     identity: HostIdentity,
     client: Arc<PeerClient>,
     engine: EngineClient,
-    book: SharedControlState,
+    deployment_state: SharedDeploymentState,
     store: ChunkStore,
     monitor: Arc<EngineMonitor>,
     waits: Arc<WaitPublisher>,
@@ -87,7 +87,7 @@
         let store = ChunkStore::new(identity.me.host.clone(), engine.clone());
         Ok(Self {
             client,
-            book: SharedControlState::default(),
+            deployment_state: SharedDeploymentState::default(),
             monitor: Arc::new(EngineMonitor::new(engine.clone(), store.clone())),
             waits: Arc::new(WaitPublisher::new(identity.service.clone())),
             pacer: LinkPacer::new(weights_rate(settings.link_bytes_per_s)),
@@ -101,7 +101,7 @@
         ReportContext {
             address: self.identity.address,
             data_centre: self.identity.me.data_centre.clone(),
-            book: self.book.clone(),
+            deployment_state: self.deployment_state.clone(),
             monitor: self.monitor.clone(),
         }
     }
@@ -110,7 +110,7 @@
         ViewPoller {
             client: self.client.clone(),
             store: StoreClient::new(settings.store_address, self.client.clone()),
-            book: self.book.clone(),
+            deployment_state: self.deployment_state.clone(),
             seeds: settings.seeds.clone(),
             data_centre: settings.data_centre.clone(),
             document_at: None,
@@ -120,7 +120,7 @@
     fn loads(&self, settings: &PlatformSettings) -> EngineUpdater {
         EngineUpdater {
             identity: self.identity.clone(),
-            book: self.book.clone(),
+            deployment_state: self.deployment_state.clone(),
             engine: self.engine.clone(),
             store: self.store.clone(),
             monitor: self.monitor.clone(),
@@ -135,7 +135,7 @@
             identity: self.identity.clone(),
             chunk_span: Duration::from_secs_f64(span),
             pacer: self.pacer.clone(),
-            book: self.book.clone(),
+            deployment_state: self.deployment_state.clone(),
             client: self.client.clone(),
             store: self.store.clone(),
             monitor: self.monitor.clone(),
--- a/src/replication/load_reports.rs
+++ b/src/replication/load_reports.rs
@@ -12,7 +12,7 @@
 use crate::events::log_event;
 use crate::fleet::LoadReport;
 use crate::load_reports::{ReportDatagram, ReportLease, ReportLeases};
-use crate::sync::SharedControlState;
+use crate::sync::SharedDeploymentState;
 use crate::time::clock_now;
 use crate::transport::{decode_message, encode_datagram};
 
@@ -26,7 +26,7 @@
 pub(super) struct ReportContext {
     pub(super) address: SocketAddr,
     pub(super) data_centre: ByteString,
-    pub(super) book: SharedControlState,
+    pub(super) deployment_state: SharedDeploymentState,
     pub(super) monitor: Arc<EngineMonitor>,
 }
 
@@ -51,9 +51,9 @@
                     .is_none_or(|last| report.changes_weights(last));
                 last = Some(report.clone());
                 take_leases(&socket, &mut leases);
-                let receivers = context
-                    .book
-                    .read(|book| leases.receivers(book.entries(), is_change, clock_now()));
+                let receivers = context.deployment_state.read(|deployment_state| {
+                    leases.receivers(deployment_state.entries(), is_change, clock_now())
+                });
                 send_report(report, &socket, &receivers).await;
             }
             Ok(None) => {}
@@ -74,7 +74,7 @@
         let report = &state.report;
         LoadReport {
             address: self.address,
-            born: report.born,
+            start_time: report.start_time,
             active: report.active,
             queued: report.queued,
             is_loading: self.monitor.is_loading(state),
--- a/src/replication/tests/backend_host.rs
+++ b/src/replication/tests/backend_host.rs
@@ -86,8 +86,10 @@
             store_address: self.store.address,
             seeds: Vec::new(),
         };
-        let book = start_sync(settings, DrainState::new(Duration::ZERO, Duration::ZERO));
-        let is_there = || !book.read(|book| book.entries().is_empty());
+        let deployment_state =
+            start_sync(settings, DrainState::new(Duration::ZERO, Duration::ZERO));
+        let is_there =
+            || !deployment_state.read(|deployment_state| deployment_state.entries().is_empty());
         self.await_that("the entry host is listed", is_there).await;
     }
 
--- a/src/replication/tests/incarnations.rs
+++ b/src/replication/tests/incarnations.rs
@@ -8,7 +8,7 @@
 const FIRST: Option<WallTime> = Some(WallTime(1_000));
 const LATER: Option<WallTime> = Some(WallTime(21_000));
 
-fn report(born: Option<WallTime>, orders_accepted: u64, holds_any: bool) -> EngineReport {
+fn report(start_time: Option<WallTime>, orders_accepted: u64, holds_any: bool) -> EngineReport {
     let layers = HeldLayers {
         from: 0,
         to: 4,
@@ -19,7 +19,7 @@
             models: Vec::new(),
             layers: if holds_any { vec![layers] } else { Vec::new() },
         },
-        born,
+        start_time,
         is_busy: false,
         orders_accepted,
         queued: 0,
--- a/src/replication/version_fetcher.rs
+++ b/src/replication/version_fetcher.rs
@@ -20,7 +20,7 @@
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, WeightsVersion};
 use crate::platform::{ChunkDigests, OriginClient};
-use crate::sync::{ControlSnapshot, SharedControlState};
+use crate::sync::{DeploymentSnapshot, SharedDeploymentState};
 use crate::time::clock_now;
 use crate::transport::PeerClient;
 use crate::weights::{HostLocation, LinkPacer, PeerHost};
@@ -49,7 +49,7 @@
 
 impl HostIdentity {
     /// The model of this host's engine, and its number of layers.
-    pub(super) fn model_of(&self, snapshot: &ControlSnapshot) -> Option<(ByteString, u32)> {
+    pub(super) fn model_of(&self, snapshot: &DeploymentSnapshot) -> Option<(ByteString, u32)> {
         let catalog = snapshot.catalog.as_ref()?;
         let engine = catalog.service(&self.service)?.engine.as_ref()?;
         Some((engine.models.first()?.clone(), engine.layers))
@@ -58,7 +58,7 @@
 
 /// The other hosts of the service, for the fetch plan. They form one group regardless of their
 /// region, so that the origin sends each chunk once.
-pub(super) fn plan_hosts(snapshot: &ControlSnapshot, identity: &HostIdentity) -> Vec<PeerHost> {
+pub(super) fn plan_hosts(snapshot: &DeploymentSnapshot, identity: &HostIdentity) -> Vec<PeerHost> {
     let backends = snapshot.fleet.backends.iter();
     let others = backends.filter(|facts| {
         facts.service == identity.service && facts.address.ip() != identity.address.ip()
@@ -84,7 +84,7 @@
     /// Transfer time of a chunk on this host's idle link.
     pub(super) chunk_span: Duration,
     pub(super) pacer: LinkPacer,
-    pub(super) book: SharedControlState,
+    pub(super) deployment_state: SharedDeploymentState,
     pub(super) client: Arc<PeerClient>,
     pub(super) store: ChunkStore,
     pub(super) monitor: Arc<EngineMonitor>,
@@ -114,7 +114,7 @@
 
     /// Checks once which version has to be fetched, if any.
     async fn step(&self) -> SwitchResult<Option<ModelVersion>> {
-        let snapshot = self.book.snapshot().load();
+        let snapshot = self.deployment_state.snapshot().load();
         let Some((model, layers)) = self.identity.model_of(&snapshot) else {
             self.waits.set_fetch(HostWait::Document);
             return Ok(None);
@@ -156,7 +156,7 @@
         Ok(Some(target))
     }
 
-    fn origin(&self, snapshot: &ControlSnapshot) -> Option<OriginClient> {
+    fn origin(&self, snapshot: &DeploymentSnapshot) -> Option<OriginClient> {
         let origin = snapshot.catalog.as_ref()?.weights_origin()?.address;
         Some(OriginClient::new(origin, self.client.clone()))
     }
@@ -167,7 +167,7 @@
     /// for as long as the chunks do, and all of its connections.
     async fn read_digests(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         target: &ModelVersion,
     ) -> SwitchResult<ChunkDigests> {
         let sources = DigestSources::new(
@@ -211,7 +211,7 @@
 
     /// Closes the connections to the origin. Their number is limited, and hosts that fetch the next
     /// version need them.
-    fn close_origin_connections(&self, snapshot: &ControlSnapshot) {
+    fn close_origin_connections(&self, snapshot: &DeploymentSnapshot) {
         let catalog = snapshot.catalog.as_ref();
         if let Some(origin) = catalog.and_then(|catalog| catalog.weights_origin()) {
             self.client.drop_pool(origin.address);
@@ -220,7 +220,7 @@
 
     /// Fetches until the version is complete, or another one is the target.
     async fn fetch(&self, target: &ModelVersion) -> SwitchResult<()> {
-        let snapshot = self.book.snapshot().load();
+        let snapshot = self.deployment_state.snapshot().load();
         let Some(held) = self.store.held(target) else {
             return Ok(());
         };
@@ -256,7 +256,7 @@
 
     async fn fetch_with(&self, fetch: &mut ChunkFetch, target: &ModelVersion) -> SwitchResult<()> {
         loop {
-            let snapshot = self.book.snapshot().load();
+            let snapshot = self.deployment_state.snapshot().load();
             let is_target = target_version(&snapshot, target.model.clone()) == *target;
             if !is_target && fetch.known_part() < FINISH_FETCHED_PART {
                 log_event!(events::FETCH_ABANDONED, "version={}", target.version.0);
@@ -279,7 +279,7 @@
 
     async fn renew_digests(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         target: &ModelVersion,
     ) -> SwitchResult<()> {
         let Some(origin) = self.origin(snapshot) else {
@@ -298,7 +298,7 @@
 }
 
 /// The version that the engine should serve; version 1 if no target was set.
-pub(super) fn target_version(snapshot: &ControlSnapshot, model: ByteString) -> ModelVersion {
+pub(super) fn target_version(snapshot: &DeploymentSnapshot, model: ByteString) -> ModelVersion {
     match snapshot.newest_version(&model) {
         Some(newest) => newest.target.clone(),
         None => ModelVersion {
--- a/src/replication/view_poller.rs
+++ b/src/replication/view_poller.rs
@@ -15,8 +15,8 @@
 use crate::fleet::TargetTimeCertainty;
 use crate::platform::{StoreClient, TableName};
 use crate::sync::{
-    ControlState, EntryRecord, OwnRows, PeerView, QuerySpan, SharedControlState, TargetUpdateTime,
-    VIEW_PATH,
+    DeploymentState, EntryRecord, OwnRows, PeerView, QuerySpan, SharedDeploymentState,
+    TargetUpdateTime, VIEW_PATH,
 };
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{AnswerPace, PeerClient};
@@ -48,7 +48,7 @@
 pub(super) struct ViewPoller {
     pub(super) client: Arc<PeerClient>,
     pub(super) store: StoreClient,
-    pub(super) book: SharedControlState,
+    pub(super) deployment_state: SharedDeploymentState,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) data_centre: ByteString,
     /// When an entry host last sent a document.
@@ -83,7 +83,7 @@
         let Some((address, is_near)) = self.choose_entry() else {
             return false;
         };
-        let mut query = self.book.read(ControlState::query);
+        let mut query = self.deployment_state.read(DeploymentState::query);
         query.wait_ms = u64::try_from(POLL_WAIT.as_millis()).unwrap_or(0);
         let sent_at = clock_now();
         // A host that has a document does not need another over the link between two regions.
@@ -101,7 +101,8 @@
                 sent_at,
                 received_at,
             };
-            self.book.change(|book| book.merge(view, span));
+            self.deployment_state
+                .change(|deployment_state| deployment_state.merge(view, span));
             return true;
         }
         // The connection may be broken rather than the entry host; the next call opens a new one.
@@ -118,11 +119,11 @@
     /// Chooses an entry host, mostly of this data centre because traffic between data centres is
     /// expensive. Returns whether it is in this data centre.
     fn choose_entry(&self) -> Option<(SocketAddr, bool)> {
-        let (near, all) = self.book.read(|book| {
+        let (near, all) = self.deployment_state.read(|deployment_state| {
             let is_near = |entry: &&EntryRecord| entry.data_centre == self.data_centre;
-            let near = book.entries().iter().filter(is_near);
+            let near = deployment_state.entries().iter().filter(is_near);
             let near: Vec<SocketAddr> = near.map(|entry| entry.control).collect();
-            let all = book.entries().iter().map(|entry| entry.control);
+            let all = deployment_state.entries().iter().map(|entry| entry.control);
             let all: Vec<SocketAddr> = all.chain(self.seeds.iter().copied()).collect();
             (near, all)
         });
@@ -154,20 +155,20 @@
             .read_table(TableName::Operator, STORE_TIMEOUT)
             .await?;
         let target_time = TargetUpdateTime::guessed(
-            operator.told_at - TARGET_SET_BEFORE,
+            operator.store_time - TARGET_SET_BEFORE,
             TargetTimeCertainty::Assumed,
         );
-        self.book.change(|book| {
-            book.note_store_answer(own.revision, own.told_at, span);
-            book.take_own_rows(OwnRows::of(&own), target_time);
-            book.set_operator_rows(&operator.rows, target_time);
+        self.deployment_state.change(|deployment_state| {
+            deployment_state.note_store_answer(own.revision, own.store_time, span);
+            deployment_state.take_own_rows(OwnRows::of(&own), target_time);
+            deployment_state.set_operator_rows(&operator.rows, target_time);
         });
         let backends = self
             .store
             .read_table(TableName::Backends, STORE_TIMEOUT)
             .await?;
-        self.book
-            .change(|book| book.set_backends(&backends, clock_now()));
+        self.deployment_state
+            .change(|deployment_state| deployment_state.set_backends(&backends, clock_now()));
         Ok(())
     }
 }
--- a/src/replication/weights_retirement.rs
+++ b/src/replication/weights_retirement.rs
@@ -16,7 +16,7 @@
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, TargetTimeCertainty};
 use crate::platform::{EngineReport, LoadOrder, OrderOutcome};
-use crate::sync::ControlSnapshot;
+use crate::sync::DeploymentSnapshot;
 use crate::time::ClockTime;
 use crate::weights::ChunkMap;
 
@@ -50,7 +50,7 @@
     /// Finds expired weights that the engine serves at `now` and can be made to release.
     pub(super) fn find_expired(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         now: ClockTime,
     ) -> Option<ExpiredWeights> {
         let (model, layers) = self.identity.model_of(snapshot)?;
@@ -72,7 +72,7 @@
     /// Whether the weights served by an engine with this `report` have expired at `now`, or are
     /// about to.
     pub(super) fn is_expired(&self, report: &EngineReport, now: ClockTime) -> bool {
-        let snapshot = self.book.snapshot().load();
+        let snapshot = self.deployment_state.snapshot().load();
         let until = self
             .identity
             .model_of(&snapshot)
--- a/src/sync/backend_follow.rs
+++ b/src/sync/backend_follow.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::peer_messages::{BackendChanges, PeerQuery};
 use crate::time::{ClockTime, StoreTime};
 
@@ -58,7 +58,7 @@
     }
 }
 
-impl ControlState {
+impl DeploymentState {
     /// Records that the store reported the list at `answered_at`, on its clock.
     pub(super) fn note_backends_answer(&mut self, answered_at: StoreTime) {
         self.backends_answered_at = self.backends_answered_at.max(Some(answered_at));
--- a/src/sync/backend_list.rs
+++ b/src/sync/backend_list.rs
@@ -32,8 +32,8 @@
 const REMOVED_REPORT_SPAN: Duration = Duration::from_secs(5);
 
 fn digest_of(facts: &BackendFacts) -> u64 {
-    let (id, born, address) = (&facts.id, facts.born, facts.address);
-    name_hash(&format!("{id} {born:?} {address} {:?}", facts.phase))
+    let (id, start_time, address) = (&facts.id, facts.start_time, facts.address);
+    name_hash(&format!("{id} {start_time:?} {address} {:?}", facts.phase))
 }
 
 /// Position of an entry among all entries of its backend server.
@@ -46,7 +46,7 @@
 impl EntrySequence {
     const fn of(facts: &BackendFacts) -> Self {
         Self {
-            started_at: facts.born,
+            started_at: facts.start_time,
             number: facts.sequence,
         }
     }
--- a/src/sync/crash_follow.rs
+++ b/src/sync/crash_follow.rs
@@ -8,8 +8,8 @@
 
 use tokio::time::sleep;
 
-use super::control_state::ControlState;
 use super::crash_rows::{crash_key, crash_value, read_crash};
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::store_watch::{RetryBackoff, STORE_TIMEOUT, StoreWatch};
 use crate::errors::SwitchResult;
@@ -37,7 +37,7 @@
         let mut backoff = RetryBackoff::default();
         let mut remove_at = clock_now() + REMOVE_PAUSE;
         loop {
-            if !self.state.read(ControlState::reads_store) {
+            if !self.state.read(DeploymentState::reads_store) {
                 sleep(READER_CHECK_PAUSE).await;
                 continue;
             }
@@ -120,7 +120,7 @@
         let mut changes = self.state.changes();
         let mut backoff = RetryBackoff::default();
         loop {
-            let unstored = self.state.read(ControlState::unsaved_crashes);
+            let unstored = self.state.read(DeploymentState::unsaved_crashes);
             if unstored.is_empty() {
                 if changes.changed().await.is_err() {
                     return;
@@ -128,7 +128,7 @@
                 continue;
             }
             sleep(GATHER_SPAN).await;
-            let unstored = self.state.read(ControlState::unsaved_crashes);
+            let unstored = self.state.read(DeploymentState::unsaved_crashes);
             let part = &unstored[..unstored.len().min(CHANGED_ROWS_MAX)];
             match self.write_crashes(part).await {
                 Ok(()) => backoff = RetryBackoff::default(),
--- a/src/sync/crash_state.rs
+++ b/src/sync/crash_state.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use super::control_state::ControlState;
 use super::crash_rows::read_crash;
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::peer_messages::PeerQuery;
 use super::unreadable_rows::RowStatus;
@@ -16,7 +16,7 @@
 };
 use crate::time::ClockTime;
 
-impl ControlState {
+impl DeploymentState {
     /// Whether the store's table of crashes was read, or received from a neighbour.
     pub(super) fn knows_crashes(&self) -> bool {
         self.crashes.revision() > 0
--- a/src/sync/control_state.rs
+++ b/src/sync/deployment_state.rs
@@ -13,7 +13,7 @@
 use super::own_rows::{OwnRows, VersionRecord};
 use super::peer_messages::EntryRecord;
 use super::revision_times::RevisionTimes;
-use super::snapshot::ControlSnapshot;
+use super::snapshot::DeploymentSnapshot;
 use super::store_clock::StoreClock;
 use super::target_update_time::TargetUpdateTime;
 use super::target_versions::{TargetVersions, UpdateSource};
@@ -45,7 +45,7 @@
 
 /// The control state.
 #[derive(Debug, Default)]
-pub(crate) struct ControlState {
+pub(crate) struct DeploymentState {
     pub(super) document: Option<CurrentDocument>,
     pub(super) versions: TargetVersions,
     pub(super) clock: StoreClock,
@@ -74,7 +74,7 @@
     pub(super) crashes: Arc<CrashLedger>,
 }
 
-impl ControlState {
+impl DeploymentState {
     /// Whether the entry host can accept requests: there is a document, and the backend servers are
     /// known.
     pub(crate) const fn is_usable(&self) -> bool {
@@ -378,8 +378,8 @@
     }
 
     /// The snapshot for request handling.
-    pub(super) fn snapshot(&self) -> ControlSnapshot {
-        ControlSnapshot {
+    pub(super) fn snapshot(&self) -> DeploymentSnapshot {
+        DeploymentSnapshot {
             catalog: self
                 .document
                 .as_ref()
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -4,10 +4,10 @@
 
 mod backend_follow;
 mod backend_list;
-mod control_state;
 mod crash_follow;
 mod crash_rows;
 mod crash_state;
+mod deployment_state;
 pub(crate) mod events;
 mod neighbour_exchange;
 mod neighbour_queries;
@@ -19,7 +19,7 @@
 mod peer_routes;
 mod read_order;
 mod revision_times;
-mod shared_control_state;
+mod shared_deployment_state;
 mod snapshot;
 mod store_clock;
 mod store_contact;
@@ -32,11 +32,11 @@
 mod unreadable_rows;
 mod version_recorder;
 
-pub(crate) use control_state::ControlState;
+pub(crate) use deployment_state::DeploymentState;
 pub(crate) use own_rows::OwnRows;
 pub(crate) use peer_messages::{EntryRecord, PeerView, VIEW_PATH};
-pub(crate) use shared_control_state::SharedControlState;
-pub(crate) use snapshot::{ControlSnapshot, SharedSnapshot};
+pub(crate) use shared_deployment_state::SharedDeploymentState;
+pub(crate) use snapshot::{DeploymentSnapshot, SharedSnapshot};
 pub(crate) use store_clock::{QuerySpan, StoreClock};
 pub(crate) use sync_thread::{SyncSettings, start_sync};
 pub(crate) use target_update_time::TargetUpdateTime;
--- a/src/sync/neighbour_exchange.rs
+++ b/src/sync/neighbour_exchange.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::control_state::{ControlState, CurrentDocument, note_document_fault};
+use super::deployment_state::{CurrentDocument, DeploymentState, note_document_fault};
 use super::events;
 use super::peer_messages::{PeerQuery, PeerView, TargetAnnouncement};
 use super::store_clock::{ClockSource, QuerySpan};
@@ -11,7 +11,7 @@
 use crate::fleet::BackendFacts;
 use crate::time::ClockTime;
 
-impl ControlState {
+impl DeploymentState {
     /// A query that states what this process knows.
     pub(crate) fn query(&self) -> PeerQuery {
         PeerQuery {
--- a/src/sync/neighbour_queries.rs
+++ b/src/sync/neighbour_queries.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::peer_messages::{EntryRecord, PeerView, VIEW_PATH};
 use super::store_clock::QuerySpan;
@@ -124,7 +124,7 @@
     }
 
     async fn query(&self, address: SocketAddr, place: NeighbourLocation) {
-        let mut query = self.state.read(ControlState::entry_query);
+        let mut query = self.state.read(DeploymentState::entry_query);
         let sent_at = clock_now();
         query.can_wait_for_document = !self.wants_document(place, sent_at);
         let called =
--- a/src/sync/operator_follow.rs
+++ b/src/sync/operator_follow.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 use super::backend_follow::ListQueryState;
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::operator_status::classify_answer;
 use super::peer_messages::{EntryRecord, PeerView, VIEW_PATH};
@@ -95,7 +95,7 @@
     async fn reader_step(&self, progress: &mut ReaderProgress) {
         if !progress.has_read_history {
             progress.has_read_history = true;
-            if self.state.read(ControlState::document_version).is_none() {
+            if self.state.read(DeploymentState::document_version).is_none() {
                 self.read_past_targets_first().await;
             } else {
                 tokio::spawn(self.clone().read_past_targets_later());
@@ -141,10 +141,10 @@
         entry: &EntryRecord,
         query_state: &mut ListQueryState,
     ) -> ReaderAnswer {
-        let mut query = self.state.read(ControlState::entry_query);
+        let mut query = self.state.read(DeploymentState::entry_query);
         query.follows = true;
         query.wait_ms = u64::try_from(FOLLOW_WAIT.as_millis()).unwrap_or(0);
-        let digest = self.state.read(ControlState::backends_digest);
+        let digest = self.state.read(DeploymentState::backends_digest);
         query_state.complete(&mut query, digest);
         let pace = AnswerPace {
             head: FOLLOW_WAIT + FOLLOW_PACE.head,
--- a/src/sync/past_targets.rs
+++ b/src/sync/past_targets.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use tokio::time::{sleep, timeout};
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::store_watch::{STORE_TIMEOUT, StoreWatch};
 use super::target_update_time::FollowState;
@@ -46,10 +46,10 @@
     /// executed late over it, every starting process would load the older weights again. The
     /// symptom is `[1102]` with an older version after a restart.
     async fn read_past_targets(&self) -> SwitchResult<()> {
-        if !self.state.read(ControlState::has_own_rows) {
+        if !self.state.read(DeploymentState::has_own_rows) {
             self.read_own_rows().await?;
         }
-        let newest = self.state.read(ControlState::own_revision);
+        let newest = self.state.read(DeploymentState::own_revision);
         let mut bytes = 0;
         for revisions in HISTORY_REVISIONS {
             let since = newest.saturating_sub(revisions);
@@ -100,7 +100,7 @@
             return Ok(None);
         };
         self.note_store_answer(&view, sent_at);
-        let update_time = FollowState::Started.update_time(view.told_at, view.told_at);
+        let update_time = FollowState::Started.update_time(view.store_time, view.store_time);
         self.state
             .change(|state| state.take_past_targets(&view.rows, update_time));
         let values = view.rows.iter().filter_map(|row| row.value.as_ref());
--- a/src/sync/peer_routes.rs
+++ b/src/sync/peer_routes.rs
@@ -9,7 +9,7 @@
 use volo_http::server::route::{Router, post};
 
 use super::peer_messages::{PeerQuery, VIEW_PATH};
-use super::shared_control_state::SharedControlState;
+use super::shared_deployment_state::SharedDeploymentState;
 use crate::time::clock_now;
 use crate::transport::{error_reply, message_reply, read_message};
 
@@ -19,7 +19,7 @@
 const WAIT_MAX: Duration = Duration::from_secs(2);
 
 /// The routes of the endpoint.
-pub(super) fn peer_routes(state: &SharedControlState) -> Router {
+pub(super) fn peer_routes(state: &SharedDeploymentState) -> Router {
     let state = state.clone();
     let handler = move |request: Request| answer_view(state.clone(), request);
     Router::new()
@@ -28,7 +28,7 @@
 }
 
 /// Waits until there is an urgent change for the querying process, for as long as the query allows.
-async fn await_urgent_changes(state: &SharedControlState, query: &PeerQuery) {
+async fn await_urgent_changes(state: &SharedDeploymentState, query: &PeerQuery) {
     let mut changes = state.changes();
     let news = async {
         while !state.read(|state| state.has_urgent_changes(query)) {
@@ -44,14 +44,14 @@
 
 /// Merges target versions that only the querying process knows. This happens when all entry hosts
 /// have restarted while hosts of backend servers kept running.
-fn merge_targets(state: &SharedControlState, query: &PeerQuery) {
+fn merge_targets(state: &SharedDeploymentState, query: &PeerQuery) {
     let now = clock_now();
     if state.read(|state| state.is_updated_by(&query.targets)) {
         state.change(|state| state.merge_targets(&query.targets, now));
     }
 }
 
-async fn answer_view(state: SharedControlState, request: Request) -> Response {
+async fn answer_view(state: SharedDeploymentState, request: Request) -> Response {
     match read_message::<PeerQuery>(request.into_body(), QUERY_BYTES_MAX).await {
         Ok(query) => {
             let sent_at = clock_now();
--- a/src/sync/shared_control_state.rs
+++ b/src/sync/shared_deployment_state.rs
@@ -4,32 +4,32 @@
 
 use tokio::sync::watch;
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::snapshot::SharedSnapshot;
 
 /// The control state and the snapshot made of it. Clones share both.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SharedControlState {
-    state: Arc<Mutex<ControlState>>,
+pub(crate) struct SharedDeploymentState {
+    state: Arc<Mutex<DeploymentState>>,
     snapshot: SharedSnapshot,
     /// Counts changes.
     changes: Arc<watch::Sender<u64>>,
 }
 
-impl SharedControlState {
+impl SharedDeploymentState {
     /// The handle through which request handling reads the newest snapshot.
     pub(crate) fn snapshot(&self) -> SharedSnapshot {
         self.snapshot.clone()
     }
 
     /// Reads the control state.
-    pub(crate) fn read<T>(&self, reader: impl FnOnce(&ControlState) -> T) -> T {
+    pub(crate) fn read<T>(&self, reader: impl FnOnce(&DeploymentState) -> T) -> T {
         reader(&self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Changes the control state, publishes a new snapshot and notifies the tasks that wait for
     /// changes.
-    pub(crate) fn change(&self, change: impl FnOnce(&mut ControlState)) {
+    pub(crate) fn change(&self, change: impl FnOnce(&mut DeploymentState)) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut state);
         self.snapshot.store(state.snapshot());
@@ -38,7 +38,7 @@
     }
 
     /// Changes a part that is not in the snapshot and that no task waits for.
-    pub(crate) fn note(&self, note: impl FnOnce(&mut ControlState)) {
+    pub(crate) fn note(&self, note: impl FnOnce(&mut DeploymentState)) {
         note(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -14,7 +14,7 @@
 
 /// The control state at one moment.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ControlSnapshot {
+pub(crate) struct DeploymentSnapshot {
     /// The document in force; `None` before the first was read.
     pub(crate) catalog: Option<Arc<ServiceCatalog>>,
     /// The backend servers.
@@ -29,7 +29,7 @@
     pub(crate) clock: StoreClock,
 }
 
-impl ControlSnapshot {
+impl DeploymentSnapshot {
     /// The newest target version of `model`.
     pub(crate) fn newest_version(&self, model: &str) -> Option<&TargetWeights> {
         let mut newest_first = self.targets.iter().rev();
@@ -72,17 +72,17 @@
 /// The newest snapshot. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedSnapshot {
-    newest: Arc<ArcSwap<ControlSnapshot>>,
+    newest: Arc<ArcSwap<DeploymentSnapshot>>,
 }
 
 impl SharedSnapshot {
     /// Returns the newest snapshot.
-    pub(crate) fn load(&self) -> Arc<ControlSnapshot> {
+    pub(crate) fn load(&self) -> Arc<DeploymentSnapshot> {
         self.newest.load_full()
     }
 
     /// Replaces the snapshot.
-    pub(crate) fn store(&self, snapshot: ControlSnapshot) {
+    pub(crate) fn store(&self, snapshot: DeploymentSnapshot) {
         self.newest.store(Arc::new(snapshot));
     }
 }
--- a/src/sync/store_contact.rs
+++ b/src/sync/store_contact.rs
@@ -1,11 +1,11 @@
 //! What the store's answers reveal in addition to their rows: its clock, and since when it has been
 //! reachable.
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::store_clock::{ClockBounds, ClockSource, QuerySpan};
 use crate::time::{ClockTime, StoreTime};
 
-impl ControlState {
+impl DeploymentState {
     /// Records that the store reported within `span` its clock and `revision` as its newest.
     pub(crate) fn note_store_answer(
         &mut self,
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -7,11 +7,11 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::own_rows::OwnRows;
 use super::peer_messages::EntryRecord;
-use super::shared_control_state::SharedControlState;
+use super::shared_deployment_state::SharedDeploymentState;
 use super::store_clock::QuerySpan;
 use super::target_update_time::FollowState;
 use crate::errors::SwitchResult;
@@ -57,7 +57,7 @@
     /// Client for neighbours.
     pub(crate) client: Arc<PeerClient>,
     /// The control state.
-    pub(crate) state: SharedControlState,
+    pub(crate) state: SharedDeploymentState,
     /// The record of this entry host, which it writes to the store.
     pub(crate) own_entry: EntryRecord,
     /// Addresses of some entry hosts; may be outdated.
@@ -112,20 +112,20 @@
 
     /// Since when the store has answered, but not for the operator's table.
     fn contact_since(&self, context: FollowContext) -> Option<StoreTime> {
-        let since = self.state.read(ControlState::contact_since);
+        let since = self.state.read(DeploymentState::contact_since);
         since.max(context.answered_at)
     }
 
     /// Whether the store has answered any call since `sent_at`.
     fn has_answered_since(&self, sent_at: ClockTime) -> bool {
-        let answered = self.state.read(ControlState::store_answered);
+        let answered = self.state.read(DeploymentState::store_answered);
         answered.is_some_and(|at| at >= sent_at)
     }
 
     /// Reads the system's own rows.
     pub(super) async fn read_own_rows(&self) -> SwitchResult<()> {
         let view = self.read_table(TableName::System).await?;
-        self.take_own_rows(OwnRows::of(&view), view.told_at);
+        self.take_own_rows(OwnRows::of(&view), view.store_time);
         Ok(())
     }
 
@@ -155,7 +155,7 @@
             received_at,
         };
         self.state
-            .note(|state| state.note_store_answer(view.revision, view.told_at, span));
+            .note(|state| state.note_store_answer(view.revision, view.store_time, span));
         self.state.read(|state| state.store_time(sent_at))
     }
 
@@ -194,11 +194,11 @@
             WatchResponse::Changed(view) => {
                 let sent_by = self.note_store_answer(&view, sent_at);
                 if !view.rows.is_empty() {
-                    let update_time = context.follow_state.update_time(sent_by, view.told_at);
+                    let update_time = context.follow_state.update_time(sent_by, view.store_time);
                     self.state
                         .change(|state| state.change_operator_rows(&view.rows, update_time));
                 }
-                (view.revision, view.told_at)
+                (view.revision, view.store_time)
             }
             WatchResponse::HistoryExpired => {
                 log_event!(events::HISTORY_LOST, "table=operator");
@@ -216,18 +216,20 @@
     /// The system's own rows are read first. With a document the process is ready, and without
     /// these rows it would trust an operator's row that was overwritten by an older version.
     async fn read_operator(&self, context: FollowContext) -> SwitchResult<(u64, StoreTime)> {
-        if !self.state.read(ControlState::knows_crashes) {
+        if !self.state.read(DeploymentState::knows_crashes) {
             self.read_crashes().await?;
         }
-        if context.is_after_failure || !self.state.read(ControlState::has_own_rows) {
+        if context.is_after_failure || !self.state.read(DeploymentState::has_own_rows) {
             self.read_own_rows().await?;
         }
         let view = self.read_table(TableName::Operator).await?;
         // A read is not held until a change, so its duration says nothing about the update time.
-        let update_time = context.follow_state.update_time(view.told_at, view.told_at);
+        let update_time = context
+            .follow_state
+            .update_time(view.store_time, view.store_time);
         self.state
             .change(|state| state.set_operator_rows(&view.rows, update_time));
-        Ok((view.revision, view.told_at))
+        Ok((view.revision, view.store_time))
     }
 
     /// Follows the backend servers' table until the process ends.
@@ -254,14 +256,14 @@
     async fn await_reported_backends(&self) {
         let begun = clock_now();
         let is_settled =
-            |state: &ControlState| state.operator().is_reader() || state.backends_revision() > 0;
+            |state: &DeploymentState| state.operator().is_reader() || state.backends_revision() > 0;
         while !self.state.read(is_settled) && clock_now().since(begun) < START_TIMEOUT {
             sleep(START_PAUSE).await;
         }
     }
 
     async fn backends_step(&self, is_complete: &mut bool) -> SwitchResult<()> {
-        let since = self.state.read(ControlState::backends_revision);
+        let since = self.state.read(DeploymentState::backends_revision);
         if *is_complete {
             let sent_at = clock_now();
             let watched =
@@ -282,7 +284,7 @@
         self.state.change(|state| {
             let now = clock_now();
             state.set_backends(&view, now);
-            state.note_backends_answer(view.told_at);
+            state.note_backends_answer(view.store_time);
             state.expire(now);
         });
         Ok(())
@@ -292,7 +294,7 @@
         self.state.change(|state| {
             let now = clock_now();
             state.change_backends(view, now);
-            state.note_backends_answer(view.told_at);
+            state.note_backends_answer(view.store_time);
             state.expire(now);
         });
     }
@@ -330,10 +332,10 @@
 
     /// The state for dating the versions that the system's own rows record.
     fn own_follow_state(&self) -> FollowState {
-        if let Some(answered_at) = self.state.read(ControlState::followed) {
+        if let Some(answered_at) = self.state.read(DeploymentState::followed) {
             // A host close to the store may record a version before the watch reports it here.
             FollowState::Followed(answered_at)
-        } else if self.state.read(ControlState::has_own_rows) {
+        } else if self.state.read(DeploymentState::has_own_rows) {
             // A version that is new to a running process was set while it was cut off.
             FollowState::Interrupted
         } else {
--- a/src/sync/sync_thread.rs
+++ b/src/sync/sync_thread.rs
@@ -6,7 +6,7 @@
 use super::events;
 use super::peer_messages::EntryRecord;
 use super::peer_routes::peer_routes;
-use super::shared_control_state::SharedControlState;
+use super::shared_deployment_state::SharedDeploymentState;
 use super::store_watch::StoreWatch;
 use crate::daemon::DrainState;
 use crate::events::log_event;
@@ -25,8 +25,8 @@
 }
 
 /// Starts the control thread, which follows the store and answers other processes.
-pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedControlState {
-    let state = SharedControlState::default();
+pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedDeploymentState {
+    let state = SharedDeploymentState::default();
     let shared = state.clone();
     let thread = std::thread::Builder::new().name("control".to_owned());
     let started = thread.spawn(move || {
@@ -44,7 +44,11 @@
     state
 }
 
-pub(super) async fn run_sync(settings: SyncSettings, state: SharedControlState, drain: DrainState) {
+pub(super) async fn run_sync(
+    settings: SyncSettings,
+    state: SharedDeploymentState,
+    drain: DrainState,
+) {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let watch = StoreWatch {
         store: StoreClient::new(settings.store_address, client.clone()),
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -12,7 +12,7 @@
 use crate::platform::{FakeStore, TableName};
 use crate::quarantine::BackendIncarnation;
 use crate::sync::crash_rows::{crash_key, crash_value};
-use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
+use crate::sync::{DeploymentSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::{digest_of, free_address};
 use crate::time::clock_now;
 
@@ -82,7 +82,7 @@
         .change(|state| state.note_crash(backend, &[digest_of(body)], now));
 }
 
-fn has_quarantined(snapshot: &ControlSnapshot, body: &[u8]) -> bool {
+fn has_quarantined(snapshot: &DeploymentSnapshot, body: &[u8]) -> bool {
     let left = snapshot.crashes.quarantine(digest_of(body), clock_now());
     left.is_some()
 }
--- a/src/sync/tests/delayed_messages.rs
+++ b/src/sync/tests/delayed_messages.rs
@@ -12,7 +12,7 @@
 use crate::sync::peer_messages::{PeerQuery, PeerView};
 use crate::sync::store_clock::QuerySpan;
 use crate::sync::target_update_time::FollowState;
-use crate::sync::{ControlState, OwnRows, SharedControlState};
+use crate::sync::{DeploymentState, OwnRows, SharedDeploymentState};
 use crate::test_support::run_cases;
 use crate::time::{ClockTime, StoreTime};
 
@@ -33,7 +33,7 @@
 
 /// Merges an answer of the store at `now` on the process's own clock.
 pub(super) fn take_store_answer(
-    state: &SharedControlState,
+    state: &SharedDeploymentState,
     answer: &StoreAnswer,
     follow_state: FollowState,
     now: ClockTime,
@@ -54,7 +54,7 @@
 /// Merges an answer of the store about another table, which contains only its clock and revision,
 /// at `now` on the process's own clock.
 pub(super) fn take_revision_answer(
-    state: &SharedControlState,
+    state: &SharedDeploymentState,
     answer: &StoreAnswer,
     now: ClockTime,
 ) {
@@ -70,27 +70,27 @@
 }
 
 /// A query to a neighbour, which may hold the response for `wait`.
-pub(super) fn make_query(state: &SharedControlState, wait: Duration) -> PeerQuery {
-    let mut query = state.read(ControlState::query);
+pub(super) fn make_query(state: &SharedDeploymentState, wait: Duration) -> PeerQuery {
+    let mut query = state.read(DeploymentState::query);
     query.wait_ms = u64::try_from(wait.as_millis()).unwrap_or(0);
     query
 }
 
 /// Merges what a neighbour gets from a query that arrived at `now`.
-pub(super) fn take_query(state: &SharedControlState, query: &PeerQuery, now: ClockTime) {
+pub(super) fn take_query(state: &SharedDeploymentState, query: &PeerQuery, now: ClockTime) {
     if state.read(|state| state.is_updated_by(&query.targets)) {
         state.change(|state| state.merge_targets(&query.targets, now));
     }
 }
 
 /// Whether the neighbour responds to `query` at once.
-pub(super) fn has_changes(state: &SharedControlState, query: &PeerQuery) -> bool {
+pub(super) fn has_changes(state: &SharedDeploymentState, query: &PeerQuery) -> bool {
     state.read(|state| state.has_urgent_changes(query))
 }
 
 /// The neighbour's response to a query that arrived at `arrived_at`.
 pub(super) fn make_answer(
-    state: &SharedControlState,
+    state: &SharedDeploymentState,
     query: &PeerQuery,
     arrived_at: ClockTime,
     now: ClockTime,
@@ -100,7 +100,7 @@
 
 /// Merges a neighbour's response, at `now`, to a query sent at `sent_at`.
 pub(super) fn take_answer(
-    state: &SharedControlState,
+    state: &SharedDeploymentState,
     view: PeerView,
     sent_at: ClockTime,
     now: ClockTime,
@@ -113,7 +113,7 @@
 }
 
 /// The target versions that a process knows, with update times on its own clock.
-fn known_targets(state: &SharedControlState) -> Vec<TargetWeights> {
+fn known_targets(state: &SharedDeploymentState) -> Vec<TargetWeights> {
     state.snapshot().load().targets.to_vec()
 }
 
--- a/src/sync/tests/delayed_process.rs
+++ b/src/sync/tests/delayed_process.rs
@@ -5,7 +5,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 
 use super::delayed_messages::{StoreAnswer, take_store_answer};
-use crate::sync::SharedControlState;
+use crate::sync::SharedDeploymentState;
 use crate::sync::target_update_time::FollowState;
 use crate::time::{ClockTime, StoreTime};
 
@@ -19,7 +19,7 @@
 
 /// An entry host or the host of an engine.
 pub(super) struct Process {
-    pub(super) state: SharedControlState,
+    pub(super) state: SharedDeploymentState,
     /// How far its clock is ahead of real time.
     pub(super) ahead: Duration,
     /// Counts its starts; messages to a former incarnation are dropped.
@@ -89,7 +89,7 @@
             *u.choose(&[NEAR_DELAY_MAX, 200, 1000, ANSWER_DELAY_MAX])?
         };
         Ok(Self {
-            state: SharedControlState::default(),
+            state: SharedDeploymentState::default(),
             ahead: millis(u.int_in_range(0..=60_000)?),
             incarnation: 0,
             started: now,
--- a/src/sync/tests/document_bursts.rs
+++ b/src/sync/tests/document_bursts.rs
@@ -12,7 +12,7 @@
 use crate::platform::{FakeStore, TableName};
 use crate::sync::past_targets::is_final_read;
 use crate::sync::peer_messages::{PeerQuery, TargetAnnouncement};
-use crate::sync::{ControlSnapshot, ControlState, TargetUpdateTime};
+use crate::sync::{DeploymentSnapshot, DeploymentState, TargetUpdateTime};
 use crate::time::clock_now;
 
 /// Versions of the document in one burst.
@@ -102,7 +102,7 @@
     let (key, text) = target_sample(2);
     store.put(TableName::Operator, key, &text);
     let now = clock_now();
-    let answer = |state: &ControlState| state.answer(&PeerQuery::default(), Duration::ZERO, now);
+    let answer = |state: &DeploymentState| state.answer(&PeerQuery::default(), Duration::ZERO, now);
     let clock = process.state.read(answer).clock;
     let known_at = clock.expect("the store has answered").most;
     let announcement = TargetAnnouncement {
@@ -119,7 +119,7 @@
         .state
         .change(|state| state.merge_targets(&[announcement], now));
     store.set_down(false);
-    let is_resumed = |snapshot: &ControlSnapshot| {
+    let is_resumed = |snapshot: &DeploymentSnapshot| {
         let mut weights = snapshot.targets.iter();
         weights.any(|weights| {
             weights.certainty == TargetTimeCertainty::Resumed
@@ -137,7 +137,7 @@
 #[test]
 fn a_host_with_a_document_gets_no_response_for_each_newer_one() {
     let state = new_state();
-    let mut query = state.read(ControlState::query);
+    let mut query = state.read(DeploymentState::query);
     state.change(|state| state.change_operator_rows(&[document(7)], witnessed_at(START)));
     assert!(state.read(|state| state.has_urgent_changes(&query)));
     query.can_wait_for_document = true;
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -15,7 +15,7 @@
 use crate::overload::EntryHostId;
 use crate::sync::own_rows::VersionRecord;
 use crate::sync::target_update_time::FollowState;
-use crate::sync::{ControlSnapshot, ControlState, OwnRows, SharedControlState};
+use crate::sync::{DeploymentSnapshot, DeploymentState, OwnRows, SharedDeploymentState};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -33,13 +33,13 @@
 /// What one entry host has received about a backend server, for the checks.
 #[derive(Clone, Copy, Default)]
 struct KnownServer {
-    born: u64,
+    start_time: u64,
     is_leaving: bool,
 }
 
 /// One entry host.
 struct EntryHost {
-    state: SharedControlState,
+    state: SharedDeploymentState,
     registry: SharedRegistry,
     /// The revision up to which it has followed the operator's table; `None` before it was read.
     operator_seen: Option<u64>,
@@ -106,7 +106,7 @@
             Some(record) => OwnRows::with_record(record.clone()),
             None => OwnRows::default(),
         };
-        let has_read = self.state.read(ControlState::has_own_rows);
+        let has_read = self.state.read(DeploymentState::has_own_rows);
         let follow_state = if has_read {
             FollowState::Interrupted
         } else {
@@ -144,7 +144,7 @@
         self.registry.lock().set_fleet(&self.snapshot().fleet);
     }
 
-    fn snapshot(&self) -> Arc<ControlSnapshot> {
+    fn snapshot(&self) -> Arc<DeploymentSnapshot> {
         self.state.snapshot().load()
     }
 
@@ -155,14 +155,14 @@
             let Some(known) = self.known_server(&facts.id) else {
                 continue;
             };
-            let born = facts.born.map_or(0, |born| born.0);
-            if born > known.born {
-                known.born = born;
+            let start_time = facts.start_time.map_or(0, |start_time| start_time.0);
+            if start_time > known.start_time {
+                known.start_time = start_time;
                 known.is_leaving = false;
             }
             // Entries received after the report of a newer incarnation are ignored where backend
             // servers are chosen.
-            if born == known.born {
+            if start_time == known.start_time {
                 let is_leaving = facts.phase == BackendPhase::Leaving;
                 let is_back = known.is_leaving && !is_leaving;
                 assert!(!is_back, "a leaving backend server was revived: {facts:?}");
@@ -191,12 +191,12 @@
             let snapshot = self.snapshot();
             snapshot.fleet.backends.iter().any(|facts| *facts.id == *id)
         };
-        let born = report.born.map_or(0, |born| born.0);
+        let start_time = report.start_time.map_or(0, |start_time| start_time.0);
         if is_listed
             && let Some(known) = self.known_server(&id)
-            && born > known.born
+            && start_time > known.start_time
         {
-            known.born = born;
+            known.start_time = start_time;
             known.is_leaving = false;
         }
         self.show();
@@ -224,9 +224,9 @@
             let Ok(ticket) = self.registry.pick(&need, now) else {
                 return found;
             };
-            let born = ticket.facts.born.map_or(0, |born| born.0);
+            let start_time = ticket.facts.start_time.map_or(0, |start_time| start_time.0);
             let version = ticket.version.map_or(0, |version| version.0);
-            found.push((ticket.facts.id.to_string(), born, version));
+            found.push((ticket.facts.id.to_string(), start_time, version));
             let key = ticket.key;
             drop(ticket);
             tried.push(key);
@@ -324,7 +324,7 @@
         if !host.reaches_store {
             return;
         }
-        for record in host.state.read(ControlState::unrecorded) {
+        for record in host.state.read(DeploymentState::unrecorded) {
             if is_late {
                 let late = (self.simulation.now, LateWrite::Record(record));
                 self.simulation.store.late.push(late);
@@ -344,7 +344,7 @@
     fn query(&mut self, requester: usize) {
         let now = self.simulation.now;
         let responder_at = (requester + 1) % ENTRIES;
-        let query = self.entries[requester].state.read(ControlState::query);
+        let query = self.entries[requester].state.read(DeploymentState::query);
         let responder = &self.entries[responder_at].state;
         if responder.read(|state| state.is_updated_by(&query.targets)) {
             responder.change(|state| state.merge_targets(&query.targets, now));
@@ -428,17 +428,20 @@
     fn check_picks(&mut self, at: usize) {
         let now = self.simulation.now;
         let picks = self.entries[at].picks(None, now);
-        for (id, born, version) in picks {
+        for (id, start_time, version) in picks {
             let servers = self.simulation.servers.iter();
             let real = servers.into_iter().find(|server| server.id == id);
             let real = real.expect("only existing backend servers are chosen");
-            let was_so = real.held.contains(&(born, version));
-            assert!(was_so, "{id} of {born} never held version {version}");
+            let was_so = real.held.contains(&(start_time, version));
+            assert!(was_so, "{id} of {start_time} never held version {version}");
             let known = self.entries[at]
                 .known_server(&id)
                 .copied()
                 .unwrap_or_default();
-            assert!(born >= known.born, "{id}: a former incarnation is used");
+            assert!(
+                start_time >= known.start_time,
+                "{id}: a former incarnation is used"
+            );
             assert!(!known.is_leaving, "{id} is leaving and is used");
         }
     }
--- a/src/sync/tests/driver_simulation.rs
+++ b/src/sync/tests/driver_simulation.rs
@@ -23,7 +23,7 @@
 pub(super) struct SimulatedServer {
     pub(super) id: String,
     pub(super) address: SocketAddr,
-    pub(super) born: u64,
+    pub(super) start_time: u64,
     entry_number: u64,
     pub(super) is_alive: bool,
     pub(super) is_leaving: bool,
@@ -38,7 +38,7 @@
         Self {
             id: format!("i-{number}"),
             address: SocketAddr::from(([10, 0, 0, number], 80)),
-            born: 1,
+            start_time: 1,
             entry_number: 0,
             is_alive: true,
             is_leaving: false,
@@ -49,7 +49,7 @@
 
     /// Restarts under the same id, with no weights.
     pub(super) fn restart(&mut self, now: ClockTime) {
-        self.born = (now.0 / 1000).max(self.born + 1);
+        self.start_time = (now.0 / 1000).max(self.start_time + 1);
         self.entry_number = 0;
         self.is_alive = true;
         self.is_leaving = false;
@@ -59,7 +59,7 @@
     pub(super) fn load(&mut self, version: u64) {
         if self.is_alive {
             self.version = version;
-            self.held.push((self.born, version));
+            self.held.push((self.start_time, version));
         }
     }
 
@@ -72,7 +72,7 @@
             BackendPhase::Serving
         };
         loaded_entry_sample(
-            (self.address, self.born),
+            (self.address, self.start_time),
             self.entry_number,
             phase,
             self.version,
@@ -94,7 +94,7 @@
         }
         LoadReport {
             address: self.address,
-            born: Some(WallTime(self.born)),
+            start_time: Some(WallTime(self.start_time)),
             active: 0,
             queued: 0,
             is_loading: false,
@@ -166,7 +166,7 @@
         TableView {
             rows: rows.cloned().collect(),
             revision: self.revision,
-            told_at: StoreTime(0),
+            store_time: StoreTime(0),
         }
     }
 
@@ -179,7 +179,7 @@
         TableView {
             rows: rows.filter(|row| row.revision > since).collect(),
             revision: self.revision.max(1),
-            told_at: StoreTime(0),
+            store_time: StoreTime(0),
         }
     }
 }
--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -12,7 +12,7 @@
 use crate::platform::{FakeStore, StoreRow, TableName};
 use crate::sync::peer_messages::TargetAnnouncement;
 use crate::sync::target_update_time::{FollowState, TargetUpdateTime};
-use crate::sync::{ControlState, SharedControlState};
+use crate::sync::{DeploymentState, SharedDeploymentState};
 use crate::time::{ClockTime, StoreTime};
 
 /// Longer than the time limit of a watch's answer.
@@ -89,7 +89,7 @@
 }
 
 /// Records that the store reported at `now` that `revision` is its newest.
-fn note_revision(state: &SharedControlState, revision: u64, now: ClockTime) {
+fn note_revision(state: &SharedDeploymentState, revision: u64, now: ClockTime) {
     state.change(|state| state.note_store_answer(revision, store_time(now), at_once(now)));
 }
 
@@ -171,7 +171,7 @@
     let later = at(12_000);
     state.change(|state| state.merge_targets(&announcements, later));
     state.change(|state| state.merge_targets(&announcements[..8], later));
-    let oldest = &state.read(ControlState::query).targets[0];
+    let oldest = &state.read(DeploymentState::query).targets[0];
     assert_eq!(oldest.set_at.earliest, StoreTime::from_millis(set_ms(2)));
 }
 
@@ -181,7 +181,7 @@
 fn announcements_are_ignored_until_the_store_clock_is_known() {
     let set_ms = START.0 / 1000;
     for reported in [set_ms, set_ms + 900_000_000] {
-        let state = SharedControlState::default();
+        let state = SharedDeploymentState::default();
         let announcements = [announcement(2, reported, reported)];
         assert!(!state.read(|state| state.is_updated_by(&announcements)));
         state.change(|state| state.merge_targets(&announcements, START));
--- a/src/sync/tests/incarnations.rs
+++ b/src/sync/tests/incarnations.rs
@@ -6,16 +6,20 @@
 use crate::fleet::BackendPhase;
 use crate::platform::samples::entry_sample;
 use crate::platform::{StoreRow, TableView};
-use crate::sync::{ControlState, SharedControlState};
+use crate::sync::{DeploymentState, SharedDeploymentState};
 
 const SERVING: BackendPhase = BackendPhase::Serving;
 const LEAVING: BackendPhase = BackendPhase::Leaving;
 
-fn entry(born: Option<u64>, number: u64, phase: BackendPhase, revision: u64) -> StoreRow {
-    row("a", revision, Some(&entry_sample(born, number, phase)))
+fn entry(start_time: Option<u64>, number: u64, phase: BackendPhase, revision: u64) -> StoreRow {
+    row(
+        "a",
+        revision,
+        Some(&entry_sample(start_time, number, phase)),
+    )
 }
 
-fn state_with(first: StoreRow) -> SharedControlState {
+fn state_with(first: StoreRow) -> SharedDeploymentState {
     let state = new_state();
     let revision = first.revision;
     state.change(|state| {
@@ -25,17 +29,17 @@
     state
 }
 
-fn take(state: &SharedControlState, later: StoreRow) {
+fn take(state: &SharedDeploymentState, later: StoreRow) {
     let revision = later.revision;
     let now = START + Duration::from_secs(10);
     let changed: TableView = view(vec![later], revision);
     state.change(|state| state.change_backends(&changed, now));
 }
 
-fn known(state: &SharedControlState) -> (Option<u64>, BackendPhase) {
+fn known(state: &SharedDeploymentState) -> (Option<u64>, BackendPhase) {
     let snapshot = state.snapshot().load();
     let facts = snapshot.fleet.backends.first().expect("it is listed");
-    (facts.born.map(|born| born.0), facts.phase)
+    (facts.start_time.map(|start_time| start_time.0), facts.phase)
 }
 
 /// Guards against a late entry that revives a leaving backend server. An earlier entry had got no
@@ -43,12 +47,20 @@
 /// backend server seconds after that.
 #[test]
 fn a_late_earlier_entry_does_not_revive_a_leaving_backend() {
-    for born in [None, Some(7)] {
-        let state = state_with(entry(born, 11, LEAVING, 20));
-        take(&state, entry(born, 10, SERVING, 21));
-        assert_eq!(known(&state).1, BackendPhase::Leaving, "born {born:?}");
-        take(&state, entry(born, 12, LEAVING, 22));
-        assert_eq!(known(&state).1, BackendPhase::Leaving, "born {born:?}");
+    for start_time in [None, Some(7)] {
+        let state = state_with(entry(start_time, 11, LEAVING, 20));
+        take(&state, entry(start_time, 10, SERVING, 21));
+        assert_eq!(
+            known(&state).1,
+            BackendPhase::Leaving,
+            "born {start_time:?}"
+        );
+        take(&state, entry(start_time, 12, LEAVING, 22));
+        assert_eq!(
+            known(&state).1,
+            BackendPhase::Leaving,
+            "born {start_time:?}"
+        );
     }
 }
 
@@ -56,15 +68,15 @@
 /// was removed; an entry written before was executed late and revived it for three heartbeats.
 #[test]
 fn a_late_entry_does_not_revive_a_removed_backend() {
-    for born in [None, Some(7)] {
-        let state = state_with(entry(born, 11, SERVING, 20));
+    for start_time in [None, Some(7)] {
+        let state = state_with(entry(start_time, 11, SERVING, 20));
         take(&state, row("a", 21, None));
         assert!(ids(&state).is_empty());
-        take(&state, entry(born, 10, SERVING, 22));
-        assert!(ids(&state).is_empty(), "born {born:?}");
+        take(&state, entry(start_time, 10, SERVING, 22));
+        assert!(ids(&state).is_empty(), "born {start_time:?}");
         // It is running after all: its entry had lapsed.
-        take(&state, entry(born, 12, SERVING, 23));
-        assert_eq!(ids(&state), ["a"], "born {born:?}");
+        take(&state, entry(start_time, 12, SERVING, 23));
+        assert_eq!(ids(&state), ["a"], "born {start_time:?}");
     }
 }
 
@@ -92,7 +104,7 @@
 fn a_neighbour_with_a_former_incarnation_changes_nothing() {
     let state = state_with(entry(Some(9), 1, SERVING, 20));
     let outdated = state_with(entry(Some(7), 500, LEAVING, 30));
-    let query = state.read(ControlState::query);
+    let query = state.read(DeploymentState::query);
     let view = outdated.read(|outdated| outdated.answer(&query, Duration::ZERO, START));
     state.change(|state| state.merge(view, at_once(START)));
     assert_eq!(known(&state), (Some(9), BackendPhase::Serving));
--- a/src/sync/tests/late_messages.rs
+++ b/src/sync/tests/late_messages.rs
@@ -17,7 +17,7 @@
 use crate::sync::peer_messages::TargetAnnouncement;
 use crate::sync::peer_routes::peer_routes;
 use crate::sync::target_update_time::TargetUpdateTime;
-use crate::sync::{ControlSnapshot, ControlState};
+use crate::sync::{DeploymentSnapshot, DeploymentState};
 use crate::time::{ClockTime, StoreTime, clock_now};
 use crate::transport::{HttpServer, bind_listener};
 
@@ -39,7 +39,7 @@
     clock_now()
 }
 
-pub(super) fn second(snapshot: &ControlSnapshot) -> Option<&TargetWeights> {
+pub(super) fn second(snapshot: &DeploymentSnapshot) -> Option<&TargetWeights> {
     let mut weights = snapshot.targets.iter();
     weights.find(|weights| weights.target.version == WeightsVersion(2))
 }
@@ -207,11 +207,11 @@
     // A wrong time does not move the result after the bounds that another process observed.
     let wrong = [announcement(witnessed(80_000, 95_000))];
     entry.change(|state| state.merge_targets(&wrong, now));
-    let known = entry.read(ControlState::query).targets;
+    let known = entry.read(DeploymentState::query).targets;
     assert_eq!(known[0].set_at, witnessed(70_000, 70_000));
     let first = [announcement(witnessed(50_000, 70_000))];
     let other = new_state();
     other.change(|state| state.merge_targets(&better, now));
     other.change(|state| state.merge_targets(&[announcement(witnessed(50_000, 90_000))], now));
-    assert_eq!(other.read(ControlState::query).targets, first);
+    assert_eq!(other.read(DeploymentState::query).targets, first);
 }
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -11,7 +11,7 @@
     ResponseLoad, SharedRegistry, VersionRequirement,
 };
 use crate::overload::EntryHostId;
-use crate::sync::ControlState;
+use crate::sync::DeploymentState;
 use crate::sync::peer_messages::{PeerQuery, TargetAnnouncement};
 use crate::test_support::{run_cases, spoil_bytes};
 use crate::time::WallTime;
@@ -28,7 +28,7 @@
     }
 }
 
-fn populated_state() -> SharedControlState {
+fn populated_state() -> SharedDeploymentState {
     let state = new_state();
     state.change(|state| {
         state.note_store(START);
@@ -41,7 +41,7 @@
 fn report() -> LoadReport {
     LoadReport {
         address: ([10, 0, 0, 1], 80).into(),
-        born: Some(WallTime(u64::MAX)),
+        start_time: Some(WallTime(u64::MAX)),
         active: u32::MAX,
         queued: u32::MAX,
         is_loading: false,
@@ -143,7 +143,7 @@
 /// The encoded form of one message of each kind.
 fn messages() -> [Bytes; 4] {
     let state = populated_state();
-    let query = state.read(ControlState::query);
+    let query = state.read(DeploymentState::query);
     let answer = state.read(|state| state.answer(&PeerQuery::default(), Duration::ZERO, START));
     let announcement = ChunkAnnouncement {
         host: "h".into(),
@@ -176,7 +176,7 @@
     if let Ok(view) = decode_message::<PeerView>(bytes) {
         state.change(|state| state.merge(view, at_once(later)));
         assert!(version_of(&state) >= 7);
-        let _ = state.read(ControlState::query);
+        let _ = state.read(DeploymentState::query);
     }
     if let Ok(report) = decode_message::<LoadReport>(bytes) {
         let registry = registry();
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -27,21 +27,21 @@
 use crate::platform::{StoreRow, TableView};
 use crate::sync::store_clock::{ClockBounds, QuerySpan};
 use crate::sync::target_update_time::{FollowState, TargetUpdateTime};
-use crate::sync::{ControlState, PeerView, SharedControlState};
+use crate::sync::{DeploymentState, PeerView, SharedDeploymentState};
 use crate::time::{ClockTime, StoreTime};
 
 const START: ClockTime = ClockTime::from_millis(100_000);
 const GRACE: Duration = Duration::from_secs(8);
 
 /// A process whose clock equals the store's.
-fn new_state() -> SharedControlState {
-    let state = SharedControlState::default();
+fn new_state() -> SharedDeploymentState {
+    let state = SharedDeploymentState::default();
     set_clock(&state, START);
     state
 }
 
 /// Reports the store's clock to `state` at `now`.
-fn set_clock(state: &SharedControlState, now: ClockTime) {
+fn set_clock(state: &SharedDeploymentState, now: ClockTime) {
     let moment = store_time(now);
     let view = PeerView {
         clock: Some(ClockBounds {
@@ -101,17 +101,17 @@
     TableView {
         rows,
         revision,
-        told_at: store_time(START),
+        store_time: store_time(START),
     }
 }
 
-fn ids(state: &SharedControlState) -> Vec<String> {
+fn ids(state: &SharedDeploymentState) -> Vec<String> {
     let snapshot = state.snapshot().load();
     let backends = snapshot.fleet.backends.iter();
     backends.map(|facts| facts.id.to_string()).collect()
 }
 
-fn version_of(state: &SharedControlState) -> u64 {
+fn version_of(state: &SharedDeploymentState) -> u64 {
     let catalog = state.snapshot().load().catalog.clone();
     catalog.map_or(0, |catalog| catalog.version.0)
 }
@@ -121,7 +121,7 @@
 #[test]
 fn an_older_document_never_replaces_a_newer_one() {
     let state = new_state();
-    let take = |state: &SharedControlState, rows: &[StoreRow]| {
+    let take = |state: &SharedDeploymentState, rows: &[StoreRow]| {
         state.change(|state| state.change_operator_rows(rows, witnessed_at(START)));
     };
     take(&state, &[document(7)]);
@@ -129,7 +129,7 @@
     assert_eq!(version_of(&state), 7);
     let neighbour = new_state();
     take(&neighbour, &[document(6)]);
-    let query = state.read(ControlState::query);
+    let query = state.read(DeploymentState::query);
     let older = neighbour.read(|neighbour| neighbour.answer(&query, Duration::ZERO, START));
     assert!(older.document.is_none());
     take(&neighbour, &[document(9)]);
@@ -204,9 +204,9 @@
     let started = new_state();
     let assumed = found_at(FollowState::Started, back);
     started.change(|state| state.change_operator_rows(&[target_row(2)], assumed));
-    let exchange = |requester: &SharedControlState, responder: &SharedControlState| {
+    let exchange = |requester: &SharedDeploymentState, responder: &SharedDeploymentState| {
         set_clock(responder, back);
-        let query = requester.read(ControlState::query);
+        let query = requester.read(DeploymentState::query);
         let view = responder.read(|state| state.answer(&query, Duration::ZERO, back));
         requester.change(|state| state.merge(view, at_once(back)));
     };
@@ -241,7 +241,7 @@
             TargetTimeCertainty::Assumed,
         );
         state.change(|state| state.change_operator_rows(&[target_row(2)], target_set_at));
-        let query = state.read(ControlState::query);
+        let query = state.read(DeploymentState::query);
         let view = witness.read(|witness| witness.answer(&query, Duration::ZERO, started_at));
         state.change(|state| state.merge(view, at_once(started_at)));
         let snapshot = state.snapshot().load();
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -11,7 +11,7 @@
 use crate::platform::samples::{backend_sample, document_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::read_order::rank_of;
-use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
+use crate::sync::{DeploymentSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::free_address;
 
 const ENTRIES: usize = 6;
@@ -78,7 +78,7 @@
     /// Waits until all running processes have the newest document, within `bound`.
     async fn wait_for_document(&self, bound: Duration) {
         let version = CatalogVersion(self.version);
-        let is_current = |snapshot: &ControlSnapshot| {
+        let is_current = |snapshot: &DeploymentSnapshot| {
             let catalog = snapshot.catalog.as_ref();
             catalog.is_some_and(|catalog| catalog.version >= version)
         };
@@ -87,11 +87,11 @@
 
     /// Waits until all running processes know `count` backend servers, within `bound`.
     async fn wait_for_backends(&self, count: usize, bound: Duration) {
-        let is_complete = |snapshot: &ControlSnapshot| snapshot.fleet.backends.len() == count;
+        let is_complete = |snapshot: &DeploymentSnapshot| snapshot.fleet.backends.len() == count;
         self.wait_for_all(is_complete, bound).await;
     }
 
-    async fn wait_for_all(&self, is_ready: impl Fn(&ControlSnapshot) -> bool, bound: Duration) {
+    async fn wait_for_all(&self, is_ready: impl Fn(&DeploymentSnapshot) -> bool, bound: Duration) {
         let until = Instant::now() + bound;
         for (place, process) in self.processes.iter().enumerate() {
             let Some(process) = process else { continue };
--- a/src/sync/tests/reported_lists.rs
+++ b/src/sync/tests/reported_lists.rs
@@ -9,7 +9,7 @@
 use crate::platform::StoreRow;
 use crate::platform::samples::entry_sample;
 use crate::sync::backend_follow::{ListMatch, ListQueryState};
-use crate::sync::{ControlState, SharedControlState};
+use crate::sync::{DeploymentState, SharedDeploymentState};
 use crate::test_support::run_cases;
 use crate::time::ClockTime;
 
@@ -26,14 +26,14 @@
 
 /// Sends one query from `follower` to `reader` and returns how the lists compare afterwards.
 fn query(
-    follower: &SharedControlState,
-    reader: &SharedControlState,
+    follower: &SharedDeploymentState,
+    reader: &SharedDeploymentState,
     query_state: &mut ListQueryState,
     now: ClockTime,
 ) -> ListMatch {
-    let mut query = follower.read(ControlState::query);
+    let mut query = follower.read(DeploymentState::query);
     query.follows = true;
-    query_state.complete(&mut query, follower.read(ControlState::backends_digest));
+    query_state.complete(&mut query, follower.read(DeploymentState::backends_digest));
     let answer = reader.read(|state| state.answer(&query, Duration::ZERO, now));
     assert!(answer.backends.is_none());
     let changes = answer.backend_changes.expect("the reader has a list");
@@ -43,7 +43,7 @@
     found
 }
 
-fn reader_with(rows: Vec<StoreRow>, revision: u64) -> SharedControlState {
+fn reader_with(rows: Vec<StoreRow>, revision: u64) -> SharedDeploymentState {
     let reader = new_state();
     reader.change(|state| {
         state.note_store(START);
@@ -68,7 +68,7 @@
     let later = START + Duration::from_secs(4);
     let changed = vec![entry("b", 10, 2, BackendPhase::Leaving)];
     reader.change(|state| state.change_backends(&view(changed, 11), later));
-    let mut query = follower.read(ControlState::query);
+    let mut query = follower.read(DeploymentState::query);
     query.follows = true;
     let answer = reader.read(|state| state.answer(&query, Duration::ZERO, later));
     let entries = answer.backend_changes.expect("there is a list").entries;
@@ -83,9 +83,9 @@
     let mut query_state = ListQueryState::default();
     query(&follower, &reader, &mut query_state, START);
     let has_changes = || {
-        let mut query = follower.read(ControlState::query);
+        let mut query = follower.read(DeploymentState::query);
         query.follows = true;
-        query_state.complete(&mut query, follower.read(ControlState::backends_digest));
+        query_state.complete(&mut query, follower.read(DeploymentState::backends_digest));
         reader.read(|state| state.has_urgent_changes(&query))
     };
     let change = |row: StoreRow, revision: u64| {
@@ -120,9 +120,9 @@
     );
     assert_eq!(ids(&follower), ["a", "b"]);
     assert!(!first.read(|state| {
-        let mut query = follower.read(ControlState::query);
+        let mut query = follower.read(DeploymentState::query);
         query.follows = true;
-        query.backends_digest = Some(follower.read(ControlState::backends_digest));
+        query.backends_digest = Some(follower.read(DeploymentState::backends_digest));
         state.has_urgent_changes(&query)
     }));
 }
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -17,7 +17,7 @@
 use crate::sync::sync_thread::run_sync;
 use crate::sync::target_update_time::FollowState;
 use crate::sync::{
-    ControlSnapshot, ControlState, EntryRecord, OwnRows, SharedControlState, SyncSettings,
+    DeploymentSnapshot, DeploymentState, EntryRecord, OwnRows, SharedDeploymentState, SyncSettings,
     TargetUpdateTime,
 };
 use crate::time::ClockTime;
@@ -28,7 +28,7 @@
 /// An entry host's control thread, which can be stopped abruptly.
 pub(super) struct EntryProcess {
     runtime: Runtime,
-    pub(super) state: SharedControlState,
+    pub(super) state: SharedDeploymentState,
 }
 
 impl EntryProcess {
@@ -62,7 +62,7 @@
             .enable_all()
             .build()
             .expect("the runtime starts");
-        let state = SharedControlState::default();
+        let state = SharedDeploymentState::default();
         let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
         runtime.spawn(run_sync(settings, state.clone(), drain));
         Self { runtime, state }
@@ -81,8 +81,8 @@
     /// Waits for a snapshot for which `is_ready` holds.
     pub(super) async fn wait_for(
         &self,
-        is_ready: impl Fn(&ControlSnapshot) -> bool,
-    ) -> Arc<ControlSnapshot> {
+        is_ready: impl Fn(&DeploymentSnapshot) -> bool,
+    ) -> Arc<DeploymentSnapshot> {
         let mut changes = self.state.changes();
         let waiting = async {
             loop {
@@ -101,7 +101,7 @@
     }
 }
 
-fn newest(snapshot: &ControlSnapshot) -> Option<WeightsVersion> {
+fn newest(snapshot: &DeploymentSnapshot) -> Option<WeightsVersion> {
     let weights = snapshot.newest_version("m");
     weights.map(|weights| weights.target.version)
 }
@@ -133,7 +133,7 @@
 }
 
 /// The first usable snapshot of a process that starts now.
-async fn state_of_new_process(store: &FakeStore) -> Arc<ControlSnapshot> {
+async fn state_of_new_process(store: &FakeStore) -> Arc<DeploymentSnapshot> {
     let process = EntryProcess::start("new", store);
     let snapshot = process.wait_for(|snapshot| snapshot.catalog.is_some());
     let snapshot = snapshot.await;
@@ -154,7 +154,7 @@
     let first = EntryProcess::start("first", &store);
     first.wait_for(|snapshot| newest(snapshot).is_some()).await;
     set_target_version(&store, 3);
-    let is_third = |snapshot: &ControlSnapshot| newest(snapshot) == Some(WeightsVersion(3));
+    let is_third = |snapshot: &DeploymentSnapshot| newest(snapshot) == Some(WeightsVersion(3));
     first.wait_for(is_third).await;
     await_record(&store, 3).await;
     set_target_version(&store, 2);
@@ -197,7 +197,7 @@
     let witness = new_state();
     witness.change(|state| state.change_operator_rows(&[target_row(3)], witnessed_at(START)));
     let later = START + Duration::from_secs(20);
-    let announcements = witness.read(ControlState::query).targets;
+    let announcements = witness.read(DeploymentState::query).targets;
     let started = new_state();
     assert!(started.read(|state| state.is_updated_by(&announcements)));
     started.change(|state| state.merge_targets(&announcements, later));
@@ -208,7 +208,7 @@
     assert_eq!(weights.target_set_at, START);
 }
 
-fn target_set_at(snapshot: &ControlSnapshot) -> ClockTime {
+fn target_set_at(snapshot: &DeploymentSnapshot) -> ClockTime {
     let weights = snapshot.newest_version("m");
     weights.expect("a target version is known").target_set_at
 }
@@ -247,13 +247,13 @@
     put_document(&store, 1);
     set_target_version(&store, 2);
     let process = EntryProcess::start("first", &store);
-    let is_ready = |snapshot: &ControlSnapshot| snapshot.catalog.is_some();
+    let is_ready = |snapshot: &DeploymentSnapshot| snapshot.catalog.is_some();
     process.wait_for(is_ready).await;
-    let targets_of = |process: &EntryProcess| process.state.read(ControlState::query).targets;
+    let targets_of = |process: &EntryProcess| process.state.read(DeploymentState::query).targets;
     let found = targets_of(&process);
     store.forget_history();
     put_document(&store, 2);
-    let has_second = |snapshot: &ControlSnapshot| {
+    let has_second = |snapshot: &DeploymentSnapshot| {
         let catalog = snapshot.catalog.as_ref();
         catalog.is_some_and(|catalog| catalog.version.0 == 2)
     };
@@ -272,7 +272,7 @@
     let started = new_state();
     let resumed = TargetUpdateTime::guessed(store_time(later), TargetTimeCertainty::Resumed);
     started.change(|state| state.change_operator_rows(&[target_row(2)], resumed));
-    let announcements = witness.read(ControlState::query).targets;
+    let announcements = witness.read(DeploymentState::query).targets;
     assert!(started.read(|state| state.is_updated_by(&announcements)));
     started.change(|state| state.merge_targets(&announcements, later));
     assert!(!started.read(|state| state.is_updated_by(&announcements)));
@@ -320,7 +320,7 @@
     let started = new_state();
     set_clock(&started, now);
     started.change(|state| state.set_operator_rows(&[target_row(3)], found));
-    let announcements = witness.read(ControlState::query).targets;
+    let announcements = witness.read(DeploymentState::query).targets;
     assert!(started.read(|state| state.is_updated_by(&announcements)));
     started.change(|state| state.merge_targets(&announcements, now));
     assert_eq!(target_set_at(&started.snapshot().load()), START);
@@ -359,7 +359,7 @@
     let started = new_state();
     let assumed = found_at(FollowState::Started, back);
     started.change(|state| state.set_operator_rows(&[target_row(2)], assumed));
-    let announcements = started.read(ControlState::query).targets;
+    let announcements = started.read(DeploymentState::query).targets;
     let interrupted = new_state();
     interrupted.change(|state| state.merge_targets(&announcements, back));
     let found = found_at(FollowState::Interrupted, back);
--- a/src/sync/tests/unreadable.rs
+++ b/src/sync/tests/unreadable.rs
@@ -18,7 +18,7 @@
 /// What the store's client returns for bytes that can't be decoded.
 const NO_BYTES: &str = "";
 
-fn steady_state(rows: Vec<StoreRow>) -> SharedControlState {
+fn steady_state(rows: Vec<StoreRow>) -> SharedDeploymentState {
     let state = new_state();
     state.change(|state| {
         state.note_store(START);
@@ -81,7 +81,7 @@
     }
     let (_, other) = target_sample(5);
     take(&[row(&format!("{target_key}x"), 10, Some(&other))]);
-    let newest = |state: &SharedControlState| {
+    let newest = |state: &SharedDeploymentState| {
         let snapshot = state.snapshot().load();
         snapshot
             .newest_version("m")
@@ -185,7 +185,7 @@
     store.put(TableName::Operator, key, &text);
     store.put(TableName::Backends, "a", &backend_sample());
     let process = EntryProcess::start("e", &store);
-    let is_ready = |snapshot: &crate::sync::ControlSnapshot| {
+    let is_ready = |snapshot: &crate::sync::DeploymentSnapshot| {
         snapshot.catalog.is_some() && snapshot.fleet.backends.len() == 1
     };
     process.wait_for(is_ready).await;
@@ -194,7 +194,7 @@
     store.put_raw(TableName::Backends, "unreadable too", "%%%");
     store.put(TableName::Operator, key, &text);
     store.put(TableName::Backends, "b", &backend_sample());
-    let is_reported = |snapshot: &crate::sync::ControlSnapshot| {
+    let is_reported = |snapshot: &crate::sync::DeploymentSnapshot| {
         snapshot.newest_version("m").is_some() && snapshot.fleet.backends.len() == 2
     };
     process.wait_for(is_reported).await;
--- a/src/sync/version_recorder.rs
+++ b/src/sync/version_recorder.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::own_rows::{OwnRows, VersionRecord, version_key};
 use super::store_watch::{RetryBackoff, STORE_TIMEOUT, StoreWatch};
@@ -46,12 +46,12 @@
         let mut changes = self.state.changes();
         let mut backoff = RetryBackoff::default();
         loop {
-            let mut records = self.state.read(ControlState::unrecorded);
+            let mut records = self.state.read(DeploymentState::unrecorded);
             let ranks = records.iter().map(|record| self.recorder_rank(record));
             if let Some(delay) = ranks.max().and_then(record_delay) {
                 let delay = rand::rng().random_range(delay);
                 sleep(Duration::from_secs_f64(delay)).await;
-                records = self.state.read(ControlState::unrecorded);
+                records = self.state.read(DeploymentState::unrecorded);
             }
             for record in records {
                 match self.record_version(record).await {
@@ -102,12 +102,12 @@
                     events::VERSION_RECORDED,
                     "model={model} version={version} revision={revision}"
                 );
-                self.take_own_rows(OwnRows::with_record(record), answer.told_at);
+                self.take_own_rows(OwnRows::with_record(record), answer.store_time);
             }
             WriteOutcome::Refused { row } => {
                 let model = record.target.model;
                 let revision = row.as_ref().map_or(0, |row| row.revision);
-                self.take_own_rows(OwnRows::of_rows(row.as_slice()), answer.told_at);
+                self.take_own_rows(OwnRows::of_rows(row.as_slice()), answer.store_time);
                 self.state
                     .change(|state| state.note_record_row(&model, revision));
             }
