--- a/src/admission/admission_state.rs
+++ b/src/admission/admission_state.rs
@@ -41,7 +41,7 @@
 #[apply(key!)]
 pub(crate) enum DispatchOutcome {
     /// It was sent to a backend server.
-    Placed,
+    Dispatched,
     /// No backend server has a free slot for it.
     Full,
 }
@@ -139,8 +139,8 @@
         let percent = self.budget_percent;
         let account = self.account_mut(key);
         account.admit(priority, now)?;
-        account.retries.earn(percent);
-        self.retries.earn(percent);
+        account.retries.credit(percent);
+        self.retries.credit(percent);
         Ok(key)
     }
 
@@ -200,23 +200,23 @@
         true
     }
 
-    /// Offers the waiting requests to `place`, by class from the most urgent one and within a class
-    /// in the order of dispatch. After the first request of a fair queue that is `Full`, only
+    /// Offers the waiting requests to `try_dispatch`, by class from the most urgent one and within a
+    /// class in the order of dispatch. After the first request of a fair queue that is `Full`, only
     /// requests that skip the fair queue are offered.
     pub(crate) fn dispatch(
         &mut self,
         now: ClockTime,
-        mut place: impl FnMut(TicketKey, &QueuedRequest<T>) -> DispatchOutcome,
+        mut try_dispatch: impl FnMut(TicketKey, &QueuedRequest<T>) -> DispatchOutcome,
     ) {
         let mut has_capacity = true;
         for class in 0..CLASSES {
-            self.dispatch_bypassing(class, &mut place);
+            self.dispatch_bypassing(class, &mut try_dispatch);
             while has_capacity {
                 let Some((ticket, request)) = self.head_of(class) else {
                     break;
                 };
-                match place(ticket, &request) {
-                    DispatchOutcome::Placed => self.remove_dispatched(ticket, &request, now),
+                match try_dispatch(ticket, &request) {
+                    DispatchOutcome::Dispatched => self.remove_dispatched(ticket, &request, now),
                     // No later request may overtake it, or a stream of small ones would starve it.
                     DispatchOutcome::Full => has_capacity = false,
                 }
@@ -238,15 +238,15 @@
     fn dispatch_bypassing(
         &mut self,
         class: usize,
-        place: &mut impl FnMut(TicketKey, &QueuedRequest<T>) -> DispatchOutcome,
+        try_dispatch: &mut impl FnMut(TicketKey, &QueuedRequest<T>) -> DispatchOutcome,
     ) {
         let mut next = 0;
         while let Some(ticket) = self.bypass_queues[class].get(next).copied() {
             let request = self
                 .request(ticket)
                 .expect("a queued ticket has its request");
-            match place(ticket, &request) {
-                DispatchOutcome::Placed => {
+            match try_dispatch(ticket, &request) {
+                DispatchOutcome::Dispatched => {
                     self.dequeue(ticket);
                 }
                 // Each may need another backend server, so that a full one must not block the
--- a/src/admission/retry_budget.rs
+++ b/src/admission/retry_budget.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    fn earn(&mut self, percent: u32) {
+    fn credit(&mut self, percent: u32) {
         let full = self.cause.burst() * RETRY_COST;
         let earned = percent.saturating_mul(self.cause.share());
         self.balance = self.balance.saturating_add(earned).min(full);
@@ -92,9 +92,9 @@
 
 impl RetryBudget {
     /// Counts a first attempt, which adds `percent` of a retry, split among the causes.
-    pub(super) fn earn(&mut self, percent: u32) {
-        self.refused.earn(percent);
-        self.interrupted.earn(percent);
+    pub(super) fn credit(&mut self, percent: u32) {
+        self.refused.credit(percent);
+        self.interrupted.credit(percent);
     }
 
     fn budget_for(&mut self, cause: RetryCause) -> &mut CauseBudget {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -141,7 +141,7 @@
             if capacity < 0 {
                 DispatchOutcome::Full
             } else {
-                DispatchOutcome::Placed
+                DispatchOutcome::Dispatched
             }
         });
     }
@@ -159,7 +159,7 @@
     let mut admission = admission_of(&[account("guide")], 1);
     wait(&mut admission, "guide", Duration::from_mins(1)).expect("the queue is empty");
     admission.dispatch(START + Duration::from_secs(50), |_, _| {
-        DispatchOutcome::Placed
+        DispatchOutcome::Dispatched
     });
     assert!(admission.is_empty());
     assert!(wait(&mut admission, "guide", Duration::from_millis(10)).is_ok());
@@ -173,8 +173,8 @@
     let mut account = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..10_000 {
-        service.earn(10);
-        account.earn(10);
+        service.credit(10);
+        account.credit(10);
         for cause in [
             RetryCause::Refused,
             RetryCause::Interrupted,
--- a/src/delivery/service_desk.rs
+++ b/src/delivery/service_desk.rs
@@ -193,7 +193,7 @@
                     let waiter = slot.take().expect("each ticket has its waiter");
                     assert_eq!(waiter.ticket, ticket, "a place went to another request");
                     placed.push((waiter, picked));
-                    DispatchOutcome::Placed
+                    DispatchOutcome::Dispatched
                 }
                 Err(obstacle) => {
                     if let Some(waiter) = slot {
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -205,8 +205,8 @@
 
     /// Whether its advertised rate allows this entry host to send a request.
     pub(super) fn send_permission(&self, context: &PickContext<'_>) -> SendPermission {
-        let share = || context.rate_sharers.share(&self.facts);
-        self.limit.send_permission(share, context.picked_at)
+        let schedule = || context.rate_sharers.schedule(&self.facts);
+        self.limit.send_permission(schedule, context.picked_at)
     }
 
     /// Whether to open a new connection rather than to reuse one.
--- a/src/fleet/backend_registry.rs
+++ b/src/fleet/backend_registry.rs
@@ -55,7 +55,7 @@
 /// Records of all backend servers that are listed or still have requests in flight.
 #[derive(Debug)]
 pub(crate) struct BackendRegistry {
-    pub(super) me: EntryHostId,
+    pub(super) own_id: EntryHostId,
     /// Number of other entry hosts in this data centre.
     pub(super) peers: u32,
     /// The entry hosts that share the rates advertised by backend servers.
@@ -77,12 +77,12 @@
 }
 
 impl BackendRegistry {
-    /// Creates an empty registry for the entry host `me`.
-    pub(crate) fn new(me: EntryHostId) -> Self {
+    /// Creates an empty registry for the entry host `own_id`.
+    pub(crate) fn new(own_id: EntryHostId) -> Self {
         Self {
-            rate_sharers: RateSharers::new(&me, &[]),
+            rate_sharers: RateSharers::new(&own_id, &[]),
             clock: StoreClock::default(),
-            me,
+            own_id,
             peers: 0,
             records: Vec::new(),
             by_id: Vec::new(),
@@ -247,7 +247,7 @@
         });
         let picked_at = self.clock.time(now);
         let context = PickContext {
-            data_centre: &self.me.data_centre,
+            data_centre: &self.own_id.data_centre,
             peers: self.peers,
             rate_sharers: &self.rate_sharers,
             picked_at,
--- a/src/fleet/request_limit.rs
+++ b/src/fleet/request_limit.rs
@@ -88,16 +88,16 @@
         self.rate.filter(|_| now.since(self.at) < LIMIT_EXPIRY)
     }
 
-    /// Whether a request may be sent there at `now`; `share` returns who shares the rate.
+    /// Whether a request may be sent there at `now`; `schedule` returns who shares the rate.
     pub(super) fn send_permission<'a>(
         &self,
-        share: impl FnOnce() -> SendSchedule<'a>,
+        schedule: impl FnOnce() -> SendSchedule<'a>,
         now: StoreTime,
     ) -> SendPermission {
         let Some(rate) = self.rate(now) else {
             return SendPermission::Unlimited;
         };
-        match share().open_interval(rate, self.used_interval, now) {
+        match schedule().open_interval(rate, self.used_interval, now) {
             Some(start) => SendPermission::Interval(start),
             None => SendPermission::Denied,
         }
--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -41,7 +41,7 @@
     }
 }
 
-fn entry_place(host: &str, data_centre: &str) -> EntryHostId {
+fn entry_host_id(host: &str, data_centre: &str) -> EntryHostId {
     EntryHostId {
         data_centre: ByteString::from(data_centre),
         host: ByteString::from(host),
@@ -49,7 +49,7 @@
 }
 
 fn registry_of(backends: Vec<BackendFacts>) -> SharedRegistry {
-    let mut registry = BackendRegistry::new(entry_place("e1", "here"));
+    let mut registry = BackendRegistry::new(entry_host_id("e1", "here"));
     registry.set_fleet(&FleetView {
         backends: backends.into_iter().map(Arc::new).collect(),
     });
@@ -356,8 +356,8 @@
     for _ in 0..50 {
         share.credit(all, NOW);
     }
-    let paid = (0..10).filter(|_| share.try_spend(all, NOW)).count();
-    assert_eq!(paid, 10);
+    let granted = (0..10).filter(|_| share.try_spend(all, NOW)).count();
+    assert_eq!(granted, 10);
 }
 
 /// Guards against exceeding the budget when clients move from one entry host to another.
@@ -376,9 +376,9 @@
         (NOW, NOW + WINDOW * 8 / 10),
         (NOW + WINDOW, NOW + WINDOW * 15 / 10),
     ];
-    for (share, (earned_at, now)) in shares.iter_mut().zip(times) {
+    for (share, (credited_at, now)) in shares.iter_mut().zip(times) {
         for _ in 0..500 {
-            share.credit(limits, earned_at);
+            share.credit(limits, credited_at);
         }
         spent += (0..500).filter(|_| share.try_spend(limits, now)).count();
     }
--- a/src/fleet/tests/request_limits.rs
+++ b/src/fleet/tests/request_limits.rs
@@ -14,7 +14,7 @@
     let mut other = facts("b", "there", 1);
     other.address = ([10, 0, 0, 2], 80).into();
     let registry = registry_of(vec![facts("a", "here", 1), other]);
-    let entries = [entry_place("e1", "here"), entry_place("e2", "here")];
+    let entries = [entry_host_id("e1", "here"), entry_host_id("e2", "here")];
     registry.lock().assign_shares(&entries);
     registry
 }
--- a/src/fleet/tests/thundering_herds.rs
+++ b/src/fleet/tests/thundering_herds.rs
@@ -14,7 +14,7 @@
 
 fn entries() -> Vec<EntryHostId> {
     ["e1", "e2", "e3"]
-        .map(|host| entry_place(host, "here"))
+        .map(|host| entry_host_id(host, "here"))
         .into()
 }
 
@@ -27,7 +27,7 @@
 
 /// The registry of the entry host `host`, one of [`entries`].
 fn registry_of_entry(host: &str, engines: &[&str]) -> SharedRegistry {
-    let mut registry = BackendRegistry::new(entry_place(host, "here"));
+    let mut registry = BackendRegistry::new(entry_host_id(host, "here"));
     registry.set_fleet(&FleetView {
         backends: engines.iter().map(|id| Arc::new(engine(id))).collect(),
     });
@@ -167,12 +167,12 @@
     let far: Vec<String> = (b'A'..=b'X')
         .map(|letter| format!("f{}", char::from(letter)))
         .collect();
-    let places: Vec<EntryHostId> = (0..ENTRIES)
-        .map(|number| entry_place(&format!("e{number:02}"), "here"))
+    let entry_host_ids: Vec<EntryHostId> = (0..ENTRIES)
+        .map(|number| entry_host_id(&format!("e{number:02}"), "here"))
         .collect();
     let mut tickets = Vec::new();
-    for place in &places {
-        let mut registry = BackendRegistry::new(place.clone());
+    for entry_host_id in &entry_host_ids {
+        let mut registry = BackendRegistry::new(entry_host_id.clone());
         let near_facts = near.iter().map(|id| engine(id));
         let far_facts = far.iter().map(|id| BackendFacts {
             data_centre: "there".into(),
@@ -183,7 +183,7 @@
         registry.set_fleet(&FleetView {
             backends: backends.into_iter().map(Arc::new).collect(),
         });
-        registry.assign_shares(&places);
+        registry.assign_shares(&entry_host_ids);
         for id in near {
             registry.note_report(report(id, SLOTS, 1.0), NOW);
         }
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -84,18 +84,18 @@
 
 impl EntrySimulation {
     fn new(seed: u64) -> Self {
-        let places: Vec<EntryHostId> = (0..ENTRIES)
-            .map(|number| entry_place(&format!("e{number:02}"), "here"))
+        let entry_host_ids: Vec<EntryHostId> = (0..ENTRIES)
+            .map(|number| entry_host_id(&format!("e{number:02}"), "here"))
             .collect();
         let fleet = FleetView {
             backends: (0..ENGINES)
                 .map(|number| Arc::new(engine_facts(number)))
                 .collect(),
         };
-        let registries = places.iter().map(|place| {
-            let mut registry = BackendRegistry::new(place.clone());
+        let registries = entry_host_ids.iter().map(|entry_host_id| {
+            let mut registry = BackendRegistry::new(entry_host_id.clone());
             registry.set_fleet(&fleet);
-            registry.assign_shares(&places);
+            registry.assign_shares(&entry_host_ids);
             registry
         });
         Self {
@@ -212,9 +212,9 @@
                 let until = now + Duration::from_secs_f64(run.write_ms / 1e3);
                 engine.writing.push((until, run));
             }
-            let has_place = engine.writing.len() < usize::try_from(SLOTS).expect("small");
+            let has_free_slot = engine.writing.len() < usize::try_from(SLOTS).expect("small");
             if engine.reads_until.is_none()
-                && has_place
+                && has_free_slot
                 && let Some(run) = engine.waiting.front()
             {
                 engine.reads_until = Some(now + Duration::from_secs_f64(run.read_ms / 1e3));
--- a/src/gateway/backend_connection.rs
+++ b/src/gateway/backend_connection.rs
@@ -41,17 +41,17 @@
     ///
     /// # Errors
     ///
-    /// `ConnectFailed` if the connection is not established within `within`.
-    pub(super) async fn open(address: SocketAddr, within: Duration) -> SwitchResult<Self> {
+    /// `ConnectFailed` if the connection is not established within `timeout`.
+    pub(super) async fn open(address: SocketAddr, timeout: Duration) -> SwitchResult<Self> {
         let failed = |detail: String| {
             let detail = format!("{address}: {detail}");
             SwitchError::new(ErrorKind::ConnectFailed, detail)
         };
         let connecting = TcpStream::connect(address);
-        let stream = match timeout_awake(within, connecting).await {
+        let stream = match timeout_awake(timeout, connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(fault)) => return Err(failed(fault.to_string())),
-            Err(_) => return Err(failed(format!("not open within {within:?}"))),
+            Err(_) => return Err(failed(format!("not open within {timeout:?}"))),
         };
         let set = stream.set_nodelay(true);
         set.map_err(|fault| failed(fault.to_string()))?;
--- a/src/gateway/connection_pool.rs
+++ b/src/gateway/connection_pool.rs
@@ -31,8 +31,8 @@
         Some(idle.remove(at).1)
     }
 
-    /// Returns a connection to the pool. `keep_alive_timeout` is the keep-alive timeout that the backend
-    /// server advertised.
+    /// Returns a connection to the pool. `keep_alive_timeout` is the one that the backend server
+    /// advertised.
     pub(super) fn put(
         &self,
         key: BackendKey,
@@ -40,11 +40,11 @@
         keep_alive_timeout: Option<Duration>,
         now: ClockTime,
     ) {
-        let within = match keep_alive_timeout {
-            Some(within) => within.saturating_sub(IDLE_MARGIN),
+        let idle_time = match keep_alive_timeout {
+            Some(idle_time) => idle_time.saturating_sub(IDLE_MARGIN),
             None => IDLE_TIMEOUT_DEFAULT,
         };
-        connection.idle_until = now + within;
+        connection.idle_until = now + idle_time;
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         if idle.iter().filter(|(other, _)| *other == key).count() < IDLE_PER_BACKEND_MAX {
             idle.push((key, connection));
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -39,14 +39,14 @@
     let ready = required_address("listen.ready_addr", settings.ready_address)?;
     let control = required_address("listen.control", settings.control_address)?;
     let drain = drain_state(&settings.bounds);
-    let me = EntryRecord {
+    let own_entry = EntryRecord {
         host: settings.host.clone(),
         data_centre: settings.data_centre.clone(),
         control,
         reports: report_address(settings.ip, settings.peer_port),
     };
     let sync = SyncSettings {
-        me: me.clone(),
+        own_entry: own_entry.clone(),
         store_address: settings.store_address,
         seeds: settings.seeds.clone(),
     };
@@ -57,14 +57,14 @@
     let gateway = Arc::new(GatewayState::new(GatewayParts {
         snapshot: deployment_state.snapshot(),
         crash_detector: CrashDetector::new(deployment_state.clone()),
-        me: EntryHostId {
+        own_id: EntryHostId {
             data_centre: settings.data_centre.clone(),
             host: settings.host.clone(),
         },
         drain: drain.clone(),
         bounds: settings.bounds,
     }));
-    let relay = ReportRelay::bind(gateway.clone(), deployment_state.clone(), me).await?;
+    let relay = ReportRelay::bind(gateway.clone(), deployment_state.clone(), own_entry).await?;
     tokio::spawn(relay.run());
     tokio::spawn(watch_stop(gateway.clone()));
     log_event!(
--- a/src/gateway/forward_state.rs
+++ b/src/gateway/forward_state.rs
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn new(gateway: Arc<GatewayState>, job: RequestJob) -> Self {
-        gateway.earn_retry(&job.routed.service, job.arrived);
+        gateway.credit_retry(&job.routed.service, job.arrived);
         let response_due = client_notice_at(&job, job.arrived);
         Self {
             gateway,
@@ -140,7 +140,7 @@
     pub(super) fn claim_resend(&self, now: ClockTime) -> Result<(), RetryDenial> {
         match self.retry_denial(now) {
             Some(denial) => Err(denial),
-            None if self.gateway.spend_retry(&self.job.routed.service, now) => Ok(()),
+            None if self.gateway.try_spend_retry(&self.job.routed.service, now) => Ok(()),
             None => Err(RetryDenial::Budget),
         }
     }
@@ -209,7 +209,7 @@
         } else {
             self.has_attempts_left(now)
         };
-        is_allowed && self.gateway.spend_retry(&self.job.routed.service, now)
+        is_allowed && self.gateway.try_spend_retry(&self.job.routed.service, now)
     }
 
     /// Returns the error for a quarantined request, or `None` if the request is not quarantined.
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -52,11 +52,11 @@
 
 /// Parts of a `GatewayState`.
 pub(super) struct GatewayParts {
-    /// Source of the newest control state.
+    /// Source of the newest snapshot.
     pub(super) snapshot: SharedSnapshot,
     pub(super) crash_detector: CrashDetector,
     /// This entry host.
-    pub(super) me: EntryHostId,
+    pub(super) own_id: EntryHostId,
     pub(super) drain: DrainState,
     pub(super) bounds: PlatformBounds,
 }
@@ -66,7 +66,7 @@
         let GatewayParts {
             snapshot,
             crash_detector,
-            me,
+            own_id,
             drain,
             bounds,
         } = parts;
@@ -74,7 +74,7 @@
             snapshot,
             crash_detector,
             applied: Mutex::new(None),
-            registry: SharedRegistry::new(BackendRegistry::new(me)),
+            registry: SharedRegistry::new(BackendRegistry::new(own_id)),
             pool: ConnectionPool::default(),
             drain,
             stop_started: OnceLock::new(),
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Returns the newest control state without applying it.
+    /// Returns the newest snapshot without applying it.
     pub(super) fn newest_snapshot(&self) -> Arc<DeploymentSnapshot> {
         self.snapshot.load()
     }
 
-    /// Returns the newest control state after applying it to `registry`.
+    /// Returns the newest snapshot after applying it to `registry`.
     pub(super) fn snapshot(&self) -> Arc<DeploymentSnapshot> {
         let newest = self.snapshot.load();
         let mut applied = self.applied.lock().unwrap_or_else(PoisonError::into_inner);
@@ -212,12 +212,12 @@
     }
 
     /// Records a new request for `service`, which adds to its retry budget.
-    pub(super) fn earn_retry(&self, service: &ByteString, now: ClockTime) {
+    pub(super) fn credit_retry(&self, service: &ByteString, now: ClockTime) {
         self.with_retry_budget(service, now, |budget, limits| budget.credit(limits, now));
     }
 
     /// Takes one retry from the budget of `service`. Returns whether there was one.
-    pub(super) fn spend_retry(&self, service: &ByteString, now: ClockTime) -> bool {
+    pub(super) fn try_spend_retry(&self, service: &ByteString, now: ClockTime) -> bool {
         self.with_retry_budget(service, now, |budget, limits| budget.try_spend(limits, now))
     }
 
--- a/src/gateway/report_relay.rs
+++ b/src/gateway/report_relay.rs
@@ -30,7 +30,7 @@
 pub(super) struct ReportRelay {
     gateway: Arc<GatewayState>,
     deployment_state: SharedDeploymentState,
-    me: EntryRecord,
+    own_entry: EntryRecord,
     /// Port at which the hosts of backend servers receive leases.
     host_port: u16,
     socket: UdpSocket,
@@ -39,7 +39,7 @@
 }
 
 impl ReportRelay {
-    /// Binds a relay to the report address of `me`.
+    /// Binds a relay to the report address of `own_entry`.
     ///
     /// # Errors
     ///
@@ -47,20 +47,20 @@
     pub(super) async fn bind(
         gateway: Arc<GatewayState>,
         deployment_state: SharedDeploymentState,
-        me: EntryRecord,
+        own_entry: EntryRecord,
     ) -> SwitchResult<Self> {
-        let socket = UdpSocket::bind(me.reports).await.map_err(|fault| {
+        let socket = UdpSocket::bind(own_entry.reports).await.map_err(|fault| {
             let detail = format!(
                 "cannot bind the load report address {}: {fault}; free the port",
-                me.reports
+                own_entry.reports
             );
             SwitchError::new(ErrorKind::SettingInvalid, detail)
         })?;
         Ok(Self {
             gateway,
             deployment_state,
-            host_port: me.reports.port(),
-            me,
+            host_port: own_entry.reports.port(),
+            own_entry,
             socket,
             queue: DigestQueue::default(),
             is_relay: false,
@@ -128,7 +128,7 @@
                 limits: limits.to_vec(),
             };
             let snapshot = self.gateway.newest_snapshot();
-            let receivers = one_per_data_centre(&snapshot.entries, &self.me.data_centre);
+            let receivers = one_per_data_centre(&snapshot.entries, &self.own_entry.data_centre);
             self.send_to_all(&ReportDatagram::Limits(digest), &receivers)
                 .await;
         }
@@ -153,10 +153,10 @@
             return;
         }
         let lease = ReportLease {
-            relay: self.me.reports,
+            relay: self.own_entry.reports,
         };
         let snapshot = self.gateway.newest_snapshot();
-        let hosts = engine_hosts(&snapshot, &self.me.data_centre, self.host_port);
+        let hosts = engine_hosts(&snapshot, &self.own_entry.data_centre, self.host_port);
         self.send_to_all(&lease, &hosts).await;
     }
 
@@ -173,7 +173,8 @@
     async fn send_locally(&self, datagram: &ReportDatagram) {
         let snapshot = self.gateway.newest_snapshot();
         let others = snapshot.entries.iter().filter(|entry| {
-            entry.data_centre == self.me.data_centre && entry.reports != self.me.reports
+            entry.data_centre == self.own_entry.data_centre
+                && entry.reports != self.own_entry.reports
         });
         let others: Vec<SocketAddr> = others.map(|entry| entry.reports).collect();
         self.send_to_all(datagram, &others).await;
@@ -183,7 +184,7 @@
     /// any of them may have failed.
     async fn send_remotely(&self, digest: LoadDigest) {
         let snapshot = self.gateway.newest_snapshot();
-        let receivers = one_per_data_centre(&snapshot.entries, &self.me.data_centre);
+        let receivers = one_per_data_centre(&snapshot.entries, &self.own_entry.data_centre);
         self.send_to_all(&ReportDatagram::Digest(digest), &receivers)
             .await;
     }
--- a/src/gateway/send_attempt.rs
+++ b/src/gateway/send_attempt.rs
@@ -244,8 +244,8 @@
     if !is_fresh && let Some(connection) = gateway.pool.take(ticket.key, now) {
         return Ok(connection);
     }
-    let within = CONNECT_TIMEOUT.min(job.time_left(now));
-    let opened = BackendConnection::open(ticket.facts.address, within).await;
+    let timeout = CONNECT_TIMEOUT.min(job.time_left(now));
+    let opened = BackendConnection::open(ticket.facts.address, timeout).await;
     opened.map_err(|error| SendFailure::not_sent(error.detail))
 }
 
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -21,7 +21,7 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::timeout_awake;
 
-/// How long a stream may pause before another backend server is asked to resume it. Clients give up
+/// How long a stream may pause before another backend server is to resume it. Clients give up
 /// after 2.4 s. An engine that reads a long prompt of another request pauses for 0.1 s; one whose
 /// partner has died stalls for 1.5 s.
 const SILENCE_MAX: Duration = Duration::from_millis(900);
--- a/src/gateway/tests/crashing_requests.rs
+++ b/src/gateway/tests/crashing_requests.rs
@@ -21,7 +21,7 @@
 const BACKENDS: usize = 10;
 /// How long a harmless request takes, and how long the crashing one runs before the crash.
 const WORK_SPAN: Duration = Duration::from_millis(150);
-const CRASH_SPAN: Duration = Duration::from_millis(40);
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 /// How long a backend server is down after a crash.
 const DOWN_SPAN: Duration = Duration::from_millis(700);
 const CRASHING_PAUSE: Duration = Duration::from_millis(60);
@@ -100,7 +100,7 @@
         let attempt = field(&request, ATTEMPT).unwrap_or_default();
         if request.ends_with(CRASHING_BODY) {
             lock(&observations).arrivals.push(clock_now());
-            sleep(CRASH_SPAN).await;
+            sleep(CRASH_DELAY).await;
             lock(&observations).crashes.push(clock_now());
             crash.notify_one();
             return std::future::pending().await;
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -111,14 +111,14 @@
     deployment_state: SharedDeploymentState,
 ) -> GatewayState {
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
-    let me = EntryHostId {
+    let own_id = EntryHostId {
         data_centre: "here".into(),
         host: "e1".into(),
     };
     GatewayState::new(GatewayParts {
         snapshot,
         crash_detector: CrashDetector::new(deployment_state),
-        me,
+        own_id,
         drain,
         bounds,
     })
--- a/src/gateway/tests/uninterrupted_responses.rs
+++ b/src/gateway/tests/uninterrupted_responses.rs
@@ -102,7 +102,7 @@
     })
 }
 
-/// An entry host whose control state the test changes.
+/// An entry host whose deployment state the test changes.
 struct MutableEntry {
     address: SocketAddr,
     snapshot: SharedSnapshot,
--- a/src/lab/picks/timing.rs
+++ b/src/lab/picks/timing.rs
@@ -138,7 +138,7 @@
             return DispatchOutcome::Full;
         }
         gone = Some(wish.account);
-        DispatchOutcome::Placed
+        DispatchOutcome::Dispatched
     });
     book.release(gone.expect("the line is never empty"));
 }
--- a/src/lab/soak/admission.rs
+++ b/src/lab/soak/admission.rs
@@ -139,7 +139,7 @@
             }
             room -= 1;
             went.push(ticket);
-            DispatchOutcome::Placed
+            DispatchOutcome::Dispatched
         });
         let in_order = went.iter().map(|ticket| self.known(*ticket).priority);
         assert!(in_order.is_sorted(), "a less urgent request went first");
@@ -254,7 +254,7 @@
             room -= 1;
             let place = usize::try_from(wish.target).expect("0 or 1");
             served[place] += wish.cost;
-            DispatchOutcome::Placed
+            DispatchOutcome::Dispatched
         });
         let weights = [u64::from(specs[0].weight), u64::from(specs[1].weight)];
         let ahead = (served[0] * weights[1]).abs_diff(served[1] * weights[0]);
--- a/src/overload/engine_assignment.rs
+++ b/src/overload/engine_assignment.rs
@@ -27,19 +27,19 @@
 /// assignment.
 #[derive(Debug)]
 pub(crate) struct EngineAssignment<'a> {
-    me: &'a EntryHostId,
+    own_id: &'a EntryHostId,
     /// Sorted; includes this entry host.
     entries: Vec<&'a EntryHostId>,
 }
 
 impl<'a> EngineAssignment<'a> {
-    /// Creates the assignment of `me` among `entries`, which may be in any order.
-    pub(crate) fn new(me: &'a EntryHostId, entries: &'a [EntryHostId]) -> Self {
+    /// Creates the assignment of `own_id` among `entries`, which may be in any order.
+    pub(crate) fn new(own_id: &'a EntryHostId, entries: &'a [EntryHostId]) -> Self {
         let mut entries: Vec<&EntryHostId> = entries.iter().collect();
-        entries.push(me);
+        entries.push(own_id);
         entries.sort_unstable();
         entries.dedup();
-        Self { me, entries }
+        Self { own_id, entries }
     }
 
     /// Returns the number of other entry hosts in this data centre.
@@ -50,7 +50,7 @@
 
     /// Returns the entry hosts of this data centre, including this one.
     fn local_entry_hosts(&self) -> &[&'a EntryHostId] {
-        let data_centre = &self.me.data_centre;
+        let data_centre = &self.own_id.data_centre;
         let entries = &self.entries;
         let from = entries.partition_point(|entry| entry.data_centre < *data_centre);
         let to = entries.partition_point(|entry| entry.data_centre <= *data_centre);
@@ -64,6 +64,6 @@
     /// every other data centre among themselves in the same way.
     pub(crate) fn is_assigned(&self, rank: usize) -> bool {
         let local_entry_hosts = self.local_entry_hosts();
-        local_entry_hosts[rank % local_entry_hosts.len()] == self.me
+        local_entry_hosts[rank % local_entry_hosts.len()] == self.own_id
     }
 }
--- a/src/overload/send_schedule.rs
+++ b/src/overload/send_schedule.rs
@@ -26,7 +26,7 @@
     /// The entry hosts that send to it, including this one.
     pub(crate) entry_hosts: &'a [u64],
     /// This entry host.
-    pub(crate) me: u64,
+    pub(crate) own_hash: u64,
 }
 
 impl SendSchedule<'_> {
@@ -55,7 +55,7 @@
     fn is_mine(&self, interval: u64) -> bool {
         let subject = self.backend ^ interval;
         let entry_hosts = self.entry_hosts.iter();
-        entry_hosts.max_by_key(|host| rendezvous_weight(subject, **host)) == Some(&self.me)
+        entry_hosts.max_by_key(|host| rendezvous_weight(subject, **host)) == Some(&self.own_hash)
     }
 }
 
--- a/src/overload/tests/send_schedule.rs
+++ b/src/overload/tests/send_schedule.rs
@@ -32,11 +32,11 @@
     let mut sent = Vec::new();
     for step in 0..STEPS {
         let now = START + STEP * step;
-        for (at, me) in entry_hosts.iter().enumerate() {
+        for (at, own_hash) in entry_hosts.iter().enumerate() {
             let schedule = SendSchedule {
                 backend: 7,
                 entry_hosts,
-                me: *me,
+                own_hash: *own_hash,
             };
             if wants(at, step)
                 && let Some(start) = schedule.open_interval(rate, used[at], now + ahead[at])
--- a/src/platform/engine_calls.rs
+++ b/src/platform/engine_calls.rs
@@ -204,8 +204,8 @@
     /// `PeerSilent`, `ConnectFailed` or `AnswerCut` if the engine does not respond completely,
     /// `EngineRefused` if it responds with another status than 200, and `MessageInvalid` if the
     /// response cannot be decoded.
-    pub(crate) async fn report(&self, within: Duration) -> SwitchResult<EngineReport> {
-        let called = self.call(Method::GET, "/v1/report", Bytes::new(), within);
+    pub(crate) async fn report(&self, timeout: Duration) -> SwitchResult<EngineReport> {
+        let called = self.call(Method::GET, "/v1/report", Bytes::new(), timeout);
         read_report(&success_body(called.await?)?)
     }
 
@@ -214,9 +214,9 @@
     /// # Errors
     ///
     /// As [`EngineClient::report`].
-    pub(crate) async fn staged(&self, model: &str, within: Duration) -> SwitchResult<Vec<u32>> {
+    pub(crate) async fn staged(&self, model: &str, timeout: Duration) -> SwitchResult<Vec<u32>> {
         let path = format!("/v1/stage-get/{model}");
-        let (status, body) = self.call(Method::GET, &path, Bytes::new(), within).await?;
+        let (status, body) = self.call(Method::GET, &path, Bytes::new(), timeout).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(Vec::new());
         }
@@ -237,10 +237,10 @@
         &self,
         model: &str,
         index: u32,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<Bytes> {
         let path = format!("/v1/stage-get/{model}?item_count={index}");
-        let (status, body) = self.call(Method::GET, &path, Bytes::new(), within).await?;
+        let (status, body) = self.call(Method::GET, &path, Bytes::new(), timeout).await?;
         if status == StatusCode::NOT_FOUND {
             return Err(SwitchError::new(
                 ErrorKind::ChunkMissing,
@@ -260,10 +260,10 @@
         model: &str,
         index: u32,
         bytes: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<()> {
         let path = format!("/v1/stage-put/{model}?item_count={index}");
-        success_body(self.call(Method::PUT, &path, bytes, within).await?).map(|_| ())
+        success_body(self.call(Method::PUT, &path, bytes, timeout).await?).map(|_| ())
     }
 
     /// Orders the engine to load the staged chunks.
@@ -274,7 +274,7 @@
     pub(crate) async fn order_load(
         &self,
         order: &LoadOrder,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<OrderOutcome> {
         let text = OrderText {
             operation: "start",
@@ -291,7 +291,7 @@
         };
         let body = serde_json::to_vec(&text)
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
-        let called = self.call(Method::POST, "/v1/order", body.into(), within);
+        let called = self.call(Method::POST, "/v1/order", body.into(), timeout);
         match called.await? {
             (StatusCode::ACCEPTED, _) => Ok(OrderOutcome::Started),
             (StatusCode::OK, _) => Ok(OrderOutcome::AlreadyLoaded),
@@ -307,13 +307,13 @@
         method: Method,
         path: &str,
         body: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<(StatusCode, Bytes)> {
-        exchange(&self.client, self.address, (method, path, body), within).await
+        exchange(&self.client, self.address, (method, path, body), timeout).await
     }
 }
 
-/// Makes one call and reads the complete response within `within`.
+/// Makes one call and reads the complete response within `timeout`.
 ///
 /// After a timeout the pooled connections to `address` are closed. Otherwise every later call could
 /// wait for its timeout on a connection that no longer responds.
@@ -321,20 +321,20 @@
     client: &PeerClient,
     address: SocketAddr,
     (method, path, body): (Method, &str, Bytes),
-    within: Duration,
+    timeout: Duration,
 ) -> SwitchResult<(StatusCode, Bytes)> {
     let request = call_request(method, path, body)?;
     let exchanged = async {
-        let response = client.send(address, request, within).await?;
+        let response = client.send(address, request, timeout).await?;
         let status = response.status();
         let body = read_body(response.into_body(), RESPONSE_BYTES_MAX).await?;
         Ok::<_, SwitchError>((status, body))
     };
-    if let Ok(result) = timeout_awake(within, Box::pin(exchanged)).await {
+    if let Ok(result) = timeout_awake(timeout, Box::pin(exchanged)).await {
         return result;
     }
     client.drop_pool(address);
-    let detail = format!("{address} did not respond to {path} within {within:?}");
+    let detail = format!("{address} did not respond to {path} within {timeout:?}");
     Err(SwitchError::new(ErrorKind::PeerSilent, detail))
 }
 
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -136,16 +136,17 @@
 
     /// Reads all rows of a table, in as many pages as the store needs.
     ///
-    /// `within` limits the wait for the response head of each page and for each further part of it.
+    /// `timeout` limits the wait for the response head of each page and for each further part of
+    /// it.
     ///
     /// # Errors
     ///
-    /// `TableUnavailable` if the store refuses, pauses for longer than `within`, or needs more than
-    /// 5 s for the body of a page.
+    /// `TableUnavailable` if the store refuses, pauses for longer than `timeout`, or needs more
+    /// than 5 s for the body of a page.
     pub(crate) async fn read_table(
         &self,
         table: TableName,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<TableView> {
         let mut rows: Vec<StoreRow> = Vec::new();
         let mut first = None;
@@ -154,7 +155,7 @@
             let from = rows.last().map(|row| format!("{}\0", row.key));
             let from = from.map_or_else(String::new, |from| format!("&from={}", encode(&from)));
             let path = format!("/v1/rows-get?table={name}&part={from}");
-            let response = self.get(&path, within).await?;
+            let response = self.get(&path, timeout).await?;
             let page = parse_page(&response)?;
             // Pages may have different revisions. A watch from the first one reports what changed
             // between them.
@@ -180,19 +181,19 @@
     ///
     /// # Errors
     ///
-    /// `TableUnavailable` if the store refuses or does not respond within `wait` plus `within`.
+    /// `TableUnavailable` if the store refuses or does not respond within `wait` plus `timeout`.
     pub(crate) async fn watch_table(
         &self,
         table: TableName,
         since: u64,
         wait: Duration,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<WatchResponse> {
         let name = table.as_str();
         let wait_ms = wait.as_millis();
         let path = format!("/v1/rows-feed?table={name}&since_rev={since}&wait_ms={wait_ms}");
         let (status, body) = self
-            .call(Method::GET, &path, Bytes::new(), wait + within)
+            .call(Method::GET, &path, Bytes::new(), wait + timeout)
             .await?;
         match status {
             StatusCode::GONE => Ok(WatchResponse::HistoryExpired),
@@ -214,10 +215,10 @@
         table: TableName,
         key: &str,
         value: &[u8],
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<()> {
         let change = change_text(Vec::new(), table, &[(key, value)]);
-        self.change_rows(&change, within).await.map(drop)
+        self.change_rows(&change, timeout).await.map(drop)
     }
 
     /// Writes up to [`CHANGED_ROWS_MAX`] rows unconditionally; returns their common revision.
@@ -229,10 +230,10 @@
         &self,
         table: TableName,
         rows: &[(&str, &[u8])],
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<u64> {
         let change = change_text(Vec::new(), table, rows);
-        self.change_rows(&change, within).await
+        self.change_rows(&change, timeout).await
     }
 
     /// Removes up to [`CHANGED_ROWS_MAX`] rows.
@@ -244,7 +245,7 @@
         &self,
         table: TableName,
         keys: &[&str],
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<()> {
         let names = keys.iter().map(|key| RowName {
             table: table.as_str(),
@@ -256,11 +257,11 @@
             writes: Vec::new(),
             remove: names.collect(),
         };
-        self.change_rows(&change, within).await.map(drop)
+        self.change_rows(&change, timeout).await.map(drop)
     }
 
-    async fn change_rows(&self, change: &ChangeText<'_>, within: Duration) -> SwitchResult<u64> {
-        match self.transact(change, within).await? {
+    async fn change_rows(&self, change: &ChangeText<'_>, timeout: Duration) -> SwitchResult<u64> {
+        match self.transact(change, timeout).await? {
             (StatusCode::OK, body) => Ok(read_done(&body)?.ver),
             (status, _) => Err(refused(status)),
         }
@@ -277,7 +278,7 @@
         table: TableName,
         (key, expected): (&str, u64),
         value: &[u8],
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<WriteResponse> {
         let condition = ConditionText {
             table: table.as_str(),
@@ -286,7 +287,7 @@
             ver: expected,
         };
         let change = change_text(vec![condition], table, &[(key, value)]);
-        let (status, body) = self.transact(&change, within).await?;
+        let (status, body) = self.transact(&change, timeout).await?;
         match status {
             StatusCode::OK => {
                 let done = read_done(&body)?;
@@ -314,16 +315,16 @@
     async fn transact(
         &self,
         change: &ChangeText<'_>,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<(StatusCode, Bytes)> {
         let body = serde_json::to_vec(change)
             .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))?;
-        let called = self.call(Method::POST, "/v1/rows-tx", body.into(), within);
+        let called = self.call(Method::POST, "/v1/rows-tx", body.into(), timeout);
         called.await
     }
 
-    async fn get(&self, path: &str, within: Duration) -> SwitchResult<Bytes> {
-        match self.call(Method::GET, path, Bytes::new(), within).await? {
+    async fn get(&self, path: &str, timeout: Duration) -> SwitchResult<Bytes> {
+        match self.call(Method::GET, path, Bytes::new(), timeout).await? {
             (StatusCode::OK, body) => Ok(body),
             (status, _) => Err(refused(status)),
         }
@@ -334,11 +335,11 @@
         method: Method,
         path: &str,
         body: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<(StatusCode, Bytes)> {
         let pace = AnswerPace {
-            head: within,
-            idle: within,
+            head: timeout,
+            idle: timeout,
             whole: BODY_TIMEOUT,
         };
         // After an error the connections are dropped, since one that lost a response delivers no
--- a/src/platform/tests/store_rows.rs
+++ b/src/platform/tests/store_rows.rs
@@ -96,9 +96,9 @@
     let drain = DrainState::new(Duration::ZERO, Duration::ZERO);
     tokio::spawn(HttpServer::on(listener, Router::new().fallback(respond)).run(drain));
     let store = StoreClient::new(address, Arc::new(PeerClient::new(ClientLimits::default())));
-    let within = Duration::from_secs(2);
-    let read = store.read_table(TableName::Backends, within);
-    let read = tokio::time::timeout(within, read).await;
+    let time_limit = Duration::from_secs(2);
+    let read = store.read_table(TableName::Backends, time_limit);
+    let read = tokio::time::timeout(time_limit, read).await;
     assert!(read.expect("the read ends").is_err());
 }
 
--- a/src/platform/weights_origin.rs
+++ b/src/platform/weights_origin.rs
@@ -103,10 +103,10 @@
     pub(crate) async fn read_digests(
         &self,
         target: &ModelVersion,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<ChunkDigests> {
         let path = format!("/v1/manifest/{}?version={}", target.model, target.version.0);
-        let body = self.get(&path, within).await?;
+        let body = self.get(&path, timeout).await?;
         read_digests(target, &body)
     }
 
@@ -119,16 +119,16 @@
         &self,
         target: &ModelVersion,
         index: u32,
-        within: Duration,
+        timeout: Duration,
     ) -> SwitchResult<Bytes> {
         let (model, version) = (&target.model, target.version.0);
         let path = format!("/v1/piece/{model}?item_count={index}&version={version}");
-        self.get(&path, within).await
+        self.get(&path, timeout).await
     }
 
-    async fn get(&self, path: &str, within: Duration) -> SwitchResult<Bytes> {
+    async fn get(&self, path: &str, timeout: Duration) -> SwitchResult<Bytes> {
         let call = (Method::GET, path, Bytes::new());
-        match exchange(&self.client, self.address, call, within).await {
+        match exchange(&self.client, self.address, call, timeout).await {
             Ok((StatusCode::OK, body)) => Ok(body),
             Ok((StatusCode::GONE, _)) => Err(SwitchError::new(
                 ErrorKind::ObjectMissing,
--- a/src/quarantine/crash_ledger.rs
+++ b/src/quarantine/crash_ledger.rs
@@ -31,7 +31,8 @@
 pub(crate) struct BackendIncarnation(pub(crate) u64);
 
 impl BackendIncarnation {
-    /// Returns the incarnation of the backend server `id` that started at `start_time`, if that is known.
+    /// Returns the incarnation of the backend server `id` that started at `start_time`, if that is
+    /// known.
     pub(crate) fn of(id: &ByteString, start_time: Option<WallTime>) -> Self {
         let start_time = start_time.map_or(0, |start_time| start_time.0);
         Self(name_hash(&format!("{id}/{start_time}")))
--- a/src/replication/chunk_fetch.rs
+++ b/src/replication/chunk_fetch.rs
@@ -60,7 +60,7 @@
     pub(super) store: ChunkStore,
     pub(super) client: Arc<PeerClient>,
     pub(super) origin: Option<OriginClient>,
-    pub(super) me: HostLocation,
+    pub(super) local: HostLocation,
     /// Transfer time of a chunk on this host's idle link.
     pub(super) chunk_span: Duration,
     /// Paces transfers on this host's link.
@@ -146,7 +146,7 @@
         let layer = rand::rng().random_range(0..layers.max(1));
         let first = layer_chunks(layer, held.count(), layers);
         let mut plan = FetchPlan::new(
-            context.me.clone(),
+            context.local.clone(),
             (
                 WeightsDigest::of(name.as_bytes()),
                 SpreadObjective::OriginBytes,
--- a/src/replication/chunk_messages.rs
+++ b/src/replication/chunk_messages.rs
@@ -1,8 +1,8 @@
 //! Messages about chunks between hosts of backend servers.
 //!
-//! Each of these takes a [`ChunkQuery`]: `POST /peer/chunks/have` returns a
-//! [`ChunkAnnouncement`](crate::weights::HaveWord), `POST /peer/chunks/get` a [`ChunkResponse`], and
-//! `POST /peer/chunks/digests` the digests of the version.
+//! Each of these takes a [`ChunkQuery`]: `POST /peer/chunks/have` returns a [`ChunkAnnouncement`],
+//! `POST /peer/chunks/get` a [`ChunkResponse`], and `POST /peer/chunks/digests` the digests of the
+//! version.
 
 use macro_rules_attribute::apply;
 
--- a/src/replication/chunk_staging.rs
+++ b/src/replication/chunk_staging.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use super::chunk_store::{ChunkSource, ChunkStore, missing_chunk};
+use super::chunk_store::{ChunkStore, HeldChunk, missing_chunk};
 use super::events;
 use crate::errors::{ErrorKind, SwitchResult};
 use crate::events::log_event;
@@ -68,8 +68,8 @@
     /// `ChunkMissing` if it is not held or is corrupt.
     pub(super) async fn read(&self, target: &ModelVersion, index: u32) -> SwitchResult<Bytes> {
         let digests = match self.find(target, index) {
-            Some(ChunkSource::Memory(bytes)) => return Ok(bytes),
-            Some(ChunkSource::Engine(digests)) => digests,
+            Some(HeldChunk::Memory(bytes)) => return Ok(bytes),
+            Some(HeldChunk::Engine(digests)) => digests,
             None => return Err(missing_chunk(index)),
         };
         if let Some(bytes) = self.read_back(target, index, &digests).await? {
--- a/src/replication/chunk_store.rs
+++ b/src/replication/chunk_store.rs
@@ -32,7 +32,7 @@
 }
 
 /// Where a held chunk was found.
-pub(super) enum ChunkSource {
+pub(super) enum HeldChunk {
     /// Its content, from memory.
     Memory(Bytes),
     /// It is staged at the engine, and has to be checked against these digests.
@@ -198,16 +198,16 @@
     }
 
     /// Finds chunk `index` of `target`; none if it is not held.
-    pub(super) fn find(&self, target: &ModelVersion, index: u32) -> Option<ChunkSource> {
+    pub(super) fn find(&self, target: &ModelVersion, index: u32) -> Option<HeldChunk> {
         let found = self.with(target, |version| match &mut version.location {
             ChunkLocation::Memory(chunks) => {
                 let bytes = slot_of(chunks, index).and_then(|slot| slot.clone());
-                bytes.map(ChunkSource::Memory)
+                bytes.map(HeldChunk::Memory)
             }
             ChunkLocation::Engine => {
                 let digests = version.digests.clone();
                 let is_held = version.held.contains(index);
-                is_held.then_some(ChunkSource::Engine(digests))
+                is_held.then_some(HeldChunk::Engine(digests))
             }
         });
         found.flatten()
--- a/src/replication/digest_sources.rs
+++ b/src/replication/digest_sources.rs
@@ -30,20 +30,21 @@
 }
 
 impl DigestSources {
-    /// Determines the sources of `me` among `hosts` for `target`.
-    pub(super) fn new(hosts: &[PeerHost], me: &HostLocation, target: &ModelVersion) -> Self {
+    /// Determines the sources of `local` among `hosts` for `target`.
+    pub(super) fn new(hosts: &[PeerHost], local: &HostLocation, target: &ModelVersion) -> Self {
         let weight = |host: &str| {
             let name = format!("{host}/{}/{}", target.model, target.version.0);
             name_hash(&name)
         };
-        let own_weight = weight(&me.host);
-        let others = hosts.iter().filter(|host| host.location.host != me.host);
+        let own_weight = weight(&local.host);
+        let others = hosts.iter().filter(|host| host.location.host != local.host);
         let mut higher_ranked: Vec<(u64, &PeerHost)> = others
             .map(|host| (weight(&host.location.host), host))
             .filter(|(other, _)| *other > own_weight)
             .collect();
         higher_ranked.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-        let is_near = |(_, host): &&(u64, &PeerHost)| host.location.data_centre == me.data_centre;
+        let is_near =
+            |(_, host): &&(u64, &PeerHost)| host.location.data_centre == local.data_centre;
         let near: Vec<SocketAddr> = higher_ranked
             .iter()
             .filter(is_near)
--- a/src/replication/engine_monitor.rs
+++ b/src/replication/engine_monitor.rs
@@ -68,10 +68,10 @@
     ///
     /// # Errors
     ///
-    /// If the engine does not answer within `within`.
-    pub(super) async fn query(&self, within: Duration) -> SwitchResult<Option<EngineState>> {
+    /// If the engine does not answer within `timeout`.
+    pub(super) async fn query(&self, timeout: Duration) -> SwitchResult<Option<EngineState>> {
         let queried_at = clock_now();
-        let report = self.engine.report(within).await?;
+        let report = self.engine.report(timeout).await?;
         Ok(self.take(report, queried_at))
     }
 
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -13,7 +13,7 @@
 use super::events;
 use super::host_wait::{HostWait, WaitPublisher};
 use super::load_rank::LoadRank;
-use super::version_fetcher::{HostIdentity, plan_hosts};
+use super::version_fetcher::{BackendHostIdentity, plan_hosts};
 use crate::derives::key;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
@@ -46,7 +46,7 @@
 
 /// Loads complete versions into the engine.
 pub(super) struct EngineUpdater {
-    pub(super) identity: HostIdentity,
+    pub(super) identity: BackendHostIdentity,
     pub(super) deployment_state: SharedDeploymentState,
     pub(super) engine: EngineClient,
     pub(super) store: ChunkStore,
@@ -213,8 +213,8 @@
             (Some(_), Some(due)) => {
                 let others = plan_hosts(snapshot, &self.identity);
                 let rank = LoadRank::new(
-                    &self.identity.me.host,
-                    &self.identity.me.data_centre,
+                    &self.identity.local.host,
+                    &self.identity.local.data_centre,
                     &others,
                 );
                 rank.load_at(complete_at, due, self.weights_deadline)
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -14,7 +14,7 @@
 use super::events;
 use super::host_wait::WaitPublisher;
 use super::load_reports::{ReportContext, report_load};
-use super::version_fetcher::{HostIdentity, VersionFetcher};
+use super::version_fetcher::{BackendHostIdentity, VersionFetcher};
 use super::view_poller::ViewPoller;
 use crate::daemon::DrainState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
@@ -69,7 +69,7 @@
 
 /// State shared by the daemon's tasks.
 struct HostParts {
-    identity: HostIdentity,
+    identity: BackendHostIdentity,
     client: Arc<PeerClient>,
     engine: EngineClient,
     deployment_state: SharedDeploymentState,
@@ -84,7 +84,7 @@
         let identity = host_identity(settings)?;
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
         let engine = EngineClient::new(identity.address, client.clone());
-        let store = ChunkStore::new(identity.me.host.clone(), engine.clone());
+        let store = ChunkStore::new(identity.local.host.clone(), engine.clone());
         Ok(Self {
             client,
             deployment_state: SharedDeploymentState::default(),
@@ -100,7 +100,7 @@
     fn reports(&self) -> ReportContext {
         ReportContext {
             address: self.identity.address,
-            data_centre: self.identity.me.data_centre.clone(),
+            data_centre: self.identity.local.data_centre.clone(),
             deployment_state: self.deployment_state.clone(),
             monitor: self.monitor.clone(),
         }
@@ -144,18 +144,18 @@
     }
 }
 
-fn host_identity(settings: &PlatformSettings) -> SwitchResult<HostIdentity> {
+fn host_identity(settings: &PlatformSettings) -> SwitchResult<BackendHostIdentity> {
     let missing_setting = |field: &str| {
         let detail = format!("{field} is missing; a backend server's host needs it");
         SwitchError::new(ErrorKind::SettingInvalid, detail)
     };
     let service = settings.backend_service.clone();
-    Ok(HostIdentity {
+    Ok(BackendHostIdentity {
         address: settings
             .backend_address
             .ok_or_else(|| missing_setting("app"))?,
         service: service.ok_or_else(|| missing_setting("service"))?,
-        me: HostLocation {
+        local: HostLocation {
             host: settings.ip.to_string().into(),
             data_centre: settings.data_centre.clone(),
             region: "all".into(),
--- a/src/replication/load_rank.rs
+++ b/src/replication/load_rank.rs
@@ -24,15 +24,15 @@
 }
 
 impl LoadRank {
-    /// The rank of the host `me`, in `data_centre`, among `others`. The order alternates between
+    /// The rank of the host `local`, in `data_centre`, among `others`. The order alternates between
     /// data centres, so that each loses the same part of its engines at a time.
-    pub(super) fn new(me: &str, data_centre: &str, others: &[PeerHost]) -> Self {
-        let lines = others.iter().map(|host| &host.location);
-        let mut hosts: Vec<(&str, &str)> = lines
+    pub(super) fn new(local: &str, data_centre: &str, others: &[PeerHost]) -> Self {
+        let locations = others.iter().map(|host| &host.location);
+        let mut hosts: Vec<(&str, &str)> = locations
             .map(|location| (&*location.data_centre, &*location.host))
-            .filter(|(_, host)| *host != me)
+            .filter(|(_, host)| *host != local)
             .collect();
-        hosts.push((data_centre, me));
+        hosts.push((data_centre, local));
         hosts.sort_unstable();
         let mut order: Vec<(usize, &str, &str)> = Vec::with_capacity(hosts.len());
         for near in hosts.chunk_by(|left, right| left.0 == right.0) {
@@ -40,7 +40,7 @@
             order.extend(ranked.map(|(rank, (centre, host))| (rank, *centre, *host)));
         }
         order.sort_unstable();
-        let rank = order.iter().position(|(_, _, host)| *host == me);
+        let rank = order.iter().position(|(_, _, host)| *host == local);
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         Self {
             rank: count(rank.unwrap_or(0)),
--- a/src/replication/tests/backend_host.rs
+++ b/src/replication/tests/backend_host.rs
@@ -77,7 +77,7 @@
     pub(super) async fn start_entry(&self) {
         let control = free_address().await;
         let settings = SyncSettings {
-            me: EntryRecord {
+            own_entry: EntryRecord {
                 host: "e".into(),
                 data_centre: "a".into(),
                 control,
--- a/src/replication/tests/digest_sources.rs
+++ b/src/replication/tests/digest_sources.rs
@@ -10,7 +10,7 @@
 const HOSTS: u8 = 47;
 
 fn hosts() -> Vec<PeerHost> {
-    let places = (0..CENTRES).flat_map(|centre| (0..HOSTS).map(move |number| (centre, number)));
+    let numbers = (0..CENTRES).flat_map(|centre| (0..HOSTS).map(move |number| (centre, number)));
     let host = |(centre, number): (u8, u8)| PeerHost {
         location: HostLocation {
             host: format!("10.{centre}.0.{number}").into(),
@@ -19,7 +19,7 @@
         },
         address: ([10, centre, 0, number], 7300).into(),
     };
-    places.map(host).collect()
+    numbers.map(host).collect()
 }
 
 fn target() -> ModelVersion {
@@ -34,16 +34,16 @@
 #[test]
 fn two_hosts_of_hundreds_read_the_origin_at_once() {
     let hosts = hosts();
-    let lines: Vec<DigestSources> = hosts
+    let sources_by_host: Vec<DigestSources> = hosts
         .iter()
         .map(|host| DigestSources::new(&hosts, &host.location, &target()))
         .collect();
-    let read_at_once = lines
+    let read_at_once = sources_by_host
         .iter()
-        .filter(|location| location.choose(0.0).is_none());
+        .filter(|sources| sources.choose(0.0).is_none());
     assert_eq!(read_at_once.count(), 2);
-    let soon = lines.iter().filter(|location| {
-        location.choose(0.0).is_some() && location.wait_limit() <= Duration::from_secs(1)
+    let soon = sources_by_host.iter().filter(|sources| {
+        sources.choose(0.0).is_some() && sources.wait_limit() <= Duration::from_secs(1)
     });
     let most = 2 * usize::from(CENTRES);
     assert!(soon.count() <= most, "others wait for higher-ranked hosts");
@@ -53,14 +53,14 @@
 #[test]
 fn a_host_is_queried_for_digests_by_a_few_dozen() {
     let hosts = hosts();
-    let mut asked = vec![0_u32; hosts.len()];
+    let mut queried = vec![0_u32; hosts.len()];
     for host in &hosts {
-        let location = DigestSources::new(&hosts, &host.location, &target());
-        if let Some(address) = location.choose(0.25) {
+        let sources = DigestSources::new(&hosts, &host.location, &target());
+        if let Some(address) = sources.choose(0.25) {
             let at = hosts.iter().position(|host| host.address == address);
-            asked[at.expect("it is one of them")] += 1;
+            queried[at.expect("it is one of them")] += 1;
         }
     }
-    let most = asked.iter().max().expect("hosts");
+    let most = queried.iter().max().expect("hosts");
     assert!(*most <= u32::from(HOSTS) + u32::from(CENTRES) * 2, "{most}");
 }
--- a/src/replication/version_fetcher.rs
+++ b/src/replication/version_fetcher.rs
@@ -39,15 +39,15 @@
 
 /// Identity of this host and of its engine.
 #[derive(Clone, Debug)]
-pub(super) struct HostIdentity {
+pub(super) struct BackendHostIdentity {
     pub(super) service: ByteString,
-    pub(super) me: HostLocation,
+    pub(super) local: HostLocation,
     pub(super) address: SocketAddr,
     /// The port on which all hosts answer each other.
     pub(super) peer_port: u16,
 }
 
-impl HostIdentity {
+impl BackendHostIdentity {
     /// The model of this host's engine, and its number of layers.
     pub(super) fn model_of(&self, snapshot: &DeploymentSnapshot) -> Option<(ByteString, u32)> {
         let catalog = snapshot.catalog.as_ref()?;
@@ -58,7 +58,10 @@
 
 /// The other hosts of the service, for the fetch plan. They form one group regardless of their
 /// region, so that the origin sends each chunk once.
-pub(super) fn plan_hosts(snapshot: &DeploymentSnapshot, identity: &HostIdentity) -> Vec<PeerHost> {
+pub(super) fn plan_hosts(
+    snapshot: &DeploymentSnapshot,
+    identity: &BackendHostIdentity,
+) -> Vec<PeerHost> {
     let backends = snapshot.fleet.backends.iter();
     let others = backends.filter(|facts| {
         facts.service == identity.service && facts.address.ip() != identity.address.ip()
@@ -68,7 +71,7 @@
             location: HostLocation {
                 host: facts.address.ip().to_string().into(),
                 data_centre: facts.data_centre.clone(),
-                region: identity.me.region.clone(),
+                region: identity.local.region.clone(),
             },
             address: SocketAddr::new(facts.address.ip(), identity.peer_port),
         })
@@ -80,7 +83,7 @@
 
 /// Fetches target versions.
 pub(super) struct VersionFetcher {
-    pub(super) identity: HostIdentity,
+    pub(super) identity: BackendHostIdentity,
     /// Transfer time of a chunk on this host's idle link.
     pub(super) chunk_span: Duration,
     pub(super) pacer: LinkPacer,
@@ -172,7 +175,7 @@
     ) -> SwitchResult<ChunkDigests> {
         let sources = DigestSources::new(
             &plan_hosts(snapshot, &self.identity),
-            &self.identity.me,
+            &self.identity.local,
             target,
         );
         let until = clock_now() + sources.wait_limit();
@@ -239,7 +242,7 @@
             store: self.store.clone(),
             client: self.client.clone(),
             origin: self.origin(&snapshot),
-            me: self.identity.me.clone(),
+            local: self.identity.local.clone(),
             chunk_span: self.chunk_span,
             pacer: self.pacer.clone(),
             slow_host: Arc::default(),
--- a/src/sync/crash_state.rs
+++ b/src/sync/crash_state.rs
@@ -1,4 +1,4 @@
-//! The part of the control state that holds which requests crashed backend servers.
+//! The part of the deployment state that holds which requests crashed backend servers.
 
 use std::sync::Arc;
 
@@ -48,8 +48,8 @@
 
     /// Merges changed rows of the store's table.
     pub(super) fn change_crashes(&mut self, view: &TableView, now: ClockTime) {
-        for announcement in self.read_crash_rows(view) {
-            self.merge_crash(announcement, now);
+        for crash in self.read_crash_rows(view) {
+            self.merge_crash(crash, now);
         }
         let ledger = Arc::make_mut(&mut self.crashes);
         ledger.note_revision(view.revision);
@@ -58,17 +58,17 @@
 
     /// Merges the full table of the store.
     pub(super) fn set_crashes(&mut self, view: &TableView, now: ClockTime) {
-        let announcements = self.read_crash_rows(view);
+        let crashes = self.read_crash_rows(view);
         let is_listed = |key: &str| view.rows.iter().any(|row| row.key == key);
         self.unreadable.keep_listed(TableName::Crashes, is_listed);
-        Arc::make_mut(&mut self.crashes).keep_listed(&announcements, view.revision);
-        for announcement in announcements {
-            self.merge_crash(announcement, now);
+        Arc::make_mut(&mut self.crashes).keep_listed(&crashes, view.revision);
+        for crash in crashes {
+            self.merge_crash(crash, now);
         }
     }
 
     fn read_crash_rows(&mut self, view: &TableView) -> Vec<StoredCrash> {
-        let mut announcements = Vec::new();
+        let mut crashes = Vec::new();
         for row in &view.rows {
             let Some(value) = &row.value else {
                 let table = TableName::Crashes;
@@ -78,16 +78,16 @@
             let read = read_crash(row, value);
             let status = RowStatus::of(&read);
             self.unreadable.note(TableName::Crashes, &row.key, status);
-            announcements.extend(read);
+            crashes.extend(read);
         }
-        announcements
+        crashes
     }
 
-    fn merge_crash(&mut self, announcement: StoredCrash, now: ClockTime) {
-        let until = self.earliest(announcement.record.seen) + CRASH_RETENTION;
-        let request = announcement.record.request;
+    fn merge_crash(&mut self, crash: StoredCrash, now: ClockTime) {
+        let until = self.earliest(crash.record.seen) + CRASH_RETENTION;
+        let request = crash.record.request;
         self.change_request(request, now, |ledger| {
-            ledger.merge_stored(announcement, until);
+            ledger.merge_stored(crash, until);
         });
     }
 
@@ -136,14 +136,9 @@
     }
 
     /// Merges crashes from a neighbour; with them, all crashes up to `revision` are known.
-    pub(super) fn merge_crashes(
-        &mut self,
-        announcements: &[StoredCrash],
-        revision: u64,
-        now: ClockTime,
-    ) {
-        for announcement in announcements {
-            self.merge_crash(*announcement, now);
+    pub(super) fn merge_crashes(&mut self, crashes: &[StoredCrash], revision: u64, now: ClockTime) {
+        for crash in crashes {
+            self.merge_crash(*crash, now);
         }
         if revision > self.crashes.revision() {
             let ledger = Arc::make_mut(&mut self.crashes);
--- a/src/sync/deployment_state.rs
+++ b/src/sync/deployment_state.rs
@@ -1,5 +1,6 @@
-//! The control state of one process. It merges what the store and the neighbours report, in any
-//! order of arrival, and never returns to an older state.
+//! The deployment state of one process: what it knows of the document, the target versions and the
+//! other processes. It merges what the store and the neighbours report, in any order of arrival,
+//! and never returns to an older state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,7 +44,7 @@
     pub(super) text: Bytes,
 }
 
-/// The control state.
+/// What a process knows of the deployment.
 #[derive(Debug, Default)]
 pub(crate) struct DeploymentState {
     pub(super) document: Option<CurrentDocument>,
@@ -197,7 +198,7 @@
             let read = match kind {
                 OperatorRow::Document => self.take_document(value.clone(), source),
                 OperatorRow::TargetVersion => {
-                    let set_at = self.place(set_at, row.revision, source);
+                    let set_at = self.bound_update_time(set_at, row.revision, source);
                     read_target_version(&row.key, value)
                         .map(|target| self.versions.add_target(&target, set_at, source))
                 }
@@ -212,7 +213,7 @@
 
     /// Bounds `set_at`, the date derived from the operator's table alone, by the revisions seen in
     /// other answers. The version's row has `revision` and was reported by `source`.
-    fn place(
+    fn bound_update_time(
         &self,
         set_at: TargetUpdateTime,
         revision: u64,
--- a/src/sync/events.rs
+++ b/src/sync/events.rs
@@ -1,4 +1,4 @@
-//! Log events about the control state of an entry host (numbers 1100 to 1199).
+//! Log events about the deployment state of an entry host (numbers 1100 to 1199).
 
 use crate::events::LogEvent;
 
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -1,5 +1,5 @@
-//! The control state of an entry host: the document, the target versions, the backend servers and
-//! the other entry hosts. It follows the platform's store, and queries neighbours for what the
+//! The deployment state of an entry host: the document, the target versions, the backend servers
+//! and the other entry hosts. It follows the platform's store, and queries neighbours for what the
 //! store does not answer.
 
 mod backend_follow;
--- a/src/sync/neighbour_queries.rs
+++ b/src/sync/neighbour_queries.rs
@@ -45,8 +45,8 @@
     /// valid here. Documents have versions, so a neighbour's document never replaces a newer one.
     pub(crate) async fn query_neighbours(self) {
         loop {
-            if let Some((address, place)) = self.choose_neighbour() {
-                self.query(address, place).await;
+            if let Some((address, location)) = self.choose_neighbour() {
+                self.query(address, location).await;
             }
             let now = clock_now();
             let pause = if self.is_cut_off(now) {
@@ -89,21 +89,21 @@
             return None;
         }
         let at = rand::rng().random_range(0..others.len());
-        let place = if near.contains(&others[at]) {
+        let location = if near.contains(&others[at]) {
             NeighbourLocation::Near
         } else {
             NeighbourLocation::Elsewhere
         };
-        Some((others[at], place))
+        Some((others[at], location))
     }
 
-    /// Whether a document should be requested from a neighbour at `place`.
+    /// Whether a document should be requested from a neighbour at `location`.
     ///
     /// Entry hosts that read the operator's table transfer each document between regions once; the
     /// others get it from them. Another transfer is needed only if the store does not answer those
     /// readers.
-    fn wants_document(&self, place: NeighbourLocation, now: ClockTime) -> bool {
-        match place {
+    fn wants_document(&self, location: NeighbourLocation, now: ClockTime) -> bool {
+        match location {
             NeighbourLocation::Near => true,
             NeighbourLocation::Elsewhere => self.state.read(|state| {
                 let operator = state.operator();
@@ -123,10 +123,10 @@
         })
     }
 
-    async fn query(&self, address: SocketAddr, place: NeighbourLocation) {
+    async fn query(&self, address: SocketAddr, location: NeighbourLocation) {
         let mut query = self.state.read(DeploymentState::entry_query);
         let sent_at = clock_now();
-        query.can_wait_for_document = !self.wants_document(place, sent_at);
+        query.can_wait_for_document = !self.wants_document(location, sent_at);
         let called =
             self.client
                 .call_arriving::<_, PeerView>(address, VIEW_PATH, &query, NEIGHBOUR_PACE);
--- a/src/sync/past_targets.rs
+++ b/src/sync/past_targets.rs
@@ -53,12 +53,12 @@
         let mut bytes = 0;
         for revisions in HISTORY_REVISIONS {
             let since = newest.saturating_sub(revisions);
-            let begun = clock_now();
+            let started_at = clock_now();
             match self.read_history(since).await? {
                 Some(read) => bytes += read,
                 None => return Ok(()),
             }
-            if since == 0 || is_final_read(bytes, clock_now().since(begun)) {
+            if since == 0 || is_final_read(bytes, clock_now().since(started_at)) {
                 return Ok(());
             }
         }
--- a/src/sync/read_order.rs
+++ b/src/sync/read_order.rs
@@ -75,11 +75,11 @@
 }
 
 impl ReadOrder {
-    pub(super) fn of(me: &EntryRecord) -> Self {
-        let rank = rank_of(&me.host);
+    pub(super) fn of(own_entry: &EntryRecord) -> Self {
+        let rank = rank_of(&own_entry.host);
         Self {
-            host: me.host.clone(),
-            data_centre: me.data_centre.clone(),
+            host: own_entry.host.clone(),
+            data_centre: own_entry.data_centre.clone(),
             rank,
             excluded: Vec::new(),
             // Half of the followers begin with the first reader, half with the second.
--- a/src/sync/shared_deployment_state.rs
+++ b/src/sync/shared_deployment_state.rs
@@ -1,4 +1,4 @@
-//! The control state as shared by the tasks of a process.
+//! The deployment state as shared by the tasks of a process.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,7 +7,7 @@
 use super::deployment_state::DeploymentState;
 use super::snapshot::SharedSnapshot;
 
-/// The control state and the snapshot made of it. Clones share both.
+/// The deployment state and the snapshot made of it. Clones share both.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedDeploymentState {
     state: Arc<Mutex<DeploymentState>>,
@@ -22,12 +22,12 @@
         self.snapshot.clone()
     }
 
-    /// Reads the control state.
+    /// Reads the deployment state.
     pub(crate) fn read<T>(&self, reader: impl FnOnce(&DeploymentState) -> T) -> T {
         reader(&self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Changes the control state, publishes a new snapshot and notifies the tasks that wait for
+    /// Changes the deployment state, publishes a new snapshot and notifies the tasks that wait for
     /// changes.
     pub(crate) fn change(&self, change: impl FnOnce(&mut DeploymentState)) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -1,4 +1,5 @@
-//! The immutable snapshot of the control state that request handling uses; it is replaced as one.
+//! The immutable snapshot of the deployment state that request handling uses; each change replaces
+//! it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 use crate::quarantine::CrashLedger;
 use crate::time::ClockTime;
 
-/// The control state at one moment.
+/// The deployment state at one moment.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeploymentSnapshot {
     /// The document in force; `None` before the first was read.
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -56,7 +56,7 @@
     pub(crate) store: StoreClient,
     /// Client for neighbours.
     pub(crate) client: Arc<PeerClient>,
-    /// The control state.
+    /// The deployment state.
     pub(crate) state: SharedDeploymentState,
     /// The record of this entry host, which it writes to the store.
     pub(crate) own_entry: EntryRecord,
@@ -254,10 +254,10 @@
 
     /// Waits at a start for a neighbour to report the list, which makes reading it unnecessary.
     async fn await_reported_backends(&self) {
-        let begun = clock_now();
+        let started_at = clock_now();
         let is_settled =
             |state: &DeploymentState| state.operator().is_reader() || state.backends_revision() > 0;
-        while !self.state.read(is_settled) && clock_now().since(begun) < START_TIMEOUT {
+        while !self.state.read(is_settled) && clock_now().since(started_at) < START_TIMEOUT {
             sleep(START_PAUSE).await;
         }
     }
--- a/src/sync/sync_thread.rs
+++ b/src/sync/sync_thread.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SyncSettings {
     /// The record of this entry host.
-    pub(crate) me: EntryRecord,
+    pub(crate) own_entry: EntryRecord,
     /// Address of the store.
     pub(crate) store_address: SocketAddr,
     /// Addresses of some entry hosts; may be outdated.
@@ -54,7 +54,7 @@
         store: StoreClient::new(settings.store_address, client.clone()),
         client,
         state: state.clone(),
-        own_entry: settings.me.clone(),
+        own_entry: settings.own_entry.clone(),
         seeds: settings.seeds,
     };
     tokio::spawn(watch.clone().follow_operator());
@@ -65,7 +65,7 @@
     tokio::spawn(watch.clone().follow_crashes());
     tokio::spawn(watch.clone().record_crashes());
     tokio::spawn(watch.query_neighbours());
-    match HttpServer::bind(settings.me.control, peer_routes(&state)).await {
+    match HttpServer::bind(settings.own_entry.control, peer_routes(&state)).await {
         Ok(server) => server.run(drain).await,
         Err(error) => {
             log_event!(events::THREAD_FAILED, "{error}");
--- a/src/sync/tests/clock.rs
+++ b/src/sync/tests/clock.rs
@@ -118,14 +118,14 @@
 fn a_paused_process_is_corrected_and_not_trusted() {
     let at = |millis| ClockTime::from_millis(millis);
     let shows = |millis| ClockBounds::from_store(StoreTime::from_millis(millis));
-    let within = |sent_at, received_at| QuerySpan {
+    let span = |sent_at, received_at| QuerySpan {
         sent_at: at(sent_at),
         received_at: at(received_at),
     };
     let mut clock = StoreClock::default();
-    clock.note(shows(5_000), within(1_000, 1_010), ClockSource::Store);
+    clock.note(shows(5_000), span(1_000, 1_010), ClockSource::Store);
     let outdated = shows(3_020);
-    clock.note(outdated, within(1_015, 1_025), ClockSource::Neighbour);
+    clock.note(outdated, span(1_015, 1_025), ClockSource::Neighbour);
     // The clocks may have drifted apart by some microseconds since.
     let is_just = |found: ClockTime, expected: ClockTime| {
         found <= expected && expected.since(found) <= Duration::from_micros(20)
@@ -133,7 +133,7 @@
     let found = clock.earliest(StoreTime::from_millis(5_000));
     assert!(is_just(found, at(999)), "{found:?}");
     // The process's own clock lost three seconds.
-    clock.note(shows(8_100), within(1_100, 1_102), ClockSource::Store);
+    clock.note(shows(8_100), span(1_100, 1_102), ClockSource::Store);
     let found = clock.earliest(StoreTime::from_millis(8_100));
     assert!(is_just(found, at(1_099)), "{found:?}");
 }
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -60,7 +60,7 @@
 async fn start_entry_at(name: &str, data_centre: &'static str, store: SocketAddr) -> TestEntry {
     let control = free_address().await;
     let process = EntryProcess::start_with(SyncSettings {
-        me: EntryRecord {
+        own_entry: EntryRecord {
             host: name.into(),
             data_centre: data_centre.into(),
             control,
--- a/src/sync/tests/delayed_messages.rs
+++ b/src/sync/tests/delayed_messages.rs
@@ -1,4 +1,4 @@
-//! Runs the control states of several processes with messages that are delayed and overtake each
+//! Runs the deployment states of several processes with messages that are delayed and overtake each
 //! other, and compares the update time of a target version that each assumes with the real one.
 
 use std::time::Duration;
@@ -154,8 +154,8 @@
     fn dated(&self, at: usize) -> Vec<(TargetWeights, ClockTime, ClockTime)> {
         let process = &self.processes[at];
         let timed = |weights: TargetWeights| {
-            let place = usize::try_from(weights.target.version.0).unwrap_or(0);
-            let acknowledged = self.set_at[place - 2];
+            let version_index = usize::try_from(weights.target.version.0).unwrap_or(0);
+            let acknowledged = self.set_at[version_index - 2];
             let dated = weights.target_set_at - process.ahead;
             (weights, acknowledged, dated)
         };
--- a/src/sync/tests/delayed_process.rs
+++ b/src/sync/tests/delayed_process.rs
@@ -52,10 +52,10 @@
 }
 
 impl Call {
-    pub(super) fn begin(&mut self, now: ClockTime, within: Duration) -> Self {
+    pub(super) fn begin(&mut self, now: ClockTime, time_limit: Duration) -> Self {
         self.number += 1;
         self.is_open = true;
-        self.due = now + within;
+        self.due = now + time_limit;
         *self
     }
 
--- a/src/sync/tests/delayed_simulation.rs
+++ b/src/sync/tests/delayed_simulation.rs
@@ -165,8 +165,8 @@
                 let pause = u.int_in_range(50..=800)?;
                 process.store_call.end(now + millis(pause));
             } else {
-                let within = process.seen.map_or(READ_WITHIN, |_| WATCH_WITHIN);
-                let call = process.store_call.begin(now, within);
+                let time_limit = process.seen.map_or(READ_WITHIN, |_| WATCH_WITHIN);
+                let call = process.store_call.begin(now, time_limit);
                 let message = Message::ToStore(process.caller(at, call, now), process.seen);
                 let delay = self.delay(u, self.processes[at].store_delay.min(QUERY_DELAY_MAX))?;
                 self.messages.push((now + delay, message));
@@ -203,12 +203,12 @@
         if process.peer_call.is_open {
             return process.end_peer_call(now, u);
         }
-        let (within, wait) = if process.follows_store {
+        let (time_limit, wait) = if process.follows_store {
             (ENTRY_WITHIN, Duration::ZERO)
         } else {
             (POLL_WITHIN, POLL_WAIT)
         };
-        let call = process.peer_call.begin(now, within);
+        let call = process.peer_call.begin(now, time_limit);
         let caller = process.caller(at, call, now);
         let query = make_query(&process.state, wait);
         let message = Message::ToPeer(caller, *u.choose(&entries)?, query);
@@ -355,11 +355,11 @@
     }
 
     pub(super) fn run(&mut self, u: &mut Unstructured<'_>, check: Check) -> Result<()> {
-        let begun = self.now;
+        let started_at = self.now;
         let is_disturbed = u.arbitrary()?;
-        let mut update_due = begun + millis(3000);
-        let mut disturbance_due = begun + millis(4000);
-        while self.now.since(begun) < DELAYED_PHASE {
+        let mut update_due = started_at + millis(3000);
+        let mut disturbance_due = started_at + millis(4000);
+        while self.now.since(started_at) < DELAYED_PHASE {
             if self.now >= update_due && self.set_at.len() < UPDATES_MAX {
                 self.set_at.push(self.now);
                 update_due = self.now + millis(u.int_in_range(100..=6000)?);
--- a/src/sync/tests/document_bursts.rs
+++ b/src/sync/tests/document_bursts.rs
@@ -53,9 +53,9 @@
         wait_for_document(&process, BURST + 1).await;
     };
     // One failed read, and the time limit of documents.
-    let within = Duration::from_secs(3);
-    let followed = timeout(within, followed).await;
-    assert!(followed.is_ok(), "not followed within {within:?}");
+    let time_limit = Duration::from_secs(3);
+    let followed = timeout(time_limit, followed).await;
+    assert!(followed.is_ok(), "not followed within {time_limit:?}");
     process.stop_abruptly();
 }
 
--- a/src/sync/tests/incarnations.rs
+++ b/src/sync/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which entry of a backend server the control state uses: incarnations, and late entries.
+//! Which entry of a backend server the deployment state uses: incarnations, and late entries.
 
 use std::time::Duration;
 
--- a/src/sync/tests/read_orders.rs
+++ b/src/sync/tests/read_orders.rs
@@ -56,23 +56,31 @@
     let by_rank = entries.clone();
     entries.extend(elsewhere);
     entries.sort_unstable();
-    for (place, me) in by_rank.iter().enumerate() {
-        let mut order = ReadOrder::of(me);
+    for (rank, own_entry) in by_rank.iter().enumerate() {
+        let mut order = ReadOrder::of(own_entry);
         let queried = queried(&mut order, &entries, START);
-        if place < 2 {
-            assert_eq!(queried, None, "{place} reads");
+        if rank < 2 {
+            assert_eq!(queried, None, "{rank} reads");
         } else {
-            assert_eq!(queried.as_ref(), Some(&readers), "{place} queries both");
+            assert_eq!(queried.as_ref(), Some(&readers), "{rank} queries both");
         }
     }
 }
 
 #[test]
 fn a_process_without_known_entry_hosts_reads() {
-    let me = entry(1, "a");
-    assert_eq!(ReadOrder::of(&me).next(&[], START), ReadStep::Read);
-    let alone = [me.clone(), entry(2, "b"), entry(3, "b"), entry(4, "b")];
-    assert_eq!(ReadOrder::of(&me).next(&alone, START), ReadStep::Read);
+    let own_entry = entry(1, "a");
+    assert_eq!(ReadOrder::of(&own_entry).next(&[], START), ReadStep::Read);
+    let alone = [
+        own_entry.clone(),
+        entry(2, "b"),
+        entry(3, "b"),
+        entry(4, "b"),
+    ];
+    assert_eq!(
+        ReadOrder::of(&own_entry).next(&alone, START),
+        ReadStep::Read
+    );
 }
 
 /// Guards against followers of a killed reader that get no documents until it returns.
@@ -195,15 +203,15 @@
 fn queries_only_go_to_higher_ranks() {
     run_cases(CASES, CASE_BYTES, |u| {
         let entries = ordered(usize::from(u.int_in_range(1..=12_u8)?));
-        for me in &entries {
+        for own_entry in &entries {
             let mut known = entries.clone();
             for _ in 0..u.int_in_range(0..=3_u8)? {
                 let at = u.choose_index(known.len())?;
-                if known[at] != *me {
+                if known[at] != *own_entry {
                     known.remove(at);
                 }
             }
-            let mut order = ReadOrder::of(me);
+            let mut order = ReadOrder::of(own_entry);
             for _ in 0..u.int_in_range(0..=12_u8)? {
                 let host = u.choose(&entries)?.host.clone();
                 let answers = [
@@ -214,7 +222,7 @@
                 order.note(&host, *u.choose(&answers)?, START);
             }
             if let ReadStep::Query(entry) = order.next(&known, START) {
-                assert!(rank_of(&entry.host) > rank_of(&me.host));
+                assert!(rank_of(&entry.host) > rank_of(&own_entry.host));
                 assert!(known.contains(&entry));
             }
         }
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -52,10 +52,10 @@
             version: 0,
         };
         data_centre.put_document();
-        for me in records {
+        for own_entry in records {
             let proxy = StoreProxy::start(data_centre.store.address).await;
             let settings = SyncSettings {
-                me,
+                own_entry,
                 store_address: proxy.address,
                 seeds: Vec::new(),
             };
@@ -93,18 +93,18 @@
 
     async fn wait_for_all(&self, is_ready: impl Fn(&DeploymentSnapshot) -> bool, bound: Duration) {
         let until = Instant::now() + bound;
-        for (place, process) in self.processes.iter().enumerate() {
+        for (index, process) in self.processes.iter().enumerate() {
             let Some(process) = process else { continue };
             let waited = timeout_at(until, process.wait_for(&is_ready)).await;
             assert!(
                 waited.is_ok(),
-                "process {place} has not got it within {bound:?}"
+                "process {index} has not got it within {bound:?}"
             );
         }
     }
 
-    fn fault(&self, places: std::ops::Range<usize>, fault: ProxyFault) {
-        for proxy in &self.proxies[places] {
+    fn fault(&self, indices: std::ops::Range<usize>, fault: ProxyFault) {
+        for proxy in &self.proxies[indices] {
             proxy.set(fault);
         }
     }
@@ -157,8 +157,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_arrives_when_readers_are_killed() {
     let mut data_centre = TestDataCentre::start().await;
-    for place in 0..2 {
-        if let Some(process) = data_centre.processes[place].take() {
+    for index in 0..2 {
+        if let Some(process) = data_centre.processes[index].take() {
             process.stop_abruptly();
         }
     }
@@ -171,8 +171,8 @@
 async fn a_document_arrives_when_readers_stall() {
     let mut data_centre = TestDataCentre::start().await;
     let mut stalled = Vec::new();
-    for place in 0..2 {
-        let process = data_centre.processes[place]
+    for index in 0..2 {
+        let process = data_centre.processes[index]
             .take()
             .expect("the process is running");
         process.stall(BOUND * 2);
@@ -247,8 +247,8 @@
         data_centre.end();
     }
     let mut data_centre = TestDataCentre::start().await;
-    for place in 0..2 {
-        if let Some(process) = data_centre.processes[place].take() {
+    for index in 0..2 {
+        if let Some(process) = data_centre.processes[index].take() {
             process.stop_abruptly();
         }
     }
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -44,7 +44,7 @@
     ) -> Self {
         let local = SocketAddr::from(([127, 0, 0, 1], 0));
         let settings = SyncSettings {
-            me: EntryRecord {
+            own_entry: EntryRecord {
                 host: name.into(),
                 data_centre: "a".into(),
                 control: local,
@@ -166,7 +166,7 @@
 }
 
 /// Guards against two faults with an unreadable record. A version set meanwhile would be lost when
-/// all processes end; and a check after each change of the control state, if each check caused a
+/// all processes end; and a check after each change of the deployment state, if each check caused a
 /// change, would never end.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_unreadable_record_is_overwritten_once() {
--- a/src/sync/tests/store_calls.rs
+++ b/src/sync/tests/store_calls.rs
@@ -8,7 +8,7 @@
 /// Reads of the entry hosts' table per second, by all entry hosts of five data centres.
 fn reads_per_s(count: usize) -> f64 {
     let readers = 10;
-    let pauses = (0..count).map(|place| entries_pause(place < readers, count));
+    let pauses = (0..count).map(|rank| entries_pause(rank < readers, count));
     pauses.map(|pause| 1.0 / pause.as_secs_f64()).sum()
 }
 
@@ -22,14 +22,17 @@
 /// Guards against one conditional write per entry host for each target version.
 #[test]
 fn a_version_is_recorded_by_a_few_entry_hosts_at_a_time() {
-    let within = |span: f64| {
-        let places = 0..400;
-        let later =
-            places.filter(|place| record_delay(*place).is_none_or(|later| later.start < span));
+    let reads_within = |span: f64| {
+        let ranks = 0..400;
+        let later = ranks.filter(|rank| record_delay(*rank).is_none_or(|later| later.start < span));
         later.count()
     };
-    assert_eq!(within(0.0), 3);
-    assert!(within(4.0) <= 9 && within(8.0) <= 15, "{}", within(8.0));
+    assert_eq!(reads_within(0.0), 3);
+    assert!(
+        reads_within(4.0) <= 9 && reads_within(8.0) <= 15,
+        "{}",
+        reads_within(8.0)
+    );
     // The first ones may be cut off from the store, so others follow before a version's deadline.
-    assert!(within(4.0) > 6);
+    assert!(reads_within(4.0) > 6);
 }
--- a/src/weights/activation.rs
+++ b/src/weights/activation.rs
@@ -13,7 +13,7 @@
 use super::host_rollout_state::HostRolloutState;
 use super::rollout_row::{PermitDecision, RolloutRow, RowSnapshot, RowWriteResult};
 use super::target_version::TargetVersion;
-use super::version_change::{ChangePhase, EngineReport, VersionChange};
+use super::version_change::{ChangePhase, ServingReport, VersionChange};
 use crate::derives::plain;
 use crate::documents::TableAwayRule;
 use crate::errors::SwitchResult;
@@ -74,7 +74,7 @@
 /// Activation state of one host.
 #[derive(Debug)]
 pub(crate) struct ActivationMachine {
-    pub(super) report: Option<EngineReport>,
+    pub(super) report: Option<ServingReport>,
     /// Engine reports that describe an earlier time are ignored.
     pub(super) valid_from: ClockTime,
     pub(super) read_after: ClockTime,
@@ -150,7 +150,7 @@
     }
 
     /// Whether the engine serves a version that it will keep, so that a permit is no longer needed.
-    fn is_settled(&self, report: &EngineReport, inputs: &ActivationInputs<'_>) -> bool {
+    fn is_settled(&self, report: &ServingReport, inputs: &ActivationInputs<'_>) -> bool {
         let (Some(serving), Some(target)) = (&report.serving, inputs.target) else {
             return false;
         };
@@ -161,7 +161,7 @@
 
     fn version_step(
         &mut self,
-        report: &EngineReport,
+        report: &ServingReport,
         inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
@@ -193,7 +193,7 @@
     fn swap_step(
         &mut self,
         target: &TargetVersion,
-        report: &EngineReport,
+        report: &ServingReport,
         inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> ActivationStep {
@@ -232,7 +232,7 @@
     /// Reloads the previous version after the engine lost it while failing to load a new one.
     fn fall_back(
         &mut self,
-        report: &EngineReport,
+        report: &ServingReport,
         inputs: &ActivationInputs<'_>,
         now: ClockTime,
     ) -> Option<ActivationStep> {
@@ -273,7 +273,7 @@
 /// gate admits requests for. Responses would then come from another version than the one stated in
 /// their signature. The gate therefore follows the engine's reports throughout the life of the
 /// process.
-fn gate_step(report: &EngineReport, inputs: &ActivationInputs<'_>) -> Option<ActivationStep> {
+fn gate_step(report: &ServingReport, inputs: &ActivationInputs<'_>) -> Option<ActivationStep> {
     match (inputs.gate, &report.serving) {
         (None, None) => None,
         (None, Some(serving)) => Some(ActivationStep::OpenGate(serving.clone())),
--- a/src/weights/rollout_row.rs
+++ b/src/weights/rollout_row.rs
@@ -99,7 +99,7 @@
         row.stopped.map(PermitDecision::Stopped)
     }
 
-    /// Requests a permit for `holder`, whose engine has seen `engine_fence`. `is_lapsed` tells
+    /// Requests a permit for `holder`, whose engine has seen `engine_fence`. `is_lapsed` says
     /// whether a permit of another holder may be revoked.
     pub(crate) fn request_permit(
         &self,
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -299,8 +299,8 @@
 
 fn check_spread(data_centres: usize, hosts: usize, tick: Duration) {
     let mut fleet = Fleet::new(data_centres, hosts, tick);
-    let within = START_SPREAD + (ORIGIN_SPAN * CHUNKS).mul_f64(ORIGIN_TIME_FACTOR);
-    fleet.run(within * 2);
+    let expected_span = START_SPREAD + (ORIGIN_SPAN * CHUNKS).mul_f64(ORIGIN_TIME_FACTOR);
+    fleet.run(expected_span * 2);
     let complete_hosts = fleet.hosts.iter().filter(|host| host.complete_at.is_some());
     let figures = format!(
         "{} of {} hosts complete, the last after {:?}; {} origin reads, {} crossings, {} queries",
@@ -313,7 +313,9 @@
     );
     println!("{figures}");
     assert!(
-        fleet.slowest().is_some_and(|slowest| slowest <= within),
+        fleet
+            .slowest()
+            .is_some_and(|slowest| slowest <= expected_span),
         "{figures}"
     );
     // Each chunk is transferred once into each other data centre, and the origin sends it once.
--- a/src/weights/version_change.rs
+++ b/src/weights/version_change.rs
@@ -52,7 +52,7 @@
 }
 
 #[apply(plain!)]
-pub(super) struct EngineReport {
+pub(super) struct ServingReport {
     pub(super) serving: Option<ServingVersion>,
     pub(super) fence: u64,
     /// When the report was received.
@@ -194,7 +194,7 @@
         let Ok(state) = answer else {
             return;
         };
-        let report = EngineReport {
+        let report = ServingReport {
             serving: state.serving,
             fence: state.fence,
             read_at: now,
@@ -209,7 +209,7 @@
     }
 
     /// Determines the outcome of an order from the state that the engine reported afterwards.
-    fn resolve_order(&mut self, change: &VersionChange, report: &EngineReport, now: ClockTime) {
+    fn resolve_order(&mut self, change: &VersionChange, report: &ServingReport, now: ClockTime) {
         if report.as_of < change.ordered_at {
             return;
         }
