--- a/src/admission/admission_state.rs
+++ b/src/admission/admission_state.rs
@@ -200,9 +200,9 @@
         true
     }
 
-    /// Offers the waiting requests to `try_dispatch`, by class from the most urgent one and within a
-    /// class in the order of dispatch. After the first request of a fair queue that is `Full`, only
-    /// requests that skip the fair queue are offered.
+    /// Offers the waiting requests to `try_dispatch`, by class from the most urgent one and within
+    /// a class in the order of dispatch. After the first request of a fair queue that is `Full`,
+    /// only requests that skip the fair queue are offered.
     pub(crate) fn dispatch(
         &mut self,
         now: ClockTime,
--- a/src/catalog/service_catalog.rs
+++ b/src/catalog/service_catalog.rs
@@ -59,15 +59,15 @@
     /// Prefix of the path; starts and ends with a slash.
     pub(crate) prefix: ByteString,
     /// Whether a request may be sent again.
-    pub(crate) repeat: RetryPolicy,
+    pub(crate) retry_policy: RetryPolicy,
     /// Longest time that a client waits for a response.
     pub(crate) timeout: Duration,
     /// Latency target for a response, or for the first event of a stream.
-    pub(crate) target: Duration,
+    pub(crate) latency_target: Duration,
     /// Longest gap between two events of a stream before it counts as late.
-    pub(crate) pause: Duration,
+    pub(crate) gap_target: Duration,
     /// Priority; 0 is the most urgent.
-    pub(crate) rank: u8,
+    pub(crate) priority: u8,
     /// The services to which requests are forwarded.
     pub(crate) shares: Vec<ServiceShare>,
     /// Maximum number of backend servers to which one attempt of a client may be sent.
@@ -131,7 +131,7 @@
     /// Its name.
     pub(crate) name: ByteString,
     /// Priority of its requests, instead of the route's; 0 is the most urgent.
-    pub(crate) rank: Option<u8>,
+    pub(crate) priority: Option<u8>,
 }
 
 /// Limits on the size of requests.
@@ -175,9 +175,9 @@
         !self.accounts.is_empty()
     }
 
-    /// The client account whose key is `secret`.
-    pub(crate) fn account_of(&self, secret: &str) -> Option<&AccountRecord> {
-        let found = self.keys.binary_search_by(|(key, _)| (**key).cmp(secret));
+    /// The client account whose key is `api_key`.
+    pub(crate) fn account_of(&self, api_key: &str) -> Option<&AccountRecord> {
+        let found = self.keys.binary_search_by(|(key, _)| (**key).cmp(api_key));
         found.ok().map(|at| &self.accounts[self.keys[at].1])
     }
 
@@ -188,7 +188,7 @@
             let mut shares = rule.shares.iter();
             shares.any(|share| *share.service == *service)
         });
-        rules.all(|rule| rule.repeat.is_repeatable() && rule.attempts_max > 1)
+        rules.all(|rule| rule.retry_policy.is_repeatable() && rule.attempts_max > 1)
     }
 
     /// The origin of weights, if the document has one.
--- a/src/catalog/tests.rs
+++ b/src/catalog/tests.rs
@@ -9,11 +9,11 @@
         name: format!("{host}{prefix}").into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: RetryPolicy::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
-        pause: Duration::ZERO,
-        rank: 0,
+        latency_target: Duration::from_millis(100),
+        gap_target: Duration::ZERO,
+        priority: 0,
         shares: vec![
             ServiceShare {
                 service: "a".into(),
--- a/src/fleet/backend_registry.rs
+++ b/src/fleet/backend_registry.rs
@@ -237,7 +237,7 @@
     /// The reason why no backend server can take the request.
     pub(super) fn pick(
         &mut self,
-        need: &PickRequirements<'_>,
+        requirements: &PickRequirements<'_>,
         now: ClockTime,
         jitter: u32,
     ) -> Result<PickedBackend, PickRefusal> {
@@ -252,9 +252,9 @@
             rate_sharers: &self.rate_sharers,
             picked_at,
         };
-        let key = pick(listed, need, &context, (now, jitter))?;
+        let key = pick(listed, requirements, &context, (now, jitter))?;
         let permission = self.get(key).map(|record| record.send_permission(&context));
-        let unread_tokens = need.work.map_or(0, |work| work.prompt_tokens);
+        let unread_tokens = requirements.work.map_or(0, |work| work.prompt_tokens);
         let record = self.get_mut(key).ok_or(PickRefusal::NoBackend)?;
         record.breaker.note_passed(now);
         record.note_sent(unread_tokens);
@@ -266,7 +266,7 @@
             unread_tokens,
             picked_at,
             facts: record.facts.clone(),
-            version: need.version.version_held_by(record),
+            version: requirements.version.version_held_by(record),
         })
     }
 
--- a/src/fleet/backend_ticket.rs
+++ b/src/fleet/backend_ticket.rs
@@ -36,10 +36,10 @@
     /// The reason why no backend server can take the request.
     pub(crate) fn pick(
         &self,
-        need: &PickRequirements<'_>,
+        requirements: &PickRequirements<'_>,
         now: ClockTime,
     ) -> Result<BackendTicket, PickRefusal> {
-        let picked = self.lock().pick(need, now, rand::random())?;
+        let picked = self.lock().pick(requirements, now, rand::random())?;
         Ok(BackendTicket {
             registry: self.clone(),
             key: picked.key,
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -197,7 +197,7 @@
 /// that are not among the first candidates are considered only if none of these is free.
 pub(super) fn pick<'a>(
     records: impl Iterator<Item = (BackendKey, &'a BackendRecord)>,
-    need: &PickRequirements<'_>,
+    requirements: &PickRequirements<'_>,
     context: &PickContext<'_>,
     (now, jitter): (ClockTime, u32),
 ) -> Result<BackendKey, PickRefusal> {
@@ -205,17 +205,17 @@
     // The best of the first candidates, and the best of all.
     let mut best: [Option<SlotRank>; 2] = [None, None];
     for (key, record) in records {
-        if !can_serve(record, need) || need.tried.contains(&key) {
+        if !can_serve(record, requirements) || requirements.tried.contains(&key) {
             continue;
         }
         has_any = true;
         let load = record.load(now);
-        let is_free = record.accepts_requests(now) && load < need.slots_at(record, now);
+        let is_free = record.accepts_requests(now) && load < requirements.slots_at(record, now);
         if !is_free || record.send_permission(context) == SendPermission::Denied {
             continue;
         }
         let engine = record.engine_state(context, now);
-        let (grade, delay) = grade_and_delay(&engine, need);
+        let (grade, delay) = grade_and_delay(&engine, requirements);
         // The shuffled key breaks ties, or all entry hosts would pick the same one.
         let choice = (grade, delay, load, key.shuffled(jitter), key);
         let is_first = context.considers_first(key, record, jitter);
@@ -234,16 +234,19 @@
 }
 
 /// Engines are rated by the expected delay alone, plain backend servers by grade alone.
-fn grade_and_delay(engine: &EngineCandidate, need: &PickRequirements<'_>) -> (SlotGrade, Duration) {
-    if let Some(work) = &need.work {
+fn grade_and_delay(
+    engine: &EngineCandidate,
+    requirements: &PickRequirements<'_>,
+) -> (SlotGrade, Duration) {
+    if let Some(work) = &requirements.work {
         return (SlotGrade::NearFree, engine.delay(&work.speed));
     }
     let is_free = engine.load < engine.slots;
     (SlotGrade::of(engine.is_near, is_free), Duration::ZERO)
 }
 
-fn can_serve(record: &BackendRecord, need: &PickRequirements<'_>) -> bool {
-    let is_candidate =
-        *record.facts.service == *need.service && record.facts.phase == BackendPhase::Serving;
-    is_candidate && need.version.is_satisfied_by(record)
+fn can_serve(record: &BackendRecord, requirements: &PickRequirements<'_>) -> bool {
+    let is_candidate = *record.facts.service == *requirements.service
+        && record.facts.phase == BackendPhase::Serving;
+    is_candidate && requirements.version.is_satisfied_by(record)
 }
--- a/src/fleet/tests/incarnations.rs
+++ b/src/fleet/tests/incarnations.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{NOW, facts, need, registry_of};
+use super::{NOW, facts, registry_of, requirements};
 use crate::fleet::*;
 use crate::time::WallTime;
 
@@ -43,7 +43,7 @@
 }
 
 fn refusal(registry: &SharedRegistry) -> Option<PickRefusal> {
-    registry.pick(&need(None), NOW + LATER).err()
+    registry.pick(&requirements(None), NOW + LATER).err()
 }
 
 /// Failure: an engine crashed, restarted within a second and soon had its weights again, but got no
@@ -55,7 +55,7 @@
     let mut tickets: Vec<BackendTicket> = (0..5)
         .map(|_| {
             registry
-                .pick(&need(None), NOW)
+                .pick(&requirements(None), NOW)
                 .expect("there are five slots")
         })
         .collect();
@@ -64,7 +64,11 @@
     }
     set(&registry, started_at(2, 1));
     let fresh: Vec<BackendTicket> = (0..5)
-        .map(|_| registry.pick(&need(None), NOW + LATER).expect("five slots"))
+        .map(|_| {
+            registry
+                .pick(&requirements(None), NOW + LATER)
+                .expect("five slots")
+        })
         .collect();
     assert!(fresh.iter().all(|ticket| ticket.key != tickets[0].key));
     // The old tickets have no effect on the new record.
@@ -99,7 +103,9 @@
 #[test]
 fn a_report_can_reveal_a_restart_before_the_entry_does() {
     let registry = registry_of(vec![started_at(1, 1)]);
-    let ticket = registry.pick(&need(None), NOW).expect("a slot is free");
+    let ticket = registry
+        .pick(&requirements(None), NOW)
+        .expect("a slot is free");
     let load = ResponseLoad {
         running: 9,
         waiting: 9,
--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -56,7 +56,7 @@
     SharedRegistry::new(registry)
 }
 
-fn need(minimum: Option<u64>) -> PickRequirements<'static> {
+fn requirements(minimum: Option<u64>) -> PickRequirements<'static> {
     PickRequirements {
         service: "writer",
         version: VersionRequirement::Model {
@@ -78,18 +78,18 @@
     let tickets: Vec<BackendTicket> = (0..10)
         .map(|_| {
             registry
-                .pick(&need(None), NOW)
+                .pick(&requirements(None), NOW)
                 .expect("there are ten slots")
         })
         .collect();
     let ids: String = tickets.iter().map(|ticket| &*ticket.facts.id).collect();
     assert_eq!(ids, "aaaabbbbab");
     assert_eq!(
-        registry.pick(&need(None), NOW).err(),
+        registry.pick(&requirements(None), NOW).err(),
         Some(PickRefusal::AllFull)
     );
     drop(tickets);
-    assert!(registry.pick(&need(None), NOW).is_ok());
+    assert!(registry.pick(&requirements(None), NOW).is_ok());
 }
 
 /// Failure: after an outage nearly every request was late for several seconds. Refused requests
@@ -100,7 +100,7 @@
     let mut backend = facts("a", "here", 1);
     backend.slots = 6;
     let registry = registry_of(vec![backend]);
-    let mut returned = need(None);
+    let mut returned = requirements(None);
     returned.is_returned = true;
     let tickets: Vec<BackendTicket> = (0..5)
         .map(|_| registry.pick(&returned, NOW).expect("there are five slots"))
@@ -109,7 +109,7 @@
         registry.pick(&returned, NOW).err(),
         Some(PickRefusal::AllFull)
     );
-    assert!(registry.pick(&need(None), NOW).is_ok());
+    assert!(registry.pick(&requirements(None), NOW).is_ok());
     drop(tickets);
 }
 
@@ -130,21 +130,23 @@
     let registry = registry_of(vec![backend]);
     registry.lock().note_report(report, NOW);
     assert_eq!(
-        registry.pick(&need(None), NOW).err(),
+        registry.pick(&requirements(None), NOW).err(),
         Some(PickRefusal::AllFull)
     );
     let later = NOW + std::time::Duration::from_secs(2);
-    assert!(registry.pick(&need(None), later).is_ok());
+    assert!(registry.pick(&requirements(None), later).is_ok());
 }
 
 #[test]
 fn a_previous_version_gets_no_requests_after_its_deadline() {
     let registry = registry_of(vec![facts("a", "here", 1), facts("b", "there", 2)]);
-    let ticket = registry.pick(&need(Some(2)), NOW).expect("b holds it");
+    let ticket = registry
+        .pick(&requirements(Some(2)), NOW)
+        .expect("b holds it");
     assert_eq!(&*ticket.facts.id, "b");
     assert_eq!(ticket.version, Some(WeightsVersion(2)));
     assert_eq!(
-        registry.pick(&need(Some(3)), NOW).err(),
+        registry.pick(&requirements(Some(3)), NOW).err(),
         Some(PickRefusal::NoBackend)
     );
 }
@@ -156,8 +158,8 @@
 #[test]
 fn no_request_is_queued_at_a_version_close_to_its_deadline() {
     let registry = registry_of(vec![facts("a", "here", 1)]);
-    let waits = need(None);
-    let mut begins = need(None);
+    let waits = requirements(None);
+    let mut begins = requirements(None);
     if let VersionRequirement::Model {
         minimum_to_queue, ..
     } = &mut begins.version
@@ -180,7 +182,7 @@
 #[test]
 fn no_request_goes_to_previous_weights_where_response_heads_are_late() {
     let registry = registry_of(vec![facts("a", "here", 1)]);
-    let mut begins = need(None);
+    let mut begins = requirements(None);
     if let VersionRequirement::Model {
         minimum_to_queue, ..
     } = &mut begins.version
@@ -198,7 +200,7 @@
         Some(PickRefusal::AllFull)
     );
     assert!(
-        registry.pick(&need(None), NOW).is_ok(),
+        registry.pick(&requirements(None), NOW).is_ok(),
         "the deadline is far"
     );
     let later = NOW + Duration::from_secs(3);
@@ -210,10 +212,10 @@
 #[test]
 fn an_unlisted_backend_server_gets_no_requests_while_a_call_is_in_flight_there() {
     let registry = registry_of(vec![facts("a", "here", 1)]);
-    let ticket = registry.pick(&need(None), NOW).expect("a is there");
+    let ticket = registry.pick(&requirements(None), NOW).expect("a is there");
     registry.lock().set_fleet(&FleetView::default());
     assert_eq!(
-        registry.pick(&need(None), NOW).err(),
+        registry.pick(&requirements(None), NOW).err(),
         Some(PickRefusal::NoBackend)
     );
     let key = ticket.key;
--- a/src/fleet/tests/request_limits.rs
+++ b/src/fleet/tests/request_limits.rs
@@ -20,7 +20,9 @@
 }
 
 fn pick_at(registry: &SharedRegistry, now: ClockTime) -> BackendTicket {
-    registry.pick(&need(None), now).expect("one is free")
+    registry
+        .pick(&requirements(None), now)
+        .expect("one is free")
 }
 
 /// Sends a request every 100 ms for ten seconds from `now` and returns how many went to `a`.
@@ -37,11 +39,11 @@
 
 /// Lets `a` advertise `rate` in the response to a request sent at `now`.
 fn advertise(registry: &SharedRegistry, rate: Option<f64>, now: ClockTime) {
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         tried: &[],
-        ..need(None)
+        ..requirements(None)
     };
-    let ticket = registry.pick(&need, now).expect("one is free");
+    let ticket = registry.pick(&requirements, now).expect("one is free");
     assert_eq!(ticket.facts.id, "a");
     let answered = now + Duration::from_millis(20);
     ticket.note_limit(rate, answered);
@@ -75,7 +77,7 @@
     advertise(&registry, Some(0.0), NOW);
     let later = NOW + Duration::from_secs(1);
     let refusal = registry
-        .pick(&need(None), later)
+        .pick(&requirements(None), later)
         .expect_err("it takes none");
     assert_eq!(refusal, PickRefusal::AllFull);
 }
--- a/src/fleet/tests/thundering_herds.rs
+++ b/src/fleet/tests/thundering_herds.rs
@@ -36,12 +36,12 @@
 }
 
 fn work_need(prompt_tokens: u32) -> PickRequirements<'static> {
-    let mut need = need(None);
-    need.work = Some(EngineWork {
+    let mut requirements = requirements(None);
+    requirements.work = Some(EngineWork {
         speed: SPEED,
         prompt_tokens,
     });
-    need
+    requirements
 }
 
 fn report(id: &str, active: u32, pace: f64) -> LoadReport {
@@ -138,8 +138,8 @@
     for figure in [0.0, -1.0, 1e300, f64::NAN, f64::INFINITY] {
         let registry = registry_of_entry("e1", &["m1", "m2"]);
         registry.lock().note_report(report("m1", 20, figure), NOW);
-        let mut need = work_need(u32::MAX);
-        need.work = Some(EngineWork {
+        let mut requirements = work_need(u32::MAX);
+        requirements.work = Some(EngineWork {
             speed: EngineSpeed {
                 step_s: figure,
                 request_step_s: figure,
@@ -150,7 +150,7 @@
             prompt_tokens: u32::MAX,
         });
         let tickets: Vec<BackendTicket> = (0..3)
-            .map(|_| registry.pick(&need, NOW).expect("slots are free"))
+            .map(|_| registry.pick(&requirements, NOW).expect("slots are free"))
             .collect();
         drop(tickets);
     }
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -163,14 +163,14 @@
 
     fn send(&mut self, entry: usize, now: ClockTime) {
         let prompt = self.rng.random_range(0.2..1.8) * SPEED.typical_prompt_tokens;
-        let mut need = need(None);
-        need.queue_room = 2;
-        need.work = Some(EngineWork {
+        let mut requirements = requirements(None);
+        requirements.queue_room = 2;
+        requirements.work = Some(EngineWork {
             speed: SPEED,
             prompt_tokens: 930,
         });
         let jitter = self.rng.random();
-        match self.registries[entry].pick(&need, now, jitter) {
+        match self.registries[entry].pick(&requirements, now, jitter) {
             Err(_) => self.refused += 1,
             Ok(picked) => {
                 let number: usize = picked.facts.id[1..].parse().expect("a number");
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -127,14 +127,14 @@
 ) -> impl Future<Output = Result<OpenResponse, SendFailure>> + Send + Sync + 'static {
     let ChosenBackend {
         ticket,
-        need,
+        version,
         cancel_at,
     } = chosen;
     let gateway = state.gateway.clone();
     let job = state.job.clone();
     state.note_send(ticket.key);
     let wait = state.head_wait(cancel_at, clock_now());
-    async move { send_attempt(&gateway, &job, ticket, (&need, last_event), wait).await }
+    async move { send_attempt(&gateway, &job, ticket, (&version, last_event), wait).await }
 }
 
 /// Waits for a response. Returns `None` when the request may be sent to another backend server.
@@ -184,7 +184,7 @@
 /// The backend server that a request is sent to next.
 struct ChosenBackend {
     ticket: BackendTicket,
-    need: VersionRequirement,
+    version: VersionRequirement,
     /// When the send is cancelled if the request has not started by then.
     cancel_at: Option<ClockTime>,
 }
@@ -193,27 +193,28 @@
 async fn choose_backend(state: &ForwardState) -> Result<ChosenBackend, PickRefusal> {
     let gateway = &state.gateway;
     let job = &state.job;
-    let queue_time = (job.routed.rule.target / QUEUE_TIME_DIVISOR).saturating_sub(REFUSAL_MARGIN);
+    let queue_time =
+        (job.routed.rule.latency_target / QUEUE_TIME_DIVISOR).saturating_sub(REFUSAL_MARGIN);
     let queue_until = state.queue_until(queue_time);
     loop {
         let freed = gateway.freed.notified();
         let now = clock_now();
         let snapshot = gateway.snapshot();
-        let need = job.version_need(&snapshot, gateway.previous_version_span(), now);
-        let need = PickRequirements {
+        let version = job.version_requirement(&snapshot, gateway.previous_version_span(), now);
+        let requirements = PickRequirements {
             service: &job.routed.service,
-            queue_room: queue_room(&need),
-            version: need,
+            queue_room: queue_room(&version),
+            version,
             tried: state.tried(),
             is_returned: job.is_retry(),
             work: job.engine_work(&snapshot),
         };
-        let refusal = match gateway.registry.pick(&need, now) {
+        let refusal = match gateway.registry.pick(&requirements, now) {
             Ok(ticket) => {
                 let cancel_after = gateway.cancel_after();
                 return Ok(ChosenBackend {
                     cancel_at: job.cancel_at(&snapshot, ticket.version, cancel_after),
-                    need: need.version,
+                    version: requirements.version,
                     ticket,
                 });
             }
@@ -245,7 +246,7 @@
     job: RequestJob,
     live: LiveGuard,
 ) -> SwitchResult<Response> {
-    let is_stream = job.repeat().is_stream();
+    let is_stream = job.retry_policy().is_stream();
     let mut state = ForwardState::new(gateway.clone(), job);
     // Last error response of a backend server.
     let mut failed: Option<Response> = None;
@@ -257,7 +258,7 @@
                 return failed.ok_or(error);
             }
         };
-        if is_stream && response.facts.status.is_success() {
+        if is_stream && response.head.status.is_success() {
             return stream_reply(state, response, live).await;
         }
         match read_full(&state, response).await {
@@ -295,10 +296,10 @@
             log_end(
                 job,
                 &response.ticket.facts.id,
-                response.facts.status,
+                response.head.status,
                 clock_now(),
             );
-            if response.facts.is_framed {
+            if response.head.is_framed {
                 state.gateway.note_answered(job, clock_now());
             }
             let body = BufferedBody::new(bytes, state.gateway.drain.enter());
@@ -325,8 +326,8 @@
 
 fn buffered_reply(response: &OpenResponse, body: BufferedBody) -> Response {
     let mut reply = Response::new(Body::from_body(body));
-    *reply.status_mut() = response.facts.status;
-    *reply.headers_mut() = response.facts.headers.clone();
+    *reply.status_mut() = response.head.status;
+    *reply.headers_mut() = response.head.headers.clone();
     reply
 }
 
@@ -335,8 +336,8 @@
     response: OpenResponse,
     live: LiveGuard,
 ) -> SwitchResult<Response> {
-    let status = response.facts.status;
-    let mut headers = response.facts.headers.clone();
+    let status = response.head.status;
+    let mut headers = response.head.headers.clone();
     headers.remove(CONTENT_LENGTH);
     let mut relay = StreamRelay::new(state, response, live);
     let first = relay.first().await.map_err(outcome_unknown)?;
--- a/src/gateway/forward_state.rs
+++ b/src/gateway/forward_state.rs
@@ -121,7 +121,7 @@
     /// Returns why the request may not be sent again after a send that may have run. Ignores the
     /// retry budget.
     fn retry_denial(&self, now: ClockTime) -> Option<RetryDenial> {
-        if !self.job.repeat().is_repeatable() {
+        if !self.job.retry_policy().is_repeatable() {
             Some(RetryDenial::Route)
         } else if self.client_wait_left(now).is_zero() {
             Some(RetryDenial::Time)
@@ -265,7 +265,7 @@
 /// is clients that leave after the same time while hosts are paused. They are told slightly
 /// earlier, and can retry.
 fn client_notice_at(job: &RequestJob, since: ClockTime) -> ClockTime {
-    if job.repeat().is_stream() {
+    if job.retry_policy().is_stream() {
         job.client_timeout_at(since) - CLIENT_NOTICE_MARGIN
     } else {
         job.deadline
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -48,7 +48,7 @@
     pub(super) host: ByteString,
     pub(super) service: ByteString,
     pub(super) account: Option<ByteString>,
-    pub(super) rank: u8,
+    pub(super) priority: u8,
 }
 
 /// A request that may be sent to a backend server.
@@ -67,8 +67,8 @@
 
 impl RequestJob {
     /// Returns whether and how the request may be repeated.
-    pub(super) fn repeat(&self) -> RetryPolicy {
-        self.routed.rule.repeat
+    pub(super) fn retry_policy(&self) -> RetryPolicy {
+        self.routed.rule.retry_policy
     }
 
     /// Returns the digest that all attempts of the same request share.
@@ -91,20 +91,20 @@
     pub(super) fn client_timeout_at(&self, since: ClockTime) -> ClockTime {
         let rule = &self.routed.rule;
         let client_wait = CLIENT_WAIT_MIN
-            .max(rule.target * CLIENT_WAIT_TARGETS)
-            .max(rule.pause * CLIENT_WAIT_PAUSES);
+            .max(rule.latency_target * CLIENT_WAIT_TARGETS)
+            .max(rule.gap_target * CLIENT_WAIT_PAUSES);
         self.deadline.min(since + client_wait)
     }
 
     /// Returns how long to wait for a response head before the request is also sent to another
     /// backend server; `None` if the request may run only once.
     pub(super) fn head_timeout(&self) -> Option<Duration> {
-        if !self.repeat().is_repeatable() {
+        if !self.retry_policy().is_repeatable() {
             None
-        } else if self.repeat().is_stream() {
+        } else if self.retry_policy().is_stream() {
             Some(FIRST_EVENT_TIMEOUT)
         } else {
-            Some(self.routed.rule.target * HEAD_TIMEOUT_TARGETS)
+            Some(self.routed.rule.latency_target * HEAD_TIMEOUT_TARGETS)
         }
     }
 
@@ -124,7 +124,7 @@
             PRIORITY_MAX
         } else {
             self.routed
-                .rank
+                .priority
                 .clamp(PRIORITY_RESUMED + 1, PRIORITY_MAX - 1)
         }
     }
@@ -144,7 +144,7 @@
     }
 
     /// Returns the versions of weights that may answer the request at `now`.
-    pub(super) fn version_need(
+    pub(super) fn version_requirement(
         &self,
         snapshot: &DeploymentSnapshot,
         previous_version_span: Duration,
@@ -216,9 +216,9 @@
         host: host.into(),
         service,
         account: account.map(|account| account.name.clone()),
-        rank: account
-            .and_then(|account| account.rank)
-            .unwrap_or(rule.rank),
+        priority: account
+            .and_then(|account| account.priority)
+            .unwrap_or(rule.priority),
     })
 }
 
--- a/src/gateway/send_attempt.rs
+++ b/src/gateway/send_attempt.rs
@@ -35,7 +35,7 @@
 pub(super) struct OpenResponse {
     pub(super) ticket: BackendTicket,
     pub(super) connection: BackendConnection,
-    pub(super) facts: ResponseHead,
+    pub(super) head: ResponseHead,
     pub(super) body: Incoming,
 }
 
@@ -109,7 +109,7 @@
     gateway: &Arc<GatewayState>,
     job: &RequestJob,
     ticket: BackendTicket,
-    (need, last_event): (&VersionRequirement, Option<u64>),
+    (version, last_event): (&VersionRequirement, Option<u64>),
     wait: HeadWait,
 ) -> Result<OpenResponse, SendFailure> {
     let mut connection = match connect(gateway, job, &ticket).await {
@@ -119,7 +119,7 @@
             return Err(failure);
         }
     };
-    let request = match build_request(job, &ticket, need, last_event) {
+    let request = match build_request(job, &ticket, version, last_event) {
         Ok(request) => request,
         Err(fault) => {
             ticket.end(CallOutcome::Inconclusive, clock_now());
@@ -168,13 +168,13 @@
         }
     };
     let expected = (job.head.attempt.as_ref(), &ticket.facts.id);
-    let facts = read_response_head(parts.status, &parts.headers, expected);
+    let head = read_response_head(parts.status, &parts.headers, expected);
     check_response(
         gateway,
         OpenResponse {
             ticket,
             connection,
-            facts,
+            head,
             body,
         },
     )
@@ -239,7 +239,7 @@
     ticket: &BackendTicket,
 ) -> Result<BackendConnection, SendFailure> {
     let now = clock_now();
-    let mut is_fresh = job.repeat() == RetryPolicy::AtMostOnce;
+    let mut is_fresh = job.retry_policy() == RetryPolicy::AtMostOnce;
     ticket.with_record(|record| is_fresh |= record.prefers_fresh_connection(now));
     if !is_fresh && let Some(connection) = gateway.pool.take(ticket.key, now) {
         return Ok(connection);
@@ -252,10 +252,10 @@
 fn build_request(
     job: &RequestJob,
     ticket: &BackendTicket,
-    need: &VersionRequirement,
+    requirement: &VersionRequirement,
     last_event: Option<u64>,
 ) -> http::Result<Request<Full<Bytes>>> {
-    let (priority, version) = match need {
+    let (priority, version) = match requirement {
         VersionRequirement::None => (None, None),
         // If any version may answer, a version change in transit is no reason for a refusal.
         VersionRequirement::Model { minimum, .. } => (
@@ -288,8 +288,8 @@
 
 /// Records the rate limit that the response advertises, or the absence of one.
 fn note_limit(response: &OpenResponse, now: ClockTime) {
-    let rate = response.facts.rate_limit;
-    let is_conclusive = match response.facts.outcome {
+    let rate = response.head.rate_limit;
+    let is_conclusive = match response.head.outcome {
         ResponseOutcome::Run => true,
         // A refusal need not advertise the limit.
         ResponseOutcome::NotRun | ResponseOutcome::Misdirected => rate.is_some(),
@@ -307,13 +307,13 @@
 ) -> Result<OpenResponse, SendFailure> {
     let now = clock_now();
     response.ticket.note_response_started();
-    if let Some(load) = response.facts.load {
+    if let Some(load) = response.head.load {
         response
             .ticket
             .with_record(|record| record.note_load(load, now));
     }
     note_limit(&response, now);
-    let (kind, end) = match response.facts.outcome {
+    let (kind, end) = match response.head.outcome {
         ResponseOutcome::Run => return Ok(response),
         ResponseOutcome::NotRun => (ErrorKind::BackendBusy, CallOutcome::Refused),
         ResponseOutcome::Misdirected => (ErrorKind::VersionMismatch, CallOutcome::Refused),
@@ -328,7 +328,7 @@
             return Err(SendFailure::unknown(ErrorKind::AnswerForeign, detail));
         }
     };
-    let status = response.facts.status;
+    let status = response.head.status;
     response.ticket.end(end, now);
     Err(SendFailure {
         may_have_run: false,
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -213,12 +213,12 @@
         since: ClockTime,
     ) -> Result<(), String> {
         match found {
-            Ok(response) if response.facts.status.is_success() => {
+            Ok(response) if response.head.status.is_success() => {
                 self.sources.push(StreamSource::new(response, Some(since)));
                 Ok(())
             }
             Ok(response) => {
-                let status = response.facts.status;
+                let status = response.head.status;
                 response.ticket.end(CallOutcome::Answered, clock_now());
                 Err(format!("answered {status}"))
             }
@@ -285,11 +285,11 @@
         let Some(StreamSource { response, .. }) = self.sources.pop() else {
             return;
         };
-        if response.facts.is_framed {
+        if response.head.is_framed {
             self.gateway.note_answered(&self.job, clock_now());
         }
         let backend = &response.ticket.facts.id;
-        let answered = (response.facts.status, response.facts.version);
+        let answered = (response.head.status, response.head.version);
         log_stream_end(&self.job, backend, answered, self.timing, clock_now());
         return_connection(&self.state, response);
     }
@@ -311,16 +311,16 @@
     let OpenResponse {
         ticket,
         connection,
-        facts,
+        head,
         ..
     } = response;
     let key = ticket.key;
     ticket.end(CallOutcome::Answered, now);
     state.gateway.freed.notify_waiters();
-    if !facts.closes {
+    if !head.closes {
         let gateway: &Arc<_> = &state.gateway;
         gateway
             .pool
-            .put(key, connection, facts.keep_alive_timeout, now);
+            .put(key, connection, head.keep_alive_timeout, now);
     }
 }
--- a/src/gateway/tests/cancelled_requests.rs
+++ b/src/gateway/tests/cancelled_requests.rs
@@ -27,7 +27,7 @@
     until: ClockTime,
 ) -> Option<SendFailure> {
     let now = clock_now();
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         service: "desk",
         version: VersionRequirement::None,
         tried: &[],
@@ -35,7 +35,7 @@
         is_returned: false,
         work: None,
     };
-    let ticket = entry.gateway.registry.pick(&need, now);
+    let ticket = entry.gateway.registry.pick(&requirements, now);
     let wait = HeadWait {
         until,
         timeout_end: CallOutcome::Inconclusive,
@@ -116,7 +116,7 @@
         minimum_to_queue: None,
     };
     let now = clock_now();
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         service: "desk",
         version: model.clone(),
         tried: &[],
@@ -124,7 +124,10 @@
         is_returned: false,
         work: None,
     };
-    let ticket = gateway.registry.pick(&need, now).expect("a slot is free");
+    let ticket = gateway
+        .registry
+        .pick(&requirements, now)
+        .expect("a slot is free");
     let wait = HeadWait {
         until: now + Duration::from_secs(5),
         timeout_end: CallOutcome::Failed,
--- a/src/gateway/tests/crash_detector.rs
+++ b/src/gateway/tests/crash_detector.rs
@@ -42,7 +42,7 @@
     registry.set_fleet(&FleetView {
         backends: vec![facts.clone().into()],
     });
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         service: "desk",
         version: VersionRequirement::None,
         tried: &[],
@@ -50,7 +50,7 @@
         is_returned: false,
         work: None,
     };
-    let picked = SharedRegistry::new(registry).pick(&need, ClockTime(0));
+    let picked = SharedRegistry::new(registry).pick(&requirements, ClockTime(0));
     picked.expect("a slot is free").key
 }
 
--- a/src/gateway/tests/fake_backend.rs
+++ b/src/gateway/tests/fake_backend.rs
@@ -391,15 +391,15 @@
         ("resumed", RetryPolicy::ResumableStream),
         ("single", RetryPolicy::SingleStream),
     ];
-    let rules = kinds.map(|(name, repeat)| RouteRule {
+    let rules = kinds.map(|(name, retry_policy)| RouteRule {
         name: name.into(),
         host: "desk.example".into(),
         prefix: format!("/{name}/").into(),
-        repeat,
+        retry_policy,
         timeout: Duration::from_secs(2),
-        target: Duration::from_millis(400),
-        pause: Duration::from_millis(300),
-        rank: 1,
+        latency_target: Duration::from_millis(400),
+        gap_target: Duration::from_millis(300),
+        priority: 1,
         shares: vec![ServiceShare {
             service: "desk".into(),
             weight: 1,
@@ -417,7 +417,7 @@
         }],
         accounts: vec![AccountRecord {
             name: "lodge".into(),
-            rank: None,
+            priority: None,
         }],
         keys: vec![(ByteString::from("secret"), 0)],
         limits: CallerLimits {
--- a/src/gateway/tests/mod.rs
+++ b/src/gateway/tests/mod.rs
@@ -168,9 +168,9 @@
 #[test]
 fn a_resumed_stream_is_more_urgent_than_any_new_request() {
     let now = ClockTime::from_millis(50_000);
-    for rank in [0, 1, 9] {
+    for priority in [0, 1, 9] {
         let mut job = job_of("resumed", now);
-        job.routed.rank = rank;
+        job.routed.priority = priority;
         assert!(job.engine_priority(true) < job.engine_priority(false));
     }
 }
--- a/src/gateway/tests/stream_pauses.rs
+++ b/src/gateway/tests/stream_pauses.rs
@@ -86,7 +86,7 @@
 
 /// Takes a slot at any backend server except `tried`, if one is free.
 fn take_slot(entry: &EntryFixture, tried: &[BackendKey]) -> Option<BackendTicket> {
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         service: "desk",
         version: VersionRequirement::None,
         tried,
@@ -94,7 +94,7 @@
         is_returned: false,
         work: None,
     };
-    entry.gateway.registry.pick(&need, clock_now()).ok()
+    entry.gateway.registry.pick(&requirements, clock_now()).ok()
 }
 
 /// Guards against aborting a stream because no slot is free at the moment of the interruption.
--- a/src/gateway/tests/uninterrupted_responses.rs
+++ b/src/gateway/tests/uninterrupted_responses.rs
@@ -217,8 +217,8 @@
     };
     let shorter = changed_catalog(|rule| {
         rule.timeout = Duration::from_millis(500);
-        rule.target = Duration::from_millis(10);
-        rule.pause = Duration::from_millis(10);
+        rule.latency_target = Duration::from_millis(10);
+        rule.gap_target = Duration::from_millis(10);
         rule.attempts_max = 1;
     });
     let elsewhere = changed_catalog(|rule| rule.shares[0].service = "other".into());
--- a/src/load_reports/digest_queue.rs
+++ b/src/load_reports/digest_queue.rs
@@ -15,13 +15,13 @@
 use crate::time::ClockTime;
 
 /// Interval of digests to entry hosts of the own data centre, equal to that of reports.
-const NEAR_PAUSE: Duration = Duration::from_millis(200);
+const NEAR_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval of digests to another data centre, which sends requests to its own backend servers
 /// first.
-const FAR_PAUSE: Duration = Duration::from_millis(400);
+const FAR_INTERVAL: Duration = Duration::from_millis(400);
 /// Delay until a change of weights is forwarded; requests that reach the engine meanwhile are
 /// refused. Changes of several engines within it share a digest.
-const CHANGE_PAUSE: Duration = Duration::from_millis(10);
+const CHANGE_DELAY: Duration = Duration::from_millis(10);
 /// How long a backend server that no longer reports is remembered.
 const REPORT_MEMORY: Duration = Duration::from_secs(10);
 
@@ -56,7 +56,7 @@
         if let Err(at) = self.pending.binary_search(&address) {
             self.pending.insert(at, address);
         }
-        let pause = if is_change { CHANGE_PAUSE } else { self.pause };
+        let pause = if is_change { CHANGE_DELAY } else { self.pause };
         let due = now + pause;
         self.due = Some(self.due.map_or(due, |known| known.min(due)));
     }
@@ -80,8 +80,8 @@
         Self {
             latest: Vec::new(),
             batches: [
-                DigestBatch::new(DigestReach::Receiver, NEAR_PAUSE),
-                DigestBatch::new(DigestReach::DataCentre, FAR_PAUSE),
+                DigestBatch::new(DigestReach::Receiver, NEAR_INTERVAL),
+                DigestBatch::new(DigestReach::DataCentre, FAR_INTERVAL),
             ],
         }
     }
--- a/src/platform/document_rows.rs
+++ b/src/platform/document_rows.rs
@@ -186,7 +186,7 @@
         keys.extend(account.api_keys.into_iter().map(|key| (key.into(), index)));
         accounts.push(AccountRecord {
             name: account.name.into(),
-            rank: account.priority,
+            priority: account.priority,
         });
     }
     keys.sort_unstable();
@@ -221,7 +221,7 @@
 }
 
 fn read_route(text: RouteText) -> RouteRule {
-    let repeat = match (text.kind.as_str(), text.stream_resume) {
+    let retry_policy = match (text.kind.as_str(), text.stream_resume) {
         ("streaming", true) => RetryPolicy::ResumableStream,
         ("streaming", false) => RetryPolicy::SingleStream,
         ("idempotent", _) => RetryPolicy::Idempotent,
@@ -246,11 +246,11 @@
         name: text.name.into(),
         host: text.host.to_ascii_lowercase().into(),
         prefix: text.prefix.into(),
-        repeat,
+        retry_policy,
         timeout: millis(text.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS)),
-        target: millis(text.target_latency_ms),
-        pause: millis(text.gap_target_ms),
-        rank: text.priority,
+        latency_target: millis(text.target_latency_ms),
+        gap_target: millis(text.gap_target_ms),
+        priority: text.priority,
         shares,
         attempts_max: text.max_attempts.unwrap_or(DEFAULT_ATTEMPTS_MAX),
         is_public: text.public,
--- a/src/platform/tests/document_rows.rs
+++ b/src/platform/tests/document_rows.rs
@@ -45,7 +45,7 @@
             .routes
             .find("h.example", "/a/x")
             .expect("the route exists");
-        for duration in [rule.timeout, rule.target, rule.pause] {
+        for duration in [rule.timeout, rule.latency_target, rule.gap_target] {
             assert_eq!(duration, if value < 0.0 { Duration::ZERO } else { HOUR });
         }
     }
@@ -133,7 +133,7 @@
             let routes = document["routes"].as_array().map_or(0, Vec::len);
             assert_eq!(catalog.routes.rules().len(), routes);
             for rule in catalog.routes.rules() {
-                assert!(rule.timeout.max(rule.target).max(rule.pause) <= HOUR);
+                assert!(rule.timeout.max(rule.latency_target).max(rule.gap_target) <= HOUR);
                 let _ = rule.service_for(u64::MAX);
             }
             let _ = catalog.account_of("k");
--- a/src/platform/tests/mod.rs
+++ b/src/platform/tests/mod.rs
@@ -62,10 +62,10 @@
             .find("h.example", path)
             .expect("the route exists")
     };
-    assert_eq!(rule("/a/x").repeat, RetryPolicy::ResumableStream);
-    assert_eq!(rule("/b/x").repeat, RetryPolicy::SingleStream);
-    assert_eq!(rule("/c/x").repeat, RetryPolicy::Idempotent);
-    assert_eq!(rule("/d/x").repeat, RetryPolicy::AtMostOnce);
+    assert_eq!(rule("/a/x").retry_policy, RetryPolicy::ResumableStream);
+    assert_eq!(rule("/b/x").retry_policy, RetryPolicy::SingleStream);
+    assert_eq!(rule("/c/x").retry_policy, RetryPolicy::Idempotent);
+    assert_eq!(rule("/d/x").retry_policy, RetryPolicy::AtMostOnce);
     let account = catalog.account_of("k2").expect("the key is valid");
     assert_eq!(&*account.name, "t");
     assert!(catalog.account_of("k3").is_none());
--- a/src/replication/tests/restarts.rs
+++ b/src/replication/tests/restarts.rs
@@ -72,7 +72,7 @@
 /// Failure: a host whose engine had lost its staged chunks announced all of them. Other hosts
 /// requested chunks that it could not provide, and waited.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn other_hosts_learn_at_once_that_nothing_is_held_any_more() {
+async fn other_hosts_see_at_once_that_nothing_is_held_any_more() {
     let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
     let held = |announcement: Option<ChunkAnnouncement>| {
--- a/src/sync/store_watch.rs
+++ b/src/sync/store_watch.rs
@@ -31,7 +31,7 @@
 /// later than two seconds after the store has its entry.
 const BACKENDS_PAUSE: Duration = Duration::from_millis(500);
 /// Interval at which it is checked whether readers still report the list.
-const REPORTED_PAUSE: Duration = Duration::from_millis(100);
+const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a start waits until a neighbour reports the list, and the interval of that check.
 const START_TIMEOUT: Duration = Duration::from_millis(400);
 const START_PAUSE: Duration = Duration::from_millis(20);
@@ -47,7 +47,7 @@
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(800);
 /// Interval at which expired grace periods of removed entries are handled.
-const EXPIRE_PAUSE: Duration = Duration::from_millis(100);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the tasks that follow the store work with.
 #[derive(Clone)]
@@ -241,7 +241,7 @@
             if self.state.read(|state| state.is_list_reported(clock_now())) {
                 // A reported list is complete as of its revision.
                 is_complete = true;
-                sleep(REPORTED_PAUSE).await;
+                sleep(REPORT_CHECK_INTERVAL).await;
                 continue;
             }
             let followed = self.backends_step(&mut is_complete).await;
@@ -346,7 +346,7 @@
     /// Removes backend servers whose entries did not return, as soon as the grace period is over.
     pub(crate) async fn expire_backends(self) {
         loop {
-            sleep(EXPIRE_PAUSE).await;
+            sleep(EXPIRY_CHECK_INTERVAL).await;
             let now = clock_now();
             if self.state.read(|state| state.has_expired(now)) {
                 self.state.change(|state| state.expire(now));
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -88,8 +88,8 @@
 }
 
 async fn wait_for_quarantine(process: &EntryProcess, body: &[u8]) {
-    let learning = process.wait_for(|snapshot| has_quarantined(snapshot, body));
-    timeout(KNOWN_WITHIN, learning)
+    let quarantined = process.wait_for(|snapshot| has_quarantined(snapshot, body));
+    timeout(KNOWN_WITHIN, quarantined)
         .await
         .expect("the change arrives in time");
 }
@@ -166,8 +166,8 @@
     // Neighbours report it, whatever happens to its own connection.
     wait_for_quarantine(&far, b"near").await;
     proxy.set(ProxyFault::None);
-    let learning = near.wait_for(|snapshot| has_quarantined(snapshot, b"far"));
-    timeout(CONTACT_SPAN, learning)
+    let quarantined = near.wait_for(|snapshot| has_quarantined(snapshot, b"far"));
+    timeout(CONTACT_SPAN, quarantined)
         .await
         .expect("the change arrives in time");
 }
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -136,7 +136,7 @@
 
 /// Guards against more than one additional reader while a stalled reader is answering again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_reader_that_stands_still_costs_one_more_reader() {
+async fn a_stalled_reader_costs_one_more_reader() {
     let mut data_centre = TestDataCentre::start().await;
     let before = data_centre.store.rows_sent(TableName::Operator);
     let reader = data_centre.processes[1]
