--- a/src/fleet/backend_facts.rs
+++ b/src/fleet/backend_facts.rs
@@ -208,10 +208,10 @@
 }
 
 impl TargetWeights {
-    /// Whether requests may begin on a previous version at `now`, which is allowed for `grace`
-    /// after the target update.
-    pub(crate) fn allows_previous(&self, grace: Duration, now: ClockTime) -> bool {
+    /// Whether requests may begin on a previous version at `now`, which is allowed for
+    /// `deadline_span` after the target update.
+    pub(crate) fn allows_previous(&self, deadline_span: Duration, now: ClockTime) -> bool {
         // The first version replaces none.
-        now.since(self.target_set_at) < grace || self.target.version <= WeightsVersion(1)
+        now.since(self.target_set_at) < deadline_span || self.target.version <= WeightsVersion(1)
     }
 }
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -13,10 +13,10 @@
 const ENGINES: usize = 47;
 const SLOTS: u32 = 8;
 const STEP: Duration = Duration::from_millis(5);
-const LENGTH: Duration = Duration::from_secs(14);
+const RUN_SPAN: Duration = Duration::from_secs(14);
 /// Time until the queues have reached their usual length.
-const SETTLED: Duration = Duration::from_secs(4);
-const REPORT_PAUSE: Duration = Duration::from_millis(200);
+const SETTLE_SPAN: Duration = Duration::from_secs(4);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Age of a report when entry hosts receive it: the engine's own delay, and the way over a relay.
 const REPORT_AGE: Duration = Duration::from_millis(300);
 /// Prompt tokens that an engine reads per millisecond, and the time it takes to generate a token.
@@ -25,7 +25,7 @@
 /// Offered load as a fraction of the engines' capacity.
 const UTILISATION: f64 = 0.8;
 /// Time limit for the first event of a stream.
-const AIM: Duration = Duration::from_millis(500);
+const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(500);
 
 const SPEED: EngineSpeed = EngineSpeed {
     step_s: 0.0101,
@@ -120,7 +120,7 @@
         let rate = per_engine * 47.0 * UTILISATION;
         let mut due = 0.0;
         let mut now = NOW;
-        while now.since(NOW) < LENGTH {
+        while now.since(NOW) < RUN_SPAN {
             now = now + STEP;
             self.report(now);
             due += rate * STEP.as_secs_f64() * 1e3;
@@ -138,7 +138,7 @@
             let phase = STEP * u32::try_from(number % 40).expect("small");
             if (now.since(NOW) + phase)
                 .as_millis()
-                .is_multiple_of(REPORT_PAUSE.as_millis())
+                .is_multiple_of(REPORT_INTERVAL.as_millis())
             {
                 engine.reports.push_back((now + REPORT_AGE, engine.load()));
             }
@@ -205,9 +205,9 @@
                 if let Some(record) = self.registries[run.entry].get_mut(run.key) {
                     record.note_read(930);
                 }
-                if run.sent.since(NOW) > SETTLED {
+                if run.sent.since(NOW) > SETTLE_SPAN {
                     self.started += 1;
-                    self.late += u32::from(now.since(run.sent) > AIM);
+                    self.late += u32::from(now.since(run.sent) > FIRST_EVENT_LIMIT);
                 }
                 let until = now + Duration::from_secs_f64(run.write_ms / 1e3);
                 engine.writing.push((until, run));
--- a/src/gateway/crash_detector.rs
+++ b/src/gateway/crash_detector.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tells a crash from reset connections: a crashed process refuses new connections, while one
+    /// Distinguishes a crash from reset connections: a crashed process refuses new connections, while one
     /// whose connections were reset accepts them.
     async fn probe(
         self,
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -24,7 +24,7 @@
 /// How long a stream may pause before another backend server is to resume it. Clients give up
 /// after 2.4 s. An engine that reads a long prompt of another request pauses for 0.1 s; one whose
 /// partner has died stalls for 1.5 s.
-const SILENCE_MAX: Duration = Duration::from_millis(900);
+const STREAM_PAUSE_MAX: Duration = Duration::from_millis(900);
 
 /// Result of waiting for the next events.
 enum RelayStep {
@@ -108,9 +108,9 @@
         loop {
             let left = self.time_left(clock_now());
             let waiting = next_step(&mut self.sources, self.last_event);
-            let received = match timeout_awake(SILENCE_MAX.min(left), waiting).await {
+            let received = match timeout_awake(STREAM_PAUSE_MAX.min(left), waiting).await {
                 Ok(received) => Some(received),
-                Err(_) if left <= SILENCE_MAX => return self.end_at_deadline(),
+                Err(_) if left <= STREAM_PAUSE_MAX => return self.end_at_deadline(),
                 Err(_) => match self.find_successor().await {
                     Ok(received) => received,
                     Err(reason) => return RelayStep::Interrupted(reason),
@@ -260,9 +260,9 @@
         let source = self.sources.swap_remove(at);
         for other in std::mem::replace(&mut self.sources, vec![source]) {
             if !other.is_standby() {
-                let silence = format!("silent for {SILENCE_MAX:?}");
+                let reason = format!("silent for {STREAM_PAUSE_MAX:?}");
                 let backend = &other.response.ticket.facts.id;
-                log_stream_cut(&self.job, backend, self.last_event, &silence);
+                log_stream_cut(&self.job, backend, self.last_event, &reason);
             }
             other.end(CallOutcome::Inconclusive);
         }
--- a/src/gateway/tests/crashing_requests.rs
+++ b/src/gateway/tests/crashing_requests.rs
@@ -27,7 +27,7 @@
 const CRASHING_PAUSE: Duration = Duration::from_millis(60);
 const HARMLESS_PAUSE: Duration = Duration::from_millis(25);
 /// Time after the third crash by which every entry host knows the crashing request.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 /// Sends of the crashing request that are allowed after that.
 const SENDS_MAX: usize = 3;
 /// How long the store is unavailable.
@@ -174,12 +174,12 @@
     let (_, addresses) = start_system(&observations).await;
     let crashing = tokio::spawn(send_crashing(addresses.clone()));
     // During the crashes a harmless request may lose every backend server that it is sent to.
-    send_harmless(&addresses, KNOWN_WITHIN + DOWN_SPAN).await;
+    send_harmless(&addresses, PROPAGATION_LIMIT + DOWN_SPAN).await;
     let responses = send_harmless(&addresses, WATCH_SPAN).await;
     crashing.abort();
     let observations = lock(&observations);
     let third = *observations.crashes.get(2).expect("three crashes");
-    let known_at = third + KNOWN_WITHIN;
+    let known_at = third + PROPAGATION_LIMIT;
     let late = observations.arrivals_after(known_at);
     let crashes = observations.crashes.len();
     assert!(late <= SENDS_MAX, "{late} sends, {crashes} crashes");
@@ -197,8 +197,8 @@
     let crashing = tokio::spawn(send_crashing(addresses));
     sleep(OUTAGE_SPAN).await;
     store.set_down(false);
-    let known_at = clock_now() + KNOWN_WITHIN;
-    sleep(KNOWN_WITHIN + WATCH_SPAN).await;
+    let known_at = clock_now() + PROPAGATION_LIMIT;
+    sleep(PROPAGATION_LIMIT + WATCH_SPAN).await;
     crashing.abort();
     let crashes = lock(&observations).crashes.len();
     assert!(crashes >= 3, "{crashes} crashes");
--- a/src/gateway/tests/rate_limits.rs
+++ b/src/gateway/tests/rate_limits.rs
@@ -23,12 +23,12 @@
 /// How long the limit is advertised.
 const LIMITED_SPAN: Duration = Duration::from_secs(9);
 /// Time after the first advertisement by which every entry host applies the limit.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 const WINDOW: Duration = Duration::from_secs(4);
 /// How long the test continues after the limit has ended, and after what part of that time the
 /// backend server is fully used again.
 const FREE_SPAN: Duration = Duration::from_secs(5);
-const FREE_WITHIN: Duration = Duration::from_secs(3);
+const RECOVERY_LIMIT: Duration = Duration::from_secs(3);
 
 /// A backend server that advertises a limit until a given time.
 #[derive(Clone)]
@@ -170,12 +170,12 @@
         lost, 0,
         "the other backend server has room for all requests"
     );
-    let known_at = limited.lock()[0] + KNOWN_WITHIN;
+    let known_at = limited.lock()[0] + PROPAGATION_LIMIT;
     let most = limited.most(known_at, limited_until);
     let allowed = 4 * 3 * LIMIT as usize / 2 + 5;
     assert!(most <= allowed, "{most} in {WINDOW:?}, {allowed} allowed");
     assert!(most > LIMIT as usize, "{most}: the rate is not used");
-    let free_at = limited_until + FREE_WITHIN;
+    let free_at = limited_until + RECOVERY_LIMIT;
     let counts = [&limited, &other].map(|backend| backend.count(free_at, free_at + FREE_SPAN));
     assert!(
         counts[0] * 4 > counts[1],
--- a/src/load_reports/tests/simulation.rs
+++ b/src/load_reports/tests/simulation.rs
@@ -6,7 +6,7 @@
 
 const STEP: Duration = Duration::from_millis(20);
 const REPORT_STEPS: u64 = 10;
-const LENGTH: Duration = Duration::from_secs(5);
+const RUN_SPAN: Duration = Duration::from_secs(5);
 const RELAYS: usize = 2;
 
 /// The entry hosts of a data centre. The first ones are relays; all keep the time of each engine's
@@ -49,7 +49,7 @@
     let first_relay = usize::from(dead_relay);
     let mut sent = 0;
     let mut oldest = (Duration::ZERO, Duration::ZERO);
-    let steps = u64::try_from(LENGTH.as_millis() / STEP.as_millis()).expect("small");
+    let steps = u64::try_from(RUN_SPAN.as_millis() / STEP.as_millis()).expect("small");
     for step in 0..steps {
         let now = NOW + STEP * u32::try_from(step).expect("small");
         for (host, active) in (0..all_hosts).zip(0..) {
@@ -69,7 +69,7 @@
             note_oldest(&simulation, hosts, first_relay, now, &mut oldest);
         }
     }
-    let seconds = usize::try_from(LENGTH.as_secs()).expect("small");
+    let seconds = usize::try_from(RUN_SPAN.as_secs()).expect("small");
     let received = simulation
         .iter()
         .flat_map(|data_centre| data_centre.datagrams.iter());
--- a/src/replication/chunk_store.rs
+++ b/src/replication/chunk_store.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Where a held chunk was found.
+/// A held chunk, by where its content is.
 pub(super) enum HeldChunk {
     /// Its content, from memory.
     Memory(Bytes),
--- a/src/replication/digest_sources.rs
+++ b/src/replication/digest_sources.rs
@@ -14,7 +14,7 @@
 use crate::weights::{HostLocation, PeerHost};
 
 /// Hosts that read the origin, and hosts of each data centre that query those; one may be down.
-const LEADERS: usize = 2;
+const ORIGIN_READERS: usize = 2;
 /// Time to query other hosts, for each higher-ranked host of the data centre and once more.
 const RANK_SPAN: Duration = Duration::from_millis(500);
 /// Longest time to query other hosts.
@@ -50,10 +50,10 @@
             .filter(is_near)
             .map(|(_, host)| host.address)
             .collect();
-        let sources = if higher_ranked.len() < LEADERS {
+        let sources = if higher_ranked.len() < ORIGIN_READERS {
             Vec::new()
-        } else if near.len() < LEADERS {
-            higher_ranked[..LEADERS]
+        } else if near.len() < ORIGIN_READERS {
+            higher_ranked[..ORIGIN_READERS]
                 .iter()
                 .map(|(_, host)| host.address)
                 .collect()
@@ -75,7 +75,7 @@
     /// first hosts, which get the digests first.
     pub(super) fn choose(&self, fraction: f64) -> Option<SocketAddr> {
         let (fraction, count) = if fraction < 0.5 {
-            (fraction * 2.0, self.sources.len().min(LEADERS))
+            (fraction * 2.0, self.sources.len().min(ORIGIN_READERS))
         } else {
             (fraction * 2.0 - 1.0, self.sources.len())
         };
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -38,7 +38,7 @@
 const DRAIN_WAIT_MAX: Duration = Duration::from_millis(1500);
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// How long after an order a report may still show an idle engine: two reports.
-const ORDER_VISIBLE_WITHIN: Duration = Duration::from_millis(400);
+const ORDER_VISIBLE_SPAN: Duration = Duration::from_millis(400);
 /// Pause after a load that did not succeed, doubled for each failure in a row. A load reads every
 /// chunk back, so that repeating a refused order at once would keep host and engine busy.
 const RETRY_FIRST_PAUSE: Duration = Duration::from_millis(100);
@@ -128,7 +128,7 @@
             Some(LoadOutcome::Restarted)
         } else if served == Some(self.target.version) {
             Some(LoadOutcome::Served)
-        } else if !report.is_busy && state.queried_at > ordered_at + ORDER_VISIBLE_WITHIN {
+        } else if !report.is_busy && state.queried_at > ordered_at + ORDER_VISIBLE_SPAN {
             Some(LoadOutcome::Unserved)
         } else {
             None
--- a/src/replication/tests/reports.rs
+++ b/src/replication/tests/reports.rs
@@ -17,9 +17,9 @@
 const ENTRIES: usize = 20;
 const DATA_CENTRES: [&str; 5] = ["a", "b", "c", "d", "e"];
 /// Time for the host to learn of the entry hosts and their leases.
-const SETTLE: Duration = Duration::from_millis(3500);
-const COUNTED: Duration = Duration::from_secs(2);
-const RENEWAL: Duration = Duration::from_millis(400);
+const SETTLE_SPAN: Duration = Duration::from_millis(3500);
+const COUNT_SPAN: Duration = Duration::from_secs(2);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 /// Reports of a host per second.
 const REPORTS_PER_S: usize = 5;
 const RELAYS: usize = 2;
@@ -91,19 +91,19 @@
 async fn a_host_reports_to_its_relays_only() {
     let sinks = ReportSinks::start().await;
     let host = BackendHost::start_among(StartTimeField::Present, &sinks.records).await;
-    let until = Instant::now() + SETTLE;
+    let until = Instant::now() + SETTLE_SPAN;
     while Instant::now() < until {
         sinks.request_reports(host.peers()).await;
-        sleep(RENEWAL).await;
+        sleep(RENEWAL_INTERVAL).await;
     }
     sinks.take_all();
-    let until = Instant::now() + COUNTED;
+    let until = Instant::now() + COUNT_SPAN;
     while Instant::now() < until {
         sinks.request_reports(host.peers()).await;
-        let _ = timeout_at(until, sleep(RENEWAL)).await;
+        let _ = timeout_at(until, sleep(RENEWAL_INTERVAL)).await;
     }
     let counts = sinks.take_all();
-    let most = REPORTS_PER_S * usize::try_from(COUNTED.as_secs() + 1).expect("small");
+    let most = REPORTS_PER_S * usize::try_from(COUNT_SPAN.as_secs() + 1).expect("small");
     for (count, record) in counts.iter().zip(&sinks.records).take(RELAYS) {
         assert!((1..=most).contains(count), "{}: {count}", record.host);
     }
--- a/src/replication/tests/retirement.rs
+++ b/src/replication/tests/retirement.rs
@@ -14,16 +14,16 @@
 /// Time after a target update at which the engine still serves the previous version, shortly before
 /// that version's deadline.
 const SERVED_FOR: Duration = Duration::from_secs(7);
-const REST: Duration = Duration::from_millis(1500);
+const RELEASE_SPAN: Duration = Duration::from_millis(1500);
 /// Time within which the host learns of a new entry host.
-const HEARD_WITHIN: Duration = Duration::from_secs(1);
+const DISCOVERY_SPAN: Duration = Duration::from_secs(1);
 
 /// A host whose engine serves version 1 while `known` chunks of version 2 are available.
 async fn host_with_expired_weights(known: usize) -> BackendHost {
     let host = BackendHost::start(StartTimeField::Present).await;
     host.await_served(1).await;
     host.start_entry().await;
-    sleep(HEARD_WITHIN).await;
+    sleep(DISCOVERY_SPAN).await;
     host.origin.limit_chunks(CHUNKS + known);
     host.set_target(2);
     sleep(SERVED_FOR).await;
@@ -36,7 +36,7 @@
 async fn an_engine_releases_previous_weights_at_their_deadline() {
     let host = host_with_expired_weights(3).await;
     let aborting_orders = host.engine.aborting_orders();
-    sleep(REST).await;
+    sleep(RELEASE_SPAN).await;
     assert_eq!(host.engine.held(), None);
     assert_eq!(host.engine.partial_version(), Some(WeightsVersion(2)));
     assert_eq!(
@@ -55,7 +55,7 @@
     let host = host_with_expired_weights(3).await;
     let aborting_orders = host.engine.aborting_orders();
     host.engine.set_queued(2);
-    sleep(REST).await;
+    sleep(RELEASE_SPAN).await;
     assert_eq!(host.engine.held(), None);
     assert_eq!(host.engine.aborting_orders(), aborting_orders + 1);
     host.end();
--- a/src/sync/backend_list.rs
+++ b/src/sync/backend_list.rs
@@ -39,21 +39,21 @@
 /// Position of an entry among all entries of its backend server.
 #[derive(Clone, Copy, Debug)]
 struct EntrySequence {
-    started_at: Option<WallTime>,
+    start_time: Option<WallTime>,
     number: Option<u64>,
 }
 
 impl EntrySequence {
     const fn of(facts: &BackendFacts) -> Self {
         Self {
-            started_at: facts.start_time,
+            start_time: facts.start_time,
             number: facts.sequence,
         }
     }
 
     /// Compares the two; `None` if they cannot be ordered.
     fn order(self, known: Self) -> Option<Ordering> {
-        match (self.started_at, known.started_at) {
+        match (self.start_time, known.start_time) {
             (Some(own), Some(other)) if own != other => Some(own.cmp(&other)),
             (Some(_), None) | (None, Some(_)) => None,
             _ => Some(self.number?.cmp(&known.number?)),
--- a/src/sync/past_targets.rs
+++ b/src/sync/past_targets.rs
@@ -43,7 +43,7 @@
     /// reaches.
     ///
     /// A version that is set while no process runs is recorded nowhere. If an older update is then
-    /// executed late over it, every starting process would load the older weights again. The
+    /// executed late over it, every starting process would load the previous version again. The
     /// symptom is `[1102]` with an older version after a restart.
     async fn read_past_targets(&self) -> SwitchResult<()> {
         if !self.state.read(DeploymentState::has_own_rows) {
--- a/src/sync/revision_times.rs
+++ b/src/sync/revision_times.rs
@@ -90,7 +90,7 @@
     ///
     /// An answer that spends seconds on a saturated link reports a change as if it were new, and so
     /// does the next one for what changed meanwhile. Without these bounds, such a version counts as
-    /// new, and requests begin on older weights after the deadline.
+    /// new, and requests begin on previous versions after the deadline.
     pub(super) fn narrow(&self, set_at: TargetUpdateTime, revision: u64) -> TargetUpdateTime {
         let at = self.times.partition_point(|time| time.revision < revision);
         let (Some(before), Some(after)) = (self.times[..at].last(), self.times.get(at)) else {
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -38,17 +38,18 @@
     }
 
     /// The oldest version of `model` on which requests may begin at `now`, if they may begin on an
-    /// older one for `grace` after a version was set as target. Each version has its own deadline:
-    /// one that is soon followed by a newer one must still have replaced its predecessors in time.
+    /// older one for `deadline_span` after a version was set as target. Each version has its own
+    /// deadline: one that is soon followed by a newer one must still have replaced its predecessors
+    /// in time.
     pub(crate) fn oldest_allowed_version(
         &self,
         model: &str,
-        grace: Duration,
+        deadline_span: Duration,
         now: ClockTime,
     ) -> Option<WeightsVersion> {
         let mut newest_first = self.targets.iter().rev();
         let is_due = |weights: &&TargetWeights| {
-            *weights.target.model == *model && !weights.allows_previous(grace, now)
+            *weights.target.model == *model && !weights.allows_previous(deadline_span, now)
         };
         newest_first
             .find(is_due)
@@ -56,17 +57,19 @@
     }
 
     /// Until when requests may begin on version `held` of `model`, if a newer version must have
-    /// replaced it `bound` after it was set as target; `None` if there is no newer one.
+    /// replaced it `deadline_span` after it was set as target; `None` if there is no newer one.
     pub(crate) fn usable_until(
         &self,
         model: &str,
         held: Option<WeightsVersion>,
-        bound: Duration,
+        deadline_span: Duration,
     ) -> Option<ClockTime> {
         let newer = self.targets.iter().filter(|weights| {
             *weights.target.model == *model && Some(weights.target.version) > held
         });
-        newer.map(|weights| weights.target_set_at + bound).min()
+        newer
+            .map(|weights| weights.target_set_at + deadline_span)
+            .min()
     }
 }
 
--- a/src/sync/target_update_time.rs
+++ b/src/sync/target_update_time.rs
@@ -10,7 +10,7 @@
 use crate::time::StoreTime;
 
 /// Assumed age of a target version that a process finds when it starts, unless a neighbour knows
-/// better. Requests then may begin on older weights for one more second.
+/// better. Requests then may begin on previous versions for one more second.
 const ASSUMED_AGE_AT_START: Duration = Duration::from_secs(6);
 /// Assumed age of a target version that is found after an outage.
 const ASSUMED_AGE_AFTER_OUTAGE: Duration = Duration::from_millis(100);
@@ -45,7 +45,7 @@
     /// Combines two estimates of the same update.
     ///
     /// A process that starts finds a version in the store and does not know when it was set.
-    /// Assumed new, requests would begin on older weights after the deadline; assumed old, all
+    /// Assumed new, requests would begin on previous versions after the deadline; assumed old, all
     /// requests would be refused seconds before it. A neighbour that observed the update knows its
     /// time. Two such neighbours together bound it more tightly than each alone, mostly by the
     /// bounds of the one closer to the store.
@@ -89,7 +89,7 @@
     ///
     /// With contact the store is not unavailable: an answer full of documents did not fit through a
     /// saturated link, and the versions in it keep their age. If they counted as new, as after an
-    /// outage, requests began on older weights after the deadline wherever an entire region
+    /// outage, requests began on previous versions after the deadline wherever an entire region
     /// depended on such a link.
     pub(super) const fn after_failure(self, contact: Option<StoreTime>) -> Self {
         match (self, contact) {
--- a/src/sync/target_versions.rs
+++ b/src/sync/target_versions.rs
@@ -2,7 +2,7 @@
 //! records.
 //!
 //! Versions increase, and each has its own deadline. Update times are dated too early rather than
-//! too late: older weights may then be released too early, but are not used too long.
+//! too late: previous versions may then be released too early, but are not used too long.
 
 use std::fmt;
 
@@ -135,8 +135,8 @@
     /// Whether `source` states when `target` was set.
     ///
     /// A row that is read again, or rewritten by a repeated or late update, does not. Dated as new,
-    /// it let requests begin on older weights after the deadline, by the age of the version. So a
-    /// change states the time only of a version if the store has reported neither it nor a newer
+    /// it let requests begin on previous versions after the deadline, by the age of the version. So
+    /// a change states the time only of a version if the store has reported neither it nor a newer
     /// one before. Neighbours are trusted.
     fn states_update_time(&self, target: &ModelVersion, source: UpdateSource) -> bool {
         match source {
@@ -197,8 +197,8 @@
     }
 
     /// Raises assumed update times to those of older witnessed versions, since a version can't have
-    /// been set before an older one. An assumed time may be up to six seconds too early,
-    /// which made every entry host refuse requests that older weights could have answered.
+    /// been set before an older one. An assumed time may be up to six seconds too early, which made
+    /// every entry host refuse requests that previous versions could have answered.
     fn raise_assumed(&mut self, model: &str) {
         let mut earliest = StoreTime(0);
         let of_model = self.announcements.iter_mut();
@@ -353,8 +353,8 @@
     }
 }
 
-/// Logs the new update time of a version. How long requests may begin on older weights depends on
-/// it, which can't be explained later without this line.
+/// Logs the new update time of a version. How long requests may begin on previous versions depends
+/// on it, which can't be explained later without this line.
 fn log_update_time(target: &ModelVersion, set_at: TargetUpdateTime, source: UpdateSource) {
     let (model, version) = (&target.model, target.version.0);
     let (certainty, slack) = (
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -17,7 +17,7 @@
 use crate::time::clock_now;
 
 /// Within this time every entry host knows what one of them saw.
-const KNOWN_WITHIN: Duration = Duration::from_secs(2);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 /// Within this time after an outage an entry host knows and has reported everything.
 const CONTACT_SPAN: Duration = Duration::from_secs(3);
 /// Time after which each entry host has a query to a neighbour open, which is held until there is a
@@ -89,7 +89,7 @@
 
 async fn wait_for_quarantine(process: &EntryProcess, body: &[u8]) {
     let quarantined = process.wait_for(|snapshot| has_quarantined(snapshot, body));
-    timeout(KNOWN_WITHIN, quarantined)
+    timeout(PROPAGATION_LIMIT, quarantined)
         .await
         .expect("the change arrives in time");
 }
@@ -204,7 +204,7 @@
         .state
         .change(|state| state.clear_request(digest_of(b"body")));
     let cleared = second.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared)
+    timeout(PROPAGATION_LIMIT, cleared)
         .await
         .expect("the change arrives in time");
 }
@@ -225,7 +225,7 @@
         .state
         .change(|state| state.clear_request(digest_of(b"body")));
     let cleared = first.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared)
+    timeout(PROPAGATION_LIMIT, cleared)
         .await
         .expect("the change arrives in time");
     for record in records {
@@ -252,7 +252,7 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(KNOWN_WITHIN, kept)
+    timeout(PROPAGATION_LIMIT, kept)
         .await
         .expect("the row is written in time");
     let text = store.text_of(TableName::Crashes, &key);
--- a/src/sync/tests/delayed_messages.rs
+++ b/src/sync/tests/delayed_messages.rs
@@ -253,7 +253,7 @@
 /// the links of a data centre were saturated: answers of the store took up to two seconds, those of
 /// neighbours some tenths of a second. Entry hosts far from the store dated the version a tenth of
 /// a second before its arrival, or by the age that a neighbour had stated when it sent its
-/// response. They counted the deadline from there, and requests began on older weights shortly
+/// response. They counted the deadline from there, and requests began on previous versions shortly
 /// after it.
 #[test]
 fn no_process_dates_a_target_update_too_late() {
@@ -262,8 +262,8 @@
     });
 }
 
-/// The opposite error: a version dated far too early would cause older weights to be refused that
-/// may still answer.
+/// The opposite error: a version dated far too early would cause previous versions to be refused
+/// that may still answer.
 #[test]
 fn no_process_dates_a_target_update_far_too_early_once_calm() {
     run_cases(CASES, CASE_BYTES, |u| {
--- a/src/sync/tests/delayed_simulation.rs
+++ b/src/sync/tests/delayed_simulation.rs
@@ -23,10 +23,10 @@
 const UPDATES_MAX: usize = 6;
 /// The limits of the calls, as in the processes.
 const WATCH_WAIT: Duration = Duration::from_millis(1400);
-const WATCH_WITHIN: Duration = Duration::from_millis(2300);
-const READ_WITHIN: Duration = Duration::from_millis(900);
-const ENTRY_WITHIN: Duration = Duration::from_millis(400);
-const POLL_WITHIN: Duration = Duration::from_millis(1300);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2300);
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+const ENTRY_TIMEOUT: Duration = Duration::from_millis(400);
+const POLL_TIMEOUT: Duration = Duration::from_millis(1300);
 const POLL_WAIT: Duration = Duration::from_millis(800);
 /// The longest delay of a query, and of a neighbour's response, in milliseconds.
 const QUERY_DELAY_MAX: u64 = 400;
@@ -165,7 +165,7 @@
                 let pause = u.int_in_range(50..=800)?;
                 process.store_call.end(now + millis(pause));
             } else {
-                let time_limit = process.seen.map_or(READ_WITHIN, |_| WATCH_WITHIN);
+                let time_limit = process.seen.map_or(READ_TIMEOUT, |_| WATCH_TIMEOUT);
                 let call = process.store_call.begin(now, time_limit);
                 let message = Message::ToStore(process.caller(at, call, now), process.seen);
                 let delay = self.delay(u, self.processes[at].store_delay.min(QUERY_DELAY_MAX))?;
@@ -187,7 +187,7 @@
         if process.revision_call.is_open {
             return process.end_revision_call(now, u);
         }
-        let call = process.revision_call.begin(now, READ_WITHIN);
+        let call = process.revision_call.begin(now, READ_TIMEOUT);
         let message = Message::RevisionToStore(process.caller(at, call, now));
         let delay = self.delay(u, self.processes[at].store_delay.min(QUERY_DELAY_MAX))?;
         self.messages.push((now + delay, message));
@@ -204,9 +204,9 @@
             return process.end_peer_call(now, u);
         }
         let (time_limit, wait) = if process.follows_store {
-            (ENTRY_WITHIN, Duration::ZERO)
+            (ENTRY_TIMEOUT, Duration::ZERO)
         } else {
-            (POLL_WITHIN, POLL_WAIT)
+            (POLL_TIMEOUT, POLL_WAIT)
         };
         let call = process.peer_call.begin(now, time_limit);
         let caller = process.caller(at, call, now);
--- a/src/sync/tests/document_bursts.rs
+++ b/src/sync/tests/document_bursts.rs
@@ -62,7 +62,7 @@
 /// Guards against ending the history reads by their size on a wide link. Version 3 was set while no
 /// process was running, an older update was executed after it, and 40 documents of 20 KB followed;
 /// a starting entry host read 300 KB of history and found neither. All engines were loaded with
-/// older weights after a loss of power of all hosts.
+/// previous versions after a loss of power of all hosts.
 #[test]
 fn only_a_slow_large_history_read_is_final() {
     let (quick, slow) = (Duration::from_millis(20), Duration::from_millis(200));
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -23,12 +23,12 @@
 const CASE_BYTES: u32 = 2048;
 const STEPS: usize = 250;
 const ENTRIES: usize = 2;
-/// How long after an update requests may begin on older weights, and when entry hosts stop to begin
-/// them.
-const BOUND: Duration = Duration::from_secs(8);
-const OLDER_FOR: Duration = Duration::from_millis(7200);
+/// How long after an update requests may begin on previous versions, and when entry hosts stop to
+/// begin them.
+const DEADLINE_SPAN: Duration = Duration::from_secs(8);
+const PREVIOUS_VERSION_SPAN: Duration = Duration::from_millis(7200);
 /// Time after a start from which a process is checked against the deadline.
-const CONTACT: Duration = Duration::from_secs(3);
+const CONTACT_SPAN: Duration = Duration::from_secs(3);
 
 /// What one entry host has received about a backend server, for the checks.
 #[derive(Clone, Copy, Default)]
@@ -399,7 +399,10 @@
     fn check_version(&self, at: usize) {
         let (simulation, host) = (&self.simulation, &self.entries[at]);
         let is_cut = self.entries.iter().any(|entry| !entry.reaches_store);
-        if is_cut || host.operator_seen.is_none() || simulation.now.since(host.started) < CONTACT {
+        if is_cut
+            || host.operator_seen.is_none()
+            || simulation.now.since(host.started) < CONTACT_SPAN
+        {
             return;
         }
         let snapshot = host.snapshot();
@@ -409,8 +412,9 @@
                 continue;
             }
             let since = (*acknowledged).max(simulation.disturbed);
-            if simulation.now.since(since) >= BOUND {
-                let minimum = snapshot.oldest_allowed_version("m", OLDER_FOR, simulation.now);
+            if simulation.now.since(since) >= DEADLINE_SPAN {
+                let minimum =
+                    snapshot.oldest_allowed_version("m", PREVIOUS_VERSION_SPAN, simulation.now);
                 let is_bound = minimum >= Some(WeightsVersion(number));
                 let targets = &snapshot.targets;
                 assert!(
--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -176,7 +176,7 @@
 }
 
 /// Guards against update times that are used before the store's clock is known. A process then
-/// refused all older weights at the first query with a version, or let them answer forever.
+/// refused all previous versions at the first query with a version, or let them answer forever.
 #[test]
 fn announcements_are_ignored_until_the_store_clock_is_known() {
     let set_ms = START.0 / 1000;
--- a/src/sync/tests/late_messages.rs
+++ b/src/sync/tests/late_messages.rs
@@ -100,7 +100,7 @@
 /// that set a version took seconds. A version was set at 18.01 s: hosts near the store logged
 /// `[1102] … version=2 from=store/… certainty=Witnessed` within 5 ms and dated it 17.92 s. Those of
 /// two other regions logged it 2.7 to 3.2 s later, and all dated it 19.38 s until the deadline. No
-/// request was withdrawn in time, and 405 requests began on older weights after it.
+/// request was withdrawn in time, and 405 requests began on previous versions after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_store_answer_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
@@ -137,7 +137,7 @@
 /// certainty=Witnessed age_ms=…` gave 18.40 s on host after host, and 17.92 s once a response came
 /// quickly. All hosts of the region dated the version 0.4 s late for up to eleven seconds and
 /// announced that to each other. Requests that wait at an engine are withdrawn a quarter of a
-/// second before the deadline, and two began on older weights 40 and 86 ms after it.
+/// second before the deadline, and two began on previous versions 40 and 86 ms after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_neighbours_update_time_does_not_depend_on_transit() {
     let store = FakeStore::start().await;
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -122,7 +122,7 @@
         "not before version 2, whose update time is known"
     );
     assert_eq!(
-        snapshot.oldest_allowed_version("m", GRACE, later),
+        snapshot.oldest_allowed_version("m", DEADLINE_SPAN, later),
         Some(WeightsVersion(3))
     );
     let query = PeerQuery {
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -31,7 +31,7 @@
 use crate::time::{ClockTime, StoreTime};
 
 const START: ClockTime = ClockTime::from_millis(100_000);
-const GRACE: Duration = Duration::from_secs(8);
+const DEADLINE_SPAN: Duration = Duration::from_secs(8);
 
 /// A process whose clock equals the store's.
 fn new_state() -> SharedDeploymentState {
@@ -153,15 +153,15 @@
     let snapshot = state.snapshot().load();
     let least = |seconds: u64| {
         let now = START + Duration::from_secs(seconds);
-        snapshot.oldest_allowed_version("m", GRACE, now)
+        snapshot.oldest_allowed_version("m", DEADLINE_SPAN, now)
     };
     assert_eq!(least(7), None);
     assert_eq!(least(9), Some(WeightsVersion(2)));
     assert_eq!(least(12), Some(WeightsVersion(3)));
-    let until = |held: u64| snapshot.usable_until("m", Some(WeightsVersion(held)), GRACE);
+    let until = |held: u64| snapshot.usable_until("m", Some(WeightsVersion(held)), DEADLINE_SPAN);
     assert_eq!(
         until(1),
-        Some(START + GRACE),
+        Some(START + DEADLINE_SPAN),
         "version 2 replaces version 1"
     );
     assert_eq!(until(2), Some(START + Duration::from_secs(12)));
@@ -173,8 +173,8 @@
 }
 
 /// Guards against dating versions back by the length of an outage. Two versions were set during it;
-/// older weights counted as overdue although no process could have known of the new ones, and every
-/// request was refused for six seconds.
+/// previous versions counted as overdue although no process could have known of the new ones, and
+/// every request was refused for six seconds.
 #[test]
 fn a_version_found_after_an_outage_counts_as_new() {
     let target_set_at = |follow_state: FollowState| found_at(follow_state, START).earliest;
@@ -227,7 +227,7 @@
 }
 
 /// Guards against counting the deadline from a process's start. An entry host had just started and
-/// found the version in the store; a request began on older weights after the deadline.
+/// found the version in the store; a request began on previous versions after the deadline.
 #[test]
 fn a_starting_process_takes_the_update_time_from_a_neighbour() {
     let witness = new_state();
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -16,9 +16,9 @@
 
 const ENTRIES: usize = 6;
 /// Within this time a document is in force everywhere, whatever happens to the readers.
-const BOUND: Duration = Duration::from_secs(3);
+const DOCUMENT_TIME_LIMIT: Duration = Duration::from_secs(3);
 /// Entry hosts that started before their readers query them again after an exclusion of 2 s.
-const SETTLE: Duration = Duration::from_millis(2600);
+const SETTLE_SPAN: Duration = Duration::from_millis(2600);
 
 /// The entry hosts of a data centre, highest rank first, each with its own proxy to the store.
 struct TestDataCentre {
@@ -64,8 +64,8 @@
                 .processes
                 .push(Some(EntryProcess::start_with(settings)));
         }
-        data_centre.wait_for_document(BOUND).await;
-        sleep(SETTLE).await;
+        data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
+        sleep(SETTLE_SPAN).await;
         data_centre
     }
 
@@ -75,30 +75,34 @@
         self.store.put(TableName::Operator, key, &text);
     }
 
-    /// Waits until all running processes have the newest document, within `bound`.
-    async fn wait_for_document(&self, bound: Duration) {
+    /// Waits until all running processes have the newest document, within `time_limit`.
+    async fn wait_for_document(&self, time_limit: Duration) {
         let version = CatalogVersion(self.version);
         let is_current = |snapshot: &DeploymentSnapshot| {
             let catalog = snapshot.catalog.as_ref();
             catalog.is_some_and(|catalog| catalog.version >= version)
         };
-        self.wait_for_all(is_current, bound).await;
+        self.wait_for_all(is_current, time_limit).await;
     }
 
-    /// Waits until all running processes know `count` backend servers, within `bound`.
-    async fn wait_for_backends(&self, count: usize, bound: Duration) {
+    /// Waits until all running processes know `count` backend servers, within `time_limit`.
+    async fn wait_for_backends(&self, count: usize, time_limit: Duration) {
         let is_complete = |snapshot: &DeploymentSnapshot| snapshot.fleet.backends.len() == count;
-        self.wait_for_all(is_complete, bound).await;
+        self.wait_for_all(is_complete, time_limit).await;
     }
 
-    async fn wait_for_all(&self, is_ready: impl Fn(&DeploymentSnapshot) -> bool, bound: Duration) {
-        let until = Instant::now() + bound;
+    async fn wait_for_all(
+        &self,
+        is_ready: impl Fn(&DeploymentSnapshot) -> bool,
+        time_limit: Duration,
+    ) {
+        let until = Instant::now() + time_limit;
         for (index, process) in self.processes.iter().enumerate() {
             let Some(process) = process else { continue };
             let waited = timeout_at(until, process.wait_for(&is_ready)).await;
             assert!(
                 waited.is_ok(),
-                "process {index} has not got it within {bound:?}"
+                "process {index} has not got it within {time_limit:?}"
             );
         }
     }
@@ -147,7 +151,7 @@
     sleep(Duration::from_millis(950)).await;
     for _ in 0..5 {
         data_centre.put_document();
-        data_centre.wait_for_document(BOUND).await;
+        data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     }
     let reads = data_centre.store.rows_sent(TableName::Operator) - before;
     assert!(reads <= 15, "five documents were read {reads} times");
@@ -163,7 +167,7 @@
         }
     }
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -175,11 +179,11 @@
         let process = data_centre.processes[index]
             .take()
             .expect("the process is running");
-        process.stall(BOUND * 2);
+        process.stall(DOCUMENT_TIME_LIMIT * 2);
         stalled.push(process);
     }
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
     for process in stalled {
         process.stop_abruptly();
@@ -193,7 +197,7 @@
         let mut data_centre = TestDataCentre::start().await;
         data_centre.fault(0..2, fault);
         data_centre.put_document();
-        data_centre.wait_for_document(BOUND).await;
+        data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
         data_centre.end();
     }
 }
@@ -203,7 +207,7 @@
     let mut data_centre = TestDataCentre::start().await;
     data_centre.fault(0..2, ProxyFault::Unresponsive);
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -212,7 +216,7 @@
     let mut data_centre = TestDataCentre::start().await;
     data_centre.fault(0..2, ProxyFault::Slow(Duration::from_millis(700)));
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -227,7 +231,9 @@
         data_centre
             .store
             .put(TableName::Backends, &id, &backend_sample());
-        data_centre.wait_for_backends(count, BOUND).await;
+        data_centre
+            .wait_for_backends(count, DOCUMENT_TIME_LIMIT)
+            .await;
     }
     let reads = data_centre.store.rows_sent(TableName::Backends) - before;
     assert!(reads <= 8, "four entries were read {reads} times");
@@ -243,7 +249,7 @@
         data_centre
             .store
             .put(TableName::Backends, "b", &backend_sample());
-        data_centre.wait_for_backends(1, BOUND).await;
+        data_centre.wait_for_backends(1, DOCUMENT_TIME_LIMIT).await;
         data_centre.end();
     }
     let mut data_centre = TestDataCentre::start().await;
@@ -255,7 +261,7 @@
     data_centre
         .store
         .put(TableName::Backends, "b", &backend_sample());
-    data_centre.wait_for_backends(1, BOUND).await;
+    data_centre.wait_for_backends(1, DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -265,11 +271,11 @@
 async fn a_document_written_in_an_outage_arrives_after_it() {
     let mut data_centre = TestDataCentre::start().await;
     data_centre.fault(0..ENTRIES, ProxyFault::Refused);
-    sleep(BOUND).await;
+    sleep(DOCUMENT_TIME_LIMIT).await;
     data_centre.put_document();
     sleep(Duration::from_millis(500)).await;
     data_centre.fault(0..ENTRIES, ProxyFault::None);
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -280,10 +286,10 @@
     data_centre.fault(0..2, ProxyFault::Unresponsive);
     data_centre.put_document();
     data_centre.store.forget_history();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.fault(0..2, ProxyFault::None);
     sleep(Duration::from_millis(100)).await;
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
--- a/src/sync/tests/restarts.rs
+++ b/src/sync/tests/restarts.rs
@@ -214,8 +214,8 @@
 }
 
 /// Guards against dating a version as new when a record is read again. A starting process assumed
-/// at first that the version was old; requests then began on older weights up to six seconds after
-/// the deadline.
+/// at first that the version was old; requests then began on previous versions up to six seconds
+/// after the deadline.
 #[test]
 fn a_record_read_again_does_not_postdate_a_version() {
     let state = new_state();
@@ -329,7 +329,7 @@
     assert_eq!(target_set_at(&witness.snapshot().load()), START);
 }
 
-/// Guards against a record of version 2 that is executed last and would bring the older weights
+/// Guards against a record of version 2 that is executed last and would bring the previous version
 /// back when all processes restart.
 #[tokio::test]
 async fn a_late_record_does_not_replace_a_newer_one() {
--- a/src/weights/tests/unresponsive_hosts_driver.rs
+++ b/src/weights/tests/unresponsive_hosts_driver.rs
@@ -22,7 +22,7 @@
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time without a request for a chunk that the same live host, or the origin, can serve
 /// throughout.
-const REQUESTED_WITHIN: Duration = Duration::from_secs(4);
+const REQUEST_GAP_MAX: Duration = Duration::from_secs(4);
 
 /// Another host. While it is not live it answers nothing, and transfers from it never finish.
 struct SimulatedHost {
@@ -255,7 +255,7 @@
                     .max(self.requested_at[to_usize(index)]),
             );
             assert!(
-                waited <= REQUESTED_WITHIN,
+                waited <= REQUEST_GAP_MAX,
                 "chunk {index} was not requested from a live source for {waited:?}"
             );
         }
