--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -59,7 +59,7 @@
     pub(super) const fn wait_for_one(&self, rate: u64) -> Duration {
         let missing = ONE_REQUEST.saturating_sub(self.level);
         match rate {
-            // The bucket never fills; an hour tells callers not to retry soon.
+            // The bucket never fills; an hour keeps callers from retrying soon.
             0 => Duration::from_hours(1),
             _ => Duration::from_micros((missing * MICROS_PER_SECOND).div_ceil(rate)),
         }
--- a/src/fleet/tests/request_limits.rs
+++ b/src/fleet/tests/request_limits.rs
@@ -128,7 +128,7 @@
     assert_eq!(sent_to_a(&registry, NOW), 100);
 }
 
-/// Guards against entry hosts that never learn of a limit because they send nothing there, and
+/// Guards against entry hosts that never receive a limit because they send nothing there, and
 /// against announcements that are forwarded endlessly.
 #[test]
 fn a_limit_is_announced_once_and_its_end_repeatedly_for_a_while() {
--- a/src/gateway/crash_detector.rs
+++ b/src/gateway/crash_detector.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Distinguishes a crash from reset connections: a crashed process refuses new connections, while one
-    /// whose connections were reset accepts them.
+    /// Distinguishes a crash from reset connections: a crashed process refuses new connections,
+    /// while one whose connections were reset accepts them.
     async fn probe(
         self,
         key: BackendKey,
--- a/src/gateway/forward_state.rs
+++ b/src/gateway/forward_state.rs
@@ -17,8 +17,8 @@
 /// How often a send that never left this host may be repeated elsewhere. Such sends do not use the
 /// retry budget.
 const UNSENT_MAX: u32 = 3;
-/// How long before its own timeout a client is told that there will be no response. The way to the
-/// client takes 1 to 3 ms, and this process may be busy.
+/// How long before its own timeout a client is notified that there will be no response. The way to
+/// the client takes 1 to 3 ms, and this process may be busy.
 const CLIENT_NOTICE_MARGIN: Duration = Duration::from_millis(100);
 
 /// State of one request while it is forwarded.
@@ -31,7 +31,7 @@
     /// Whether the request may have run in any of its sends.
     may_have_run: bool,
     last_failure: Option<SendFailure>,
-    /// When the client is told that there will be no response, unless something has arrived by
+    /// When the client is notified that there will be no response, unless something has arrived by
     /// then.
     response_due: ClockTime,
     /// Whether a backend server has started a stream.
@@ -257,12 +257,12 @@
     }
 }
 
-/// Returns when to tell a client that there will be no further event, if it got the last one at
+/// Returns when to notify a client that there will be no further event, if it got the last one at
 /// `since`. For a request without a stream this is its deadline.
 ///
 /// Clients close their connection if a stream brings no event for too long. Backend servers would
 /// then still work on the request for no client, and the client would get no explanation. A symptom
-/// is clients that leave after the same time while hosts are paused. They are told slightly
+/// is clients that leave after the same time while hosts are paused. They are notified slightly
 /// earlier, and can retry.
 fn client_notice_at(job: &RequestJob, since: ClockTime) -> ClockTime {
     if job.retry_policy().is_stream() {
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -116,7 +116,7 @@
     }
 
     /// Returns the priority for the queue of a model engine; lower values are more urgent.
-    /// `is_resumed` tells whether the client has received a part of the response.
+    /// `is_resumed` says whether the client has received a part of the response.
     pub(super) fn engine_priority(&self, is_resumed: bool) -> u8 {
         if is_resumed {
             PRIORITY_RESUMED
--- a/src/overload/tests/send_schedule.rs
+++ b/src/overload/tests/send_schedule.rs
@@ -20,7 +20,7 @@
     names.collect()
 }
 
-/// Returns when `entry_hosts`, whose clocks are `ahead`, send requests at `rate`. `wants` tells
+/// Returns when `entry_hosts`, whose clocks are `ahead`, send requests at `rate`. `wants` says
 /// whether an entry host has a request to send in a step.
 fn sends(
     rate: f64,
--- a/src/replication/chunk_fetch.rs
+++ b/src/replication/chunk_fetch.rs
@@ -121,7 +121,7 @@
     update_sender: mpsc::UnboundedSender<FetchUpdate>,
     updates: mpsc::UnboundedReceiver<FetchUpdate>,
     tasks: JoinSet<()>,
-    flights: Vec<(TransferId, AbortHandle)>,
+    transfers: Vec<(TransferId, AbortHandle)>,
     mismatches: u32,
     /// Until when chunks in transit give no new information about the link.
     slow_until: ClockTime,
@@ -165,7 +165,7 @@
             update_sender,
             updates,
             tasks: JoinSet::new(),
-            flights: Vec::new(),
+            transfers: Vec::new(),
             mismatches: 0,
             slow_until: ClockTime(0),
         }
@@ -249,7 +249,7 @@
                     let pulled = pull(&context, address, &target, index).await;
                     let _ = updates.send(FetchUpdate::Pulled(transfer, pulled));
                 });
-                self.flights.push((transfer, task));
+                self.transfers.push((transfer, task));
             }
             FetchStep::Fetch {
                 transfer,
@@ -260,7 +260,7 @@
                     let read = read_origin(&context, &target, index).await;
                     let _ = updates.send(FetchUpdate::Read(transfer, read));
                 });
-                self.flights.push((transfer, task));
+                self.transfers.push((transfer, task));
             }
             FetchStep::Cancel(transfer, source) => {
                 metrics::count_retry(ErrorKind::PeerSilent);
@@ -275,10 +275,14 @@
 
     /// Aborts a transfer that is no longer needed.
     fn abort(&mut self, transfer: TransferId) {
-        for (_, task) in self.flights.iter().filter(|(known, _)| *known == transfer) {
+        for (_, task) in self
+            .transfers
+            .iter()
+            .filter(|(known, _)| *known == transfer)
+        {
             task.abort();
         }
-        self.flights.retain(|(known, _)| *known != transfer);
+        self.transfers.retain(|(known, _)| *known != transfer);
     }
 
     fn address(&self, key: PeerKey) -> SocketAddr {
@@ -307,7 +311,7 @@
 
     fn finish_chunk(&mut self, transfer: TransferId, result: SwitchResult<()>) {
         let now = clock_now();
-        self.flights.retain(|(known, _)| *known != transfer);
+        self.transfers.retain(|(known, _)| *known != transfer);
         match result {
             Ok(()) => {
                 for duplicate in self.plan.on_delivered(transfer, now) {
--- a/src/replication/digest_sources.rs
+++ b/src/replication/digest_sources.rs
@@ -1,10 +1,10 @@
 //! Chooses the hosts to query for the digests of a version, and how long to do so before reading
 //! the origin.
 //!
-//! Load pattern: hundreds of hosts learn of a version at the same time and need its digests before
-//! they can fetch a chunk. Two of all hosts read the origin, two of each data centre query these,
-//! and the others query any higher-ranked host of their data centre, so that none answers more than
-//! a few dozen.
+//! Load pattern: hundreds of hosts are notified of a version at the same time and need its digests
+//! before they can fetch a chunk. Two of all hosts read the origin, two of each data centre query
+//! these, and the others query any higher-ranked host of their data centre, so that none answers
+//! more than a few dozen.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -33,7 +33,7 @@
 const CHUNK_BYTES: f64 = 24_576.0;
 const STOP_LONGEST: Duration = Duration::from_millis(400);
 
-/// Runs until the process is told to stop.
+/// Runs until the process receives a stop signal.
 ///
 /// # Errors
 ///
@@ -53,7 +53,7 @@
     serve_peers(&settings, parts).await
 }
 
-/// Serves other hosts until the process is told to stop.
+/// Serves other hosts until the process receives a stop signal.
 async fn serve_peers(settings: &PlatformSettings, parts: HostParts) -> SwitchResult<()> {
     let peers = SocketAddr::new(settings.ip, settings.peer_port);
     let server = HttpServer::bind(peers, chunk_routes(parts.store, parts.pacer)).await?;
--- a/src/replication/tests/reports.rs
+++ b/src/replication/tests/reports.rs
@@ -16,7 +16,7 @@
 /// Entry hosts of each data centre: that of the host and four others.
 const ENTRIES: usize = 20;
 const DATA_CENTRES: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Time for the host to learn of the entry hosts and their leases.
+/// Time after which the host knows the entry hosts and has their leases.
 const SETTLE_SPAN: Duration = Duration::from_millis(3500);
 const COUNT_SPAN: Duration = Duration::from_secs(2);
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
--- a/src/replication/tests/retirement.rs
+++ b/src/replication/tests/retirement.rs
@@ -15,7 +15,7 @@
 /// that version's deadline.
 const SERVED_FOR: Duration = Duration::from_secs(7);
 const RELEASE_SPAN: Duration = Duration::from_millis(1500);
-/// Time within which the host learns of a new entry host.
+/// Time within which the host knows a new entry host.
 const DISCOVERY_SPAN: Duration = Duration::from_secs(1);
 
 /// A host whose engine serves version 1 while `known` chunks of version 2 are available.
--- a/src/sync/tests/driver_simulation.rs
+++ b/src/sync/tests/driver_simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation behind the driver: backend servers in their real state, the store with writes
+//! The simulation that the driver runs: backend servers in their real state, the store with writes
 //! that it executes late, and reports in transit.
 
 use std::net::SocketAddr;
--- a/src/sync/tests/full_links.rs
+++ b/src/sync/tests/full_links.rs
@@ -29,7 +29,7 @@
 }
 
 /// Guards against dating a version by the system's own rows as found after an outage. In a region
-/// behind a saturated link, the watch of the operator's table failed while these rows arrived, in
+/// with a saturated link, the watch of the operator's table failed while these rows arrived, in
 /// which a host near the store had recorded the version. All running processes counted the version
 /// as new, 1.7 s late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/src/weights/fetch_plan.rs
+++ b/src/weights/fetch_plan.rs
@@ -234,7 +234,7 @@
         claimed
     }
 
-    /// An announcement was received, unasked or in a response.
+    /// An announcement was received, unrequested or in a response.
     pub(crate) fn on_announcement(&mut self, announcement: &ChunkAnnouncement, now: ClockTime) {
         if self.peers.record_announcement(announcement, now) {
             let jitter = self.rng.random();
@@ -251,15 +251,15 @@
         if matches!(failure, None | Some(ErrorKind::ChunkMissing)) {
             self.last_answered_query_at = self.last_answered_query_at.max(peer.queried_at);
         }
-        // The query failed, but the peer was heard from in another way meanwhile.
-        let was_heard = peer
-            .last_heard_at
+        // The query failed, but another message from the peer has arrived meanwhile.
+        let is_live = peer
+            .last_message_at
             .is_some_and(|at| now.since(at) <= late_threshold);
         match failure {
             None => self.peers.mark_responsive(key, now),
             // The peer is running and has not started to fetch this version yet.
             Some(ErrorKind::ChunkMissing) => self.peers.mark_empty(key, now),
-            Some(_) if was_heard => {}
+            Some(_) if is_live => {}
             Some(_) => self.peers.mark_unresponsive(key, now, jitter),
         }
     }
@@ -291,7 +291,7 @@
     }
 
     /// A transfer failed, or its chunk did not match the manifest. `wait` is the delay that the
-    /// source asked for.
+    /// source requested.
     pub(crate) fn on_failed(
         &mut self,
         id: TransferId,
--- a/src/weights/fetch_selection.rs
+++ b/src/weights/fetch_selection.rs
@@ -94,7 +94,7 @@
         let mut neighbours = self.peers.listed().filter(|(_, peer)| peer.is_neighbour);
         !self.origin_schedule.is_initial_wait_over(now)
             && neighbours.any(|(_, peer)| {
-                peer.last_heard_at.is_none() && peer.liveness != PeerLiveness::Unresponsive
+                peer.last_message_at.is_none() && peer.liveness != PeerLiveness::Unresponsive
             })
     }
 
@@ -116,7 +116,7 @@
             let is_peer_unavailable = self.is_peer_unavailable(key);
             let peer = self.peers.get_mut(key);
             let last_sign_at = peer
-                .last_heard_at
+                .last_message_at
                 .max(Some(transfer.started_at))
                 .unwrap_or(now);
             // A host that no longer holds the chunk has restarted and has lost the pull.
@@ -311,8 +311,8 @@
         self.import_sources.binary_search(&key).is_ok()
     }
 
-    /// Queries peers that were not heard from recently: often while this host has free pull slots,
-    /// less often while all are in use.
+    /// Queries peers without recent messages: often while this host has free pull slots, less often
+    /// while all are in use.
     pub(super) fn plan_queries(&mut self, now: ClockTime, steps: &mut Vec<FetchStep>) {
         self.choose_import_sources(now);
         let has_free_slots = self.count_pulls() < self.limits.pulls_max;
@@ -342,7 +342,7 @@
             let factor = if is_source { 1 } else { REMOTE_QUERY_FACTOR };
             let jitter = (interval * factor).mul_f64(self.rng.random_range(0.75..1.25));
             let peer = self.peers.get_mut(key);
-            let last_sign_at = peer.last_heard_at.max(peer.queried_at);
+            let last_sign_at = peer.last_message_at.max(peer.queried_at);
             let is_interval_over =
                 last_sign_at.is_none_or(|last_sign_at| now.since(last_sign_at) >= jitter);
             let is_due = is_interval_over && peer.retry_at <= now;
--- a/src/weights/origin_schedule.rs
+++ b/src/weights/origin_schedule.rs
@@ -166,8 +166,8 @@
     }
 
     /// Whether this host takes over the read of chunk `index`, which is due and which no known host
-    /// holds. If not, the decision is postponed, and the hosts ranked before it that were not heard
-    /// from recently are queried.
+    /// holds. If not, the decision is postponed, and the hosts ranked before it without recent
+    /// messages are queried.
     pub(crate) fn should_take_over(
         &mut self,
         index: u32,
@@ -181,8 +181,8 @@
             };
             let peer = peers.get(key);
             let is_fresh = peer
-                .last_heard_at
-                .is_some_and(|last_heard_at| now.since(last_heard_at) < ANNOUNCEMENT_FRESHNESS);
+                .last_message_at
+                .is_some_and(|last_message_at| now.since(last_message_at) < ANNOUNCEMENT_FRESHNESS);
             if is_fresh && (peer.claims(index) || peer.holds(index)) {
                 postponed_until = Some(now + self.takeover_delay);
                 break;
--- a/src/weights/peer_table.rs
+++ b/src/weights/peer_table.rs
@@ -56,8 +56,8 @@
     pub(crate) held: Option<ChunkMap>,
     /// The chunks that it announced to read from the origin.
     pub(crate) claimed: Option<ChunkMap>,
-    /// When it was last heard from.
-    pub(crate) last_heard_at: Option<ClockTime>,
+    /// When the last message from it arrived.
+    pub(crate) last_message_at: Option<ClockTime>,
     /// When it was last queried.
     pub(crate) queried_at: Option<ClockTime>,
     /// Whether a query to it is unanswered.
@@ -186,7 +186,7 @@
     /// that its chunks can be pulled at once.
     pub(crate) fn mark_responsive(&mut self, key: PeerKey, now: ClockTime) {
         let peer = &mut self.peers[key.position()];
-        peer.last_heard_at = Some(now);
+        peer.last_message_at = Some(now);
         if peer.liveness == PeerLiveness::Unresponsive {
             peer.retry_at = now;
             self.is_liveness_changed = true;
@@ -227,8 +227,8 @@
         self.count_copies();
     }
 
-    /// Records that a host did not answer. Its announcement is discarded until it is heard from
-    /// again.
+    /// Records that a host did not answer. Its announcement is discarded until another message from
+    /// it arrives.
     ///
     /// A host that was replaced, has lost power or is cut off stays listed for a while. If it still
     /// counted as holding chunks, the other hosts of its data centre would neither import these
@@ -329,7 +329,7 @@
             is_neighbour: false,
             held: None,
             claimed: None,
-            last_heard_at: None,
+            last_message_at: None,
             queried_at: None,
             is_query_pending: false,
             liveness: PeerLiveness::Responsive,
--- a/src/weights/tests/replaced_hosts.rs
+++ b/src/weights/tests/replaced_hosts.rs
@@ -86,7 +86,7 @@
         second.contains(&remote_peer),
         "{second:?}: nothing is imported from the other data centre"
     );
-    // Once the host is heard from again, its chunks count again.
+    // Once the host sends messages again, its chunks count again.
     plan.on_announcement(&holds_all("near"), now);
     assert_eq!(plan.peers().copy_count(0), 2);
 }
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -26,7 +26,7 @@
 const RESPONSE_DELAY: Duration = Duration::from_millis(10);
 /// A pull is refused if the sender's link is busy for longer than this.
 const BACKLOG_MAX: Duration = Duration::from_millis(120);
-/// The hosts learn of the version at different times within this span.
+/// The hosts are notified of the version at different times within this span.
 const START_SPREAD: Duration = Duration::from_millis(500);
 /// The last host may take this many times as long as the origin's link needs for one copy.
 const ORIGIN_TIME_FACTOR: f64 = 1.25;
