--- a/src/fleet/backend_registry.rs
+++ b/src/fleet/backend_registry.rs
@@ -183,9 +183,8 @@
         }
     }
 
-    /// Handles a restart under the same name. The new incarnation gets a new
-    /// record and key, so that neither the state of the old one nor the end of its requests affects
-    /// it.
+    /// Handles a restart under the same name. The new incarnation gets a new record and key, so
+    /// that neither the state of the old one nor the end of its requests affects it.
     fn replace(&mut self, at: usize, facts: &Arc<BackendFacts>) {
         log_event!(events::BACKEND_RESTARTED, "backend={}", facts.id);
         let former = self.by_id[at].1;
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// Starts refusing new requests some time after the graceful stop begins.
+/// Records when the graceful stop begins; new requests are refused some time after that.
 async fn watch_stop(gateway: Arc<GatewayState>) {
     gateway.drain.begun().await;
     gateway.begin_stop(clock_now());
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -18,16 +18,16 @@
 use crate::time::ClockTime;
 
 /// How long clients wait for an event of a stream, including the first one: the maximum of
-/// `CLIENT_WAIT_MIN`, `CLIENT_WAIT_TARGETS` times the route's latency target, and
-/// `CLIENT_WAIT_PAUSES` times its longest pause. The platform specifies these figures.
+/// `CLIENT_WAIT_MIN`, `CLIENT_WAIT_LATENCY_TARGETS` times the route's latency target, and
+/// `CLIENT_WAIT_GAP_TARGETS` times its gap target. The platform specifies these figures.
 const CLIENT_WAIT_MIN: Duration = Duration::from_secs(2);
-const CLIENT_WAIT_TARGETS: u32 = 4;
-const CLIENT_WAIT_PAUSES: u32 = 8;
+const CLIENT_WAIT_LATENCY_TARGETS: u32 = 4;
+const CLIENT_WAIT_GAP_TARGETS: u32 = 8;
 
 /// A repeatable request of a plain service is also sent to another backend server if it has no
 /// response after this many times its latency target. Late responses come from a few backend
 /// servers only.
-const HEAD_TIMEOUT_TARGETS: u32 = 2;
+const HEAD_TIMEOUT_LATENCY_TARGETS: u32 = 2;
 /// How long to wait for the first event of a stream before the request is also sent to another
 /// backend server.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -91,8 +91,8 @@
     pub(super) fn client_timeout_at(&self, since: ClockTime) -> ClockTime {
         let rule = &self.routed.rule;
         let client_wait = CLIENT_WAIT_MIN
-            .max(rule.latency_target * CLIENT_WAIT_TARGETS)
-            .max(rule.gap_target * CLIENT_WAIT_PAUSES);
+            .max(rule.latency_target * CLIENT_WAIT_LATENCY_TARGETS)
+            .max(rule.gap_target * CLIENT_WAIT_GAP_TARGETS);
         self.deadline.min(since + client_wait)
     }
 
@@ -104,7 +104,7 @@
         } else if self.retry_policy().is_stream() {
             Some(FIRST_EVENT_TIMEOUT)
         } else {
-            Some(self.routed.rule.latency_target * HEAD_TIMEOUT_TARGETS)
+            Some(self.routed.rule.latency_target * HEAD_TIMEOUT_LATENCY_TARGETS)
         }
     }
 
--- a/src/platform/sample_files.rs
+++ b/src/platform/sample_files.rs
@@ -16,7 +16,7 @@
 const TIMEOUT_MS: u32 = 4_000;
 /// Longer than a stream takes whose engine pauses repeatedly.
 const STREAM_TIMEOUT_MS: u32 = 12_000;
-const TARGET_MS: u32 = 800;
+const LATENCY_TARGET_MS: u32 = 800;
 const GAP_TARGET_MS: u32 = 300;
 
 /// The host and addresses of one process.
@@ -73,9 +73,9 @@
 }
 
 /// How long clients wait for each event of a stream, including the first: 2 s, four times the
-/// latency target or eight times the longest pause that counts as on time, whichever is longest.
+/// latency target or eight times the gap target, whichever is longest.
 pub(crate) const fn event_timeout() -> Duration {
-    let (floor, latency, pause) = (2_000, 4 * TARGET_MS, 8 * GAP_TARGET_MS);
+    let (floor, latency, pause) = (2_000, 4 * LATENCY_TARGET_MS, 8 * GAP_TARGET_MS);
     let longest = if latency > pause { latency } else { pause };
     let longest = if longest > floor { longest } else { floor };
     Duration::from_millis(longest as u64)
@@ -104,7 +104,7 @@
             "name": name, "host": "soak.example", "prefix": format!("/{name}/"), "kind": kind,
             "service": service,
             "timeout_ms": if is_stream { STREAM_TIMEOUT_MS } else { TIMEOUT_MS },
-            "target_latency_ms": TARGET_MS, "gap_target_ms": GAP_TARGET_MS, "priority": 1,
+            "target_latency_ms": LATENCY_TARGET_MS, "gap_target_ms": GAP_TARGET_MS, "priority": 1,
             "max_attempts": 3, "stream_resume": name == "resume",
         })
     };
--- a/src/platform/samples.rs
+++ b/src/platform/samples.rs
@@ -59,9 +59,9 @@
 pub(crate) fn entry_sample(start_time: Option<u64>, sequence: u64, phase: BackendPhase) -> String {
     let state = state_text(phase);
     let fields = "\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"slots\":1";
-    let start_time =
+    let start_time_field =
         start_time.map_or_else(String::new, |start_time| format!(",\"born\":{start_time}"));
-    format!("{{{fields},\"state\":\"{state}\",\"sequence\":{sequence}{start_time}}}")
+    format!("{{{fields},\"state\":\"{state}\",\"sequence\":{sequence}{start_time_field}}}")
 }
 
 /// As [`entry_sample`], at `address` and with all 16 layers of `version` of the model `m` loaded,
--- a/src/sync/tests/driver.rs
+++ b/src/sync/tests/driver.rs
@@ -208,7 +208,7 @@
         let mut tried = Vec::new();
         let mut found = Vec::new();
         loop {
-            let need = PickRequirements {
+            let requirements = PickRequirements {
                 service: "s",
                 version: VersionRequirement::Model {
                     model: "m".into(),
@@ -221,7 +221,7 @@
                 is_returned: false,
                 work: None,
             };
-            let Ok(ticket) = self.registry.pick(&need, now) else {
+            let Ok(ticket) = self.registry.pick(&requirements, now) else {
                 return found;
             };
             let start_time = ticket.facts.start_time.map_or(0, |start_time| start_time.0);
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -57,7 +57,7 @@
     }
 }
 
-fn need() -> PickRequirements<'static> {
+fn requirements() -> PickRequirements<'static> {
     PickRequirements {
         service: "s",
         version: VersionRequirement::None,
@@ -86,17 +86,19 @@
         waiting: u32::MAX,
     };
     let stated = registry();
-    let ticket = stated.pick(&need(), START).expect("both are free");
+    let ticket = stated.pick(&requirements(), START).expect("both are free");
     ticket.with_record(|record| {
         record.note_load(load, START);
         assert_eq!(record.load(START), u32::MAX);
     });
-    let other = stated.pick(&need(), START).expect("the other one is free");
+    let other = stated
+        .pick(&requirements(), START)
+        .expect("the other one is free");
     assert_ne!(ticket.facts.id, other.facts.id);
     let reported = registry();
     reported.lock().note_report(report(), START);
-    let first = reported.pick(&need(), START).expect("one is free");
-    let second = reported.pick(&need(), START).expect("one is free");
+    let first = reported.pick(&requirements(), START).expect("one is free");
+    let second = reported.pick(&requirements(), START).expect("one is free");
     assert_eq!(first.facts.id, second.facts.id);
 }
 
@@ -182,7 +184,7 @@
         let registry = registry();
         registry.lock().note_report(report, START);
         assert!(
-            registry.pick(&need(), START).is_ok(),
+            registry.pick(&requirements(), START).is_ok(),
             "the other one is free"
         );
     }
