--- a/src/replication/version_fetcher.rs
+++ b/src/replication/version_fetcher.rs
@@ -186,8 +186,8 @@
             if let Some(digests) = self.query_digests(host, target).await {
                 return Ok(digests);
             }
-            let part = rand::rng().random_range(0.5..1.5);
-            sleep(DIGEST_PAUSE.mul_f64(part)).await;
+            let jitter = rand::rng().random_range(0.5..1.5);
+            sleep(DIGEST_PAUSE.mul_f64(jitter)).await;
         }
         let Some(origin) = self.origin(snapshot) else {
             let detail = "the document has no origin of weights";
--- a/src/replication/view_poller.rs
+++ b/src/replication/view_poller.rs
@@ -74,8 +74,8 @@
                 }
                 failed_queries = 0;
             }
-            let part = rand::rng().random_range(0.8..1.2);
-            sleep(pause.mul_f64(part)).await;
+            let jitter = rand::rng().random_range(0.8..1.2);
+            sleep(pause.mul_f64(jitter)).await;
         }
     }
 
--- a/src/sync/crash_follow.rs
+++ b/src/sync/crash_follow.rs
@@ -129,8 +129,8 @@
             }
             sleep(GATHER_SPAN).await;
             let unstored = self.state.read(DeploymentState::unsaved_crashes);
-            let part = &unstored[..unstored.len().min(CHANGED_ROWS_MAX)];
-            match self.write_crashes(part).await {
+            let batch = &unstored[..unstored.len().min(CHANGED_ROWS_MAX)];
+            match self.write_crashes(batch).await {
                 Ok(()) => backoff = RetryBackoff::default(),
                 Err(error) => {
                     log_event!(events::CRASH_SYNC_FAILED, "{error}");
--- a/src/sync/neighbour_queries.rs
+++ b/src/sync/neighbour_queries.rs
@@ -15,7 +15,7 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::AnswerPace;
 
-/// Interval between queries while the store answers (`QUERY_PAUSE`) and while it does not.
+/// Pause between queries while the store answers (`QUERY_PAUSE`) and while it does not.
 const QUERY_PAUSE: Duration = Duration::from_secs(1);
 const QUERY_PAUSE_CUT_OFF: Duration = Duration::from_millis(250);
 /// The store counts as unavailable after this time without an answer.
@@ -54,8 +54,8 @@
             } else {
                 QUERY_PAUSE
             };
-            let part = rand::rng().random_range(0.75..1.25);
-            sleep(pause.mul_f64(part)).await;
+            let jitter = rand::rng().random_range(0.75..1.25);
+            sleep(pause.mul_f64(jitter)).await;
         }
     }
 
@@ -117,9 +117,9 @@
     fn neighbours(&self, is_selected: impl Fn(&EntryRecord) -> bool) -> Vec<SocketAddr> {
         self.state.read(|state| {
             let entries = state.entries().iter();
-            let meant = entries
+            let selected = entries
                 .filter(|entry| entry.control != self.own_entry.control && is_selected(entry));
-            meant.map(|entry| entry.control).collect()
+            selected.map(|entry| entry.control).collect()
         })
     }
 
