--- a/src/delivery/service_dispatcher.rs
+++ b/src/delivery/service_dispatcher.rs
@@ -202,7 +202,7 @@
                         "a slot was assigned to another request"
                     );
                     placed.push((waiter, picked));
-                    DispatchOutcome::Placed
+                    DispatchOutcome::Dispatched
                 }
                 Err(last_failure) => {
                     if let Some(waiter) = entry {
--- a/src/fleet/backend_registry.rs
+++ b/src/fleet/backend_registry.rs
@@ -55,7 +55,7 @@
 /// Records of all backend servers that are listed or still have requests in flight.
 #[derive(Debug)]
 pub(crate) struct BackendRegistry {
-    pub(super) me: EntryHostId,
+    pub(super) own_id: EntryHostId,
     /// Number of other entry hosts in this data centre.
     pub(super) peers: u32,
     /// The entry hosts that share the rates advertised by backend servers.
@@ -77,12 +77,12 @@
 }
 
 impl BackendRegistry {
-    /// Creates an empty registry for the entry host `me`.
-    pub(crate) fn new(me: EntryHostId) -> Self {
+    /// Creates an empty registry for the entry host `own_id`.
+    pub(crate) fn new(own_id: EntryHostId) -> Self {
         Self {
-            rate_sharers: RateSharers::new(&me, &[]),
+            rate_sharers: RateSharers::new(&own_id, &[]),
             clock: StoreClock::default(),
-            me,
+            own_id,
             peers: 0,
             records: Vec::new(),
             by_id: Vec::new(),
@@ -118,7 +118,7 @@
     }
 
     fn apply_listed(&mut self, facts: &Arc<BackendFacts>) {
-        if IncarnationOrder::of(facts.born, self.newest_start_time(&facts.id))
+        if IncarnationOrder::of(facts.start_time, self.newest_start_time(&facts.id))
             == IncarnationOrder::Older
         {
             return;
@@ -141,7 +141,9 @@
         let Some(record) = self.get_mut(key) else {
             return;
         };
-        if IncarnationOrder::of(facts.born, record.facts.born) == IncarnationOrder::Newer {
+        if IncarnationOrder::of(facts.start_time, record.facts.start_time)
+            == IncarnationOrder::Newer
+        {
             self.replace(at, facts);
             return;
         }
@@ -160,17 +162,17 @@
         found.ok().map(|at| self.start_times[at].1)
     }
 
-    /// Remembers that an incarnation of `id` started at `born`.
-    fn note_start_time(&mut self, id: &ByteString, born: Option<WallTime>) {
-        let Some(born) = born else {
+    /// Remembers that an incarnation of `id` started at `start_time`.
+    fn note_start_time(&mut self, id: &ByteString, start_time: Option<WallTime>) {
+        let Some(start_time) = start_time else {
             return;
         };
         match self
             .start_times
             .binary_search_by(|(known, _)| known.cmp(id))
         {
-            Ok(at) => self.start_times[at].1 = self.start_times[at].1.max(born),
-            Err(at) => self.start_times.insert(at, (id.clone(), born)),
+            Ok(at) => self.start_times[at].1 = self.start_times[at].1.max(start_time),
+            Err(at) => self.start_times.insert(at, (id.clone(), start_time)),
         }
         if self.start_times.len() > START_TIMES_MAX {
             let listed = &self.by_id;
@@ -181,9 +183,8 @@
         }
     }
 
-    /// Handles a restart under the same name. The new incarnation gets a new
-    /// record and key, so that neither the state of the old one nor the end of its requests affects
-    /// it.
+    /// Handles a restart under the same name. The new incarnation gets a new record and key, so
+    /// that neither the state of the old one nor the end of its requests affects it.
     fn replace(&mut self, at: usize, facts: &Arc<BackendFacts>) {
         log_event!(events::BACKEND_RESTARTED, "backend={}", facts.id);
         let former = self.by_id[at].1;
@@ -202,7 +203,7 @@
             facts.holdings
         );
         self.records.push(Some(BackendRecord::new(facts.clone())));
-        self.note_start_time(&facts.id, facts.born);
+        self.note_start_time(&facts.id, facts.start_time);
         key
     }
 
@@ -235,7 +236,7 @@
     /// The reason why no backend server can take the request.
     pub(super) fn pick(
         &mut self,
-        need: &PickRequirements<'_>,
+        requirements: &PickRequirements<'_>,
         now: ClockTime,
         jitter: u32,
     ) -> Result<PickedBackend, PickRefusal> {
@@ -245,14 +246,14 @@
         });
         let picked_at = self.clock.time(now);
         let context = PickContext {
-            data_centre: &self.me.data_centre,
+            data_centre: &self.own_id.data_centre,
             peers: self.peers,
             rate_sharers: &self.rate_sharers,
             picked_at,
         };
-        let key = pick(listed, need, &context, (now, jitter))?;
+        let key = pick(listed, requirements, &context, (now, jitter))?;
         let permission = self.get(key).map(|record| record.send_permission(&context));
-        let unread_tokens = need.work.map_or(0, |work| work.prompt_tokens);
+        let unread_tokens = requirements.work.map_or(0, |work| work.prompt_tokens);
         let record = self.get_mut(key).ok_or(PickRefusal::NoBackend)?;
         record.breaker.note_sent(now);
         record.note_sent(unread_tokens);
@@ -264,7 +265,7 @@
             unread_tokens,
             picked_at,
             facts: record.facts.clone(),
-            version: need.version.version_held_by(record),
+            version: requirements.version.version_held_by(record),
         })
     }
 
@@ -316,7 +317,7 @@
         let Some(record) = self.get_mut(key) else {
             return;
         };
-        match IncarnationOrder::of(report.born, record.facts.born) {
+        match IncarnationOrder::of(report.start_time, record.facts.start_time) {
             IncarnationOrder::Older => {}
             IncarnationOrder::Same => record.note_report(report, now),
             IncarnationOrder::Newer => {
--- a/src/fleet/tests/request_limits.rs
+++ b/src/fleet/tests/request_limits.rs
@@ -14,13 +14,15 @@
     let mut other = facts("b", "there", 1);
     other.address = ([10, 0, 0, 2], 80).into();
     let registry = registry_of(vec![facts("a", "here", 1), other]);
-    let entries = [entry_place("e1", "here"), entry_place("e2", "here")];
+    let entries = [entry_host_id("e1", "here"), entry_host_id("e2", "here")];
     registry.lock().assign_shares(&entries);
     registry
 }
 
 fn pick_at(registry: &SharedRegistry, now: ClockTime) -> BackendTicket {
-    registry.pick(&need(None), now).expect("one is free")
+    registry
+        .pick(&requirements(None), now)
+        .expect("one is free")
 }
 
 /// Sends a request every 100 ms for ten seconds from `now` and returns how many went to `a`.
@@ -37,11 +39,11 @@
 
 /// Lets `a` advertise `rate` in the response to a request sent at `now`.
 fn advertise(registry: &SharedRegistry, rate: Option<f64>, now: ClockTime) {
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         tried: &[],
-        ..need(None)
+        ..requirements(None)
     };
-    let ticket = registry.pick(&need, now).expect("one is free");
+    let ticket = registry.pick(&requirements, now).expect("one is free");
     assert_eq!(ticket.facts.id, "a");
     let answered = now + Duration::from_millis(20);
     ticket.note_limit(rate, answered);
@@ -51,7 +53,7 @@
 fn announcement(rate: Option<f64>, at: ClockTime) -> LimitAnnouncement {
     LimitAnnouncement {
         address: ([10, 0, 0, 1], 80).into(),
-        born: None,
+        start_time: None,
         rate,
         at: StoreTime(at.0),
     }
@@ -75,7 +77,7 @@
     advertise(&registry, Some(0.0), NOW);
     let later = NOW + Duration::from_secs(1);
     let refusal = registry
-        .pick(&need(None), later)
+        .pick(&requirements(None), later)
         .expect_err("it takes none");
     assert_eq!(refusal, PickRefusal::AllFull);
 }
@@ -111,22 +113,22 @@
     let registry = shared_registry();
     registry.lock().apply_limit(&announcement(Some(0.0), NOW));
     let mut restarted = facts("a", "here", 1);
-    restarted.born = Some(WallTime(2));
+    restarted.start_time = Some(WallTime(2));
     let mut started = restarted.clone();
-    started.born = Some(WallTime(3));
+    started.start_time = Some(WallTime(3));
     for facts in [restarted, started] {
         let backends = vec![facts.into()];
         registry.lock().set_fleet(&FleetView { backends });
     }
     assert_eq!(sent_to_a(&registry, NOW), 100);
     registry.lock().apply_limit(&LimitAnnouncement {
-        born: Some(WallTime(2)),
+        start_time: Some(WallTime(2)),
         ..announcement(Some(0.0), NOW)
     });
     assert_eq!(sent_to_a(&registry, NOW), 100);
 }
 
-/// Guards against entry hosts that never learn of a limit because they send nothing there, and
+/// Guards against entry hosts that never receive a limit because they send nothing there, and
 /// against announcements that are forwarded endlessly.
 #[test]
 fn a_limit_is_announced_once_and_its_end_repeatedly_for_a_while() {
--- a/src/fleet/tests/thundering_herds.rs
+++ b/src/fleet/tests/thundering_herds.rs
@@ -14,7 +14,7 @@
 
 fn entries() -> Vec<EntryHostId> {
     ["e1", "e2", "e3"]
-        .map(|host| entry_place(host, "here"))
+        .map(|host| entry_host_id(host, "here"))
         .into()
 }
 
@@ -27,7 +27,7 @@
 
 /// The registry of the entry host `host`, one of [`entries`].
 fn registry_of_entry(host: &str, engines: &[&str]) -> SharedRegistry {
-    let mut registry = BackendRegistry::new(entry_place(host, "here"));
+    let mut registry = BackendRegistry::new(entry_host_id(host, "here"));
     registry.set_fleet(&FleetView {
         backends: engines.iter().map(|id| Arc::new(engine(id))).collect(),
     });
@@ -36,19 +36,19 @@
 }
 
 fn work_need(prompt_tokens: u32) -> PickRequirements<'static> {
-    let mut need = need(None);
-    need.work = Some(EngineWork {
+    let mut requirements = requirements(None);
+    requirements.work = Some(EngineWork {
         speed: SPEED,
         prompt_tokens,
     });
-    need
+    requirements
 }
 
 fn report(id: &str, active: u32, pace: f64) -> LoadReport {
     let facts = engine(id);
     LoadReport {
         address: facts.address,
-        born: None,
+        start_time: None,
         active,
         queued: 0,
         is_loading: false,
@@ -138,8 +138,8 @@
     for figure in [0.0, -1.0, 1e300, f64::NAN, f64::INFINITY] {
         let registry = registry_of_entry("e1", &["m1", "m2"]);
         registry.lock().note_report(report("m1", 20, figure), NOW);
-        let mut need = work_need(u32::MAX);
-        need.work = Some(EngineWork {
+        let mut requirements = work_need(u32::MAX);
+        requirements.work = Some(EngineWork {
             speed: EngineSpeed {
                 step_s: figure,
                 request_step_s: figure,
@@ -150,7 +150,7 @@
             prompt_tokens: u32::MAX,
         });
         let tickets: Vec<BackendTicket> = (0..3)
-            .map(|_| registry.pick(&need, NOW).expect("slots are free"))
+            .map(|_| registry.pick(&requirements, NOW).expect("slots are free"))
             .collect();
         drop(tickets);
     }
@@ -167,12 +167,12 @@
     let far: Vec<String> = (b'A'..=b'X')
         .map(|letter| format!("f{}", char::from(letter)))
         .collect();
-    let places: Vec<EntryHostId> = (0..ENTRIES)
-        .map(|number| entry_place(&format!("e{number:02}"), "here"))
+    let entry_host_ids: Vec<EntryHostId> = (0..ENTRIES)
+        .map(|number| entry_host_id(&format!("e{number:02}"), "here"))
         .collect();
     let mut tickets = Vec::new();
-    for place in &places {
-        let mut registry = BackendRegistry::new(place.clone());
+    for entry_host_id in &entry_host_ids {
+        let mut registry = BackendRegistry::new(entry_host_id.clone());
         let near_facts = near.iter().map(|id| engine(id));
         let far_facts = far.iter().map(|id| BackendFacts {
             data_centre: "there".into(),
@@ -183,7 +183,7 @@
         registry.set_fleet(&FleetView {
             backends: backends.into_iter().map(Arc::new).collect(),
         });
-        registry.assign_shares(&places);
+        registry.assign_shares(&entry_host_ids);
         for id in near {
             registry.note_report(report(id, SLOTS, 1.0), NOW);
         }
--- a/src/fleet/tests/uneven_entries.rs
+++ b/src/fleet/tests/uneven_entries.rs
@@ -13,10 +13,10 @@
 const ENGINES: usize = 47;
 const SLOTS: u32 = 8;
 const STEP: Duration = Duration::from_millis(5);
-const LENGTH: Duration = Duration::from_secs(14);
+const RUN_SPAN: Duration = Duration::from_secs(14);
 /// Time until the queues have reached their usual length.
-const SETTLED: Duration = Duration::from_secs(4);
-const REPORT_PAUSE: Duration = Duration::from_millis(200);
+const SETTLE_SPAN: Duration = Duration::from_secs(4);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Age of a report when entry hosts receive it: the engine's own delay, and the way over a relay.
 const REPORT_AGE: Duration = Duration::from_millis(300);
 /// Prompt tokens that an engine reads per millisecond, and the time it takes to generate a token.
@@ -25,7 +25,7 @@
 /// Offered load as a fraction of the engines' capacity.
 const UTILISATION: f64 = 0.8;
 /// Time limit for the first event of a stream.
-const AIM: Duration = Duration::from_millis(500);
+const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(500);
 
 const SPEED: EngineSpeed = EngineSpeed {
     step_s: 0.0101,
@@ -84,18 +84,18 @@
 
 impl EntrySimulation {
     fn new(seed: u64) -> Self {
-        let places: Vec<EntryHostId> = (0..ENTRIES)
-            .map(|number| entry_place(&format!("e{number:02}"), "here"))
+        let entry_host_ids: Vec<EntryHostId> = (0..ENTRIES)
+            .map(|number| entry_host_id(&format!("e{number:02}"), "here"))
             .collect();
         let fleet = FleetView {
             backends: (0..ENGINES)
                 .map(|number| Arc::new(engine_facts(number)))
                 .collect(),
         };
-        let registries = places.iter().map(|place| {
-            let mut registry = BackendRegistry::new(place.clone());
+        let registries = entry_host_ids.iter().map(|entry_host_id| {
+            let mut registry = BackendRegistry::new(entry_host_id.clone());
             registry.set_fleet(&fleet);
-            registry.assign_shares(&places);
+            registry.assign_shares(&entry_host_ids);
             registry
         });
         Self {
@@ -120,7 +120,7 @@
         let rate = per_engine * 47.0 * UTILISATION;
         let mut due = 0.0;
         let mut now = NOW;
-        while now.since(NOW) < LENGTH {
+        while now.since(NOW) < RUN_SPAN {
             now = now + STEP;
             self.report(now);
             due += rate * STEP.as_secs_f64() * 1e3;
@@ -138,7 +138,7 @@
             let phase = STEP * u32::try_from(number % 40).expect("small");
             if (now.since(NOW) + phase)
                 .as_millis()
-                .is_multiple_of(REPORT_PAUSE.as_millis())
+                .is_multiple_of(REPORT_INTERVAL.as_millis())
             {
                 engine.reports.push_back((now + REPORT_AGE, engine.load()));
             }
@@ -148,7 +148,7 @@
                 for registry in &mut self.registries {
                     let report = LoadReport {
                         address: facts.address,
-                        born: None,
+                        start_time: None,
                         active: load,
                         queued: 0,
                         is_loading: false,
@@ -163,14 +163,14 @@
 
     fn send(&mut self, entry: usize, now: ClockTime) {
         let prompt = self.rng.random_range(0.2..1.8) * SPEED.typical_prompt_tokens;
-        let mut need = need(None);
-        need.queue_room = 2;
-        need.work = Some(EngineWork {
+        let mut requirements = requirements(None);
+        requirements.queue_room = 2;
+        requirements.work = Some(EngineWork {
             speed: SPEED,
             prompt_tokens: 930,
         });
         let jitter = self.rng.random();
-        match self.registries[entry].pick(&need, now, jitter) {
+        match self.registries[entry].pick(&requirements, now, jitter) {
             Err(_) => self.refused += 1,
             Ok(picked) => {
                 let number: usize = picked.facts.id[1..].parse().expect("a number");
@@ -205,16 +205,16 @@
                 if let Some(record) = self.registries[run.entry].get_mut(run.key) {
                     record.note_read(930);
                 }
-                if run.sent.since(NOW) > SETTLED {
+                if run.sent.since(NOW) > SETTLE_SPAN {
                     self.started += 1;
-                    self.late += u32::from(now.since(run.sent) > AIM);
+                    self.late += u32::from(now.since(run.sent) > FIRST_EVENT_LIMIT);
                 }
                 let until = now + Duration::from_secs_f64(run.write_ms / 1e3);
                 engine.writing.push((until, run));
             }
-            let has_place = engine.writing.len() < usize::try_from(SLOTS).expect("small");
+            let has_free_slot = engine.writing.len() < usize::try_from(SLOTS).expect("small");
             if engine.reads_until.is_none()
-                && has_place
+                && has_free_slot
                 && let Some(run) = engine.waiting.front()
             {
                 engine.reads_until = Some(now + Duration::from_secs_f64(run.read_ms / 1e3));
--- a/src/gateway/forward_state.rs
+++ b/src/gateway/forward_state.rs
@@ -17,8 +17,8 @@
 /// How often a send that never left this host may be repeated elsewhere. Such sends do not use the
 /// retry budget.
 const UNSENT_MAX: u32 = 3;
-/// How long before its own timeout a client is told that there will be no response. The way to the
-/// client takes 1 to 3 ms, and this process may be busy.
+/// How long before its own timeout a client is notified that there will be no response. The way to
+/// the client takes 1 to 3 ms, and this process may be busy.
 const CLIENT_NOTICE_MARGIN: Duration = Duration::from_millis(100);
 
 /// State of one request while it is forwarded.
@@ -31,7 +31,7 @@
     /// Whether the request may have run in any of its sends.
     may_have_run: bool,
     last_failure: Option<SendFailure>,
-    /// When the client is told that there will be no response, unless something has arrived by
+    /// When the client is notified that there will be no response, unless something has arrived by
     /// then.
     response_due: ClockTime,
     /// Whether a backend server has started a stream.
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn new(gateway: Arc<GatewayState>, job: RequestJob) -> Self {
-        gateway.earn_retry(&job.routed.service, job.arrived);
+        gateway.credit_retry(&job.routed.service, job.arrived);
         let response_due = client_notice_at(&job, job.arrived);
         Self {
             gateway,
@@ -121,7 +121,7 @@
     /// Returns why the request may not be sent again after a send that may have run. Ignores the
     /// retry budget.
     fn retry_denial(&self, now: ClockTime) -> Option<RetryDenial> {
-        if !self.job.repeat().is_repeatable() {
+        if !self.job.retry_policy().is_repeatable() {
             Some(RetryDenial::Route)
         } else if self.client_wait_left(now).is_zero() {
             Some(RetryDenial::Time)
@@ -140,7 +140,7 @@
     pub(super) fn claim_resend(&self, now: ClockTime) -> Result<(), RetryDenial> {
         match self.retry_denial(now) {
             Some(denial) => Err(denial),
-            None if self.gateway.spend_retry(&self.job.routed.service, now) => Ok(()),
+            None if self.gateway.try_spend_retry(&self.job.routed.service, now) => Ok(()),
             None => Err(RetryDenial::Budget),
         }
     }
@@ -209,7 +209,7 @@
         } else {
             self.has_attempts_left(now)
         };
-        is_allowed && self.gateway.spend_retry(&self.job.routed.service, now)
+        is_allowed && self.gateway.try_spend_retry(&self.job.routed.service, now)
     }
 
     /// Returns the error for a quarantined request, or `None` if the request is not quarantined.
@@ -257,15 +257,15 @@
     }
 }
 
-/// Returns when to tell a client that there will be no further event, if it got the last one at
+/// Returns when to notify a client that there will be no further event, if it got the last one at
 /// `since`. For a request without a stream this is its deadline.
 ///
 /// Clients close their connection if a stream brings no event for too long. Backend servers would
 /// then still work on the request for no client, and the client would get no explanation. A symptom
-/// is clients that leave after the same time while hosts are paused. They are told slightly
+/// is clients that leave after the same time while hosts are paused. They are notified slightly
 /// earlier, and can retry.
 fn client_notice_at(job: &RequestJob, since: ClockTime) -> ClockTime {
-    if job.repeat().is_stream() {
+    if job.retry_policy().is_stream() {
         job.client_timeout_at(since) - CLIENT_NOTICE_MARGIN
     } else {
         job.deadline
--- a/src/gateway/report_relay.rs
+++ b/src/gateway/report_relay.rs
@@ -17,7 +17,7 @@
 use crate::load_reports::{
     DigestQueue, DigestReach, LEASE_RENEWAL, LimitDigest, LoadDigest, ReportDatagram, ReportLease,
 };
-use crate::sync::{ControlSnapshot, ControlState, EntryRecord, SharedControlState};
+use crate::sync::{DeploymentSnapshot, DeploymentState, EntryRecord, SharedDeploymentState};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{decode_message, encode_datagram};
 
@@ -29,8 +29,8 @@
 /// Receives and forwards load reports and rate limits over UDP.
 pub(super) struct ReportRelay {
     gateway: Arc<GatewayState>,
-    control_state: SharedControlState,
-    me: EntryRecord,
+    deployment_state: SharedDeploymentState,
+    own_entry: EntryRecord,
     /// Port at which the hosts of backend servers receive leases.
     host_port: u16,
     socket: UdpSocket,
@@ -39,28 +39,28 @@
 }
 
 impl ReportRelay {
-    /// Binds a relay to the report address of `me`.
+    /// Binds a relay to the report address of `own_entry`.
     ///
     /// # Errors
     ///
     /// `SettingInvalid` if the address cannot be bound.
     pub(super) async fn bind(
         gateway: Arc<GatewayState>,
-        control_state: SharedControlState,
-        me: EntryRecord,
+        deployment_state: SharedDeploymentState,
+        own_entry: EntryRecord,
     ) -> SwitchResult<Self> {
-        let socket = UdpSocket::bind(me.reports).await.map_err(|fault| {
+        let socket = UdpSocket::bind(own_entry.reports).await.map_err(|fault| {
             let detail = format!(
                 "cannot bind the load report address {}: {fault}; free the port",
-                me.reports
+                own_entry.reports
             );
             SwitchError::new(ErrorKind::SettingInvalid, detail)
         })?;
         Ok(Self {
             gateway,
-            control_state,
-            host_port: me.reports.port(),
-            me,
+            deployment_state,
+            host_port: own_entry.reports.port(),
+            own_entry,
             socket,
             queue: DigestQueue::default(),
             is_relay: false,
@@ -128,7 +128,7 @@
                 limits: limits.to_vec(),
             };
             let snapshot = self.gateway.newest_snapshot();
-            let receivers = one_per_data_centre(&snapshot.entries, &self.me.data_centre);
+            let receivers = one_per_data_centre(&snapshot.entries, &self.own_entry.data_centre);
             self.send_to_all(&ReportDatagram::Limits(digest), &receivers)
                 .await;
         }
@@ -144,7 +144,7 @@
     /// read the store are the relays: both use the same order of entry hosts, and the same
     /// neighbours replace a failed one.
     async fn renew_leases(&mut self) {
-        let is_relay = self.control_state.read(ControlState::reads_store);
+        let is_relay = self.deployment_state.read(DeploymentState::reads_store);
         if std::mem::replace(&mut self.is_relay, is_relay) != is_relay {
             log_event!(events::RELAY_CHANGED, "relays={is_relay}");
             self.queue = DigestQueue::default();
@@ -153,10 +153,10 @@
             return;
         }
         let lease = ReportLease {
-            relay: self.me.reports,
+            relay: self.own_entry.reports,
         };
         let snapshot = self.gateway.newest_snapshot();
-        let hosts = engine_hosts(&snapshot, &self.me.data_centre, self.host_port);
+        let hosts = engine_hosts(&snapshot, &self.own_entry.data_centre, self.host_port);
         self.send_to_all(&lease, &hosts).await;
     }
 
@@ -173,7 +173,8 @@
     async fn send_locally(&self, datagram: &ReportDatagram) {
         let snapshot = self.gateway.newest_snapshot();
         let others = snapshot.entries.iter().filter(|entry| {
-            entry.data_centre == self.me.data_centre && entry.reports != self.me.reports
+            entry.data_centre == self.own_entry.data_centre
+                && entry.reports != self.own_entry.reports
         });
         let others: Vec<SocketAddr> = others.map(|entry| entry.reports).collect();
         self.send_to_all(datagram, &others).await;
@@ -183,7 +184,7 @@
     /// any of them may have failed.
     async fn send_remotely(&self, digest: LoadDigest) {
         let snapshot = self.gateway.newest_snapshot();
-        let receivers = one_per_data_centre(&snapshot.entries, &self.me.data_centre);
+        let receivers = one_per_data_centre(&snapshot.entries, &self.own_entry.data_centre);
         self.send_to_all(&ReportDatagram::Digest(digest), &receivers)
             .await;
     }
@@ -204,7 +205,7 @@
 }
 
 /// Returns the lease addresses of the hosts that run engines in `data_centre`.
-fn engine_hosts(snapshot: &ControlSnapshot, data_centre: &str, port: u16) -> Vec<SocketAddr> {
+fn engine_hosts(snapshot: &DeploymentSnapshot, data_centre: &str, port: u16) -> Vec<SocketAddr> {
     let has_engine = |service: &ByteString| {
         let catalog = snapshot.catalog.as_ref();
         let found = catalog.and_then(|catalog| catalog.service(service));
--- a/src/gateway/request_job.rs
+++ b/src/gateway/request_job.rs
@@ -14,20 +14,20 @@
 use crate::platform::{PRIORITY_MAX, RequestHead};
 use crate::quarantine::{RequestDigest, RequestParts};
 use crate::routing::name_hash;
-use crate::sync::ControlSnapshot;
+use crate::sync::DeploymentSnapshot;
 use crate::time::ClockTime;
 
 /// How long clients wait for an event of a stream, including the first one: the maximum of
-/// `CLIENT_WAIT_MIN`, `CLIENT_WAIT_TARGETS` times the route's latency target, and
-/// `CLIENT_WAIT_PAUSES` times its longest pause. The platform specifies these figures.
+/// `CLIENT_WAIT_MIN`, `CLIENT_WAIT_LATENCY_TARGETS` times the route's latency target, and
+/// `CLIENT_WAIT_GAP_TARGETS` times its gap target. The platform specifies these figures.
 const CLIENT_WAIT_MIN: Duration = Duration::from_secs(2);
-const CLIENT_WAIT_TARGETS: u32 = 4;
-const CLIENT_WAIT_PAUSES: u32 = 8;
+const CLIENT_WAIT_LATENCY_TARGETS: u32 = 4;
+const CLIENT_WAIT_GAP_TARGETS: u32 = 8;
 
 /// A repeatable request of a plain service is also sent to another backend server if it has no
 /// response after this many times its latency target. Late responses come from a few backend
 /// servers only.
-const HEAD_TIMEOUT_TARGETS: u32 = 2;
+const HEAD_TIMEOUT_LATENCY_TARGETS: u32 = 2;
 /// How long to wait for the first event of a stream before the request is also sent to another
 /// backend server.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -48,7 +48,7 @@
     pub(super) host: ByteString,
     pub(super) service: ByteString,
     pub(super) account: Option<ByteString>,
-    pub(super) rank: u8,
+    pub(super) priority: u8,
 }
 
 /// A request that may be sent to a backend server.
@@ -67,8 +67,8 @@
 
 impl RequestJob {
     /// Returns whether and how the request may be repeated.
-    pub(super) fn repeat(&self) -> RetryPolicy {
-        self.routed.rule.repeat
+    pub(super) fn retry_policy(&self) -> RetryPolicy {
+        self.routed.rule.retry_policy
     }
 
     /// Returns the digest that all attempts of the same request share.
@@ -91,20 +91,20 @@
     pub(super) fn client_timeout_at(&self, since: ClockTime) -> ClockTime {
         let rule = &self.routed.rule;
         let client_wait = CLIENT_WAIT_MIN
-            .max(rule.target * CLIENT_WAIT_TARGETS)
-            .max(rule.pause * CLIENT_WAIT_PAUSES);
+            .max(rule.latency_target * CLIENT_WAIT_LATENCY_TARGETS)
+            .max(rule.gap_target * CLIENT_WAIT_GAP_TARGETS);
         self.deadline.min(since + client_wait)
     }
 
     /// Returns how long to wait for a response head before the request is also sent to another
     /// backend server; `None` if the request may run only once.
     pub(super) fn head_timeout(&self) -> Option<Duration> {
-        if !self.repeat().is_repeatable() {
+        if !self.retry_policy().is_repeatable() {
             None
-        } else if self.repeat().is_stream() {
+        } else if self.retry_policy().is_stream() {
             Some(FIRST_EVENT_TIMEOUT)
         } else {
-            Some(self.routed.rule.target * HEAD_TIMEOUT_TARGETS)
+            Some(self.routed.rule.latency_target * HEAD_TIMEOUT_LATENCY_TARGETS)
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Returns the priority for the queue of a model engine; lower values are more urgent.
-    /// `is_resumed` tells whether the client has received a part of the response.
+    /// `is_resumed` says whether the client has received a part of the response.
     pub(super) fn engine_priority(&self, is_resumed: bool) -> u8 {
         if is_resumed {
             PRIORITY_RESUMED
@@ -124,13 +124,13 @@
             PRIORITY_MAX
         } else {
             self.routed
-                .rank
+                .priority
                 .clamp(PRIORITY_RESUMED + 1, PRIORITY_MAX - 1)
         }
     }
 
     /// Returns the work that the request causes at a model engine; `None` for a plain service.
-    pub(super) fn engine_work(&self, snapshot: &ControlSnapshot) -> Option<EngineWork> {
+    pub(super) fn engine_work(&self, snapshot: &DeploymentSnapshot) -> Option<EngineWork> {
         let engine = self.engine_facts(snapshot)?;
         Some(EngineWork {
             speed: engine.speed,
@@ -138,15 +138,15 @@
         })
     }
 
-    fn engine_facts<'a>(&self, snapshot: &'a ControlSnapshot) -> Option<&'a EngineFacts> {
+    fn engine_facts<'a>(&self, snapshot: &'a DeploymentSnapshot) -> Option<&'a EngineFacts> {
         let catalog = snapshot.catalog.as_ref()?;
         catalog.service(&self.routed.service)?.engine.as_ref()
     }
 
     /// Returns the versions of weights that may answer the request at `now`.
-    pub(super) fn version_need(
+    pub(super) fn version_requirement(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         previous_version_span: Duration,
         now: ClockTime,
     ) -> VersionRequirement {
@@ -173,7 +173,7 @@
     /// connection closes.
     pub(super) fn cancel_at(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         version: Option<WeightsVersion>,
         cancel_after: Duration,
     ) -> Option<ClockTime> {
@@ -216,9 +216,9 @@
         host: host.into(),
         service,
         account: account.map(|account| account.name.clone()),
-        rank: account
-            .and_then(|account| account.rank)
-            .unwrap_or(rule.rank),
+        priority: account
+            .and_then(|account| account.priority)
+            .unwrap_or(rule.priority),
     })
 }
 
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -21,10 +21,10 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::stall_tolerant_timeout;
 
-/// How long a stream may pause before another backend server is asked to resume it. Clients give up
+/// How long a stream may pause before another backend server is to resume it. Clients give up
 /// after 2.4 s. An engine that reads a long prompt of another request pauses for 0.1 s; one whose
 /// partner has died stalls for 1.5 s.
-const SILENCE_MAX: Duration = Duration::from_millis(900);
+const STREAM_PAUSE_MAX: Duration = Duration::from_millis(900);
 
 /// Result of waiting for the next events.
 enum RelayStep {
@@ -108,9 +108,9 @@
         loop {
             let left = self.time_left(clock_now());
             let waiting = next_step(&mut self.sources, self.last_event);
-            let received = match stall_tolerant_timeout(SILENCE_MAX.min(left), waiting).await {
+            let received = match stall_tolerant_timeout(STREAM_PAUSE_MAX.min(left), waiting).await {
                 Ok(received) => Some(received),
-                Err(_) if left <= SILENCE_MAX => return self.end_at_deadline(),
+                Err(_) if left <= STREAM_PAUSE_MAX => return self.end_at_deadline(),
                 Err(_) => match self.find_successor().await {
                     Ok(received) => received,
                     Err(reason) => return RelayStep::Interrupted(reason),
@@ -213,12 +213,12 @@
         since: ClockTime,
     ) -> Result<(), String> {
         match found {
-            Ok(response) if response.facts.status.is_success() => {
+            Ok(response) if response.head.status.is_success() => {
                 self.sources.push(StreamSource::new(response, Some(since)));
                 Ok(())
             }
             Ok(response) => {
-                let status = response.facts.status;
+                let status = response.head.status;
                 response.ticket.end(CallOutcome::Answered, clock_now());
                 Err(format!("answered {status}"))
             }
@@ -260,9 +260,9 @@
         let source = self.sources.swap_remove(at);
         for other in std::mem::replace(&mut self.sources, vec![source]) {
             if !other.is_standby() {
-                let silence = format!("silent for {SILENCE_MAX:?}");
+                let reason = format!("silent for {STREAM_PAUSE_MAX:?}");
                 let backend = &other.response.ticket.facts.id;
-                log_stream_cut(&self.job, backend, self.last_event, &silence);
+                log_stream_cut(&self.job, backend, self.last_event, &reason);
             }
             other.end(CallOutcome::Inconclusive);
         }
@@ -285,11 +285,11 @@
         let Some(StreamSource { response, .. }) = self.sources.pop() else {
             return;
         };
-        if response.facts.is_framed {
+        if response.head.is_framed {
             self.gateway.note_answered(&self.job, clock_now());
         }
         let backend = &response.ticket.facts.id;
-        let answered = (response.facts.status, response.facts.version);
+        let answered = (response.head.status, response.head.version);
         log_stream_end(&self.job, backend, answered, self.timing, clock_now());
         return_connection(&self.state, response);
     }
@@ -311,16 +311,16 @@
     let OpenResponse {
         ticket,
         connection,
-        facts,
+        head,
         ..
     } = response;
     let key = ticket.key;
     ticket.end(CallOutcome::Answered, now);
     state.gateway.freed.notify_waiters();
-    if !facts.closes {
+    if !head.closes {
         let gateway: &Arc<_> = &state.gateway;
         gateway
             .pool
-            .put(key, connection, facts.keep_alive_timeout, now);
+            .put(key, connection, head.keep_alive_timeout, now);
     }
 }
--- a/src/gateway/tests/cancelled_requests.rs
+++ b/src/gateway/tests/cancelled_requests.rs
@@ -17,7 +17,7 @@
     PickRequirements, TargetTimeCertainty, TargetWeights, VersionRequirement, WeightsVersion,
 };
 use crate::gateway::send_attempt::{HeadWait, SendFailure, send_attempt};
-use crate::sync::{ControlSnapshot, SharedSnapshot};
+use crate::sync::{DeploymentSnapshot, SharedSnapshot};
 use crate::time::{ClockTime, clock_now};
 
 /// Sends a request on the route `kind` that is cancelled at `until`.
@@ -27,7 +27,7 @@
     until: ClockTime,
 ) -> Option<SendFailure> {
     let now = clock_now();
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         service: "desk",
         version: VersionRequirement::None,
         tried: &[],
@@ -35,7 +35,7 @@
         is_returned: false,
         work: None,
     };
-    let ticket = entry.gateway.desk.pick(&need, now);
+    let ticket = entry.gateway.registry.pick(&requirements, now);
     let wait = HeadWait {
         until,
         timeout_end: CallOutcome::Inconclusive,
@@ -86,7 +86,7 @@
         version: WeightsVersion(1),
     };
     let facts = BackendFacts {
-        born: None,
+        start_time: None,
         sequence: None,
         id: "i-0".into(),
         service: "desk".into(),
@@ -99,11 +99,11 @@
             layers: vec![layers],
         },
     };
-    let known = ControlSnapshot {
+    let known = DeploymentSnapshot {
         fleet: Arc::new(FleetView {
             backends: vec![Arc::new(facts)],
         }),
-        ..ControlSnapshot::default()
+        ..DeploymentSnapshot::default()
     };
     let snapshot = SharedSnapshot::default();
     snapshot.store(known.clone());
@@ -116,7 +116,7 @@
         minimum_to_queue: None,
     };
     let now = clock_now();
-    let need = PickRequirements {
+    let requirements = PickRequirements {
         service: "desk",
         version: model.clone(),
         tried: &[],
@@ -124,7 +124,10 @@
         is_returned: false,
         work: None,
     };
-    let ticket = gateway.desk.pick(&need, now).expect("a slot is free");
+    let ticket = gateway
+        .registry
+        .pick(&requirements, now)
+        .expect("a slot is free");
     let wait = HeadWait {
         until: now + Duration::from_secs(5),
         timeout_end: CallOutcome::Failed,
@@ -140,7 +143,7 @@
         target_set_at: now - BOUNDS.weights_deadline,
         certainty: TargetTimeCertainty::Witnessed,
     };
-    snapshot.store(ControlSnapshot {
+    snapshot.store(DeploymentSnapshot {
         targets: Arc::new(vec![second]),
         ..known
     });
--- a/src/replication/digest_sources.rs
+++ b/src/replication/digest_sources.rs
@@ -1,10 +1,10 @@
 //! Chooses the hosts to query for the digests of a version, and how long to do so before reading
 //! the origin.
 //!
-//! Load pattern: hundreds of hosts learn of a version at the same time and need its digests before
-//! they can fetch a chunk. Two of all hosts read the origin, two of each data centre query these,
-//! and the others query any higher-ranked host of their data centre, so that none answers more than
-//! a few dozen.
+//! Load pattern: hundreds of hosts are notified of a version at the same time and need its digests
+//! before they can fetch a chunk. Two of all hosts read the origin, two of each data centre query
+//! these, and the others query any higher-ranked host of their data centre, so that none answers
+//! more than a few dozen.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::weights::{HostLocation, PeerHost};
 
 /// Hosts that read the origin, and hosts of each data centre that query those; one may be down.
-const LEADERS: usize = 2;
+const ORIGIN_READERS: usize = 2;
 /// Time to query other hosts, for each higher-ranked host of the data centre and once more.
 const RANK_SPAN: Duration = Duration::from_millis(500);
 /// Longest time to query other hosts.
@@ -30,29 +30,30 @@
 }
 
 impl DigestSources {
-    /// Determines the sources of `me` among `hosts` for `target`.
-    pub(super) fn new(hosts: &[PeerHost], me: &HostLocation, target: &ModelVersion) -> Self {
+    /// Determines the sources of `local` among `hosts` for `target`.
+    pub(super) fn new(hosts: &[PeerHost], local: &HostLocation, target: &ModelVersion) -> Self {
         let weight = |host: &str| {
             let name = format!("{host}/{}/{}", target.model, target.version.0);
             name_hash(&name)
         };
-        let own_weight = weight(&me.host);
-        let others = hosts.iter().filter(|host| host.location.host != me.host);
+        let own_weight = weight(&local.host);
+        let others = hosts.iter().filter(|host| host.location.host != local.host);
         let mut higher_ranked: Vec<(u64, &PeerHost)> = others
             .map(|host| (weight(&host.location.host), host))
             .filter(|(other, _)| *other > own_weight)
             .collect();
         higher_ranked.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-        let is_near = |(_, host): &&(u64, &PeerHost)| host.location.data_centre == me.data_centre;
+        let is_near =
+            |(_, host): &&(u64, &PeerHost)| host.location.data_centre == local.data_centre;
         let near: Vec<SocketAddr> = higher_ranked
             .iter()
             .filter(is_near)
             .map(|(_, host)| host.address)
             .collect();
-        let sources = if higher_ranked.len() < LEADERS {
+        let sources = if higher_ranked.len() < ORIGIN_READERS {
             Vec::new()
-        } else if near.len() < LEADERS {
-            higher_ranked[..LEADERS]
+        } else if near.len() < ORIGIN_READERS {
+            higher_ranked[..ORIGIN_READERS]
                 .iter()
                 .map(|(_, host)| host.address)
                 .collect()
@@ -74,7 +75,7 @@
     /// first hosts, which get the digests first.
     pub(super) fn choose(&self, fraction: f64) -> Option<SocketAddr> {
         let (fraction, count) = if fraction < 0.5 {
-            (fraction * 2.0, self.sources.len().min(LEADERS))
+            (fraction * 2.0, self.sources.len().min(ORIGIN_READERS))
         } else {
             (fraction * 2.0 - 1.0, self.sources.len())
         };
--- a/src/replication/engine_updater.rs
+++ b/src/replication/engine_updater.rs
@@ -13,13 +13,13 @@
 use super::events;
 use super::host_wait::{HostWait, WaitPublisher};
 use super::load_rank::LoadRank;
-use super::version_fetcher::{HostIdentity, plan_hosts};
+use super::version_fetcher::{BackendHostIdentity, plan_hosts};
 use crate::derives::key;
 use crate::errors::SwitchResult;
 use crate::events::log_event;
 use crate::fleet::{ModelVersion, TargetWeights, WeightsVersion};
 use crate::platform::{EngineClient, EngineReport, LoadOrder, OrderOutcome};
-use crate::sync::{ControlSnapshot, SharedControlState};
+use crate::sync::{DeploymentSnapshot, SharedDeploymentState};
 use crate::time::{ClockTime, clock_now};
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -38,7 +38,7 @@
 const DRAIN_WAIT_MAX: Duration = Duration::from_millis(1500);
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// How long after an order a report may still show an idle engine: two reports.
-const ORDER_VISIBLE_WITHIN: Duration = Duration::from_millis(400);
+const ORDER_VISIBLE_SPAN: Duration = Duration::from_millis(400);
 /// Pause after a load that did not succeed, doubled for each failure in a row. A load reads every
 /// chunk back, so that repeating a refused order at once would keep host and engine busy.
 const RETRY_FIRST_PAUSE: Duration = Duration::from_millis(100);
@@ -46,8 +46,8 @@
 
 /// Loads complete versions into the engine.
 pub(super) struct EngineUpdater {
-    pub(super) identity: HostIdentity,
-    pub(super) book: SharedControlState,
+    pub(super) identity: BackendHostIdentity,
+    pub(super) deployment_state: SharedDeploymentState,
     pub(super) engine: EngineClient,
     pub(super) store: ChunkStore,
     pub(super) monitor: Arc<EngineMonitor>,
@@ -128,7 +128,7 @@
             Some(LoadOutcome::Restarted)
         } else if served == Some(self.target.version) {
             Some(LoadOutcome::Served)
-        } else if !report.is_busy && state.queried_at > ordered_at + ORDER_VISIBLE_WITHIN {
+        } else if !report.is_busy && state.queried_at > ordered_at + ORDER_VISIBLE_SPAN {
             Some(LoadOutcome::Unserved)
         } else {
             None
@@ -147,7 +147,7 @@
     }
 
     async fn step(&self, pending: &mut Option<PendingVersion>) {
-        let snapshot = self.book.snapshot().load();
+        let snapshot = self.deployment_state.snapshot().load();
         let Some(found) = self.find_complete(&snapshot) else {
             self.waits.set_load(None);
             if let Some(expired) = self.find_expired(&snapshot, clock_now())
@@ -184,7 +184,7 @@
     }
 
     /// The newest complete version that is newer than the one that the engine serves.
-    fn find_complete(&self, snapshot: &ControlSnapshot) -> Option<CompleteVersion> {
+    fn find_complete(&self, snapshot: &DeploymentSnapshot) -> Option<CompleteVersion> {
         let (model, layers) = self.identity.model_of(snapshot)?;
         let state = self.monitor.state()?;
         let served = state.report.holdings.complete_version(&model, layers);
@@ -199,7 +199,7 @@
     /// When to load `version`. An engine that serves nothing loads at once.
     fn load_at(
         &self,
-        snapshot: &ControlSnapshot,
+        snapshot: &DeploymentSnapshot,
         version: &PendingVersion,
         served: Option<WeightsVersion>,
     ) -> ClockTime {
@@ -213,8 +213,8 @@
             (Some(_), Some(due)) => {
                 let others = plan_hosts(snapshot, &self.identity);
                 let rank = LoadRank::new(
-                    &self.identity.me.host,
-                    &self.identity.me.data_centre,
+                    &self.identity.local.host,
+                    &self.identity.local.data_centre,
                     &others,
                 );
                 rank.load_at(complete_at, due, self.weights_deadline)
@@ -278,7 +278,7 @@
 
     /// Whether all requests of this host's service can resume at another backend server.
     pub(super) fn may_abort(&self) -> bool {
-        let snapshot = self.book.snapshot().load();
+        let snapshot = self.deployment_state.snapshot().load();
         let catalog = snapshot.catalog.as_ref();
         catalog.is_some_and(|catalog| catalog.can_resume_elsewhere(&self.identity.service))
     }
--- a/src/replication/host_daemon.rs
+++ b/src/replication/host_daemon.rs
@@ -14,13 +14,13 @@
 use super::events;
 use super::host_wait::WaitPublisher;
 use super::load_reports::{ReportContext, report_load};
-use super::version_fetcher::{HostIdentity, VersionFetcher};
+use super::version_fetcher::{BackendHostIdentity, VersionFetcher};
 use super::view_poller::ViewPoller;
 use crate::daemon::DrainState;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::events::log_event;
 use crate::platform::{EngineClient, PlatformSettings, StoreClient};
-use crate::sync::SharedControlState;
+use crate::sync::SharedDeploymentState;
 use crate::transport::{ClientLimits, HttpServer, PeerClient, start_metrics};
 use crate::weights::{HostLocation, LinkPacer};
 
@@ -33,7 +33,7 @@
 const CHUNK_BYTES: f64 = 24_576.0;
 const STOP_LONGEST: Duration = Duration::from_millis(400);
 
-/// Runs until the process is told to stop.
+/// Runs until the process receives a stop signal.
 ///
 /// # Errors
 ///
@@ -53,7 +53,7 @@
     serve_peers(&settings, parts).await
 }
 
-/// Serves other hosts until the process is told to stop.
+/// Serves other hosts until the process receives a stop signal.
 async fn serve_peers(settings: &PlatformSettings, parts: HostParts) -> SwitchResult<()> {
     let peers = SocketAddr::new(settings.ip, settings.peer_port);
     let server = HttpServer::bind(peers, chunk_routes(parts.store, parts.pacer)).await?;
@@ -69,10 +69,10 @@
 
 /// State shared by the daemon's tasks.
 struct HostParts {
-    identity: HostIdentity,
+    identity: BackendHostIdentity,
     client: Arc<PeerClient>,
     engine: EngineClient,
-    book: SharedControlState,
+    deployment_state: SharedDeploymentState,
     store: ChunkStore,
     monitor: Arc<EngineMonitor>,
     waits: Arc<WaitPublisher>,
@@ -84,10 +84,10 @@
         let identity = host_identity(settings)?;
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
         let engine = EngineClient::new(identity.address, client.clone());
-        let store = ChunkStore::new(identity.me.host.clone(), engine.clone());
+        let store = ChunkStore::new(identity.local.host.clone(), engine.clone());
         Ok(Self {
             client,
-            book: SharedControlState::default(),
+            deployment_state: SharedDeploymentState::default(),
             monitor: Arc::new(EngineMonitor::new(engine.clone(), store.clone())),
             waits: Arc::new(WaitPublisher::new(identity.service.clone())),
             pacer: LinkPacer::new(weights_rate(settings.link_bytes_per_s)),
@@ -100,8 +100,8 @@
     fn reports(&self) -> ReportContext {
         ReportContext {
             address: self.identity.address,
-            data_centre: self.identity.me.data_centre.clone(),
-            book: self.book.clone(),
+            data_centre: self.identity.local.data_centre.clone(),
+            deployment_state: self.deployment_state.clone(),
             monitor: self.monitor.clone(),
         }
     }
@@ -110,7 +110,7 @@
         ViewPoller {
             client: self.client.clone(),
             store: StoreClient::new(settings.store_address, self.client.clone()),
-            book: self.book.clone(),
+            deployment_state: self.deployment_state.clone(),
             seeds: settings.seeds.clone(),
             data_centre: settings.data_centre.clone(),
             document_at: None,
@@ -120,7 +120,7 @@
     fn loads(&self, settings: &PlatformSettings) -> EngineUpdater {
         EngineUpdater {
             identity: self.identity.clone(),
-            book: self.book.clone(),
+            deployment_state: self.deployment_state.clone(),
             engine: self.engine.clone(),
             store: self.store.clone(),
             monitor: self.monitor.clone(),
@@ -135,7 +135,7 @@
             identity: self.identity.clone(),
             chunk_span: Duration::from_secs_f64(span),
             pacer: self.pacer.clone(),
-            book: self.book.clone(),
+            deployment_state: self.deployment_state.clone(),
             client: self.client.clone(),
             store: self.store.clone(),
             monitor: self.monitor.clone(),
@@ -144,18 +144,18 @@
     }
 }
 
-fn host_identity(settings: &PlatformSettings) -> SwitchResult<HostIdentity> {
+fn host_identity(settings: &PlatformSettings) -> SwitchResult<BackendHostIdentity> {
     let missing_setting = |field: &str| {
         let detail = format!("{field} is missing; a backend server's host needs it");
         SwitchError::new(ErrorKind::SettingInvalid, detail)
     };
     let service = settings.backend_service.clone();
-    Ok(HostIdentity {
+    Ok(BackendHostIdentity {
         address: settings
             .backend_address
             .ok_or_else(|| missing_setting("app"))?,
         service: service.ok_or_else(|| missing_setting("service"))?,
-        me: HostLocation {
+        local: HostLocation {
             host: settings.ip.to_string().into(),
             data_centre: settings.data_centre.clone(),
             region: "all".into(),
--- a/src/sync/backend_list.rs
+++ b/src/sync/backend_list.rs
@@ -32,28 +32,28 @@
 const REMOVED_REPORT_SPAN: Duration = Duration::from_secs(5);
 
 fn digest_of(facts: &BackendFacts) -> u64 {
-    let (id, born, address) = (&facts.id, facts.born, facts.address);
-    name_hash(&format!("{id} {born:?} {address} {:?}", facts.phase))
+    let (id, start_time, address) = (&facts.id, facts.start_time, facts.address);
+    name_hash(&format!("{id} {start_time:?} {address} {:?}", facts.phase))
 }
 
 /// Position of an entry among all entries of its backend server.
 #[derive(Clone, Copy, Debug)]
 struct EntrySequence {
-    started_at: Option<WallTime>,
+    start_time: Option<WallTime>,
     number: Option<u64>,
 }
 
 impl EntrySequence {
     const fn of(facts: &BackendFacts) -> Self {
         Self {
-            started_at: facts.born,
+            start_time: facts.start_time,
             number: facts.sequence,
         }
     }
 
     /// Compares the two; `None` if they cannot be ordered.
     fn order(self, known: Self) -> Option<Ordering> {
-        match (self.started_at, known.started_at) {
+        match (self.start_time, known.start_time) {
             (Some(own), Some(other)) if own != other => Some(own.cmp(&other)),
             (Some(_), None) | (None, Some(_)) => None,
             _ => Some(self.number?.cmp(&known.number?)),
--- a/src/sync/control_state.rs
+++ b/src/sync/deployment_state.rs
@@ -1,5 +1,6 @@
-//! The control state of one process. It merges what the store and the neighbours report, in any
-//! order of arrival, and never returns to an older state.
+//! The deployment state of one process: what it knows of the document, the target versions and the
+//! other processes. It merges what the store and the neighbours report, in any order of arrival,
+//! and never returns to an older state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use super::own_rows::{OwnRows, VersionRecord};
 use super::peer_messages::EntryRecord;
 use super::revision_times::RevisionTimes;
-use super::snapshot::ControlSnapshot;
+use super::snapshot::DeploymentSnapshot;
 use super::store_clock::StoreClock;
 use super::target_update_time::TargetUpdateTime;
 use super::target_versions::{TargetVersions, UpdateSource};
@@ -43,9 +44,9 @@
     pub(super) text: Bytes,
 }
 
-/// The control state.
+/// What a process knows of the deployment.
 #[derive(Debug, Default)]
-pub(crate) struct ControlState {
+pub(crate) struct DeploymentState {
     pub(super) document: Option<CurrentDocument>,
     pub(super) versions: TargetVersions,
     pub(super) clock: StoreClock,
@@ -74,7 +75,7 @@
     pub(super) crashes: Arc<CrashLedger>,
 }
 
-impl ControlState {
+impl DeploymentState {
     /// Whether the entry host can accept requests: there is a document, and the backend servers are
     /// known.
     pub(crate) const fn is_usable(&self) -> bool {
@@ -197,7 +198,7 @@
             let read = match kind {
                 OperatorRow::Document => self.take_document(value.clone(), source),
                 OperatorRow::TargetVersion => {
-                    let set_at = self.place(set_at, row.revision, source);
+                    let set_at = self.bound_update_time(set_at, row.revision, source);
                     read_target_version(&row.key, value)
                         .map(|target| self.versions.add_target(&target, set_at, source))
                 }
@@ -212,7 +213,7 @@
 
     /// Bounds `set_at`, the date derived from the operator's table alone, by the revisions seen in
     /// other answers. The version's row has `revision` and was reported by `source`.
-    fn place(
+    fn bound_update_time(
         &self,
         set_at: TargetUpdateTime,
         revision: u64,
@@ -378,8 +379,8 @@
     }
 
     /// The snapshot for request handling.
-    pub(super) fn snapshot(&self) -> ControlSnapshot {
-        ControlSnapshot {
+    pub(super) fn snapshot(&self) -> DeploymentSnapshot {
+        DeploymentSnapshot {
             catalog: self
                 .document
                 .as_ref()
--- a/src/sync/neighbour_queries.rs
+++ b/src/sync/neighbour_queries.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use super::control_state::ControlState;
+use super::deployment_state::DeploymentState;
 use super::events;
 use super::peer_messages::{EntryRecord, PeerView, VIEW_PATH};
 use super::store_clock::QuerySpan;
@@ -15,7 +15,7 @@
 use crate::time::{ClockTime, clock_now};
 use crate::transport::ResponseTimeouts;
 
-/// Interval between queries while the store answers (`QUERY_PAUSE`) and while it does not.
+/// Pause between queries while the store answers (`QUERY_PAUSE`) and while it does not.
 const QUERY_PAUSE: Duration = Duration::from_secs(1);
 const QUERY_PAUSE_CUT_OFF: Duration = Duration::from_millis(250);
 /// The store counts as unavailable after this time without an answer.
@@ -45,8 +45,8 @@
     /// valid here. Documents have versions, so a neighbour's document never replaces a newer one.
     pub(crate) async fn query_neighbours(self) {
         loop {
-            if let Some((address, place)) = self.choose_neighbour() {
-                self.query(address, place).await;
+            if let Some((address, location)) = self.choose_neighbour() {
+                self.query(address, location).await;
             }
             let now = clock_now();
             let pause = if self.is_cut_off(now) {
@@ -54,8 +54,8 @@
             } else {
                 QUERY_PAUSE
             };
-            let part = rand::rng().random_range(0.75..1.25);
-            sleep(pause.mul_f64(part)).await;
+            let jitter = rand::rng().random_range(0.75..1.25);
+            sleep(pause.mul_f64(jitter)).await;
         }
     }
 
@@ -89,21 +89,21 @@
             return None;
         }
         let at = rand::rng().random_range(0..others.len());
-        let place = if near.contains(&others[at]) {
+        let location = if near.contains(&others[at]) {
             NeighbourLocation::Near
         } else {
             NeighbourLocation::Elsewhere
         };
-        Some((others[at], place))
+        Some((others[at], location))
     }
 
-    /// Whether a document should be requested from a neighbour at `place`.
+    /// Whether a document should be requested from a neighbour at `location`.
     ///
     /// Entry hosts that read the operator's table transfer each document between regions once; the
     /// others get it from them. Another transfer is needed only if the store does not answer those
     /// readers.
-    fn wants_document(&self, place: NeighbourLocation, now: ClockTime) -> bool {
-        match place {
+    fn wants_document(&self, location: NeighbourLocation, now: ClockTime) -> bool {
+        match location {
             NeighbourLocation::Near => true,
             NeighbourLocation::Elsewhere => self.state.read(|state| {
                 let operator = state.operator();
@@ -117,16 +117,16 @@
     fn neighbours(&self, is_selected: impl Fn(&EntryRecord) -> bool) -> Vec<SocketAddr> {
         self.state.read(|state| {
             let entries = state.entries().iter();
-            let meant = entries
+            let selected = entries
                 .filter(|entry| entry.control != self.own_entry.control && is_selected(entry));
-            meant.map(|entry| entry.control).collect()
+            selected.map(|entry| entry.control).collect()
         })
     }
 
-    async fn query(&self, address: SocketAddr, place: NeighbourLocation) {
-        let mut query = self.state.read(ControlState::entry_query);
+    async fn query(&self, address: SocketAddr, location: NeighbourLocation) {
+        let mut query = self.state.read(DeploymentState::entry_query);
         let sent_at = clock_now();
-        query.can_wait_for_document = !self.wants_document(place, sent_at);
+        query.can_wait_for_document = !self.wants_document(location, sent_at);
         let called = self.client.call_with_timeouts::<_, PeerView>(
             address,
             VIEW_PATH,
--- a/src/sync/snapshot.rs
+++ b/src/sync/snapshot.rs
@@ -1,4 +1,5 @@
-//! The immutable snapshot of the control state that request handling uses; it is replaced as one.
+//! The immutable snapshot of the deployment state that request handling uses; each change replaces
+//! it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,9 +13,9 @@
 use crate::quarantine::CrashLedger;
 use crate::time::ClockTime;
 
-/// The control state at one moment.
+/// The deployment state at one moment.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ControlSnapshot {
+pub(crate) struct DeploymentSnapshot {
     /// The document in force; `None` before the first was read.
     pub(crate) catalog: Option<Arc<ServiceCatalog>>,
     /// The backend servers.
@@ -29,7 +30,7 @@
     pub(crate) clock: StoreClock,
 }
 
-impl ControlSnapshot {
+impl DeploymentSnapshot {
     /// The newest target version of `model`.
     pub(crate) fn newest_version(&self, model: &str) -> Option<&TargetWeights> {
         let mut newest_first = self.targets.iter().rev();
@@ -37,17 +38,18 @@
     }
 
     /// The oldest version of `model` on which requests may begin at `now`, if they may begin on an
-    /// older one for `grace` after a version was set as target. Each version has its own deadline:
-    /// one that is soon followed by a newer one must still have replaced its predecessors in time.
+    /// older one for `deadline_span` after a version was set as target. Each version has its own
+    /// deadline: one that is soon followed by a newer one must still have replaced its predecessors
+    /// in time.
     pub(crate) fn oldest_allowed_version(
         &self,
         model: &str,
-        grace: Duration,
+        deadline_span: Duration,
         now: ClockTime,
     ) -> Option<WeightsVersion> {
         let mut newest_first = self.targets.iter().rev();
         let is_due = |weights: &&TargetWeights| {
-            *weights.target.model == *model && !weights.allows_previous(grace, now)
+            *weights.target.model == *model && !weights.allows_previous(deadline_span, now)
         };
         newest_first
             .find(is_due)
@@ -55,34 +57,36 @@
     }
 
     /// Until when requests may begin on version `held` of `model`, if a newer version must have
-    /// replaced it `bound` after it was set as target; `None` if there is no newer one.
+    /// replaced it `deadline_span` after it was set as target; `None` if there is no newer one.
     pub(crate) fn usable_until(
         &self,
         model: &str,
         held: Option<WeightsVersion>,
-        bound: Duration,
+        deadline_span: Duration,
     ) -> Option<ClockTime> {
         let newer = self.targets.iter().filter(|weights| {
             *weights.target.model == *model && Some(weights.target.version) > held
         });
-        newer.map(|weights| weights.target_set_at + bound).min()
+        newer
+            .map(|weights| weights.target_set_at + deadline_span)
+            .min()
     }
 }
 
 /// The newest snapshot. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedSnapshot {
-    newest: Arc<ArcSwap<ControlSnapshot>>,
+    newest: Arc<ArcSwap<DeploymentSnapshot>>,
 }
 
 impl SharedSnapshot {
     /// Returns the newest snapshot.
-    pub(crate) fn load(&self) -> Arc<ControlSnapshot> {
+    pub(crate) fn load(&self) -> Arc<DeploymentSnapshot> {
         self.newest.load_full()
     }
 
     /// Replaces the snapshot.
-    pub(crate) fn store(&self, snapshot: ControlSnapshot) {
+    pub(crate) fn store(&self, snapshot: DeploymentSnapshot) {
         self.newest.store(Arc::new(snapshot));
     }
 }
--- a/src/sync/sync_thread.rs
+++ b/src/sync/sync_thread.rs
@@ -6,7 +6,7 @@
 use super::events;
 use super::peer_messages::EntryRecord;
 use super::peer_routes::peer_routes;
-use super::shared_control_state::SharedControlState;
+use super::shared_deployment_state::SharedDeploymentState;
 use super::store_watch::StoreWatch;
 use crate::daemon::DrainState;
 use crate::events::log_event;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SyncSettings {
     /// The record of this entry host.
-    pub(crate) me: EntryRecord,
+    pub(crate) own_entry: EntryRecord,
     /// Address of the store.
     pub(crate) store_address: SocketAddr,
     /// Addresses of some entry hosts; may be outdated.
@@ -25,8 +25,8 @@
 }
 
 /// Starts the control thread, which follows the store and answers other processes.
-pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedControlState {
-    let state = SharedControlState::default();
+pub(crate) fn start_sync(settings: SyncSettings, drain: DrainState) -> SharedDeploymentState {
+    let state = SharedDeploymentState::default();
     let shared = state.clone();
     let thread = std::thread::Builder::new().name("control".to_owned());
     let started = thread.spawn(move || {
@@ -44,13 +44,17 @@
     state
 }
 
-pub(super) async fn run_sync(settings: SyncSettings, state: SharedControlState, drain: DrainState) {
+pub(super) async fn run_sync(
+    settings: SyncSettings,
+    state: SharedDeploymentState,
+    drain: DrainState,
+) {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let watch = StoreWatch {
         store: StoreClient::new(settings.store_address, client.clone()),
         client,
         state: state.clone(),
-        own_entry: settings.me.clone(),
+        own_entry: settings.own_entry.clone(),
         seeds: settings.seeds,
     };
     tokio::spawn(watch.clone().follow_operator());
@@ -61,7 +65,7 @@
     tokio::spawn(watch.clone().follow_crashes());
     tokio::spawn(watch.clone().record_crashes());
     tokio::spawn(watch.query_neighbours());
-    match HttpServer::bind(settings.me.control, peer_routes(&state)).await {
+    match HttpServer::bind(settings.own_entry.control, peer_routes(&state)).await {
         Ok(server) => server.run(drain).await,
         Err(error) => {
             log_event!(events::THREAD_FAILED, "{error}");
--- a/src/sync/tests/crashes.rs
+++ b/src/sync/tests/crashes.rs
@@ -12,12 +12,12 @@
 use crate::platform::{FakeStore, TableName};
 use crate::quarantine::BackendIncarnation;
 use crate::sync::crash_rows::{crash_key, crash_value};
-use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
+use crate::sync::{DeploymentSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::{digest_of, unused_address};
 use crate::time::clock_now;
 
 /// Within this time every entry host knows what one of them saw.
-const KNOWN_WITHIN: Duration = Duration::from_secs(2);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 /// Within this time after an outage an entry host knows and has reported everything.
 const CONTACT_SPAN: Duration = Duration::from_secs(3);
 /// Time after which each entry host has a query to a neighbour open, which is held until there is a
@@ -60,7 +60,7 @@
 async fn start_entry_at(name: &str, data_centre: &'static str, store: SocketAddr) -> TestEntry {
     let control = unused_address().await;
     let process = EntryProcess::start_with(SyncSettings {
-        me: EntryRecord {
+        own_entry: EntryRecord {
             host: name.into(),
             data_centre: data_centre.into(),
             control,
@@ -82,14 +82,14 @@
         .change(|state| state.note_crash(backend, &[digest_of(body)], now));
 }
 
-fn has_quarantined(snapshot: &ControlSnapshot, body: &[u8]) -> bool {
+fn has_quarantined(snapshot: &DeploymentSnapshot, body: &[u8]) -> bool {
     let left = snapshot.crashes.quarantine(digest_of(body), clock_now());
     left.is_some()
 }
 
 async fn wait_for_quarantine(process: &EntryProcess, body: &[u8]) {
-    let learning = process.wait_for(|snapshot| has_quarantined(snapshot, body));
-    timeout(KNOWN_WITHIN, learning)
+    let quarantined = process.wait_for(|snapshot| has_quarantined(snapshot, body));
+    timeout(PROPAGATION_LIMIT, quarantined)
         .await
         .expect("the change arrives in time");
 }
@@ -166,8 +166,8 @@
     // Neighbours report it, whatever happens to its own connection.
     wait_for_quarantine(&far, b"near").await;
     proxy.set(ProxyFault::None);
-    let learning = near.wait_for(|snapshot| has_quarantined(snapshot, b"far"));
-    timeout(CONTACT_SPAN, learning)
+    let quarantined = near.wait_for(|snapshot| has_quarantined(snapshot, b"far"));
+    timeout(CONTACT_SPAN, quarantined)
         .await
         .expect("the change arrives in time");
 }
@@ -204,7 +204,7 @@
         .state
         .change(|state| state.clear_request(digest_of(b"body")));
     let cleared = second.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared)
+    timeout(PROPAGATION_LIMIT, cleared)
         .await
         .expect("the change arrives in time");
 }
@@ -225,7 +225,7 @@
         .state
         .change(|state| state.clear_request(digest_of(b"body")));
     let cleared = first.wait_for(|snapshot| !has_quarantined(snapshot, b"body"));
-    timeout(KNOWN_WITHIN, cleared)
+    timeout(PROPAGATION_LIMIT, cleared)
         .await
         .expect("the change arrives in time");
     for record in records {
@@ -252,7 +252,7 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(KNOWN_WITHIN, kept)
+    timeout(PROPAGATION_LIMIT, kept)
         .await
         .expect("the row is written in time");
     let text = store.text_of(TableName::Crashes, &key);
--- a/src/sync/tests/late_messages.rs
+++ b/src/sync/tests/late_messages.rs
@@ -17,7 +17,7 @@
 use crate::sync::peer_messages::TargetAnnouncement;
 use crate::sync::peer_routes::peer_routes;
 use crate::sync::target_update_time::TargetUpdateTime;
-use crate::sync::{ControlSnapshot, ControlState};
+use crate::sync::{DeploymentSnapshot, DeploymentState};
 use crate::time::{ClockTime, StoreTime, clock_now};
 use crate::transport::{HttpServer, bind_listener};
 
@@ -39,7 +39,7 @@
     clock_now()
 }
 
-pub(super) fn second(snapshot: &ControlSnapshot) -> Option<&TargetWeights> {
+pub(super) fn second(snapshot: &DeploymentSnapshot) -> Option<&TargetWeights> {
     let mut weights = snapshot.targets.iter();
     weights.find(|weights| weights.target.version == WeightsVersion(2))
 }
@@ -100,7 +100,7 @@
 /// that set a version took seconds. A version was set at 18.01 s: hosts near the store logged
 /// `[1102] … version=2 from=store/… certainty=Witnessed` within 5 ms and dated it 17.92 s. Those of
 /// two other regions logged it 2.7 to 3.2 s later, and all dated it 19.38 s until the deadline. No
-/// request was withdrawn in time, and 405 requests began on older weights after it.
+/// request was withdrawn in time, and 405 requests began on previous versions after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_store_answer_does_not_postdate_a_version() {
     let store = FakeStore::start().await;
@@ -137,7 +137,7 @@
 /// certainty=Witnessed age_ms=…` gave 18.40 s on host after host, and 17.92 s once a response came
 /// quickly. All hosts of the region dated the version 0.4 s late for up to eleven seconds and
 /// announced that to each other. Requests that wait at an engine are withdrawn a quarter of a
-/// second before the deadline, and two began on older weights 40 and 86 ms after it.
+/// second before the deadline, and two began on previous versions 40 and 86 ms after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_neighbours_update_time_does_not_depend_on_transit() {
     let store = FakeStore::start().await;
@@ -207,11 +207,11 @@
     // A wrong time does not move the result after the bounds that another process observed.
     let wrong = [announcement(witnessed(80_000, 95_000))];
     entry.change(|state| state.merge_targets(&wrong, now));
-    let known = entry.read(ControlState::query).targets;
+    let known = entry.read(DeploymentState::query).targets;
     assert_eq!(known[0].set_at, witnessed(70_000, 70_000));
     let first = [announcement(witnessed(50_000, 70_000))];
     let other = new_state();
     other.change(|state| state.merge_targets(&better, now));
     other.change(|state| state.merge_targets(&[announcement(witnessed(50_000, 90_000))], now));
-    assert_eq!(other.read(ControlState::query).targets, first);
+    assert_eq!(other.read(DeploymentState::query).targets, first);
 }
--- a/src/sync/tests/messages.rs
+++ b/src/sync/tests/messages.rs
@@ -11,7 +11,7 @@
     ResponseLoad, SharedRegistry, VersionRequirement,
 };
 use crate::overload::EntryHostId;
-use crate::sync::ControlState;
+use crate::sync::DeploymentState;
 use crate::sync::peer_messages::{PeerQuery, TargetAnnouncement};
 use crate::test_support::{corrupt_bytes, run_cases};
 use crate::time::WallTime;
@@ -28,7 +28,7 @@
     }
 }
 
-fn populated_state() -> SharedControlState {
+fn populated_state() -> SharedDeploymentState {
     let state = new_state();
     state.change(|state| {
         state.note_store(START);
@@ -41,7 +41,7 @@
 fn report() -> LoadReport {
     LoadReport {
         address: ([10, 0, 0, 1], 80).into(),
-        born: Some(WallTime(u64::MAX)),
+        start_time: Some(WallTime(u64::MAX)),
         active: u32::MAX,
         queued: u32::MAX,
         is_loading: false,
@@ -57,7 +57,7 @@
     }
 }
 
-fn need() -> PickRequirements<'static> {
+fn requirements() -> PickRequirements<'static> {
     PickRequirements {
         service: "s",
         version: VersionRequirement::None,
@@ -86,17 +86,19 @@
         waiting: u32::MAX,
     };
     let stated = registry();
-    let ticket = stated.pick(&need(), START).expect("both are free");
+    let ticket = stated.pick(&requirements(), START).expect("both are free");
     ticket.with_record(|record| {
         record.note_load(load, START);
         assert_eq!(record.load(START), u32::MAX);
     });
-    let other = stated.pick(&need(), START).expect("the other one is free");
+    let other = stated
+        .pick(&requirements(), START)
+        .expect("the other one is free");
     assert_ne!(ticket.facts.id, other.facts.id);
     let reported = registry();
     reported.lock().note_report(report(), START);
-    let first = reported.pick(&need(), START).expect("one is free");
-    let second = reported.pick(&need(), START).expect("one is free");
+    let first = reported.pick(&requirements(), START).expect("one is free");
+    let second = reported.pick(&requirements(), START).expect("one is free");
     assert_eq!(first.facts.id, second.facts.id);
 }
 
@@ -122,7 +124,7 @@
         "not before version 2, whose update time is known"
     );
     assert_eq!(
-        snapshot.oldest_allowed_version("m", GRACE, later),
+        snapshot.oldest_allowed_version("m", DEADLINE_SPAN, later),
         Some(WeightsVersion(3))
     );
     let query = PeerQuery {
@@ -143,7 +145,7 @@
 /// The encoded form of one message of each kind.
 fn messages() -> [Bytes; 4] {
     let state = populated_state();
-    let query = state.read(ControlState::query);
+    let query = state.read(DeploymentState::query);
     let answer = state.read(|state| state.answer(&PeerQuery::default(), Duration::ZERO, START));
     let announcement = ChunkAnnouncement {
         host: "h".into(),
@@ -176,13 +178,13 @@
     if let Ok(view) = decode_message::<PeerView>(bytes) {
         state.change(|state| state.merge(view, at_once(later)));
         assert!(version_of(&state) >= 7);
-        let _ = state.read(ControlState::query);
+        let _ = state.read(DeploymentState::query);
     }
     if let Ok(report) = decode_message::<LoadReport>(bytes) {
         let registry = registry();
         registry.lock().note_report(report, START);
         assert!(
-            registry.pick(&need(), START).is_ok(),
+            registry.pick(&requirements(), START).is_ok(),
             "the other one is free"
         );
     }
--- a/src/sync/tests/mod.rs
+++ b/src/sync/tests/mod.rs
@@ -27,21 +27,21 @@
 use crate::platform::{StoreRow, TableView};
 use crate::sync::store_clock::{ClockBounds, QuerySpan};
 use crate::sync::target_update_time::{FollowState, TargetUpdateTime};
-use crate::sync::{ControlState, PeerView, SharedControlState};
+use crate::sync::{DeploymentState, PeerView, SharedDeploymentState};
 use crate::time::{ClockTime, StoreTime};
 
 const START: ClockTime = ClockTime::from_millis(100_000);
-const GRACE: Duration = Duration::from_secs(8);
+const DEADLINE_SPAN: Duration = Duration::from_secs(8);
 
 /// A process whose clock equals the store's.
-fn new_state() -> SharedControlState {
-    let state = SharedControlState::default();
+fn new_state() -> SharedDeploymentState {
+    let state = SharedDeploymentState::default();
     set_clock(&state, START);
     state
 }
 
 /// Reports the store's clock to `state` at `now`.
-fn set_clock(state: &SharedControlState, now: ClockTime) {
+fn set_clock(state: &SharedDeploymentState, now: ClockTime) {
     let moment = store_time(now);
     let view = PeerView {
         clock: Some(ClockBounds {
@@ -101,17 +101,17 @@
     TableView {
         rows,
         revision,
-        told_at: store_time(START),
+        store_time: store_time(START),
     }
 }
 
-fn ids(state: &SharedControlState) -> Vec<String> {
+fn ids(state: &SharedDeploymentState) -> Vec<String> {
     let snapshot = state.snapshot().load();
     let backends = snapshot.fleet.backends.iter();
     backends.map(|facts| facts.id.to_string()).collect()
 }
 
-fn version_of(state: &SharedControlState) -> u64 {
+fn version_of(state: &SharedDeploymentState) -> u64 {
     let catalog = state.snapshot().load().catalog.clone();
     catalog.map_or(0, |catalog| catalog.version.0)
 }
@@ -121,7 +121,7 @@
 #[test]
 fn an_older_document_never_replaces_a_newer_one() {
     let state = new_state();
-    let take = |state: &SharedControlState, rows: &[StoreRow]| {
+    let take = |state: &SharedDeploymentState, rows: &[StoreRow]| {
         state.change(|state| state.change_operator_rows(rows, witnessed_at(START)));
     };
     take(&state, &[document(7)]);
@@ -129,7 +129,7 @@
     assert_eq!(version_of(&state), 7);
     let neighbour = new_state();
     take(&neighbour, &[document(6)]);
-    let query = state.read(ControlState::query);
+    let query = state.read(DeploymentState::query);
     let older = neighbour.read(|neighbour| neighbour.answer(&query, Duration::ZERO, START));
     assert!(older.document.is_none());
     take(&neighbour, &[document(9)]);
@@ -153,15 +153,15 @@
     let snapshot = state.snapshot().load();
     let least = |seconds: u64| {
         let now = START + Duration::from_secs(seconds);
-        snapshot.oldest_allowed_version("m", GRACE, now)
+        snapshot.oldest_allowed_version("m", DEADLINE_SPAN, now)
     };
     assert_eq!(least(7), None);
     assert_eq!(least(9), Some(WeightsVersion(2)));
     assert_eq!(least(12), Some(WeightsVersion(3)));
-    let until = |held: u64| snapshot.usable_until("m", Some(WeightsVersion(held)), GRACE);
+    let until = |held: u64| snapshot.usable_until("m", Some(WeightsVersion(held)), DEADLINE_SPAN);
     assert_eq!(
         until(1),
-        Some(START + GRACE),
+        Some(START + DEADLINE_SPAN),
         "version 2 replaces version 1"
     );
     assert_eq!(until(2), Some(START + Duration::from_secs(12)));
@@ -173,8 +173,8 @@
 }
 
 /// Guards against dating versions back by the length of an outage. Two versions were set during it;
-/// older weights counted as overdue although no process could have known of the new ones, and every
-/// request was refused for six seconds.
+/// previous versions counted as overdue although no process could have known of the new ones, and
+/// every request was refused for six seconds.
 #[test]
 fn a_version_found_after_an_outage_counts_as_new() {
     let target_set_at = |follow_state: FollowState| found_at(follow_state, START).earliest;
@@ -204,9 +204,9 @@
     let started = new_state();
     let assumed = found_at(FollowState::Started, back);
     started.change(|state| state.change_operator_rows(&[target_row(2)], assumed));
-    let exchange = |requester: &SharedControlState, responder: &SharedControlState| {
+    let exchange = |requester: &SharedDeploymentState, responder: &SharedDeploymentState| {
         set_clock(responder, back);
-        let query = requester.read(ControlState::query);
+        let query = requester.read(DeploymentState::query);
         let view = responder.read(|state| state.answer(&query, Duration::ZERO, back));
         requester.change(|state| state.merge(view, at_once(back)));
     };
@@ -227,7 +227,7 @@
 }
 
 /// Guards against counting the deadline from a process's start. An entry host had just started and
-/// found the version in the store; a request began on older weights after the deadline.
+/// found the version in the store; a request began on previous versions after the deadline.
 #[test]
 fn a_starting_process_takes_the_update_time_from_a_neighbour() {
     let witness = new_state();
@@ -241,7 +241,7 @@
             TargetTimeCertainty::Assumed,
         );
         state.change(|state| state.change_operator_rows(&[target_row(2)], target_set_at));
-        let query = state.read(ControlState::query);
+        let query = state.read(DeploymentState::query);
         let view = witness.read(|witness| witness.answer(&query, Duration::ZERO, started_at));
         state.change(|state| state.merge(view, at_once(started_at)));
         let snapshot = state.snapshot().load();
--- a/src/sync/tests/readers.rs
+++ b/src/sync/tests/readers.rs
@@ -11,14 +11,14 @@
 use crate::platform::samples::{backend_sample, document_sample};
 use crate::platform::{FakeStore, TableName};
 use crate::sync::read_order::rank_of;
-use crate::sync::{ControlSnapshot, EntryRecord, SyncSettings};
+use crate::sync::{DeploymentSnapshot, EntryRecord, SyncSettings};
 use crate::test_support::unused_address;
 
 const ENTRIES: usize = 6;
 /// Within this time a document is in force everywhere, whatever happens to the readers.
-const BOUND: Duration = Duration::from_secs(3);
+const DOCUMENT_TIME_LIMIT: Duration = Duration::from_secs(3);
 /// Entry hosts that started before their readers query them again after an exclusion of 2 s.
-const SETTLE: Duration = Duration::from_millis(2600);
+const SETTLE_SPAN: Duration = Duration::from_millis(2600);
 
 /// The entry hosts of a data centre, highest rank first, each with its own proxy to the store.
 struct TestDataCentre {
@@ -52,10 +52,10 @@
             version: 0,
         };
         data_centre.put_document();
-        for me in records {
+        for own_entry in records {
             let proxy = StoreProxy::start(data_centre.store.address).await;
             let settings = SyncSettings {
-                me,
+                own_entry,
                 store_address: proxy.address,
                 seeds: Vec::new(),
             };
@@ -64,8 +64,8 @@
                 .processes
                 .push(Some(EntryProcess::start_with(settings)));
         }
-        data_centre.wait_for_document(BOUND).await;
-        sleep(SETTLE).await;
+        data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
+        sleep(SETTLE_SPAN).await;
         data_centre
     }
 
@@ -75,36 +75,40 @@
         self.store.put(TableName::Operator, key, &text);
     }
 
-    /// Waits until all running processes have the newest document, within `bound`.
-    async fn wait_for_document(&self, bound: Duration) {
+    /// Waits until all running processes have the newest document, within `time_limit`.
+    async fn wait_for_document(&self, time_limit: Duration) {
         let version = CatalogVersion(self.version);
-        let is_current = |snapshot: &ControlSnapshot| {
+        let is_current = |snapshot: &DeploymentSnapshot| {
             let catalog = snapshot.catalog.as_ref();
             catalog.is_some_and(|catalog| catalog.version >= version)
         };
-        self.wait_for_all(is_current, bound).await;
+        self.wait_for_all(is_current, time_limit).await;
     }
 
-    /// Waits until all running processes know `count` backend servers, within `bound`.
-    async fn wait_for_backends(&self, count: usize, bound: Duration) {
-        let is_complete = |snapshot: &ControlSnapshot| snapshot.fleet.backends.len() == count;
-        self.wait_for_all(is_complete, bound).await;
+    /// Waits until all running processes know `count` backend servers, within `time_limit`.
+    async fn wait_for_backends(&self, count: usize, time_limit: Duration) {
+        let is_complete = |snapshot: &DeploymentSnapshot| snapshot.fleet.backends.len() == count;
+        self.wait_for_all(is_complete, time_limit).await;
     }
 
-    async fn wait_for_all(&self, is_ready: impl Fn(&ControlSnapshot) -> bool, bound: Duration) {
-        let until = Instant::now() + bound;
-        for (place, process) in self.processes.iter().enumerate() {
+    async fn wait_for_all(
+        &self,
+        is_ready: impl Fn(&DeploymentSnapshot) -> bool,
+        time_limit: Duration,
+    ) {
+        let until = Instant::now() + time_limit;
+        for (index, process) in self.processes.iter().enumerate() {
             let Some(process) = process else { continue };
             let waited = timeout_at(until, process.wait_for(&is_ready)).await;
             assert!(
                 waited.is_ok(),
-                "process {place} has not got it within {bound:?}"
+                "process {index} has not got it within {time_limit:?}"
             );
         }
     }
 
-    fn fault(&self, places: std::ops::Range<usize>, fault: ProxyFault) {
-        for proxy in &self.proxies[places] {
+    fn fault(&self, indices: std::ops::Range<usize>, fault: ProxyFault) {
+        for proxy in &self.proxies[indices] {
             proxy.set(fault);
         }
     }
@@ -147,7 +151,7 @@
     sleep(Duration::from_millis(950)).await;
     for _ in 0..5 {
         data_centre.put_document();
-        data_centre.wait_for_document(BOUND).await;
+        data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     }
     let reads = data_centre.store.rows_sent(TableName::Operator) - before;
     assert!(reads <= 15, "five documents were read {reads} times");
@@ -157,13 +161,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_document_arrives_when_readers_are_killed() {
     let mut data_centre = TestDataCentre::start().await;
-    for place in 0..2 {
-        if let Some(process) = data_centre.processes[place].take() {
+    for index in 0..2 {
+        if let Some(process) = data_centre.processes[index].take() {
             process.stop_abruptly();
         }
     }
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -171,15 +175,15 @@
 async fn a_document_arrives_when_readers_stall() {
     let mut data_centre = TestDataCentre::start().await;
     let mut stalled = Vec::new();
-    for place in 0..2 {
-        let process = data_centre.processes[place]
+    for index in 0..2 {
+        let process = data_centre.processes[index]
             .take()
             .expect("the process is running");
-        process.stall(BOUND * 2);
+        process.stall(DOCUMENT_TIME_LIMIT * 2);
         stalled.push(process);
     }
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
     for process in stalled {
         process.stop_abruptly();
@@ -193,7 +197,7 @@
         let mut data_centre = TestDataCentre::start().await;
         data_centre.fault(0..2, fault);
         data_centre.put_document();
-        data_centre.wait_for_document(BOUND).await;
+        data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
         data_centre.end();
     }
 }
@@ -203,7 +207,7 @@
     let mut data_centre = TestDataCentre::start().await;
     data_centre.fault(0..2, ProxyFault::Unresponsive);
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -212,7 +216,7 @@
     let mut data_centre = TestDataCentre::start().await;
     data_centre.fault(0..2, ProxyFault::Slow(Duration::from_millis(700)));
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -227,7 +231,9 @@
         data_centre
             .store
             .put(TableName::Backends, &id, &backend_sample());
-        data_centre.wait_for_backends(count, BOUND).await;
+        data_centre
+            .wait_for_backends(count, DOCUMENT_TIME_LIMIT)
+            .await;
     }
     let reads = data_centre.store.rows_sent(TableName::Backends) - before;
     assert!(reads <= 8, "four entries were read {reads} times");
@@ -243,19 +249,19 @@
         data_centre
             .store
             .put(TableName::Backends, "b", &backend_sample());
-        data_centre.wait_for_backends(1, BOUND).await;
+        data_centre.wait_for_backends(1, DOCUMENT_TIME_LIMIT).await;
         data_centre.end();
     }
     let mut data_centre = TestDataCentre::start().await;
-    for place in 0..2 {
-        if let Some(process) = data_centre.processes[place].take() {
+    for index in 0..2 {
+        if let Some(process) = data_centre.processes[index].take() {
             process.stop_abruptly();
         }
     }
     data_centre
         .store
         .put(TableName::Backends, "b", &backend_sample());
-    data_centre.wait_for_backends(1, BOUND).await;
+    data_centre.wait_for_backends(1, DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -265,11 +271,11 @@
 async fn a_document_written_in_an_outage_arrives_after_it() {
     let mut data_centre = TestDataCentre::start().await;
     data_centre.fault(0..ENTRIES, ProxyFault::Refused);
-    sleep(BOUND).await;
+    sleep(DOCUMENT_TIME_LIMIT).await;
     data_centre.put_document();
     sleep(Duration::from_millis(500)).await;
     data_centre.fault(0..ENTRIES, ProxyFault::None);
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
 
@@ -280,10 +286,10 @@
     data_centre.fault(0..2, ProxyFault::Unresponsive);
     data_centre.put_document();
     data_centre.store.forget_history();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.fault(0..2, ProxyFault::None);
     sleep(Duration::from_millis(100)).await;
     data_centre.put_document();
-    data_centre.wait_for_document(BOUND).await;
+    data_centre.wait_for_document(DOCUMENT_TIME_LIMIT).await;
     data_centre.end();
 }
--- a/src/weights/tests/wide_fleet.rs
+++ b/src/weights/tests/wide_fleet.rs
@@ -26,7 +26,7 @@
 const RESPONSE_DELAY: Duration = Duration::from_millis(10);
 /// A pull is refused if the sender's link is busy for longer than this.
 const BACKLOG_MAX: Duration = Duration::from_millis(120);
-/// The hosts learn of the version at different times within this span.
+/// The hosts are notified of the version at different times within this span.
 const START_SPREAD: Duration = Duration::from_millis(500);
 /// The last host may take this many times as long as the origin's link needs for one copy.
 const ORIGIN_TIME_FACTOR: f64 = 1.25;
@@ -299,8 +299,8 @@
 
 fn check_spread(data_centres: usize, hosts: usize, tick: Duration) {
     let mut fleet = Fleet::new(data_centres, hosts, tick);
-    let within = START_SPREAD + (ORIGIN_SPAN * CHUNKS).mul_f64(ORIGIN_TIME_FACTOR);
-    fleet.run(within * 2);
+    let expected_span = START_SPREAD + (ORIGIN_SPAN * CHUNKS).mul_f64(ORIGIN_TIME_FACTOR);
+    fleet.run(expected_span * 2);
     let complete_hosts = fleet.hosts.iter().filter(|host| host.complete_at.is_some());
     let figures = format!(
         "{} of {} hosts complete, the last after {:?}; {} origin reads, {} crossings, {} queries",
@@ -313,7 +313,9 @@
     );
     println!("{figures}");
     assert!(
-        fleet.slowest().is_some_and(|slowest| slowest <= within),
+        fleet
+            .slowest()
+            .is_some_and(|slowest| slowest <= expected_span),
         "{figures}"
     );
     // Each chunk is transferred once into each other data centre, and the origin sends it once.
