--- a/src/lab/calls/call_judge.rs
+++ b/src/lab/calls/call_judge.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::call_run::{CallAttempt, CallClass, FinishedCall};
-use super::entry_board::EntryBoard;
+use super::entry_balancer::EntryBalancer;
 use super::lab_call::CallOutcome;
 use crate::derives::{key, plain};
 use crate::errors::RunOutcome;
@@ -98,7 +98,7 @@
     /// What reached the plain services.
     pub(crate) runs: Vec<PlainCall>,
     /// The balancer, which knows when entry hosts were disturbed.
-    pub(crate) board: EntryBoard,
+    pub(crate) balancer: EntryBalancer,
 }
 
 impl CallJudge {
@@ -123,23 +123,23 @@
         if let Some(last) = call.attempts.last() {
             count_end(call.class, last, counts);
         }
-        if call.class.is_once() {
+        if call.class.runs_at_most_once() {
             self.judge_once(call, counts);
         }
     }
 
     fn judge_attempt(&self, call: &FinishedCall, attempt: &CallAttempt, counts: &mut CallCounts) {
         let disturbed = || {
-            self.board
+            self.balancer
                 .was_disturbed(attempt.entry, attempt.sent, attempt.answered)
         };
         match &attempt.outcome {
-            CallOutcome::Whole { text, .. } => self.judge_whole(call, attempt, text, counts),
+            CallOutcome::Complete { text, .. } => self.judge_whole(call, attempt, text, counts),
             CallOutcome::Broken { text, .. } => {
                 counts.broken += 1;
                 self.judge_part(attempt, text, counts);
             }
-            CallOutcome::CutClean { .. } => {
+            CallOutcome::Truncated { .. } => {
                 counts.cut += 1;
                 note(counts, "clean end of a cut answer", attempt);
             }
@@ -259,7 +259,7 @@
         *counts.ends.entry(end).or_default() += 1;
     }
     match &last.outcome {
-        CallOutcome::Whole { .. } => counts.answered += 1,
+        CallOutcome::Complete { .. } => counts.answered += 1,
         CallOutcome::ServiceFault { .. } => counts.service_faults += 1,
         CallOutcome::Refused {
             run: RunOutcome::NotRun,
@@ -272,11 +272,11 @@
 /// How a call ended that was not answered.
 fn end_code(outcome: &CallOutcome) -> Option<&str> {
     match outcome {
-        CallOutcome::Whole { .. } => None,
+        CallOutcome::Complete { .. } => None,
         CallOutcome::Refused { code, .. } => Some(code),
         CallOutcome::ServiceFault { .. } => Some("service fault"),
         CallOutcome::Broken { .. } => Some("broken stream"),
-        CallOutcome::CutClean { .. } => Some("cut stream"),
+        CallOutcome::Truncated { .. } => Some("cut stream"),
         CallOutcome::ConnectionLost(_) => Some("connection lost"),
         CallOutcome::NoAnswer => Some("no answer"),
     }
--- a/src/lab/calls/call_run.rs
+++ b/src/lab/calls/call_run.rs
@@ -8,8 +8,8 @@
 use macro_rules_attribute::apply;
 use rand::RngExt;
 
-use super::entry_board::EntryBoard;
-use super::lab_call::{CallAsk, CallOrder, CallOutcome, LabCaller};
+use super::entry_balancer::EntryBalancer;
+use super::lab_call::{CallOutcome, CallPayload, CallRequest, LabCaller};
 use crate::derives::{key, plain};
 use crate::errors::RunOutcome;
 use crate::lab::launch::CompanyNames;
@@ -59,12 +59,12 @@
     }
 
     /// Whether it may be sent again when it is not known whether it ran.
-    pub(crate) const fn may_ask_again(self) -> bool {
+    pub(crate) const fn may_be_repeated(self) -> bool {
         !matches!(self, Self::Once)
     }
 
     /// Whether it runs at most once.
-    pub(crate) const fn is_once(self) -> bool {
+    pub(crate) const fn runs_at_most_once(self) -> bool {
         matches!(self, Self::Once)
     }
 
@@ -104,7 +104,7 @@
     /// Its attempts in order.
     pub(crate) attempts: Vec<CallAttempt>,
     /// From the first attempt to the last answer.
-    pub(crate) whole: Duration,
+    pub(crate) total_time: Duration,
 }
 
 /// Runs calls.
@@ -113,11 +113,11 @@
     /// The names of services and accounts.
     pub(crate) names: CompanyNames,
     /// The balancer.
-    pub(crate) board: EntryBoard,
+    pub(crate) balancer: EntryBalancer,
     /// The client.
     pub(crate) caller: Arc<LabCaller>,
     /// How long a call is tried.
-    pub(crate) patience: Duration,
+    pub(crate) retry_timeout: Duration,
 }
 
 impl CallRunner {
@@ -127,17 +127,17 @@
         let mut call = FinishedCall {
             class,
             attempts: Vec::new(),
-            whole: Duration::ZERO,
+            total_time: Duration::ZERO,
         };
         loop {
             self.attempt(&mut call, number).await;
             let spent = clock_now().since(begun);
             match next_wait(&call) {
-                Some(wait) if spent + wait < self.patience => tokio::time::sleep(wait).await,
+                Some(wait) if spent + wait < self.retry_timeout => tokio::time::sleep(wait).await,
                 _ => break,
             }
         }
-        call.whole = clock_now().since(begun);
+        call.total_time = clock_now().since(begun);
         call
     }
 
@@ -146,13 +146,13 @@
         // Each attempt is a call of its own and must be told apart.
         let text = format!("call-{number}-{count}");
         let max_tokens = 8 + u32::try_from(number % 24).unwrap_or_default();
-        let order = CallOrder {
+        let order = CallRequest {
             account: self.names.accounts[usize::try_from(number).unwrap_or(0) % 10],
             service: self.service(call.class),
             priority: call.class.priority(),
-            ask: self.ask(call.class, &text, max_tokens),
+            payload: self.payload(call.class, &text, max_tokens),
         };
-        let (entry, address) = self.board.pick();
+        let (entry, address) = self.balancer.pick();
         let sent = wall_now();
         let record = self.caller.call(address, &order).await;
         call.attempts.push(CallAttempt {
@@ -176,21 +176,21 @@
         }
     }
 
-    fn ask(&self, class: CallClass, text: &str, max_tokens: u32) -> CallAsk {
+    fn payload(&self, class: CallClass, text: &str, max_tokens: u32) -> CallPayload {
         match class {
             CallClass::Urgent | CallClass::Normal | CallClass::Batch | CallClass::Stream => {
-                CallAsk::Complete {
+                CallPayload::Completion {
                     prompt: text.to_owned(),
                     max_tokens,
                     stream: class == CallClass::Stream,
                 }
             }
-            CallClass::Repeatable => CallAsk::Plain {
+            CallClass::Repeatable => CallPayload::Plain {
                 method: Method::POST,
                 path: "/lookups".to_owned(),
                 body: text.to_owned(),
             },
-            CallClass::Once => CallAsk::Plain {
+            CallClass::Once => CallPayload::Plain {
                 method: Method::POST,
                 path: self.names.desk_path.to_owned(),
                 body: text.to_owned(),
@@ -203,16 +203,16 @@
 fn next_wait(call: &FinishedCall) -> Option<Duration> {
     let last = call.attempts.last()?;
     let wait = match &last.outcome {
-        CallOutcome::Whole { .. } | CallOutcome::ServiceFault { .. } => return None,
+        CallOutcome::Complete { .. } | CallOutcome::ServiceFault { .. } => return None,
         CallOutcome::Refused {
             run, retry_after, ..
         } => {
-            if *run != RunOutcome::NotRun && !call.class.may_ask_again() {
+            if *run != RunOutcome::NotRun && !call.class.may_be_repeated() {
                 return None;
             }
             (*retry_after)?
         }
-        _ if !call.class.may_ask_again() => return None,
+        _ if !call.class.may_be_repeated() => return None,
         _ => SHORTEST_WAIT,
     };
     let wait = wait.clamp(SHORTEST_WAIT, LONGEST_WAIT);
--- a/src/lab/calls/entry_board.rs
+++ b/src/lab/calls/entry_balancer.rs
@@ -16,20 +16,20 @@
 
 /// The entry hosts as the balancer sees them. Clones share it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EntryBoard {
-    state: Arc<Mutex<BoardState>>,
+pub(crate) struct EntryBalancer {
+    state: Arc<Mutex<BalancerState>>,
 }
 
 #[derive(Debug, Default)]
-struct BoardState {
-    entries: Vec<BoardEntry>,
+struct BalancerState {
+    entries: Vec<BalancedEntry>,
     next: usize,
     disturbances: Vec<EntryDisturbance>,
 }
 
 #[apply(plain!)]
 #[derive(Copy)]
-struct BoardEntry {
+struct BalancedEntry {
     address: SocketAddr,
     ready: bool,
 }
@@ -43,16 +43,16 @@
     until: WallTime,
 }
 
-impl EntryBoard {
+impl EntryBalancer {
     /// A board over the entry hosts at `addresses`, all of them ready.
     pub(crate) fn new(addresses: impl IntoIterator<Item = SocketAddr>) -> Self {
-        let board = Self::default();
-        let entries = addresses.into_iter().map(|address| BoardEntry {
+        let balancer = Self::default();
+        let entries = addresses.into_iter().map(|address| BalancedEntry {
             address,
             ready: true,
         });
-        board.lock().entries = entries.collect();
-        board
+        balancer.lock().entries = entries.collect();
+        balancer
     }
 
     /// Asks the entry hosts for their readiness, for ever.
@@ -87,7 +87,7 @@
 
     /// Puts a new process's address in the place of entry host `index`.
     pub(crate) fn replace(&self, index: usize, address: SocketAddr) {
-        let entry = BoardEntry {
+        let entry = BalancedEntry {
             address,
             ready: false,
         };
@@ -122,7 +122,7 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, BoardState> {
+    fn lock(&self) -> MutexGuard<'_, BalancerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/lab/calls/lab_call.rs
+++ b/src/lab/calls/lab_call.rs
@@ -23,7 +23,7 @@
 
 /// A caller's request.
 #[apply(plain!)]
-pub(crate) struct CallOrder {
+pub(crate) struct CallRequest {
     /// The client account.
     pub(crate) account: &'static str,
     /// The service.
@@ -31,14 +31,14 @@
     /// `urgent`, `normal` or `batch`.
     pub(crate) priority: &'static str,
     /// What is asked for.
-    pub(crate) ask: CallAsk,
+    pub(crate) payload: CallPayload,
 }
 
 /// What is asked for.
 #[apply(plain!)]
-pub(crate) enum CallAsk {
+pub(crate) enum CallPayload {
     /// Tokens of a model.
-    Complete {
+    Completion {
         /// The prompt.
         prompt: String,
         /// Tokens at most.
@@ -61,7 +61,7 @@
 #[apply(plain!)]
 pub(crate) enum CallOutcome {
     /// A whole answer.
-    Whole {
+    Complete {
         /// The answer's text or body.
         text: String,
         /// Tokens that came, for a stream.
@@ -95,7 +95,7 @@
         error: String,
     },
     /// A stream that ended without its final marker and without an error.
-    CutClean {
+    Truncated {
         /// What had come.
         text: String,
     },
@@ -111,9 +111,9 @@
     /// What came of it.
     pub(crate) outcome: CallOutcome,
     /// Until the first byte of the answer's body or the refusal.
-    pub(crate) first_byte: Duration,
+    pub(crate) time_to_first_byte: Duration,
     /// Until its end.
-    pub(crate) whole: Duration,
+    pub(crate) total_time: Duration,
     /// The id that the system gave it.
     pub(crate) request_id: String,
 }
@@ -152,39 +152,39 @@
 /// Sends callers' requests.
 pub(crate) struct LabCaller {
     client: PeerClient,
-    within: Duration,
+    answer_timeout: Duration,
 }
 
 impl LabCaller {
-    /// A caller who waits `within` for a final answer.
-    pub(crate) fn new(within: Duration) -> Self {
+    /// A caller who waits `answer_timeout` for a final answer.
+    pub(crate) fn new(answer_timeout: Duration) -> Self {
         Self {
             client: PeerClient::new(ClientLimits::default()),
-            within,
+            answer_timeout,
         }
     }
 
     /// Sends `order` to the entry host at `entry`.
-    pub(crate) async fn call(&self, entry: SocketAddr, order: &CallOrder) -> CallRecord {
+    pub(crate) async fn call(&self, entry: SocketAddr, order: &CallRequest) -> CallRecord {
         let begun = clock_now();
         let mut record = CallRecord {
             outcome: CallOutcome::NoAnswer,
-            first_byte: self.within,
-            whole: self.within,
+            time_to_first_byte: self.answer_timeout,
+            total_time: self.answer_timeout,
             request_id: String::new(),
         };
-        let whole = self.exchange(entry, order, &mut record);
-        if let Ok(outcome) = timeout(self.within, whole).await {
+        let total_time = self.exchange(entry, order, &mut record);
+        if let Ok(outcome) = timeout(self.answer_timeout, total_time).await {
             record.outcome = outcome;
         }
-        record.whole = clock_now().since(begun);
+        record.total_time = clock_now().since(begun);
         record
     }
 
     async fn exchange(
         &self,
         entry: SocketAddr,
-        order: &CallOrder,
+        order: &CallRequest,
         record: &mut CallRecord,
     ) -> CallOutcome {
         let begun = clock_now();
@@ -192,7 +192,7 @@
             Ok(request) => request,
             Err(error) => return CallOutcome::ConnectionLost(error.to_string()),
         };
-        let answer = match self.client.send(entry, request, self.within).await {
+        let answer = match self.client.send(entry, request, self.answer_timeout).await {
             Ok(answer) => answer,
             Err(error) if error.kind == ErrorKind::PeerSilent => return CallOutcome::NoAnswer,
             Err(error) => {
@@ -201,22 +201,22 @@
                 return CallOutcome::ConnectionLost(error.to_string());
             }
         };
-        record.first_byte = clock_now().since(begun);
+        record.time_to_first_byte = clock_now().since(begun);
         record.request_id = header_text(answer.headers(), "savory-request-id");
-        let is_stream = matches!(order.ask, CallAsk::Complete { stream: true, .. });
+        let is_stream = matches!(order.payload, CallPayload::Completion { stream: true, .. });
         if answer.status() != StatusCode::OK {
             return read_refusal(answer).await;
         }
         if is_stream {
             return read_stream(answer, record, begun).await;
         }
-        read_whole(answer, &order.ask).await
+        read_complete(answer, &order.payload).await
     }
 }
 
-fn build_request(order: &CallOrder) -> SwitchResult<http::Request<Body>> {
-    let (method, path, body) = match &order.ask {
-        CallAsk::Complete {
+fn build_request(order: &CallRequest) -> SwitchResult<http::Request<Body>> {
+    let (method, path, body) = match &order.payload {
+        CallPayload::Completion {
             prompt,
             max_tokens,
             stream,
@@ -230,7 +230,7 @@
             let body = serde_json::to_vec(&text).unwrap_or_default();
             (Method::POST, "/v1/completions".to_owned(), body)
         }
-        CallAsk::Plain { method, path, body } => {
+        CallPayload::Plain { method, path, body } => {
             let path = format!("/services/{}{path}", order.service);
             (method.clone(), path, body.clone().into_bytes())
         }
@@ -271,17 +271,17 @@
     }
 }
 
-async fn read_whole(answer: Response, ask: &CallAsk) -> CallOutcome {
+async fn read_complete(answer: Response, payload: &CallPayload) -> CallOutcome {
     let body = match read_body(answer.into_body(), ANSWER_BYTES_MAX).await {
         Ok(body) => body,
         Err(error) => return CallOutcome::ConnectionLost(error.to_string()),
     };
-    if matches!(ask, CallAsk::Plain { .. }) {
+    if matches!(payload, CallPayload::Plain { .. }) {
         let text = String::from_utf8_lossy(&body).into_owned();
-        return CallOutcome::Whole { text, parts: 0 };
+        return CallOutcome::Complete { text, parts: 0 };
     }
     match serde_json::from_slice::<AnswerText>(&body) {
-        Ok(text) => CallOutcome::Whole {
+        Ok(text) => CallOutcome::Complete {
             text: text.choices.into_iter().map(|choice| choice.text).collect(),
             parts: 0,
         },
@@ -303,16 +303,16 @@
     loop {
         let event = match events.read().await {
             Ok(Some(event)) => event.data.unwrap_or_default(),
-            Ok(None) => return CallOutcome::CutClean { text },
+            Ok(None) => return CallOutcome::Truncated { text },
             Err(fault) => return CallOutcome::ConnectionLost(fault.to_string()),
         };
         if event == LAST_EVENT {
-            return CallOutcome::Whole { text, parts };
+            return CallOutcome::Complete { text, parts };
         }
         if let Ok(part) = serde_json::from_str::<AnswerText>(&event) {
             let fresh: String = part.choices.into_iter().map(|choice| choice.text).collect();
             if parts == 0 {
-                record.first_byte = clock_now().since(begun);
+                record.time_to_first_byte = clock_now().since(begun);
             }
             parts += u32::from(!fresh.is_empty());
             text.push_str(&fresh);
--- a/src/lab/calls/mod.rs
+++ b/src/lab/calls/mod.rs
@@ -3,12 +3,12 @@
 
 mod call_judge;
 mod call_run;
-mod entry_board;
+mod entry_balancer;
 mod lab_call;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use call_judge::{CallCounts, CallJudge};
 pub(crate) use call_run::{CallClass, CallRunner, FinishedCall};
-pub(crate) use entry_board::EntryBoard;
-pub(crate) use lab_call::{CallAsk, CallOrder, CallOutcome, CallRecord, LabCaller};
+pub(crate) use entry_balancer::EntryBalancer;
+pub(crate) use lab_call::{CallOutcome, CallPayload, CallRecord, CallRequest, LabCaller};
--- a/src/lab/calls/tests.rs
+++ b/src/lab/calls/tests.rs
@@ -17,7 +17,7 @@
     CallJudge {
         versions: versions(),
         runs,
-        board: EntryBoard::default(),
+        balancer: EntryBalancer::default(),
     }
 }
 
@@ -34,7 +34,7 @@
     FinishedCall {
         class,
         attempts: outcomes.into_iter().map(attempt).collect(),
-        whole: Duration::ZERO,
+        total_time: Duration::ZERO,
     }
 }
 
@@ -48,8 +48,8 @@
     }
 }
 
-fn whole(text: impl Into<String>) -> CallOutcome {
-    CallOutcome::Whole {
+fn complete(text: impl Into<String>) -> CallOutcome {
+    CallOutcome::Complete {
         text: text.into(),
         parts: 0,
     }
@@ -68,7 +68,7 @@
 #[test]
 fn whole_answer_of_one_version_holds() {
     let text = answer_text(&versions()[1], "p", 4);
-    let counts = judge(vec![]).judge(&[call(CallClass::Normal, vec![whole(text)])]);
+    let counts = judge(vec![]).judge(&[call(CallClass::Normal, vec![complete(text)])]);
     assert!(counts.all_held(), "{:?}", counts.findings);
     assert_eq!(counts.answered, 1);
 }
@@ -79,7 +79,7 @@
     let mixed = token_text(&versions[0], "p", 0) + &token_text(&versions[1], "p", 1);
     let foreign = answer_text(&versions[0], "other", 4);
     let short = answer_text(&versions[0], "p", 3);
-    let calls = [mixed, foreign, short].map(|text| call(CallClass::Normal, vec![whole(text)]));
+    let calls = [mixed, foreign, short].map(|text| call(CallClass::Normal, vec![complete(text)]));
     let counts = judge(vec![]).judge(&calls);
     assert_eq!(
         (counts.mixed_versions, counts.crossed, counts.cut),
@@ -89,7 +89,7 @@
 
 #[test]
 fn second_run_is_found() {
-    let answer = whole(r#"{"order":1,"body":"p"}"#);
+    let answer = complete(r#"{"order":1,"body":"p"}"#);
     let runs = vec![run(1, 150), run(1, 160)];
     let counts = judge(runs).judge(&[call(CallClass::Once, vec![answer])]);
     assert_eq!(counts.doubled, 1);
@@ -108,7 +108,7 @@
 
 #[test]
 fn answer_without_a_run_and_no_answer_are_lost() {
-    let answer = whole(r#"{"order":1,"body":"p"}"#);
+    let answer = complete(r#"{"order":1,"body":"p"}"#);
     let calls = [
         call(CallClass::Once, vec![answer]),
         call(CallClass::Once, vec![CallOutcome::NoAnswer]),
@@ -122,8 +122,8 @@
     let calls = [call(CallClass::Normal, vec![lost()])];
     assert_eq!(judge(vec![]).judge(&calls).cut, 1);
     let mut disturbed = judge(vec![]);
-    disturbed.board = EntryBoard::new(["127.0.0.1:1".parse().expect("an address")]);
-    disturbed.board.begin_disturbance(0);
+    disturbed.balancer = EntryBalancer::new(["127.0.0.1:1".parse().expect("an address")]);
+    disturbed.balancer.begin_disturbance(0);
     let mut late = call(CallClass::Normal, vec![lost()]);
     late.attempts[0].answered = WallTime(u64::MAX);
     assert_eq!(disturbed.judge(&[late]).cut, 0);
--- a/src/lab/faults/fault_driver.rs
+++ b/src/lab/faults/fault_driver.rs
@@ -9,7 +9,7 @@
 
 use super::disturbance::{Disturbance, FaultDeed, FaultTarget, TargetCounts};
 use crate::errors::SwitchResult;
-use crate::lab::calls::EntryBoard;
+use crate::lab::calls::EntryBalancer;
 use crate::lab::launch::{ChildProcess, LabSystem, put_document};
 use crate::lab::stand_ins::FaultSettings;
 use crate::stores::ListedState;
@@ -41,7 +41,7 @@
 /// Disturbs a system.
 pub(super) struct FaultDriver<'a> {
     system: &'a mut LabSystem,
-    board: EntryBoard,
+    balancer: EntryBalancer,
     /// The deeds that are done; all when it is empty.
     only: Vec<String>,
     random: StdRng,
@@ -55,7 +55,7 @@
     /// A driver over a system whose model service runs `first`, put as version 1 of its document.
     pub(super) fn new(
         system: &'a mut LabSystem,
-        board: EntryBoard,
+        balancer: EntryBalancer,
         seed: u64,
         first: WeightsDigest,
     ) -> Self {
@@ -65,7 +65,7 @@
         };
         Self {
             system,
-            board,
+            balancer,
             only: Vec::new(),
             random: StdRng::seed_from_u64(seed),
             under_way: Vec::new(),
@@ -148,7 +148,7 @@
             return self.put_version().await;
         }
         if let (FaultTarget::Entry(place), true) = (target, deed != FaultDeed::Drain) {
-            self.board.begin_disturbance(place);
+            self.balancer.begin_disturbance(place);
         }
         let process = self.process(target);
         match deed {
@@ -209,7 +209,7 @@
             (FaultDeed::Freeze, _) => {
                 self.process(target).thaw();
                 if let FaultTarget::Entry(place) = target {
-                    self.board.end_disturbance(place);
+                    self.balancer.end_disturbance(place);
                 }
                 Ok(())
             }
@@ -218,10 +218,10 @@
             }
             (FaultDeed::Kill | FaultDeed::Drain, FaultTarget::Entry(place)) => {
                 self.system.restart_entry(place).await?;
-                self.board
+                self.balancer
                     .replace(place, self.system.entries[place].caller()?);
                 if deed == FaultDeed::Kill {
-                    self.board.end_disturbance(place);
+                    self.balancer.end_disturbance(place);
                 }
                 Ok(())
             }
--- a/src/lab/faults/fault_run.rs
+++ b/src/lab/faults/fault_run.rs
@@ -74,11 +74,11 @@
     async fn disturb(&self, system: &mut LabSystem) -> SwitchResult<FaultReport> {
         let first = first_spread(system).await?;
         let runner = start_runner(system)?;
-        let probing = tokio::spawn(runner.board.clone().keep_probing());
+        let probing = tokio::spawn(runner.balancer.clone().keep_probing());
         wait_until_served(&runner, &CallClass::ALL).await?;
         let (stop, stopped) = watch::channel(false);
         let load = tokio::spawn(send_load(runner.clone(), self.rate, stopped));
-        let driver = FaultDriver::new(system, runner.board.clone(), self.seed, first.digest)
+        let driver = FaultDriver::new(system, runner.balancer.clone(), self.seed, first.digest)
             .only(self.only.clone());
         let tally = driver.run(self.span).await?;
         tokio::time::sleep(CALM).await;
@@ -98,7 +98,7 @@
         let judge = CallJudge {
             versions: tally.versions,
             runs: plain_runs(system).await?,
-            board: runner.board.clone(),
+            balancer: runner.balancer.clone(),
         };
         Ok(FaultReport {
             seed: self.seed,
--- a/src/lab/load/open_loop.rs
+++ b/src/lab/load/open_loop.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use crate::lab::calls::{CallAsk, CallOrder, CallOutcome, LabCaller};
+use crate::lab::calls::{CallOutcome, CallPayload, CallRequest, LabCaller};
 use crate::lab::quickstart::progress_bar;
 
 const DIGITS: u8 = 3;
@@ -112,7 +112,11 @@
             calls.spawn(async move {
                 let lag = due.elapsed();
                 let record = caller.call(entry, &order).await;
-                (lag + record.first_byte, Instant::now(), record.outcome)
+                (
+                    lag + record.time_to_first_byte,
+                    Instant::now(),
+                    record.outcome,
+                )
             });
             number += 1;
             due += pause;
@@ -129,7 +133,7 @@
         for (first_token, ended, outcome) in calls.join_all().await {
             result.sent += 1;
             match outcome {
-                CallOutcome::Whole { .. } => {
+                CallOutcome::Complete { .. } => {
                     result.answered += 1;
                     let late = begun + self.span / 2..begun + self.span;
                     result.answered_late += u64::from(late.contains(&ended));
@@ -141,7 +145,7 @@
                     result.note_refusal(format!("broken stream: {}", code_in(&error)));
                 }
                 CallOutcome::ServiceFault { .. } => result.note_refusal("service".to_owned()),
-                CallOutcome::CutClean { .. }
+                CallOutcome::Truncated { .. }
                 | CallOutcome::ConnectionLost(_)
                 | CallOutcome::NoAnswer => result.note_refusal("lost".to_owned()),
             }
@@ -150,12 +154,12 @@
     }
 }
 
-fn order_of(stream: &CallStream, number: usize) -> CallOrder {
-    CallOrder {
+fn order_of(stream: &CallStream, number: usize) -> CallRequest {
+    CallRequest {
         account: stream.account,
         service: stream.service,
         priority: stream.priority,
-        ask: CallAsk::Complete {
+        payload: CallPayload::Completion {
             prompt: format!("{} {} {number}", stream.account, stream.priority),
             max_tokens: stream.max_tokens,
             stream: true,
--- a/src/lab/quickstart/report.rs
+++ b/src/lab/quickstart/report.rs
@@ -13,7 +13,7 @@
     for class in CallClass::ALL {
         let of_class = calls.iter().filter(|call| call.class == class);
         let counts = judge.judge(of_class.clone());
-        let (middle, longest) = spans(of_class.map(|call| call.whole).collect());
+        let (middle, longest) = spans(of_class.map(|call| call.total_time).collect());
         println!(
             "{:24}{:>7}{:>10}{:>10}{:>10}{:>10}{:>10}",
             class.name(),
--- a/src/lab/quickstart/show.rs
+++ b/src/lab/quickstart/show.rs
@@ -57,7 +57,7 @@
     async fn show(&self, system: &mut LabSystem) -> SwitchResult<bool> {
         let first = first_spread(system).await?;
         let runner = start_runner(system)?;
-        let probing = tokio::spawn(runner.board.clone().keep_probing());
+        let probing = tokio::spawn(runner.balancer.clone().keep_probing());
         wait_until_served(&runner, &CallClass::ALL).await?;
         let refused_well = check_bad_requests(system).await?;
         let calls = tokio::spawn(send_calls(runner.clone()));
@@ -67,7 +67,7 @@
         let judge = CallJudge {
             versions: vec![first.digest, second.digest],
             runs: plain_runs(system).await?,
-            board: runner.board.clone(),
+            balancer: runner.balancer.clone(),
         };
         let counts = print_report(&judge, &calls);
         Ok(refused_well && counts.all_held() && counts.answered == counts.requests)
--- a/src/lab/quickstart/steps.rs
+++ b/src/lab/quickstart/steps.rs
@@ -5,7 +5,7 @@
 
 use super::spread_watch::wait_for_spread;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::lab::calls::{CallClass, CallOutcome, CallRunner, EntryBoard, LabCaller};
+use crate::lab::calls::{CallClass, CallOutcome, CallRunner, EntryBalancer, LabCaller};
 use crate::lab::launch::{EntryNode, LabClient, LabSystem, put_document};
 use crate::lab::stand_ins::{PlainCall, PublishedManifest};
 use crate::weights::WeightsDigest;
@@ -67,9 +67,9 @@
     let callers: SwitchResult<Vec<_>> = system.entries.iter().map(EntryNode::caller).collect();
     Ok(CallRunner {
         names: system.names,
-        board: EntryBoard::new(callers?),
+        balancer: EntryBalancer::new(callers?),
         caller: Arc::new(LabCaller::new(ANSWER_WITHIN)),
-        patience: PATIENCE,
+        retry_timeout: PATIENCE,
     })
 }
 
@@ -79,13 +79,13 @@
     classes: &[CallClass],
 ) -> SwitchResult<()> {
     let first = CallRunner {
-        patience: SERVED_WITHIN,
+        retry_timeout: SERVED_WITHIN,
         ..runner.clone()
     };
     for class in classes.iter().copied() {
         let call = first.run(class, WARM_UP_NUMBER).await;
         let last = call.attempts.last().map(|attempt| &attempt.outcome);
-        if !matches!(last, Some(CallOutcome::Whole { .. })) {
+        if !matches!(last, Some(CallOutcome::Complete { .. })) {
             return Err(failed(format!("no {} is answered: {last:?}", class.name())));
         }
     }
--- a/src/lab/weights/live.rs
+++ b/src/lab/weights/live.rs
@@ -11,7 +11,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::derives::plain;
-use crate::lab::calls::{CallAsk, CallOrder, CallOutcome, CallRecord, LabCaller};
+use crate::lab::calls::{CallOutcome, CallPayload, CallRecord, CallRequest, LabCaller};
 use crate::lab::stand_ins::answer_text;
 use crate::time::clock_now;
 use crate::weights::WeightsDigest;
@@ -56,7 +56,7 @@
         let mut tally = LiveTally::new(&self.versions);
         let made = |call: &&LiveRecord| call.made_after >= from && call.made_after < until;
         for call in self.records.iter().filter(made) {
-            tally.take(&call.prompt, &call.record.outcome, call.record.whole);
+            tally.take(&call.prompt, &call.record.outcome, call.record.total_time);
         }
         tally.figures()
     }
@@ -88,11 +88,11 @@
             while !stopped.load(Ordering::Relaxed) {
                 ticks.tick().await;
                 let prompt = format!("{label} {}", calls.len());
-                let order = CallOrder {
+                let order = CallRequest {
                     account,
                     service,
                     priority: "normal",
-                    ask: CallAsk::Complete {
+                    payload: CallPayload::Completion {
                         prompt: prompt.clone(),
                         max_tokens: TOKENS,
                         stream: false,
@@ -143,16 +143,16 @@
         }
     }
 
-    fn take(&mut self, prompt: &str, outcome: &CallOutcome, whole: Duration) {
+    fn take(&mut self, prompt: &str, outcome: &CallOutcome, total_time: Duration) {
         self.calls += 1;
-        let CallOutcome::Whole { text, .. } = outcome else {
+        let CallOutcome::Complete { text, .. } = outcome else {
             log::warn!("live call: {outcome:?}");
             self.unanswered += 1;
             return;
         };
         let is_from = |digest: &WeightsDigest| answer_text(digest, prompt, TOKENS) == *text;
         self.mixed += u64::from(!self.versions.iter().any(is_from));
-        let micros = u64::try_from(whole.as_micros()).unwrap_or(u64::MAX);
+        let micros = u64::try_from(total_time.as_micros()).unwrap_or(u64::MAX);
         if let Some(histogram) = self.micros.as_mut() {
             let _ = histogram.record(micros);
         }
