--- a/src/lab/calls/call_judge.rs
+++ b/src/lab/calls/call_judge.rs
@@ -1,4 +1,4 @@
-//! Judges finished calls against what the stand-ins compute and record.
+//! Checks finished calls against what the stand-ins compute and record.
 
 use std::collections::BTreeMap;
 
@@ -13,49 +13,50 @@
 use crate::lab::stand_ins::{PlainAnswer, PlainCall, token_text};
 use crate::weights::WeightsDigest;
 
-/// Characters of one token.
+/// Characters per token of the stand-in engine.
 const TOKEN_CHARS: usize = 7;
 
-/// What the judge came to.
+/// Results of the checks. The reports contain the field names.
 #[apply(plain!)]
 #[derive(Default, Serialize)]
 pub(crate) struct CallCounts {
-    /// Calls.
+    /// Number of calls.
     pub(crate) requests: u64,
-    /// Attempts at them.
+    /// Number of attempts of these calls.
     pub(crate) attempts: u64,
-    /// Calls that ended in a whole answer.
+    /// Calls that ended with a complete answer.
     pub(crate) answered: u64,
-    /// Calls whose last answer was "not run".
+    /// Calls whose last answer said that the request did not run.
     pub(crate) refused: u64,
-    /// Calls whose last answer was "not known", and calls without an answer from an entry host that
-    /// was killed or frozen.
+    /// Calls that ended in any other way: it is not known whether the request ran. Covers broken
+    /// and truncated streams, lost connections and missing answers.
     pub(crate) not_known: u64,
-    /// Calls whose last answer was the plain service's own fault.
+    /// Calls whose last answer was an error of the plain service itself.
     pub(crate) service_faults: u64,
-    /// Streams that ended in an explicit error.
+    /// Streams that ended with an explicit error.
     pub(crate) broken: u64,
-    /// Whole answers to calls that never reached the service, and calls without a final answer.
+    /// Complete answers to calls that never reached the service, and attempts without a final
+    /// answer from an undisturbed entry host.
     pub(crate) lost: u64,
-    /// Calls that may run once and ran more often.
+    /// Calls that may run at most once, but ran more often.
     pub(crate) doubled: u64,
-    /// Answers "not run" to calls that ran.
+    /// Answers saying that the request did not run, although it ran.
     pub(crate) false_not_run: u64,
-    /// Clean ends of cut answers, and connections broken by a process that was neither killed nor
-    /// frozen.
+    /// Answers that ended early without an error, and connections broken by a process that was
+    /// neither killed nor frozen.
     pub(crate) cut: u64,
-    /// Answers that began with one version of the weights and ended with another.
+    /// Answers with tokens of more than one version of the weights.
     pub(crate) mixed_versions: u64,
-    /// Answers that belong to another call.
+    /// Answers that do not belong to their call.
     pub(crate) crossed: u64,
-    /// The codes with which calls ended that were not answered, by class.
+    /// Number of unanswered calls by class and error code.
     pub(crate) ends: BTreeMap<String, u64>,
-    /// One line for each finding.
+    /// One line per finding.
     pub(crate) findings: Vec<String>,
 }
 
 impl CallCounts {
-    /// One line of what must be zero.
+    /// Formats the counts that must be zero as one line.
     pub(crate) fn summary(&self) -> String {
         format!(
             "lost {}, doubled {}, falsely \"not run\" {}, cut {}, mixed versions {}, crossed {}",
@@ -68,7 +69,7 @@
         )
     }
 
-    /// Whether nothing happened that must never happen.
+    /// Whether all counts that must be zero are zero.
     pub(crate) const fn all_held(&self) -> bool {
         self.lost
             + self.doubled
@@ -80,93 +81,93 @@
     }
 }
 
-/// What a text is, measured against the tokens of the versions.
+/// How a text compares with the tokens of the published versions.
 #[apply(key!)]
 pub(crate) enum TextVerdict {
-    /// The beginning of the answer, by one version, so many tokens of it.
+    /// The begin of one version's answer, with the number of its tokens.
     OneVersion(u32),
-    /// Right tokens of different versions.
+    /// Correct tokens, but of different versions.
     Mixed,
-    /// Not the answer to this prompt.
+    /// Not an answer to this prompt.
     Foreign,
 }
 
-/// Judges calls.
+/// Checks calls against the published versions and the runs at plain services.
 pub(crate) struct CallJudge {
-    /// The versions that were published.
+    /// The published versions of the weights.
     pub(crate) versions: Vec<WeightsDigest>,
-    /// What reached the plain services.
+    /// The calls that reached the plain services.
     pub(crate) runs: Vec<PlainCall>,
-    /// The balancer, which knows when entry hosts were disturbed.
+    /// The balancer, which recorded when entry hosts were disturbed.
     pub(crate) balancer: EntryBalancer,
 }
 
 impl CallJudge {
-    /// Judges all of `calls`.
+    /// Checks all of `calls`.
     pub(crate) fn judge<'a>(
         &self,
         calls: impl IntoIterator<Item = &'a FinishedCall>,
     ) -> CallCounts {
         let mut counts = CallCounts::default();
         for call in calls {
-            self.judge_call(call, &mut counts);
+            self.check_call(call, &mut counts);
         }
         counts
     }
 
-    fn judge_call(&self, call: &FinishedCall, counts: &mut CallCounts) {
+    fn check_call(&self, call: &FinishedCall, counts: &mut CallCounts) {
         counts.requests += 1;
         counts.attempts += call.attempts.len() as u64;
         for attempt in &call.attempts {
-            self.judge_attempt(call, attempt, counts);
+            self.check_attempt(call, attempt, counts);
         }
         if let Some(last) = call.attempts.last() {
             count_end(call.class, last, counts);
         }
         if call.class.runs_at_most_once() {
-            self.judge_once(call, counts);
+            self.check_single_run(call, counts);
         }
     }
 
-    fn judge_attempt(&self, call: &FinishedCall, attempt: &CallAttempt, counts: &mut CallCounts) {
+    fn check_attempt(&self, call: &FinishedCall, attempt: &CallAttempt, counts: &mut CallCounts) {
         let disturbed = || {
             self.balancer
                 .was_disturbed(attempt.entry, attempt.sent, attempt.answered)
         };
         match &attempt.outcome {
-            CallOutcome::Complete { text, .. } => self.judge_whole(call, attempt, text, counts),
+            CallOutcome::Complete { text, .. } => self.check_complete(call, attempt, text, counts),
             CallOutcome::Broken { text, .. } => {
                 counts.broken += 1;
-                self.judge_part(attempt, text, counts);
+                self.check_tokens(attempt, text, counts);
             }
             CallOutcome::Truncated { .. } => {
                 counts.cut += 1;
-                note(counts, "clean end of a cut answer", attempt);
+                add_finding(counts, "truncated answer without an error", attempt);
             }
             CallOutcome::ConnectionLost(_) if !disturbed() => {
                 counts.cut += 1;
-                note(counts, "broken connection", attempt);
+                add_finding(counts, "broken connection", attempt);
             }
             CallOutcome::ServiceFault { .. } if !is_plain(call.class) => {
                 counts.crossed += 1;
-                note(counts, "an answer of no known form", attempt);
+                add_finding(counts, "answer of unknown form", attempt);
             }
             CallOutcome::NoAnswer if !disturbed() => {
                 counts.lost += 1;
-                note(counts, "no final answer", attempt);
+                add_finding(counts, "no final answer", attempt);
             }
             CallOutcome::Refused {
                 run: RunOutcome::NotRun,
                 ..
             } if self.runs.iter().any(|run| run.body == attempt.text) => {
                 counts.false_not_run += 1;
-                note(counts, "\"not run\" of an attempt that ran", attempt);
+                add_finding(counts, "answered \"not run\", but the attempt ran", attempt);
             }
             _ => {}
         }
     }
 
-    fn judge_whole(
+    fn check_complete(
         &self,
         call: &FinishedCall,
         attempt: &CallAttempt,
@@ -176,57 +177,61 @@
         match call.class {
             CallClass::Urgent | CallClass::Normal | CallClass::Batch | CallClass::Stream => {
                 if self
-                    .judge_part(attempt, text, counts)
+                    .check_tokens(attempt, text, counts)
                     .is_some_and(|tokens| tokens < attempt.max_tokens)
                 {
                     counts.cut += 1;
-                    note(counts, "short answer told as whole", attempt);
+                    add_finding(counts, "short answer marked as complete", attempt);
                 }
             }
             CallClass::Repeatable | CallClass::Once => {
-                self.judge_plain(attempt, text, counts);
+                self.check_plain_answer(attempt, text, counts);
             }
         }
     }
 
-    /// Counts what is wrong with the beginning of an answer; its tokens when nothing is.
-    fn judge_part(
+    /// Checks a complete or partial answer; returns its number of tokens if it is correct.
+    fn check_tokens(
         &self,
         attempt: &CallAttempt,
         text: &str,
         counts: &mut CallCounts,
     ) -> Option<u32> {
-        match judge_text(&self.versions, &attempt.text, text) {
+        match compare_text(&self.versions, &attempt.text, text) {
             TextVerdict::OneVersion(tokens) => Some(tokens),
             TextVerdict::Mixed => {
                 counts.mixed_versions += 1;
-                note(counts, "mixed versions", attempt);
+                add_finding(counts, "answer of mixed versions", attempt);
                 None
             }
             TextVerdict::Foreign => {
                 counts.crossed += 1;
-                note(counts, "foreign answer", attempt);
+                add_finding(counts, "foreign answer", attempt);
                 None
             }
         }
     }
 
-    fn judge_plain(&self, attempt: &CallAttempt, text: &str, counts: &mut CallCounts) {
+    fn check_plain_answer(&self, attempt: &CallAttempt, text: &str, counts: &mut CallCounts) {
         match serde_json::from_str::<PlainAnswer>(text) {
             Ok(answer) if answer.body == attempt.text => {
                 if !self.runs.iter().any(|run| run.body == attempt.text) {
                     counts.lost += 1;
-                    note(counts, "answered, but never reached the service", attempt);
+                    add_finding(
+                        counts,
+                        "answered, but the call never reached the service",
+                        attempt,
+                    );
                 }
             }
             _ => {
                 counts.crossed += 1;
-                note(counts, "foreign answer", attempt);
+                add_finding(counts, "foreign answer", attempt);
             }
         }
     }
 
-    fn judge_once(&self, call: &FinishedCall, counts: &mut CallCounts) {
+    fn check_single_run(&self, call: &FinishedCall, counts: &mut CallCounts) {
         let mut texts: Vec<&str> = call
             .attempts
             .iter()
@@ -234,7 +239,7 @@
             .collect();
         texts.sort_unstable();
         texts.dedup();
-        let ran = self
+        let run_count = self
             .runs
             .iter()
             .filter(|run| texts.binary_search(&run.body.as_str()).is_ok())
@@ -242,9 +247,9 @@
         let Some(last) = call.attempts.last() else {
             return;
         };
-        if ran > 1 {
+        if run_count > 1 {
             counts.doubled += 1;
-            note(counts, &format!("ran {ran} times"), last);
+            add_finding(counts, &format!("ran {run_count} times"), last);
         }
     }
 }
@@ -269,7 +274,7 @@
     }
 }
 
-/// How a call ended that was not answered.
+/// The error code of a call that was not answered.
 fn end_code(outcome: &CallOutcome) -> Option<&str> {
     match outcome {
         CallOutcome::Complete { .. } => None,
@@ -282,7 +287,7 @@
     }
 }
 
-fn note(counts: &mut CallCounts, what: &str, attempt: &CallAttempt) {
+fn add_finding(counts: &mut CallCounts, what: &str, attempt: &CallAttempt) {
     let line = format!(
         "{what}: \"{}\" request {} through entry {} at {}: {:?}",
         attempt.text, attempt.request_id, attempt.entry, attempt.answered.0, attempt.outcome
@@ -290,24 +295,26 @@
     counts.findings.push(line);
 }
 
-/// What `text` is, as the beginning of the answer of one of `versions` to `prompt`.
-pub(crate) fn judge_text(versions: &[WeightsDigest], prompt: &str, text: &str) -> TextVerdict {
+/// Compares `text` with the begin of each version's answer to `prompt`.
+pub(crate) fn compare_text(versions: &[WeightsDigest], prompt: &str, text: &str) -> TextVerdict {
     let tokens: Vec<&[u8]> = text.as_bytes().chunks(TOKEN_CHARS).collect();
-    let makes = |version: &WeightsDigest, index: usize, token: &[u8]| {
+    let is_token_of = |version: &WeightsDigest, index: usize, token: &[u8]| {
         let index = u32::try_from(index).unwrap_or(u32::MAX);
         token_text(version, prompt, index).as_bytes() == token
     };
-    let makes_all = |version: &WeightsDigest| {
+    let is_answer_of = |version: &WeightsDigest| {
         let mut all = tokens.iter().enumerate();
-        all.all(|(index, token)| makes(version, index, token))
+        all.all(|(index, token)| is_token_of(version, index, token))
     };
-    if versions.iter().any(makes_all) {
+    if versions.iter().any(is_answer_of) {
         return TextVerdict::OneVersion(u32::try_from(tokens.len()).unwrap_or(u32::MAX));
     }
-    let made_by_any = |(index, token): (usize, &&[u8])| {
-        versions.iter().any(|version| makes(version, index, token))
+    let is_token_of_any = |(index, token): (usize, &&[u8])| {
+        versions
+            .iter()
+            .any(|version| is_token_of(version, index, token))
     };
-    if tokens.iter().enumerate().all(made_by_any) {
+    if tokens.iter().enumerate().all(is_token_of_any) {
         TextVerdict::Mixed
     } else {
         TextVerdict::Foreign
--- a/src/lab/calls/call_run.rs
+++ b/src/lab/calls/call_run.rs
@@ -1,5 +1,5 @@
-//! One call from its first attempt to its last: refused calls are sent again when the answer says
-//! to, through another entry host, as a well-behaved caller does.
+//! Sends a call until it gets a final answer. As a well-behaved caller does, a retry waits for as
+//! long as the refusal asks, and goes through the next entry host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::lab::launch::CompanyNames;
 use crate::time::{WallTime, clock_now, wall_now};
 
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(3);
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(100);
 
-/// The classes of calls.
+/// Classes of calls, which differ in service, priority and retries.
 #[apply(key!)]
 pub(crate) enum CallClass {
     /// An urgent completion.
@@ -31,12 +31,12 @@
     Stream,
     /// A plain call that may be repeated.
     Repeatable,
-    /// A plain call each attempt of which may run at most once.
+    /// A plain call that may run at most once.
     Once,
 }
 
 impl CallClass {
-    /// All classes.
+    /// All classes, in the order of the reports.
     pub(crate) const ALL: [Self; 6] = [
         Self::Urgent,
         Self::Normal,
@@ -46,7 +46,7 @@
         Self::Once,
     ];
 
-    /// Its name in tables.
+    /// The name of the class in reports.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::Urgent => "urgent completion",
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Whether it may be sent again when it is not known whether it ran.
+    /// Whether the call may be sent again when it is not known whether it ran.
     pub(crate) const fn may_be_repeated(self) -> bool {
         !matches!(self, Self::Once)
     }
 
-    /// Whether it runs at most once.
+    /// Whether the call may run at most once.
     pub(crate) const fn runs_at_most_once(self) -> bool {
         matches!(self, Self::Once)
     }
@@ -77,51 +77,52 @@
     }
 }
 
-/// One attempt at a call.
+/// One attempt of a call.
 #[apply(plain!)]
 pub(crate) struct CallAttempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent: WallTime,
-    /// When its answer had come to its end.
+    /// When the answer ended.
     pub(crate) answered: WallTime,
-    /// Through which entry host.
+    /// Index of the entry host that received the attempt.
     pub(crate) entry: usize,
-    /// What was sent as the body, or as the prompt.
+    /// The body of a plain call or the prompt of a completion.
     pub(crate) text: String,
-    /// Tokens that were asked for.
+    /// The requested number of tokens.
     pub(crate) max_tokens: u32,
-    /// What came of it.
+    /// The outcome of the attempt.
     pub(crate) outcome: CallOutcome,
-    /// The id that the system gave it.
+    /// The request id that the system assigned; empty if unknown.
     pub(crate) request_id: String,
 }
 
 /// A call with all of its attempts.
 #[apply(plain!)]
 pub(crate) struct FinishedCall {
-    /// Its class.
+    /// The class of the call.
     pub(crate) class: CallClass,
-    /// Its attempts in order.
+    /// The attempts in order.
     pub(crate) attempts: Vec<CallAttempt>,
-    /// From the first attempt to the last answer.
+    /// Time from the first attempt to the end of the last answer.
     pub(crate) total_time: Duration,
 }
 
-/// Runs calls.
+/// Sends calls with their retries.
 #[derive(Clone)]
 pub(crate) struct CallRunner {
     /// The names of services and accounts.
     pub(crate) names: CompanyNames,
-    /// The balancer.
+    /// Selects the entry host of each attempt.
     pub(crate) balancer: EntryBalancer,
-    /// The client.
+    /// Sends each attempt.
     pub(crate) caller: Arc<LabCaller>,
-    /// How long a call is tried.
+    /// How long a call is retried.
     pub(crate) retry_timeout: Duration,
 }
 
 impl CallRunner {
-    /// Sends call number `number` of `class` until it is answered for good or patience ends.
+    /// Sends call number `number` of `class` until it gets a final answer, or until the next
+    /// attempt would begin after `retry_timeout`.
     pub(crate) async fn run(&self, class: CallClass, number: u64) -> FinishedCall {
         let begun = clock_now();
         let mut call = FinishedCall {
@@ -131,9 +132,9 @@
         };
         loop {
             self.attempt(&mut call, number).await;
-            let spent = clock_now().since(begun);
-            match next_wait(&call) {
-                Some(wait) if spent + wait < self.retry_timeout => tokio::time::sleep(wait).await,
+            let elapsed = clock_now().since(begun);
+            match next_delay(&call) {
+                Some(wait) if elapsed + wait < self.retry_timeout => tokio::time::sleep(wait).await,
                 _ => break,
             }
         }
@@ -142,11 +143,12 @@
     }
 
     async fn attempt(&self, call: &mut FinishedCall, number: u64) {
-        let count = call.attempts.len() + 1;
-        // Each attempt is a call of its own and must be told apart.
-        let text = format!("call-{number}-{count}");
+        let attempt_number = call.attempts.len() + 1;
+        // The text identifies the attempt, so that its runs and answers cannot be mistaken for
+        // others.
+        let text = format!("call-{number}-{attempt_number}");
         let max_tokens = 8 + u32::try_from(number % 24).unwrap_or_default();
-        let order = CallRequest {
+        let request = CallRequest {
             account: self.names.accounts[usize::try_from(number).unwrap_or(0) % 10],
             service: self.service(call.class),
             priority: call.class.priority(),
@@ -154,7 +156,7 @@
         };
         let (entry, address) = self.balancer.pick();
         let sent = wall_now();
-        let record = self.caller.call(address, &order).await;
+        let record = self.caller.call(address, &request).await;
         call.attempts.push(CallAttempt {
             sent,
             answered: wall_now(),
@@ -199,10 +201,10 @@
     }
 }
 
-/// How long to wait before the next attempt; `None` when the last answer is final.
-fn next_wait(call: &FinishedCall) -> Option<Duration> {
+/// The delay before the next attempt; `None` when the last answer is final.
+fn next_delay(call: &FinishedCall) -> Option<Duration> {
     let last = call.attempts.last()?;
-    let wait = match &last.outcome {
+    let delay = match &last.outcome {
         CallOutcome::Complete { .. } | CallOutcome::ServiceFault { .. } => return None,
         CallOutcome::Refused {
             run, retry_after, ..
@@ -213,10 +215,10 @@
             (*retry_after)?
         }
         _ if !call.class.may_be_repeated() => return None,
-        _ => SHORTEST_WAIT,
+        _ => RETRY_DELAY_MIN,
     };
-    let wait = wait.clamp(SHORTEST_WAIT, LONGEST_WAIT);
-    // Full jitter above half, so that refused callers do not come back together.
+    let delay = delay.clamp(RETRY_DELAY_MIN, RETRY_DELAY_MAX);
+    // Jitter between half and full delay, so that refused callers do not retry all at once.
     let jitter = rand::rng().random_range(0.5..1.0);
-    Some(wait.mul_f64(jitter))
+    Some(delay.mul_f64(jitter))
 }
--- a/src/lab/calls/entry_balancer.rs
+++ b/src/lab/calls/entry_balancer.rs
@@ -1,4 +1,5 @@
-//! The platform's balancer, as far as the lab needs one: which entry hosts say that they are ready.
+//! Stand-in for the platform's load balancer: probes the readiness of the entry hosts and selects
+//! one per request. It also records when entry hosts were disturbed.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,11 +11,12 @@
 use crate::lab::launch::LabClient;
 use crate::time::{WallTime, wall_now};
 
-const PROBE_PAUSE: Duration = Duration::from_millis(200);
-/// How long before and after its disturbance an entry host's broken connections are put down to it.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Connections that break this long before or after a disturbance of their entry host are
+/// attributed to the disturbance.
 const DISTURBANCE_MARGIN_MS: u64 = 2_000;
 
-/// The entry hosts as the balancer sees them. Clones share it.
+/// Selects entry hosts in turn among the ready ones. Clones share their state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EntryBalancer {
     state: Arc<Mutex<BalancerState>>,
@@ -34,7 +36,7 @@
     ready: bool,
 }
 
-/// A time in which an entry host was killed or frozen.
+/// A period in which an entry host was killed or frozen.
 #[apply(plain!)]
 #[derive(Copy)]
 struct EntryDisturbance {
@@ -44,7 +46,7 @@
 }
 
 impl EntryBalancer {
-    /// A board over the entry hosts at `addresses`, all of them ready.
+    /// Creates a balancer for the entry hosts at `addresses`, all of them assumed to be ready.
     pub(crate) fn new(addresses: impl IntoIterator<Item = SocketAddr>) -> Self {
         let balancer = Self::default();
         let entries = addresses.into_iter().map(|address| BalancedEntry {
@@ -55,37 +57,37 @@
         balancer
     }
 
-    /// Asks the entry hosts for their readiness, for ever.
+    /// Probes the readiness of the entry hosts until the task is aborted.
     pub(crate) async fn keep_probing(self) {
         let client = LabClient::default();
         loop {
             let entries = self.lock().entries.clone();
             for (index, entry) in entries.iter().enumerate() {
                 let probe = client.is_ok(entry.address, "/readyz");
-                let ready = tokio::time::timeout(PROBE_PAUSE, probe).await;
+                let ready = tokio::time::timeout(PROBE_INTERVAL, probe).await;
                 let mut state = self.lock();
-                // The entry host may have been replaced meanwhile.
+                // The process of the entry host may have been replaced during the probe.
                 if state.entries[index].address == entry.address {
                     state.entries[index].ready = ready.unwrap_or(false);
                 }
             }
-            tokio::time::sleep(PROBE_PAUSE).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
-    /// The next ready entry host, in turn; any when none is.
+    /// Selects the next ready entry host in turn, or the next one if none is ready.
     pub(crate) fn pick(&self) -> (usize, SocketAddr) {
         let mut state = self.lock();
         let count = state.entries.len();
         let first = state.next;
         state.next = (first + 1) % count;
-        let places = (0..count).map(|step| (first + step) % count);
-        let mut ready = places.filter(|place| state.entries[*place].ready);
-        let place = ready.next().unwrap_or(first);
-        (place, state.entries[place].address)
+        let indexes = (0..count).map(|step| (first + step) % count);
+        let mut ready = indexes.filter(|index| state.entries[*index].ready);
+        let index = ready.next().unwrap_or(first);
+        (index, state.entries[index].address)
     }
 
-    /// Puts a new process's address in the place of entry host `index`.
+    /// Replaces the address of entry host `index` by that of its new process, not yet ready.
     pub(crate) fn replace(&self, index: usize, address: SocketAddr) {
         let entry = BalancedEntry {
             address,
@@ -94,7 +96,7 @@
         self.lock().entries[index] = entry;
     }
 
-    /// Notes that entry host `index` is disturbed from now on.
+    /// Records that entry host `index` is disturbed from now on.
     pub(crate) fn begin_disturbance(&self, index: usize) {
         let disturbance = EntryDisturbance {
             entry: index,
@@ -104,7 +106,7 @@
         self.lock().disturbances.push(disturbance);
     }
 
-    /// Notes that entry host `index` is well again.
+    /// Records that the last disturbance of entry host `index` has ended.
     pub(crate) fn end_disturbance(&self, index: usize) {
         let mut state = self.lock();
         let mut disturbances = state.disturbances.iter_mut().rev();
@@ -113,7 +115,8 @@
         }
     }
 
-    /// Whether entry host `index` was killed or frozen at some time between `from` and `until`.
+    /// Whether entry host `index` was killed or frozen between `from` and `until`, extended by
+    /// `DISTURBANCE_MARGIN_MS`.
     pub(crate) fn was_disturbed(&self, index: usize, from: WallTime, until: WallTime) -> bool {
         self.lock().disturbances.iter().any(|disturbance| {
             disturbance.entry == index
--- a/src/lab/calls/lab_call.rs
+++ b/src/lab/calls/lab_call.rs
@@ -1,4 +1,4 @@
-//! One caller's request and what came of it, as the caller sees it.
+//! Sends one request of a caller and classifies its outcome from the caller's view.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,6 +19,7 @@
 use crate::transport::{ClientLimits, PeerClient, read_body};
 
 const ANSWER_BYTES_MAX: usize = 16 * 1024 * 1024;
+/// Data of the event that marks the end of a complete stream.
 const LAST_EVENT: &str = "[DONE]";
 
 /// A caller's request.
@@ -26,24 +27,24 @@
 pub(crate) struct CallRequest {
     /// The client account.
     pub(crate) account: &'static str,
-    /// The service.
+    /// The name of the service or model.
     pub(crate) service: &'static str,
     /// `urgent`, `normal` or `batch`.
     pub(crate) priority: &'static str,
-    /// What is asked for.
+    /// What the request asks the service for.
     pub(crate) payload: CallPayload,
 }
 
-/// What is asked for.
+/// What a request asks the service for.
 #[apply(plain!)]
 pub(crate) enum CallPayload {
-    /// Tokens of a model.
+    /// A completion by a model.
     Completion {
         /// The prompt.
         prompt: String,
-        /// Tokens at most.
+        /// The largest number of tokens.
         max_tokens: u32,
-        /// Whether they come one by one.
+        /// Whether the answer is a stream of tokens.
         stream: bool,
     },
     /// A call to a plain service.
@@ -57,17 +58,17 @@
     },
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[apply(plain!)]
 pub(crate) enum CallOutcome {
-    /// A whole answer.
+    /// A complete answer.
     Complete {
-        /// The answer's text or body.
+        /// The text of a completion or the body of a plain answer.
         text: String,
-        /// Tokens that came, for a stream.
+        /// Number of non-empty events of a stream; 0 otherwise.
         parts: u32,
     },
-    /// A refusal or an error in place of an answer.
+    /// A refusal or an error of the system instead of an answer.
     Refused {
         /// The status.
         status: u16,
@@ -75,19 +76,20 @@
         code: String,
         /// Whether the request ran.
         run: RunOutcome,
-        /// When to come back.
+        /// How long to wait before a retry; `None` if the request must not be retried.
         retry_after: Option<Duration>,
         /// The message for people.
         message: String,
     },
-    /// The plain service's own answer, with another status than 200.
+    /// An answer with a status other than 200 that is not in the system's error format: the plain
+    /// service's own.
     ServiceFault {
         /// The status.
         status: u16,
         /// The body.
         text: String,
     },
-    /// A stream that ended in an explicit error.
+    /// A stream that ended with an explicit error.
     Broken {
         /// What had come.
         text: String,
@@ -99,27 +101,28 @@
         /// What had come.
         text: String,
     },
-    /// The connection broke: the caller must take it as not known.
+    /// The connection failed, or the answer was unreadable; with the error. The caller cannot know
+    /// whether the request ran.
     ConnectionLost(String),
-    /// Nothing final came in time.
+    /// No final answer arrived in time.
     NoAnswer,
 }
 
-/// What came of a request and how long it took.
+/// The outcome of a request and its times.
 #[apply(plain!)]
 pub(crate) struct CallRecord {
-    /// What came of it.
+    /// The outcome.
     pub(crate) outcome: CallOutcome,
-    /// Until the first byte of the answer's body or the refusal.
+    /// Time until the response head, or until the first event of a stream.
     pub(crate) time_to_first_byte: Duration,
-    /// Until its end.
+    /// Time until the end of the answer.
     pub(crate) total_time: Duration,
-    /// The id that the system gave it.
+    /// The request id that the system assigned; empty if unknown.
     pub(crate) request_id: String,
 }
 
 #[derive(Serialize)]
-struct CompletionText<'a> {
+struct CompletionBody<'a> {
     model: &'a str,
     prompt: &'a str,
     max_tokens: u32,
@@ -127,36 +130,36 @@
 }
 
 #[derive(Deserialize)]
-struct AnswerText {
-    choices: Vec<ChoiceText>,
+struct CompletionAnswer {
+    choices: Vec<CompletionChoice>,
 }
 
 #[derive(Deserialize)]
-struct ChoiceText {
+struct CompletionChoice {
     text: String,
 }
 
 #[derive(Deserialize)]
 struct ErrorBody {
-    error: ErrorText,
+    error: ErrorDetail,
 }
 
 #[derive(Deserialize)]
-struct ErrorText {
+struct ErrorDetail {
     code: String,
     message: String,
     run: RunOutcome,
     retry_after_ms: Option<u64>,
 }
 
-/// Sends callers' requests.
+/// Sends requests as a caller.
 pub(crate) struct LabCaller {
     client: PeerClient,
     answer_timeout: Duration,
 }
 
 impl LabCaller {
-    /// A caller who waits `answer_timeout` for a final answer.
+    /// Creates a caller that waits `answer_timeout` for a final answer.
     pub(crate) fn new(answer_timeout: Duration) -> Self {
         Self {
             client: PeerClient::new(ClientLimits::default()),
@@ -164,8 +167,8 @@
         }
     }
 
-    /// Sends `order` to the entry host at `entry`.
-    pub(crate) async fn call(&self, entry: SocketAddr, order: &CallRequest) -> CallRecord {
+    /// Sends `request` to the entry host at `entry`.
+    pub(crate) async fn call(&self, entry: SocketAddr, request: &CallRequest) -> CallRecord {
         let begun = clock_now();
         let mut record = CallRecord {
             outcome: CallOutcome::NoAnswer,
@@ -173,8 +176,8 @@
             total_time: self.answer_timeout,
             request_id: String::new(),
         };
-        let total_time = self.exchange(entry, order, &mut record);
-        if let Ok(outcome) = timeout(self.answer_timeout, total_time).await {
+        let exchange = self.exchange(entry, request, &mut record);
+        if let Ok(outcome) = timeout(self.answer_timeout, exchange).await {
             record.outcome = outcome;
         }
         record.total_time = clock_now().since(begun);
@@ -184,45 +187,52 @@
     async fn exchange(
         &self,
         entry: SocketAddr,
-        order: &CallRequest,
+        request: &CallRequest,
         record: &mut CallRecord,
     ) -> CallOutcome {
         let begun = clock_now();
-        let request = match build_request(order) {
-            Ok(request) => request,
+        let http_request = match build_request(request) {
+            Ok(http_request) => http_request,
             Err(error) => return CallOutcome::ConnectionLost(error.to_string()),
         };
-        let answer = match self.client.send(entry, request, self.answer_timeout).await {
+        let answer = match self
+            .client
+            .send(entry, http_request, self.answer_timeout)
+            .await
+        {
             Ok(answer) => answer,
             Err(error) if error.kind == ErrorKind::PeerSilent => return CallOutcome::NoAnswer,
             Err(error) => {
-                // A pooled connection to a process that died must not be met again.
+                // Pooled connections to a process that died must not be reused.
                 self.client.drop_pool(entry);
                 return CallOutcome::ConnectionLost(error.to_string());
             }
         };
         record.time_to_first_byte = clock_now().since(begun);
         record.request_id = header_text(answer.headers(), "savory-request-id");
-        let is_stream = matches!(order.payload, CallPayload::Completion { stream: true, .. });
+        let is_stream = matches!(
+            request.payload,
+            CallPayload::Completion { stream: true, .. }
+        );
         if answer.status() != StatusCode::OK {
             return read_refusal(answer).await;
         }
         if is_stream {
             return read_stream(answer, record, begun).await;
         }
-        read_complete(answer, &order.payload).await
+        read_complete(answer, &request.payload).await
     }
 }
 
-fn build_request(order: &CallRequest) -> SwitchResult<http::Request<Body>> {
-    let (method, path, body) = match &order.payload {
+fn build_request(request: &CallRequest) -> SwitchResult<http::Request<Body>> {
+    let (method, path, body) = match &request.payload {
         CallPayload::Completion {
             prompt,
             max_tokens,
             stream,
         } => {
-            let text = CompletionText {
-                model: order.service,
+            let text = CompletionBody {
+                model: request.service,
                 prompt,
                 max_tokens: *max_tokens,
                 stream: *stream,
@@ -231,21 +241,21 @@
             (Method::POST, "/v1/completions".to_owned(), body)
         }
         CallPayload::Plain { method, path, body } => {
-            let path = format!("/services/{}{path}", order.service);
+            let path = format!("/services/{}{path}", request.service);
             (method.clone(), path, body.clone().into_bytes())
         }
     };
-    let request = http::Request::builder()
+    let builder = http::Request::builder()
         .method(method)
         .uri(path)
         .header("content-type", "application/json")
-        .header("savory-account", order.account)
-        .header("savory-priority", order.priority)
+        .header("savory-account", request.account)
+        .header("savory-priority", request.priority)
         .header(
             "authorization",
-            format!("Bearer {}", account_key(order.account)),
+            format!("Bearer {}", account_key(request.account)),
         );
-    request
+    builder
         .body(Body::from(Bytes::from(body)))
         .map_err(|fault| SwitchError::new(ErrorKind::Internal, fault.to_string()))
 }
@@ -257,12 +267,12 @@
         Err(error) => return CallOutcome::ConnectionLost(error.to_string()),
     };
     match serde_json::from_slice::<ErrorBody>(&body) {
-        Ok(text) => CallOutcome::Refused {
+        Ok(body) => CallOutcome::Refused {
             status,
-            code: text.error.code,
-            run: text.error.run,
-            retry_after: text.error.retry_after_ms.map(Duration::from_millis),
-            message: text.error.message,
+            code: body.error.code,
+            run: body.error.run,
+            retry_after: body.error.retry_after_ms.map(Duration::from_millis),
+            message: body.error.message,
         },
         Err(_) => CallOutcome::ServiceFault {
             status,
@@ -280,7 +290,7 @@
         let text = String::from_utf8_lossy(&body).into_owned();
         return CallOutcome::Complete { text, parts: 0 };
     }
-    match serde_json::from_slice::<AnswerText>(&body) {
+    match serde_json::from_slice::<CompletionAnswer>(&body) {
         Ok(text) => CallOutcome::Complete {
             text: text.choices.into_iter().map(|choice| choice.text).collect(),
             parts: 0,
@@ -309,13 +319,13 @@
         if event == LAST_EVENT {
             return CallOutcome::Complete { text, parts };
         }
-        if let Ok(part) = serde_json::from_str::<AnswerText>(&event) {
-            let fresh: String = part.choices.into_iter().map(|choice| choice.text).collect();
+        if let Ok(part) = serde_json::from_str::<CompletionAnswer>(&event) {
+            let new_text: String = part.choices.into_iter().map(|choice| choice.text).collect();
             if parts == 0 {
                 record.time_to_first_byte = clock_now().since(begun);
             }
-            parts += u32::from(!fresh.is_empty());
-            text.push_str(&fresh);
+            parts += u32::from(!new_text.is_empty());
+            text.push_str(&new_text);
         } else {
             return CallOutcome::Broken { text, error: event };
         }
--- a/src/lab/calls/mod.rs
+++ b/src/lab/calls/mod.rs
@@ -1,5 +1,5 @@
-//! Callers' requests: sent as a caller would, read to the end, and judged against what the
-//! stand-ins compute and record.
+//! Test calls to the system: sent like a caller's requests, read to the end, and checked against
+//! what the stand-ins compute and record.
 
 mod call_judge;
 mod call_run;
--- a/src/lab/calls/tests.rs
+++ b/src/lab/calls/tests.rs
@@ -1,4 +1,4 @@
-//! The judge finds each fault that it is there to find.
+//! Tests that `CallJudge` detects each kind of fault.
 
 use std::time::Duration;
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn whole_answer_of_one_version_holds() {
+fn complete_answer_of_one_version_is_accepted() {
     let text = answer_text(&versions()[1], "p", 4);
     let counts = judge(vec![]).judge(&[call(CallClass::Normal, vec![complete(text)])]);
     assert!(counts.all_held(), "{:?}", counts.findings);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn mixed_foreign_and_short_answers_are_found() {
+fn mixed_foreign_and_short_answers_are_detected() {
     let versions = versions();
     let mixed = token_text(&versions[0], "p", 0) + &token_text(&versions[1], "p", 1);
     let foreign = answer_text(&versions[0], "other", 4);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn second_run_is_found() {
+fn second_run_is_detected() {
     let answer = complete(r#"{"order":1,"body":"p"}"#);
     let runs = vec![run(1, 150), run(1, 160)];
     let counts = judge(runs).judge(&[call(CallClass::Once, vec![answer])]);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn false_word_that_it_did_not_run_is_found() {
+fn not_run_answer_to_a_call_that_ran_is_detected() {
     for ran_at in [150, 250] {
         let calls = [call(CallClass::Once, vec![refused(RunOutcome::NotRun)])];
         let counts = judge(vec![run(1, ran_at)]).judge(&calls);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn answer_without_a_run_and_no_answer_are_lost() {
+fn answer_without_a_run_and_missing_answer_count_as_lost() {
     let answer = complete(r#"{"order":1,"body":"p"}"#);
     let calls = [
         call(CallClass::Once, vec![answer]),
