--- a/src/lab/calls/call_run.rs
+++ b/src/lab/calls/call_run.rs
@@ -1,5 +1,5 @@
-//! Sends a call until it gets a final answer. As a well-behaved caller does, a retry waits for as
-//! long as the refusal asks, and goes through the next entry host.
+//! Sends a call until it gets a final answer. Like a well-behaved caller, it retries only when the
+//! answer allows it, after about the delay that a refusal asks for, through the next entry host.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/lab/calls/lab_call.rs
+++ b/src/lab/calls/lab_call.rs
@@ -91,14 +91,14 @@
     },
     /// A stream that ended with an explicit error.
     Broken {
-        /// What had come.
+        /// The text received before the error.
         text: String,
         /// The error.
         error: String,
     },
     /// A stream that ended without its final marker and without an error.
     Truncated {
-        /// What had come.
+        /// The text received before the end.
         text: String,
     },
     /// The connection failed, or the answer was unreadable; with the error. The caller cannot know
--- a/src/lab/platform_soak/run_judge.rs
+++ b/src/lab/platform_soak/run_judge.rs
@@ -34,7 +34,7 @@
 const TIMEOUT_USED_TENTHS: u32 = 7;
 /// An end this long before a call's timeout, or later, is attributed to the timeout.
 const TIMEOUT_SLACK: Duration = Duration::from_millis(200);
-/// How long after the end of the last fault service must have recovered.
+/// How long after the begin of a quiet period service must have recovered.
 pub(super) const RECOVERY_DEADLINE: Duration = Duration::from_secs(12);
 /// The smallest share of calls that must be served after recovery. Load is so light that no call
 /// needs to be refused.
--- a/src/lab/platform_soak/soak_client.rs
+++ b/src/lab/platform_soak/soak_client.rs
@@ -30,7 +30,7 @@
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 /// The longest pause between two calls of a client.
 const CALL_PAUSE_MAX_MS: u64 = 120;
-/// The longest random part of a request body.
+/// Upper limit of the random length that a request body has in addition to its attempt name.
 const BODY_BYTES_MAX: usize = 4096;
 /// One call in this number carries a revoked key, if there is one.
 const REVOKED_KEY_ONE_IN: u32 = 8;
