--- a/src/lab/soak/weights.rs
+++ b/src/lab/soak/weights.rs
@@ -91,7 +91,7 @@
 /// Runs a burst without faults, in which a read from the origin takes `origin_millis`, and returns
 /// how many chunks there were and how many reads from the origin it took.
 #[cfg(test)]
-pub(crate) fn run_clean(
+pub(crate) fn run_without_faults(
     hosts: usize,
     objective: SpreadObjective,
     origin_millis: u64,
--- a/src/weights/tests/spread.rs
+++ b/src/weights/tests/spread.rs
@@ -26,7 +26,7 @@
     for (hosts, regions) in [(1, 1), (2, 1), (3, 2), (6, 2), (12, 2)] {
         for origin_millis in [QUICK, SLOW] {
             let objective = SpreadObjective::OriginBytes;
-            let (chunks, reads) = weights::run_clean(hosts, objective, origin_millis);
+            let (chunks, reads) = weights::run_without_faults(hosts, objective, origin_millis);
             assert!(
                 reads <= chunks * regions,
                 "{hosts} hosts in {regions} regions read {reads} chunks of {chunks}"
@@ -37,7 +37,7 @@
 
 #[test]
 fn fetches_with_the_time_objective_finish() {
-    let (chunks, reads) = weights::run_clean(12, SpreadObjective::Time, QUICK);
+    let (chunks, reads) = weights::run_without_faults(12, SpreadObjective::Time, QUICK);
     assert!(
         reads >= chunks,
         "less than one copy was read from the origin"
