--- a/src/lab/soak/mod.rs
+++ b/src/lab/soak/mod.rs
@@ -1,5 +1,6 @@
-//! Long randomised runs of the state machines: the same drivers that the tests call with fixed
-//! cases, on ever new ones until the time is over.
+//! Randomised long runs of the state machines. Each slice drives one state machine through a
+//! random case and checks its invariants. Unit tests run the same cases from fixed seeds;
+//! `savory-lab soak` runs new ones until its time limit.
 
 pub(crate) mod admission;
 mod command;
@@ -15,20 +16,28 @@
 
 pub(crate) use command::{run_soak, soak_command};
 
-/// Runs one case on random bytes; a broken invariant panics.
-type SoakDriver = fn(&mut Unstructured<'_>) -> arbitrary::Result<()>;
+/// Runs one case, which takes its random choices from the given bytes.
+///
+/// # Panics
+///
+/// If the state machine violates an invariant.
+///
+/// # Errors
+///
+/// If the bytes are used up, which ends the case early and is not a failure.
+type CaseRunner = fn(&mut Unstructured<'_>) -> arbitrary::Result<()>;
 
-/// A slice's driver.
+/// A state machine that the soak test can run on its own.
 pub(crate) struct SoakSlice {
-    /// The slice.
+    /// The name for `--slice` and in the printed report.
     pub(crate) name: &'static str,
-    /// Bytes of a case.
+    /// Number of random bytes for one case.
     pub(crate) case_bytes: usize,
-    /// The driver.
-    pub(crate) run_case: SoakDriver,
+    /// Runs one case.
+    pub(crate) run_case: CaseRunner,
 }
 
-/// Every slice that has a driver.
+/// All slices, in the order in which the soak test runs them.
 pub(crate) const SLICES: &[SoakSlice] = &[
     slice("admission", 4096, admission::run_case),
     slice("delivery", 512, delivery::run_case),
@@ -41,7 +50,7 @@
     slice("routing", 4096, routing::run_case),
 ];
 
-const fn slice(name: &'static str, case_bytes: usize, run_case: SoakDriver) -> SoakSlice {
+const fn slice(name: &'static str, case_bytes: usize, run_case: CaseRunner) -> SoakSlice {
     SoakSlice {
         name,
         case_bytes,
