--- a/src/lab/soak/admission.rs
+++ b/src/lab/soak/admission.rs
@@ -1,6 +1,7 @@
-//! Drives the admission of one service through random arrivals, departures, dispatches and changes
-//! of the document. Checked beside the assertions inside: a more urgent class goes first, accounts
-//! share by weight, limits hold, and nothing is lost or counted twice.
+//! Drives the admission state of one service through random arrivals, cancellations, dispatches,
+//! ends of requests and document changes. In addition to the assertions inside the state, the cases
+//! check that more urgent requests are dispatched first, that accounts share capacity by weight,
+//! that limits are respected, and that no request is lost or counted twice.
 
 use arbitrary::{Result, Unstructured};
 use bytestring::ByteString;
@@ -12,36 +13,38 @@
 const STEPS: usize = 400;
 const ACCOUNTS: u32 = 4;
 const COST_MAX: u64 = 500;
-/// Nothing in a case comes near it.
+/// A deadline that no case reaches.
 const NO_DEADLINE: ClockTime = ClockTime::from_millis(u32::MAX as u64);
 
-/// One request that the case knows to be waiting.
+/// A request in the queue, as recorded by the case.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct WaitingRequest {
     ticket: TicketKey,
     account: AccountKey,
     priority: RequestPriority,
 }
 
-struct Case {
-    book: AdmissionState<u64>,
+struct AdmissionCase {
+    state: AdmissionState<u64>,
     now: ClockTime,
-    waiting: Vec<Waiting>,
-    placed: Vec<Waiting>,
-    /// Tickets of requests that wait no longer.
-    old: Vec<TicketKey>,
-    numbers: u64,
+    waiting: Vec<WaitingRequest>,
+    /// Requests that were dispatched and have not ended.
+    dispatched: Vec<WaitingRequest>,
+    /// Tickets of requests that have left the queue.
+    removed_tickets: Vec<TicketKey>,
+    /// Number of requests created so far; numbers them.
+    request_count: u64,
 }
 
-/// One random case.
+/// Runs one random case.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut case = Case {
-        book: AdmissionState::new(),
+    let mut case = AdmissionCase {
+        state: AdmissionState::new(),
         now: ClockTime::from_millis(1),
         waiting: Vec::new(),
-        placed: Vec::new(),
-        old: Vec::new(),
-        numbers: 0,
+        dispatched: Vec::new(),
+        removed_tickets: Vec::new(),
+        request_count: 0,
     };
     case.refresh(u)?;
     for _ in 0..STEPS {
@@ -54,7 +57,7 @@
     Ok(())
 }
 
-fn spec(number: u32, u: &mut Unstructured<'_>) -> Result<AccountSpec> {
+fn account_spec(number: u32, u: &mut Unstructured<'_>) -> Result<AccountSpec> {
     Ok(AccountSpec {
         name: format!("account-{number}").into(),
         key_digest: ByteString::new(),
@@ -65,17 +68,17 @@
     })
 }
 
-impl Case {
+impl AdmissionCase {
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         match u.int_in_range(0..=9_u8)? {
             0..=4 => self.arrive(u),
             5 | 6 => {
-                let room = u.int_in_range(0..=8)?;
-                self.dispatch(room);
+                let free_slots = u.int_in_range(0..=8)?;
+                self.dispatch(free_slots);
                 Ok(())
             }
             7 => self.depart(u),
-            8 => self.give_up(u),
+            8 => self.cancel(u),
             _ => {
                 if u.ratio(1, 20)? {
                     self.refresh(u)?;
@@ -90,97 +93,102 @@
         let mut specs = Vec::new();
         for number in 0..ACCOUNTS {
             if number == 0 || u.ratio(3, 4)? {
-                specs.push(spec(number, u)?);
+                specs.push(account_spec(number, u)?);
             }
         }
-        let entries = u.int_in_range(1..=8)?;
-        self.book.refresh(&specs, 10, entries, self.now);
+        let entry_hosts = u.int_in_range(1..=8)?;
+        self.state.refresh(&specs, 10, entry_hosts, self.now);
         Ok(())
     }
 
     fn arrive(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let name = format!("account-{}", u.int_in_range(0..=ACCOUNTS)?).into();
         let priority = *u.choose(&RequestPriority::ALL)?;
-        let Ok(account) = self.book.admit(&name, priority, self.now) else {
+        let Ok(account) = self.state.admit(&name, priority, self.now) else {
             return Ok(());
         };
         let cost = u.int_in_range(1..=COST_MAX)?;
-        self.numbers += 1;
-        let wish = QueuedRequest {
+        self.request_count += 1;
+        let request = QueuedRequest {
             account,
             priority,
             cost,
             deadline: NO_DEADLINE,
             skips_fair_queue: u.ratio(1, 10)?,
-            target: self.numbers,
+            target: self.request_count,
         };
-        match self.book.enqueue(wish, self.now) {
-            Ok(ticket) => self.waiting.push(Waiting {
+        match self.state.enqueue(request, self.now) {
+            Ok(ticket) => self.waiting.push(WaitingRequest {
                 ticket,
                 account,
                 priority,
             }),
-            Err(_) => self.book.release(account),
+            Err(_) => self.state.release(account),
         }
         Ok(())
     }
 
-    fn dispatch(&mut self, mut room: usize) {
-        let mut went = Vec::new();
-        let mut is_full = false;
-        self.book.dispatch(self.now, |ticket, wish| {
+    fn dispatch(&mut self, mut free_slots: usize) {
+        let mut tickets = Vec::new();
+        let mut is_blocked = false;
+        self.state.dispatch(self.now, |ticket, request| {
             assert!(
-                !is_full || wish.skips_fair_queue,
-                "a request was let past one that found no room"
+                !is_blocked || request.skips_fair_queue,
+                "a request was dispatched ahead of one that found no free slot"
             );
-            if room == 0 {
-                is_full |= !wish.skips_fair_queue;
+            if free_slots == 0 {
+                is_blocked |= !request.skips_fair_queue;
                 return DispatchOutcome::Full;
             }
-            room -= 1;
-            went.push(ticket);
+            free_slots -= 1;
+            tickets.push(ticket);
             DispatchOutcome::Placed
         });
-        let in_order = went.iter().map(|ticket| self.known(*ticket).priority);
-        assert!(in_order.is_sorted(), "a less urgent request went first");
-        for ticket in went {
-            let place = self.place_of(ticket);
-            let waiting = self.waiting.remove(place);
-            self.old.push(ticket);
-            self.placed.push(waiting);
+        let in_order = tickets
+            .iter()
+            .map(|ticket| self.waiting_request(*ticket).priority);
+        assert!(
+            in_order.is_sorted(),
+            "a less urgent request was dispatched first"
+        );
+        for ticket in tickets {
+            let index = self.position_of(ticket);
+            let waiting = self.waiting.remove(index);
+            self.removed_tickets.push(ticket);
+            self.dispatched.push(waiting);
         }
         assert!(
-            room == 0 || self.waiting.is_empty(),
-            "a request waits although there is room"
+            free_slots == 0 || self.waiting.is_empty(),
+            "a request is queued although a slot is free"
         );
         self.check_counts();
-        for ticket in &self.old {
+        for ticket in &self.removed_tickets {
             assert!(
-                !self.book.dequeue(*ticket),
-                "an old ticket took another request out"
+                !self.state.dequeue(*ticket),
+                "a ticket of a removed request dequeued another request"
             );
         }
     }
 
     fn depart(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if !self.placed.is_empty() {
-            let place = u.choose_index(self.placed.len())?;
-            let gone = self.placed.swap_remove(place);
-            self.book.release(gone.account);
+        if !self.dispatched.is_empty() {
+            let index = u.choose_index(self.dispatched.len())?;
+            let request = self.dispatched.swap_remove(index);
+            self.state.release(request.account);
         }
         Ok(())
     }
 
-    fn give_up(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    fn cancel(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if !self.waiting.is_empty() {
-            let place = u.choose_index(self.waiting.len())?;
-            let gone = self.waiting.remove(place);
+            let index = u.choose_index(self.waiting.len())?;
+            let request = self.waiting.remove(index);
             assert!(
-                self.book.dequeue(gone.ticket),
-                "a waiting request was not there"
+                self.state.dequeue(request.ticket),
+                "a waiting request was missing from the queue"
             );
-            self.old.push(gone.ticket);
-            self.book.release(gone.account);
+            self.removed_tickets.push(request.ticket);
+            self.state.release(request.account);
             self.check_counts();
         }
         Ok(())
@@ -188,78 +196,93 @@
 
     fn finish(&mut self) {
         self.dispatch(usize::MAX);
-        assert!(self.book.is_empty(), "a request was lost in its line");
-        for gone in std::mem::take(&mut self.placed) {
-            self.book.release(gone.account);
+        assert!(
+            self.state.is_empty(),
+            "requests remain in the queue after the last dispatch"
+        );
+        for request in std::mem::take(&mut self.dispatched) {
+            self.state.release(request.account);
         }
     }
 
     fn check_counts(&self) {
         for priority in RequestPriority::ALL {
-            let known = self.waiting.iter();
-            let expected = known.filter(|one| one.priority == priority).count();
-            assert_eq!(self.book.count(priority), expected, "the count is off");
+            let queued = self.waiting.iter();
+            let expected = queued
+                .filter(|request| request.priority == priority)
+                .count();
+            assert_eq!(
+                self.state.count(priority),
+                expected,
+                "wrong count of queued {priority:?} requests"
+            );
         }
     }
 
-    fn known(&self, ticket: TicketKey) -> Waiting {
-        self.waiting[self.place_of(ticket)]
+    fn waiting_request(&self, ticket: TicketKey) -> WaitingRequest {
+        self.waiting[self.position_of(ticket)]
     }
 
-    fn place_of(&self, ticket: TicketKey) -> usize {
-        let found = self.waiting.iter().position(|one| one.ticket == ticket);
-        found.expect("only what waits can go")
+    fn position_of(&self, ticket: TicketKey) -> usize {
+        let found = self
+            .waiting
+            .iter()
+            .position(|request| request.ticket == ticket);
+        found.expect("only recorded waiting requests leave the queue")
     }
 }
 
-/// One random case of two accounts that always have something waiting. However unlike their
-/// requests are in size and number, what they get differs from their weights by less than one
-/// request of each: the bound that start-time fair queuing is known to keep.
+/// Runs one random case of two accounts that always have requests waiting. Whatever the cost and
+/// number of their requests, the served costs deviate from the ratio of the weights by less than
+/// one request of each account, which is the fairness bound of start-time fair queuing.
 pub(crate) fn run_fair_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut book = AdmissionState::new();
+    let mut state = AdmissionState::new();
     let now = ClockTime::from_millis(1);
-    let mut specs = vec![spec(0, u)?, spec(1, u)?];
+    let mut specs = vec![account_spec(0, u)?, account_spec(1, u)?];
     for spec in &mut specs {
         spec.requests_per_second = 1_000_000;
         spec.concurrency = 1_000_000;
     }
-    book.refresh(&specs, 10, 1, now);
+    state.refresh(&specs, 10, 1, now);
     let mut accounts = Vec::new();
     for spec in &specs {
-        let admitted = book.admit(&spec.name, RequestPriority::Normal, now);
-        accounts.push(admitted.expect("the limits are wide"));
+        let admitted = state.admit(&spec.name, RequestPriority::Normal, now);
+        accounts.push(admitted.expect("the limits exceed the load of the case"));
     }
-    let mut served = [0_u64; 2];
+    let mut served_cost = [0_u64; 2];
     for _ in 0..STEPS {
-        for (place, account) in accounts.iter().enumerate() {
-            // The second account keeps ten times as many waiting.
-            for _ in 0..=(9 * place) {
-                let wish = QueuedRequest {
+        for (index, account) in accounts.iter().enumerate() {
+            // The second account enqueues ten times as many requests.
+            for _ in 0..=(9 * index) {
+                let request = QueuedRequest {
                     account: *account,
                     priority: RequestPriority::Normal,
                     cost: u.int_in_range(1..=COST_MAX)?,
                     deadline: NO_DEADLINE,
                     skips_fair_queue: false,
-                    target: place as u64,
+                    target: index as u64,
                 };
-                // A full line is as good as a longer one.
-                let _ = book.enqueue(wish, now);
+                // A refusal by a full queue is fine: the account then has requests waiting.
+                let _ = state.enqueue(request, now);
             }
         }
-        let mut room = 1;
-        book.dispatch(now, |_, wish| {
-            if room == 0 {
+        let mut free_slots = 1;
+        state.dispatch(now, |_, request| {
+            if free_slots == 0 {
                 return DispatchOutcome::Full;
             }
-            room -= 1;
-            let place = usize::try_from(wish.target).expect("0 or 1");
-            served[place] += wish.cost;
+            free_slots -= 1;
+            let index = usize::try_from(request.target).expect("0 or 1");
+            served_cost[index] += request.cost;
             DispatchOutcome::Placed
         });
         let weights = [u64::from(specs[0].weight), u64::from(specs[1].weight)];
-        let ahead = (served[0] * weights[1]).abs_diff(served[1] * weights[0]);
-        let bound = COST_MAX * (weights[0] + weights[1]) + weights[0] * weights[1];
-        assert!(ahead <= bound, "an account got more than its share");
+        let difference = (served_cost[0] * weights[1]).abs_diff(served_cost[1] * weights[0]);
+        let difference_max = COST_MAX * (weights[0] + weights[1]) + weights[0] * weights[1];
+        assert!(
+            difference <= difference_max,
+            "an account was served more than its share"
+        );
     }
     Ok(())
 }
--- a/src/lab/soak/delivery.rs
+++ b/src/lab/soak/delivery.rs
@@ -1,6 +1,7 @@
-//! Drives one request's attempts against hosts that die, restart, lose answers, get orders late and
-//! send foreign, doubled, lost and damaged frames. The hosts know what truly ran; what the caller is
-//! told is held against it.
+//! Drives the attempts of one request against simulated hosts that fail, restart, lose responses
+//! and receive requests late, and whose response frames are lost, duplicated, corrupted or belong
+//! to another attempt. The case records which attempts ran and checks the caller's result against
+//! it.
 
 use arbitrary::{Result, Unstructured};
 use bytestring::ByteString;
@@ -18,98 +19,101 @@
 const VERSIONS: usize = 2;
 const TOKENS_MAX: u32 = 6;
 
-/// What became of one attempt at its host.
+/// State of one attempt at its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    /// It has not come, and may still come.
-    OnItsWay,
-    /// It will never run.
-    Barred,
-    /// It ran.
+enum AttemptState {
+    /// It has not reached the host and may still do so.
+    InTransit,
+    /// It was lost or rejected, and will never run.
+    NeverRuns,
+    /// The host ran it, at least in part.
     Ran,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Attempt {
+struct SentAttempt {
     id: AttemptId,
     host: usize,
     incarnation: u32,
-    fate: Fate,
+    state: AttemptState,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Host {
+struct HostState {
     incarnation: u32,
     version: usize,
 }
 
-struct Case {
+struct DeliveryCase {
     plan: AttemptPlan,
-    traits: AttemptPolicy,
-    hosts: [Host; HOSTS],
-    attempts: Vec<Attempt>,
-    executions: u32,
+    policy: AttemptPolicy,
+    hosts: [HostState; HOSTS],
+    attempts: Vec<SentAttempt>,
+    /// How often the request ran, over all attempts.
+    execution_count: u32,
     now: ClockTime,
-    /// What the caller has.
+    /// The tokens that the caller has received.
     tokens: Vec<ByteString>,
+    /// The version that produced the caller's tokens.
     version: Option<usize>,
-    length: u32,
+    /// Number of tokens in the complete answer.
+    token_count: u32,
 }
 
-/// How the request ended for its caller.
-enum Told {
-    Whole,
+/// The result of the request for its caller.
+enum CallerResult {
+    Complete,
     Error(SwitchError),
 }
 
-/// One random case.
+/// Runs one random case.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
     let repeatable = u.arbitrary()?;
     let now = ClockTime::from_millis(1);
-    let traits = AttemptPolicy {
+    let policy = AttemptPolicy {
         repeatable,
         attempts_max: u.int_in_range(1..=6)?,
         deadline: now + std::time::Duration::from_secs(u.int_in_range(1..=20)?),
         stream_end: now + std::time::Duration::from_mins(1),
     };
-    let mut case = Case {
-        plan: AttemptPlan::new(traits),
-        traits,
-        hosts: [Host::default(); HOSTS],
+    let mut case = DeliveryCase {
+        plan: AttemptPlan::new(policy),
+        policy,
+        hosts: [HostState::default(); HOSTS],
         attempts: Vec::new(),
-        executions: 0,
+        execution_count: 0,
         now,
         tokens: Vec::new(),
         version: None,
-        length: u.int_in_range(0..=TOKENS_MAX)?,
+        token_count: u.int_in_range(0..=TOKENS_MAX)?,
     };
-    let told = case.run(u)?;
-    case.deliver_late(true, u)?;
-    case.check(&told);
+    let result = case.run(u)?;
+    case.deliver_delayed(true, u)?;
+    case.check(&result);
     Ok(())
 }
 
-impl Case {
-    fn run(&mut self, u: &mut Unstructured<'_>) -> Result<Told> {
+impl DeliveryCase {
+    fn run(&mut self, u: &mut Unstructured<'_>) -> Result<CallerResult> {
         let mut host = u.choose_index(HOSTS)?;
         loop {
             let incarnation = self.hosts[host].incarnation;
             self.plan.begin_attempt();
-            let place = self.attempts.len();
-            self.attempts.push(Attempt {
+            let attempt_index = self.attempts.len();
+            self.attempts.push(SentAttempt {
                 id: AttemptId::fresh(),
                 host,
                 incarnation,
-                fate: Fate::OnItsWay,
+                state: AttemptState::InTransit,
             });
-            let Some(error) = self.attempt(place, u)? else {
-                return Ok(Told::Whole);
+            let Some(error) = self.run_attempt(attempt_index, u)? else {
+                return Ok(CallerResult::Complete);
             };
-            self.disturb(u)?;
+            self.inject_faults(u)?;
             let jitter = u.arbitrary()?;
             let mut step = self.plan.after_failure(error.clone(), self.now, jitter);
             if step == NextStep::QueryOutcome {
-                let reply = self.settle(place, u)?;
+                let reply = self.query_outcome(attempt_index, u)?;
                 step = self
                     .plan
                     .after_outcome_reply(error, reply.as_ref(), self.now, jitter);
@@ -117,109 +121,124 @@
             match step {
                 NextStep::Retry { wait } => {
                     self.now = self.now + wait;
-                    self.disturb(u)?;
+                    self.inject_faults(u)?;
                     host = u.choose_index(HOSTS)?;
                 }
-                NextStep::GiveUp(error) => return Ok(Told::Error(error)),
-                NextStep::QueryOutcome => panic!("an attempt was to be settled twice"),
+                NextStep::GiveUp(error) => return Ok(CallerResult::Error(error)),
+                NextStep::QueryOutcome => panic!("the outcome of an attempt was queried twice"),
             }
         }
     }
 
-    /// One attempt: `None` when the caller has the whole answer.
-    fn attempt(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<Option<SwitchError>> {
-        let host = self.attempts[place].host;
+    /// Runs one attempt. Returns `None` if the caller has received the complete answer.
+    fn run_attempt(
+        &mut self,
+        attempt_index: usize,
+        u: &mut Unstructured<'_>,
+    ) -> Result<Option<SwitchError>> {
+        let host = self.attempts[attempt_index].host;
         match u.int_in_range(0..=9_u8)? {
-            0 => Ok(Some(self.bar(place, ErrorKind::ConnectFailed))),
-            1 => Ok(Some(self.bar(place, ErrorKind::BackendBusy))),
-            2 => Ok(Some(self.bar(place, ErrorKind::BackendLeaving))),
-            3 => Ok(Some(self.bar(place, ErrorKind::BadRequest))),
-            // It is on its way, or lost.
+            0 => Ok(Some(self.reject(attempt_index, ErrorKind::ConnectFailed))),
+            1 => Ok(Some(self.reject(attempt_index, ErrorKind::BackendBusy))),
+            2 => Ok(Some(self.reject(attempt_index, ErrorKind::BackendLeaving))),
+            3 => Ok(Some(self.reject(attempt_index, ErrorKind::BadRequest))),
+            // No response: the request is delayed or lost.
             4 => {
                 if u.arbitrary()? {
-                    self.attempts[place].fate = Fate::Barred;
+                    self.attempts[attempt_index].state = AttemptState::NeverRuns;
                 }
-                Ok(Some(SwitchError::new(ErrorKind::PeerSilent, "silent")))
+                Ok(Some(SwitchError::new(ErrorKind::PeerSilent, "no response")))
             }
-            5 if !self.traits.repeatable => {
+            5 if !self.policy.repeatable => {
                 if u.arbitrary()? {
-                    self.execute(place);
+                    self.execute(attempt_index);
                 } else {
-                    self.attempts[place].fate = Fate::Barred;
+                    self.attempts[attempt_index].state = AttemptState::NeverRuns;
                 }
-                Ok(Some(SwitchError::new(ErrorKind::OutcomeUnknown, "unknown")))
+                Ok(Some(SwitchError::new(
+                    ErrorKind::OutcomeUnknown,
+                    "outcome unknown",
+                )))
             }
             _ => {
-                let wanted = self.plan.resume_version();
+                let resume_version = self.plan.resume_version();
                 let version = self.hosts[host].version;
-                if wanted.is_some_and(|wanted| wanted != digest_of(version)) {
-                    return Ok(Some(self.bar(place, ErrorKind::VersionMismatch)));
+                if resume_version.is_some_and(|expected| expected != digest_of(version)) {
+                    return Ok(Some(self.reject(attempt_index, ErrorKind::VersionMismatch)));
                 }
-                self.execute(place);
-                self.answer(place, version, u)
+                self.execute(attempt_index);
+                self.deliver_answer(attempt_index, version, u)
             }
         }
     }
 
-    /// The host's frames, with what can happen to them on the way.
-    fn answer(
+    /// Sends the host's response frames to the caller, with random faults in transit.
+    fn deliver_answer(
         &mut self,
-        place: usize,
+        attempt_index: usize,
         version: usize,
         u: &mut Unstructured<'_>,
     ) -> Result<Option<SwitchError>> {
-        let from = self.plan.tokens();
-        let mut check = AnswerCheck::new(self.attempts[place].id, from);
-        // A damaged token shows at the end of its attempt. If the attempt is cut before that, it
-        // does not show at all; such a case is left out here and named in the design note.
-        let mut is_damaged = false;
-        for part in honest_parts(from, self.length, version) {
+        let first_token = self.plan.tokens();
+        let mut check = AnswerCheck::new(self.attempts[attempt_index].id, first_token);
+        // A corrupt token is detected by the digest at the end of its attempt. If the attempt is
+        // interrupted before that, it is not detected; this case is left out here and documented in
+        // the design note. So no further fault follows a corrupt token.
+        let mut is_corrupt = false;
+        for part in valid_parts(first_token, self.token_count, version) {
             let mut frame = RunFrame {
-                attempt: self.attempts[place].id,
+                attempt: self.attempts[attempt_index].id,
                 part,
             };
-            let fault = if is_damaged {
+            let fault = if is_corrupt {
                 19
             } else {
                 u.int_in_range(0..=19_u8)?
             };
             match fault {
                 0 => return Ok(Some(check.truncation_error())),
-                1 => return Ok(Some(SwitchError::new(ErrorKind::PeerSilent, "silent"))),
+                1 => return Ok(Some(SwitchError::new(ErrorKind::PeerSilent, "no response"))),
                 2 => {
                     return Ok(Some(SwitchError::new(
                         ErrorKind::EngineFailed,
-                        "the engine died",
+                        "the engine failed",
                     )));
                 }
-                // Lost.
+                // The frame is lost.
                 3 => continue,
                 4 => {
-                    // A late frame of another attempt, with the very index that is due.
+                    // A delayed frame of another attempt, with the token index that is expected
+                    // next.
                     let mut foreign = frame.clone();
                     foreign.attempt = AttemptId::fresh();
                     if let RunPart::Token { text, .. } = &mut foreign.part {
-                        *text = "another's".into();
+                        *text = "token of another attempt".into();
                     }
-                    let taken = check.take(foreign).expect("foreign frames are no fault");
-                    assert_eq!(taken, CheckedPart::Foreign, "a foreign frame was taken");
+                    let checked = check
+                        .take(foreign)
+                        .expect("frames of other attempts cause no error");
+                    assert_eq!(
+                        checked,
+                        CheckedPart::Foreign,
+                        "a frame of another attempt was accepted"
+                    );
                 }
                 5 => {
                     if let RunPart::Token { text, .. } = &mut frame.part {
                         *text = "damaged".into();
-                        is_damaged = true;
+                        is_corrupt = true;
                     }
                 }
                 6 if matches!(frame.part, RunPart::Token { .. }) => {
-                    // Doubled.
-                    if let Some(error) = self.take(&mut check, frame.clone(), version) {
+                    // The frame is duplicated.
+                    if let Some(error) = self.receive_frame(&mut check, frame.clone(), version) {
                         return Ok(Some(error));
                     }
                 }
                 _ => {}
             }
             let is_last = matches!(frame.part, RunPart::End { .. });
-            if let Some(error) = self.take(&mut check, frame, version) {
+            if let Some(error) = self.receive_frame(&mut check, frame, version) {
                 return Ok(Some(error));
             }
             if is_last {
@@ -229,7 +248,7 @@
         Ok(Some(check.truncation_error()))
     }
 
-    fn take(
+    fn receive_frame(
         &mut self,
         check: &mut AnswerCheck,
         frame: RunFrame,
@@ -243,7 +262,11 @@
             Ok(CheckedPart::Token(text)) => {
                 self.plan.note_token();
                 self.tokens.push(text);
-                assert_eq!(*self.version.get_or_insert(version), version, "mixed");
+                assert_eq!(
+                    *self.version.get_or_insert(version),
+                    version,
+                    "tokens of two versions were mixed"
+                );
             }
             Ok(_) => {}
             Err(error) => return Some(error),
@@ -251,75 +274,95 @@
         None
     }
 
-    fn bar(&mut self, place: usize, kind: ErrorKind) -> SwitchError {
-        self.attempts[place].fate = Fate::Barred;
-        SwitchError::new(kind, "refused").with_outcome(RunOutcome::NotRun)
+    /// Marks the attempt as one that never runs, and returns the error of the rejection.
+    fn reject(&mut self, attempt_index: usize, kind: ErrorKind) -> SwitchError {
+        self.attempts[attempt_index].state = AttemptState::NeverRuns;
+        SwitchError::new(kind, "request rejected").with_outcome(RunOutcome::NotRun)
     }
 
-    /// The order has come to its host, which runs it.
-    fn execute(&mut self, place: usize) {
-        self.attempts[place].fate = Fate::Ran;
-        self.executions += 1;
+    /// The request reaches its host, which runs it.
+    fn execute(&mut self, attempt_index: usize) {
+        self.attempts[attempt_index].state = AttemptState::Ran;
+        self.execution_count += 1;
     }
 
-    fn settle(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<Option<OutcomeReply>> {
+    /// Queries the host of an attempt for its outcome. Returns `None` if the host does not respond.
+    /// A host that reports an attempt as not run will not run it later.
+    fn query_outcome(
+        &mut self,
+        attempt_index: usize,
+        u: &mut Unstructured<'_>,
+    ) -> Result<Option<OutcomeReply>> {
         if u.ratio(1, 4)? {
             return Ok(None);
         }
-        let attempt = self.attempts[place];
+        let attempt = self.attempts[attempt_index];
         if self.hosts[attempt.host].incarnation != attempt.incarnation {
             return Ok(Some(OutcomeReply::NotKnown));
         }
-        Ok(Some(match attempt.fate {
-            Fate::Ran if u.arbitrary()? => OutcomeReply::Running,
-            Fate::Ran => OutcomeReply::Ran,
-            Fate::OnItsWay | Fate::Barred => {
-                self.attempts[place].fate = Fate::Barred;
+        Ok(Some(match attempt.state {
+            AttemptState::Ran if u.arbitrary()? => OutcomeReply::Running,
+            AttemptState::Ran => OutcomeReply::Ran,
+            AttemptState::InTransit | AttemptState::NeverRuns => {
+                self.attempts[attempt_index].state = AttemptState::NeverRuns;
                 OutcomeReply::NotRun
             }
         }))
     }
 
-    /// Hosts restart and change their version; orders that were held up arrive.
-    fn disturb(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Restarts hosts and changes their versions at random, and delivers some of the delayed
+    /// requests.
+    fn inject_faults(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if u.ratio(1, 6)? {
             self.hosts[u.choose_index(HOSTS)?].incarnation += 1;
         }
         if u.ratio(1, 6)? {
             self.hosts[u.choose_index(HOSTS)?].version = u.choose_index(VERSIONS)?;
         }
-        self.deliver_late(false, u)
+        self.deliver_delayed(false, u)
     }
 
-    fn deliver_late(&mut self, all: bool, u: &mut Unstructured<'_>) -> Result<()> {
-        for place in 0..self.attempts.len() {
-            let attempt = self.attempts[place];
-            let comes = attempt.fate == Fate::OnItsWay && (all || u.ratio(1, 3)?);
-            if comes && self.hosts[attempt.host].incarnation == attempt.incarnation {
-                self.execute(place);
+    /// Delivers requests in transit, `all` of them or a random choice, to hosts that have not
+    /// restarted since.
+    fn deliver_delayed(&mut self, all: bool, u: &mut Unstructured<'_>) -> Result<()> {
+        for attempt_index in 0..self.attempts.len() {
+            let attempt = self.attempts[attempt_index];
+            let arrives = attempt.state == AttemptState::InTransit && (all || u.ratio(1, 3)?);
+            if arrives && self.hosts[attempt.host].incarnation == attempt.incarnation {
+                self.execute(attempt_index);
             }
         }
         Ok(())
     }
 
-    fn check(&self, told: &Told) {
-        if !self.traits.repeatable {
-            assert!(self.executions <= 1, "an unrepeatable call ran twice");
+    /// Checks the caller's result against what ran.
+    fn check(&self, result: &CallerResult) {
+        if !self.policy.repeatable {
+            assert!(
+                self.execution_count <= 1,
+                "a request that is not repeatable ran twice"
+            );
         }
-        match told {
-            Told::Whole => {
-                assert!(self.executions >= 1, "an answer came of nothing");
+        match result {
+            CallerResult::Complete => {
+                assert!(
+                    self.execution_count >= 1,
+                    "an answer was returned for a request that did not run"
+                );
                 let version = self.version.unwrap_or_default();
-                let whole: Vec<ByteString> = (0..self.length)
+                let expected: Vec<ByteString> = (0..self.token_count)
                     .map(|index| token_of(version, index))
                     .collect();
-                assert_eq!(self.tokens, whole, "a whole answer is not whole");
+                assert_eq!(
+                    self.tokens, expected,
+                    "an answer that was reported complete is incomplete or wrong"
+                );
             }
-            Told::Error(error) => {
-                let said_not_run = error.run_outcome() == RunOutcome::NotRun;
+            CallerResult::Error(error) => {
+                let reports_not_run = error.run_outcome() == RunOutcome::NotRun;
                 assert!(
-                    !said_not_run || self.executions == 0,
-                    "\"not run\" was said of a call that ran"
+                    !reports_not_run || self.execution_count == 0,
+                    "a request that ran was reported as not run"
                 );
             }
         }
@@ -327,15 +370,16 @@
 }
 
 fn digest_of(version: usize) -> WeightsDigest {
-    WeightsDigest::of(&[u8::try_from(version).expect("few versions")])
+    WeightsDigest::of(&[u8::try_from(version).expect("the version number fits in a byte")])
 }
 
 fn token_of(version: usize, index: u32) -> ByteString {
     format!("{version}-{index} ").into()
 }
 
-/// What an honest host sends for an answer of `length` tokens, from token `from` on.
-fn honest_parts(from: u32, length: u32, version: usize) -> Vec<RunPart> {
+/// Returns the frames that a host without faults sends for an answer of `token_count` tokens,
+/// starting at token `first_token`.
+fn valid_parts(first_token: u32, token_count: u32, version: usize) -> Vec<RunPart> {
     let serving = ServingVersion {
         version: format!("v{version}").into(),
         digest: digest_of(version),
@@ -347,7 +391,7 @@
         },
     ];
     let mut hasher = blake3::Hasher::new();
-    for index in from..length {
+    for index in first_token..token_count {
         let text = token_of(version, index);
         hasher.update(text.as_bytes());
         parts.push(RunPart::Token { index, text });
--- a/src/lab/soak/routing.rs
+++ b/src/lab/soak/routing.rs
@@ -1,5 +1,5 @@
-//! Drives the backend servers of one service through random changes of the control state, picks and
-//! ends. What is picked is held against what the hosts last said of themselves.
+//! Drives the backend pool of one service through random changes of the control state, picks and
+//! ends of requests. Each pick is checked against the status that the host last announced.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,30 +18,32 @@
 
 const STEPS: usize = 300;
 const HOSTS: usize = 5;
-const CENTRES: [&str; 2] = ["lima-hall-a", "cusco-hall-a"];
+const DATA_CENTRES: [&str; 2] = ["lima-hall-a", "cusco-hall-a"];
 
-struct Case {
+struct RoutingCase {
     pool: BackendPool,
+    /// The hosts with their latest announced status.
     hosts: Vec<MemberRecord>,
     /// Whether each host was in the last snapshot.
     listed: Vec<bool>,
     identity: HostIdentity,
-    under_way: Vec<PickedBackend>,
-    /// Hosts that refused as leaving since their last word.
-    refused: Vec<bool>,
+    /// Picks whose requests have not ended.
+    active_picks: Vec<PickedBackend>,
+    /// Whether each host has refused a request as leaving since its last announcement.
+    refused_as_leaving: Vec<bool>,
     now: ClockTime,
     generation: u64,
 }
 
-/// One random case.
+/// Runs one random case.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut case = Case {
+    let mut case = RoutingCase {
         pool: BackendPool::new(u.arbitrary()?),
-        hosts: (0..HOSTS).map(host).collect(),
+        hosts: (0..HOSTS).map(member_record).collect(),
         listed: vec![false; HOSTS],
         identity: entry(0),
-        under_way: Vec::new(),
-        refused: vec![false; HOSTS],
+        active_picks: Vec::new(),
+        refused_as_leaving: vec![false; HOSTS],
         now: ClockTime::from_millis(1),
         generation: 0,
     };
@@ -50,16 +52,16 @@
             break;
         }
         match u.int_in_range(0..=9_u8)? {
-            0 | 1 => case.change(u)?,
+            0 | 1 => case.change_host(u)?,
             2..=5 => case.pick(u)?,
-            6..=8 => case.end(u)?,
+            6..=8 => case.finish_pick(u)?,
             _ => case.now = case.now + Duration::from_millis(u.int_in_range(0..=3_000)?),
         }
     }
     Ok(())
 }
 
-fn host(number: usize) -> MemberRecord {
+fn member_record(number: usize) -> MemberRecord {
     let mut member = record(
         format!("backend-{number}").into(),
         HostRole::Backend,
@@ -73,16 +75,16 @@
             staging: None,
         })),
     );
-    member.data_centre = CENTRES[number % CENTRES.len()].into();
+    member.data_centre = DATA_CENTRES[number % DATA_CENTRES.len()].into();
     member.peer_address = address();
     member
 }
 
-impl Case {
-    /// A host says something new, and the control state is told.
-    fn change(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let place = u.choose_index(HOSTS)?;
-        let member = &mut self.hosts[place];
+impl RoutingCase {
+    /// Gives a host a new state and status, and passes them to the pool.
+    fn change_host(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        let index = u.choose_index(HOSTS)?;
+        let member = &mut self.hosts[index];
         member.state = *u.choose(&[
             MemberState::Live,
             MemberState::Live,
@@ -90,8 +92,11 @@
             MemberState::Leaving,
             MemberState::Gone,
         ])?;
-        let before = member.status.as_ref().expect("made with a status");
-        let mut status = HostStatus::clone(before);
+        let previous = member
+            .status
+            .as_ref()
+            .expect("every host is created with a status");
+        let mut status = HostStatus::clone(previous);
         if u.ratio(1, 6)? {
             status.incarnation += 1;
             status.sequence = 0;
@@ -105,22 +110,23 @@
             queue_room: u.int_in_range(0..=4)?,
         };
         status.serving = if u.ratio(3, 4)? {
-            Some(version(u.int_in_range(0..=1)?))
+            Some(serving_version(u.int_in_range(0..=1)?))
         } else {
             None
         };
         member.status = Some(Arc::new(status));
-        self.refused[place] = false;
-        self.tell(u)
+        self.refused_as_leaving[index] = false;
+        self.refresh_pool(u)
     }
 
-    fn tell(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Passes a snapshot of the control state to the pool, from which some hosts are missing.
+    fn refresh_pool(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let mut members = Vec::new();
-        for (place, member) in self.hosts.iter().enumerate() {
-            self.listed[place] = u.ratio(7, 8)?;
-            // What is not listed is forgotten, with what it said.
-            self.refused[place] &= self.listed[place];
-            if self.listed[place] {
+        for (index, member) in self.hosts.iter().enumerate() {
+            self.listed[index] = u.ratio(7, 8)?;
+            // The pool forgets hosts that are not listed, together with their refusals.
+            self.refused_as_leaving[index] &= self.listed[index];
+            if self.listed[index] {
                 members.push(Arc::new(member.clone()));
             }
         }
@@ -133,19 +139,19 @@
         };
         let mut document = document(1);
         document.kind = ServiceKind::Model;
-        document.data_centres = CENTRES.iter().map(|name| (*name).into()).collect();
+        document.data_centres = DATA_CENTRES.iter().map(|name| (*name).into()).collect();
         self.pool
             .refresh(&snapshot, &document, &self.identity, self.now);
         Ok(())
     }
 
     fn pick(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let earlier = match self.under_way.as_slice() {
+        let earlier = match self.active_picks.as_slice() {
             [] => None,
-            several => Some(u.choose(several)?.clone()),
+            picks => Some(u.choose(picks)?.clone()),
         };
         let target = if u.ratio(1, 3)? {
-            PickTarget::Version(version(u.int_in_range(0..=1)?).digest)
+            PickTarget::Version(serving_version(u.int_in_range(0..=1)?).digest)
         } else {
             PickTarget::Any
         };
@@ -153,65 +159,85 @@
             Some(earlier) if u.arbitrary()? => Some(earlier.key),
             _ => None,
         };
-        let wish = PickCriteria {
+        let criteria = PickCriteria {
             target,
             urgent: u.arbitrary()?,
             prefix: u.arbitrary()?,
             avoid,
         };
-        if let Ok(picked) = self.pool.pick(&wish, self.now) {
-            self.check(&wish, &picked);
-            self.under_way.push(picked);
+        if let Ok(picked) = self.pool.pick(&criteria, self.now) {
+            self.check(&criteria, &picked);
+            self.active_picks.push(picked);
         }
         Ok(())
     }
 
-    fn check(&self, wish: &PickCriteria, picked: &PickedBackend) {
-        let place = self.hosts.iter().position(|one| one.host == picked.host);
-        let place = place.expect("a host was picked that never was");
-        let member = &self.hosts[place];
-        let status = member.status.as_ref().expect("made with a status");
-        let is_there = matches!(member.state, MemberState::Live | MemberState::Suspected);
+    /// Checks a pick against the latest status of its host.
+    fn check(&self, criteria: &PickCriteria, picked: &PickedBackend) {
+        let index = self
+            .hosts
+            .iter()
+            .position(|member| member.host == picked.host);
+        let index = index.expect("the picked host exists");
+        let member = &self.hosts[index];
+        let status = member
+            .status
+            .as_ref()
+            .expect("every host is created with a status");
+        let is_available = matches!(member.state, MemberState::Live | MemberState::Suspected);
         assert!(
-            is_there && self.listed[place],
-            "new work went to a host that is not there"
+            is_available && self.listed[index],
+            "a host was picked that is unavailable or not listed"
         );
-        assert!(!status.leaving, "new work went to a leaving host");
+        assert!(!status.leaving, "a leaving host was picked");
         assert!(
-            !self.refused[place],
-            "new work went to a host that refuses it"
+            !self.refused_as_leaving[index],
+            "a host was picked that refuses requests as leaving"
         );
         assert!(
             status.serving.is_some(),
-            "new work went to a host without weights"
+            "a host without weights in service was picked"
         );
         assert_eq!(
             picked.incarnation, status.incarnation,
-            "an old process was meant"
+            "the pick names a previous incarnation of the host"
         );
-        if let PickTarget::Version(digest) = wish.target {
+        if let PickTarget::Version(digest) = criteria.target {
             let serving = status.serving.as_ref().map(|serving| serving.digest);
-            assert_eq!(serving, Some(digest), "another version was picked");
+            assert_eq!(
+                serving,
+                Some(digest),
+                "a host with another version was picked"
+            );
         }
-        if wish.avoid.is_none() {
-            let own = self.under_way.iter().filter(|one| one.key == picked.key);
-            let own = u32::try_from(own.count()).expect("few");
-            let most = status.load.capacity.max(1) + status.load.queue_room;
-            assert!(own < most, "more was sent to a host than it takes");
+        if criteria.avoid.is_none() {
+            let active = self
+                .active_picks
+                .iter()
+                .filter(|pick| pick.key == picked.key);
+            let active_count =
+                u32::try_from(active.count()).expect("the number of active picks fits in 32 bits");
+            let limit = status.load.capacity.max(1) + status.load.queue_room;
+            assert!(
+                active_count < limit,
+                "a host was picked beyond its capacity and queue room"
+            );
         }
     }
 
-    fn end(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.under_way.is_empty() {
+    /// Ends a random active pick with a success, a failure or an inconclusive result.
+    fn finish_pick(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        if self.active_picks.is_empty() {
             return Ok(());
         }
         let ended = self
-            .under_way
-            .swap_remove(u.choose_index(self.under_way.len())?);
+            .active_picks
+            .swap_remove(u.choose_index(self.active_picks.len())?);
         match u.int_in_range(0..=4_u8)? {
             0 | 1 => {
-                let took = Duration::from_millis(u.int_in_range(0..=1_000)?);
-                self.pool.note_success(ended.key, took, 10, None, self.now);
+                let duration = Duration::from_millis(u.int_in_range(0..=1_000)?);
+                self.pool
+                    .note_success(ended.key, duration, 10, None, self.now);
             }
             2 => {
                 let kind = *u.choose(&[
@@ -224,10 +250,15 @@
             3 => {
                 self.pool
                     .note_failure(ended.key, ErrorKind::BackendLeaving, self.now);
-                let place = self.hosts.iter().position(|one| one.host == ended.host);
-                let place = place.expect("it was picked before");
-                // Its word holds for the process that gave it, as long as that is known.
-                self.refused[place] |= self.listed[place] && self.pool.contains_key(ended.key);
+                let index = self
+                    .hosts
+                    .iter()
+                    .position(|member| member.host == ended.host);
+                let index = index.expect("hosts of earlier picks exist");
+                // The refusal applies to the process that sent it, while the pool knows that
+                // process.
+                self.refused_as_leaving[index] |=
+                    self.listed[index] && self.pool.contains_key(ended.key);
             }
             _ => self.pool.note_inconclusive(ended.key, self.now),
         }
@@ -235,7 +266,7 @@
     }
 }
 
-fn version(number: u8) -> ServingVersion {
+fn serving_version(number: u8) -> ServingVersion {
     ServingVersion {
         version: format!("v{number}").into(),
         digest: WeightsDigest::of(&[number]),
