--- a/src/lab/soak/documents.rs
+++ b/src/lab/soak/documents.rs
@@ -1,5 +1,6 @@
-//! Random changes of one document by several operators through a table that is away, answers late
-//! or not at all, and shows old rows; and processes that hear of what was accepted out of order.
+//! Drives random changes of one document by several operators through a table that is unavailable,
+//! responds late or not at all, and returns stale rows. Other processes receive the accepted
+//! versions out of order.
 
 use arbitrary::{Result, Unstructured};
 use bytes::Bytes;
@@ -19,17 +20,18 @@
 const TEAM_KEY: &[u8] = b"team-key";
 const OPERATOR_KEY: &[u8] = b"operator-key";
 
-/// A table of rows with everything that ever stood in the document's row.
+/// An in-memory table that records all values of the document's row.
 #[derive(Default)]
 struct FakeTable {
     rows: Vec<TableRow>,
     last_revision: u64,
-    /// Each value that the document's row has had, the oldest first.
-    stood: Vec<Bytes>,
-    /// The same, read.
-    records: Vec<DocumentRecord>,
-    /// Writes whose sender has given up on their answer and which have not arrived yet.
-    under_way: Vec<FakeWrite>,
+    /// All values of the document's row, oldest first.
+    row_history: Vec<Bytes>,
+    /// The parsed records of `row_history`.
+    record_history: Vec<DocumentRecord>,
+    /// Writes that have not reached the table, although their senders no longer wait for a
+    /// response.
+    delayed_writes: Vec<FakeWrite>,
 }
 
 struct FakeWrite {
@@ -44,12 +46,12 @@
     }
 
     fn write(&mut self, write: &FakeWrite) -> TableEvent {
-        let standing = self.read(&write.key);
-        let revision = standing
+        let current = self.read(&write.key);
+        let revision = current
             .as_ref()
             .map_or(RowRevision::ABSENT, |row| row.revision);
         if revision != write.expected {
-            return TableEvent::Conflict(standing);
+            return TableEvent::Conflict(current);
         }
         self.last_revision += 1;
         let revision = RowRevision(self.last_revision);
@@ -60,18 +62,22 @@
             value: write.value.clone(),
         });
         if write.key == document_key(SERVICE) {
-            let record = DocumentRecord::from_row(&write.value).expect("a row of ours reads");
-            let due = u64::try_from(self.stood.len()).unwrap_or(u64::MAX) + 1;
-            assert_eq!(record.version, due, "a version was left out or made twice");
-            self.stood.push(write.value.clone());
-            self.records.push(record);
+            let record = DocumentRecord::from_row(&write.value)
+                .expect("rows written by the acceptance machine parse");
+            let expected_version = u64::try_from(self.row_history.len()).unwrap_or(u64::MAX) + 1;
+            assert_eq!(
+                record.version, expected_version,
+                "a version was skipped or written twice"
+            );
+            self.row_history.push(write.value.clone());
+            self.record_history.push(record);
         }
         TableEvent::Written(revision)
     }
 
-    /// The record that the change `nonce` made, if it was ever accepted.
-    fn accepted(&self, nonce: &str) -> Vec<u64> {
-        self.records
+    /// Returns the versions that were written for the change `nonce`.
+    fn versions_of(&self, nonce: &str) -> Vec<u64> {
+        self.record_history
             .iter()
             .filter(|record| record.nonce == *nonce)
             .map(|record| record.version)
@@ -79,36 +85,36 @@
     }
 }
 
-/// One operator's change on its way, and the same change asked for again.
+/// An operator's current change, with the order kept for retries.
 struct Operator {
     order: ChangeOrder,
     machine: AcceptanceMachine,
 }
 
-/// Everything in one run.
-struct Run {
+/// State of one run.
+struct AcceptanceRun {
     table: FakeTable,
     now: ClockTime,
-    nonces: u64,
+    nonce_count: u64,
     team_digest: String,
     operators: Vec<Operator>,
-    /// Changes of which the author was told that they are refused.
+    /// Nonces of the changes that were reported to their authors as refused.
     refused: Vec<String>,
-    /// Changes of which the author was told that they are accepted, with their versions.
+    /// Nonces of the changes that were reported to their authors as accepted, with the versions.
     accepted: Vec<(String, u64)>,
     processes: Vec<HeldDocuments>,
 }
 
-/// One run: changes, faults, and checks after each step.
+/// Runs one case: random changes and faults, with checks whenever a change ends.
 ///
 /// # Errors
 ///
-/// Never by itself; `u` ends a run early when its bytes are used up.
+/// Only if the bytes of `u` are used up, which ends the run early.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut run = Run {
+    let mut run = AcceptanceRun {
         table: FakeTable::default(),
         now: ClockTime::from_millis(1000),
-        nonces: 0,
+        nonce_count: 0,
         team_digest: KeyDigest::of_key(TEAM_KEY).hex().to_owned(),
         operators: Vec::new(),
         refused: Vec::new(),
@@ -127,23 +133,23 @@
     Ok(())
 }
 
-impl Run {
+impl AcceptanceRun {
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         match u.int_in_range(0..=9)? {
-            0 => self.let_one_arrive(u)?,
-            1 | 2 => self.spread(u)?,
+            0 => self.deliver_delayed_write(u)?,
+            1 | 2 => self.offer_past_version(u)?,
             _ => {
                 let index = u.choose_index(OPERATORS)?;
-                self.drive(u, index)?;
+                self.advance_operator(u, index)?;
             }
         }
         Ok(())
     }
 
-    /// A change over what an operator last saw, which may be old.
+    /// Creates a change that replaces the version an operator last read, which may be stale.
     fn new_change(&mut self, u: &mut Unstructured<'_>) -> Result<Operator> {
-        self.nonces += 1;
-        let newest = u64::try_from(self.table.stood.len()).unwrap_or(u64::MAX);
+        self.nonce_count += 1;
+        let newest = u64::try_from(self.table.row_history.len()).unwrap_or(u64::MAX);
         let replaces = if u.ratio(1, 4)? && newest > 0 {
             u.int_in_range(0..=newest)?
         } else {
@@ -157,35 +163,36 @@
         let order = ChangeOrder {
             service: SERVICE.into(),
             replaces,
-            nonce: format!("change-{}", self.nonces).into(),
+            nonce: format!("change-{}", self.nonce_count).into(),
             is_first_try: true,
             author: "operator".into(),
             key: KeyDigest::of_key(key),
             operator_key_digest: KeyDigest::of_key(OPERATOR_KEY).hex().into(),
-            document: document(&self.team_digest, self.nonces),
+            document: document(&self.team_digest, self.nonce_count),
         };
-        Ok(self.ask(order))
+        Ok(self.submit(order))
     }
 
-    /// The author asks for the same change once more.
-    fn ask_again(&self, order: ChangeOrder) -> Operator {
-        self.ask(ChangeOrder {
+    /// Submits the same change again.
+    fn retry(&self, order: ChangeOrder) -> Operator {
+        self.submit(ChangeOrder {
             is_first_try: false,
             ..order
         })
     }
 
-    fn ask(&self, order: ChangeOrder) -> Operator {
+    fn submit(&self, order: ChangeOrder) -> Operator {
         let machine = AcceptanceMachine::new(order.clone(), self.now, WallTime(self.now.0 / 1000));
         Operator { order, machine }
     }
 
-    fn drive(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
+    /// Carries out the next step of an operator's change.
+    fn advance_operator(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         let step = self.operators[index].machine.next_step(self.now);
         match step {
             AcceptanceStep::WaitUntil(_) => {}
-            AcceptanceStep::Done(end) => {
-                let operator = self.settle(u, index, *end)?;
+            AcceptanceStep::Done(outcome) => {
+                let operator = self.next_operator(u, index, *outcome)?;
                 self.operators[index] = operator;
                 self.check();
             }
@@ -214,6 +221,7 @@
         Ok(())
     }
 
+    /// Writes to the table. The response may be lost, and so may the write, or it is delayed.
     fn write(&mut self, u: &mut Unstructured<'_>, write: FakeWrite) -> Result<TableEvent> {
         match u.int_in_range(0..=5)? {
             0 => Ok(TableEvent::Away),
@@ -222,39 +230,40 @@
                 Ok(TableEvent::Away)
             }
             2 => {
-                self.table.under_way.push(write);
+                self.table.delayed_writes.push(write);
                 Ok(TableEvent::Away)
             }
             _ => Ok(self.table.write(&write)),
         }
     }
 
-    fn let_one_arrive(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if !self.table.under_way.is_empty() {
-            let index = u.choose_index(self.table.under_way.len())?;
-            let write = self.table.under_way.remove(index);
+    /// Delivers one of the delayed writes, if there are any.
+    fn deliver_delayed_write(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        if !self.table.delayed_writes.is_empty() {
+            let index = u.choose_index(self.table.delayed_writes.len())?;
+            let write = self.table.delayed_writes.remove(index);
             self.table.write(&write);
         }
         Ok(())
     }
 
-    /// The author learns how it ended, and asks again or goes on to the next change.
-    fn settle(
+    /// Records how an operator's change ended. Returns a retry of it or the operator's next change.
+    fn next_operator(
         &mut self,
         u: &mut Unstructured<'_>,
         index: usize,
-        end: AcceptanceEnd,
+        outcome: AcceptanceEnd,
     ) -> Result<Operator> {
         let order = self.operators[index].order.clone();
-        match end {
+        match outcome {
             AcceptanceEnd::Accepted { version, .. } => {
                 self.accepted.push((order.nonce.to_string(), version));
                 if u.ratio(1, 4)? {
-                    return Ok(self.ask_again(order));
+                    return Ok(self.retry(order));
                 }
             }
             AcceptanceEnd::Refused { error, .. } if error.kind == ErrorKind::DocumentInDoubt => {
-                return Ok(self.ask_again(order));
+                return Ok(self.retry(order));
             }
             AcceptanceEnd::Refused { .. } => {
                 self.refused.push(order.nonce.to_string());
@@ -263,45 +272,59 @@
         self.new_change(u)
     }
 
-    /// A process hears of any version that ever stood, from the table or from a neighbour.
-    fn spread(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.table.stood.is_empty() {
+    /// Offers a process a randomly chosen past or current version, as from a stale table read or
+    /// from a neighbour.
+    fn offer_past_version(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        if self.table.row_history.is_empty() {
             return Ok(());
         }
-        let row = self.table.stood[u.choose_index(self.table.stood.len())?].clone();
+        let row = self.table.row_history[u.choose_index(self.table.row_history.len())?].clone();
         let process = &mut self.processes[u.choose_index(PROCESSES)?];
         let before = process.version_of(SERVICE);
-        process.offer(&row).expect("a row of ours reads");
+        process
+            .offer(&row)
+            .expect("rows written by the acceptance machine parse");
         let after = process.version_of(SERVICE);
-        assert!(after >= before, "version {before} went back to {after}");
+        assert!(after >= before, "version reverted from {before} to {after}");
         Ok(())
     }
 
     fn check(&self) {
         for (nonce, version) in &self.accepted {
-            let made = self.table.accepted(nonce);
-            assert_eq!(made, [*version], "{nonce} was not accepted exactly once");
+            let versions = self.table.versions_of(nonce);
+            assert_eq!(
+                versions,
+                [*version],
+                "{nonce} was not accepted exactly once"
+            );
         }
         for nonce in &self.refused {
-            let made = self.table.accepted(nonce);
+            let versions = self.table.versions_of(nonce);
             assert!(
-                made.is_empty(),
-                "{nonce} was refused and stands as {made:?}"
+                versions.is_empty(),
+                "{nonce} was reported as refused but written as {versions:?}"
             );
         }
     }
 
-    /// Every write arrives, every process hears of what stands: all of them hold the same.
+    /// Delivers all delayed writes and offers every process the newest version, which all of them
+    /// must then hold.
     fn finish(&mut self) {
-        while let Some(write) = self.table.under_way.pop() {
+        while let Some(write) = self.table.delayed_writes.pop() {
             self.table.write(&write);
         }
         self.check();
-        if let Some(row) = self.table.stood.last() {
+        if let Some(row) = self.table.row_history.last() {
             for process in &mut self.processes {
-                process.offer(row).expect("a row of ours reads");
-                let newest = u64::try_from(self.table.stood.len()).unwrap_or(u64::MAX);
-                assert_eq!(process.version_of(SERVICE), newest, "not everyone has it");
+                process
+                    .offer(row)
+                    .expect("rows written by the acceptance machine parse");
+                let newest = u64::try_from(self.table.row_history.len()).unwrap_or(u64::MAX);
+                assert_eq!(
+                    process.version_of(SERVICE),
+                    newest,
+                    "a process does not hold the newest version"
+                );
             }
         }
     }
--- a/src/lab/soak/membership.rs
+++ b/src/lab/soak/membership.rs
@@ -1,5 +1,6 @@
-//! Hosts that start, leave, die, freeze and come back, seen by one process through streams that
-//! break, deliver late and deliver old words again, and through a list that lags.
+//! Drives the member table of one observing process. Its hosts start, leave, fail, pause and
+//! return. Their streams break, and deliver announcements late or repeatedly; the host list is
+//! updated late.
 
 use std::time::Duration;
 
@@ -12,60 +13,62 @@
 
 const STEPS: usize = 400;
 const HOSTS: usize = 4;
-const PACE: Duration = Duration::from_millis(500);
-/// Long enough for every hold on a flapping host and every silence to be over.
-const QUIET_STEPS: usize = 120;
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
+/// Steps of one `STATUS_INTERVAL` each. Together they exceed the hold time of a flapping host and
+/// every silence timeout.
+const FAULTLESS_STEPS: usize = 120;
 
-/// Whether a host's process runs.
+/// State of a host's process.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum HostLife {
-    Runs,
-    Frozen,
+enum ProcessState {
+    Running,
+    Paused,
     Dead,
 }
 
-/// A host as it really is.
-struct RealHost {
+/// The true state of a host, which the observer may not know.
+struct SimulatedHost {
     name: String,
     incarnation: u64,
     sequence: u64,
-    life: HostLife,
+    process: ProcessState,
     leaving: bool,
-    /// The words that it has said so far, any of which may still arrive.
-    said: Vec<Word>,
+    /// All announcements so far, any of which may still arrive.
+    announcements: Vec<HostAnnouncement>,
     /// Whether the observer's stream from it is open.
-    stream: bool,
+    is_stream_open: bool,
 }
 
-/// A host's word, told by itself or told on.
+/// A host's announcement, received from itself (status) or forwarded by another process (facts).
 #[derive(Clone)]
-enum Word {
+enum HostAnnouncement {
     Status(HostStatus),
     Facts(MemberFacts),
 }
 
-/// Everything in one run.
-struct Run {
+/// State of one run.
+struct ObserverRun {
     now: ClockTime,
-    hosts: Vec<RealHost>,
+    hosts: Vec<SimulatedHost>,
     table: MemberTable,
-    /// For each host the greatest incarnation of which the observer has heard that it leaves.
-    heard_leaving: Vec<u64>,
+    /// For each host, the greatest incarnation that announced to the observer that it leaves; 0 if
+    /// none did.
+    leaving_incarnations: Vec<u64>,
 }
 
-/// One run: events, and checks after each step.
+/// Runs one case: random events, with checks after each step.
 ///
 /// # Errors
 ///
-/// Never by itself; `u` ends a run early when its bytes are used up.
+/// Only if the bytes of `u` are used up, which ends the run early.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut run = Run {
+    let mut run = ObserverRun {
         now: ClockTime::from_millis(100_000),
-        hosts: (0..HOSTS).map(RealHost::new).collect(),
+        hosts: (0..HOSTS).map(SimulatedHost::new).collect(),
         table: MemberTable::new("observer".into()),
-        heard_leaving: vec![0; HOSTS],
+        leaving_incarnations: vec![0; HOSTS],
     };
-    run.show_list();
+    run.update_host_list();
     for host in &run.hosts {
         run.table.on_watched(&host.name, run.now);
     }
@@ -75,20 +78,20 @@
         run.step(u, index)?;
         run.check();
     }
-    run.settle();
+    run.converge();
     Ok(())
 }
 
-impl RealHost {
+impl SimulatedHost {
     fn new(index: usize) -> Self {
         Self {
             name: format!("host-{index}"),
             incarnation: 1,
             sequence: 0,
-            life: HostLife::Runs,
+            process: ProcessState::Running,
             leaving: false,
-            said: Vec::new(),
-            stream: false,
+            announcements: Vec::new(),
+            is_stream_open: false,
         }
     }
 
@@ -128,32 +131,34 @@
         }
     }
 
-    fn thaw(&mut self) {
-        if self.life == HostLife::Frozen {
-            self.life = HostLife::Runs;
+    fn resume(&mut self) {
+        if self.process == ProcessState::Paused {
+            self.process = ProcessState::Running;
         }
     }
 
-    fn speak(&mut self) {
+    fn announce(&mut self) {
         self.sequence += 1;
-        self.said.push(Word::Status(self.status()));
-        self.said.push(Word::Facts(self.facts()));
+        self.announcements
+            .push(HostAnnouncement::Status(self.status()));
+        self.announcements
+            .push(HostAnnouncement::Facts(self.facts()));
     }
 
-    fn speaks(&self) -> bool {
-        self.life == HostLife::Runs
+    fn is_running(&self) -> bool {
+        self.process == ProcessState::Running
     }
 }
 
-impl Run {
+impl ObserverRun {
     fn step(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         match u.int_in_range(0..=11)? {
             0 => self.change_host(u, index)?,
-            1 => self.show_list(),
-            2 => self.break_stream(index),
-            3 | 4 => self.replay(u, index)?,
-            5 => self.hosts[index].thaw(),
-            _ => self.frame(index),
+            1 => self.update_host_list(),
+            2 => self.close_stream(index),
+            3 | 4 => self.deliver_past_announcement(u, index)?,
+            5 => self.hosts[index].resume(),
+            _ => self.receive_status(index),
         }
         self.table.on_tick(self.now);
         Ok(())
@@ -162,81 +167,82 @@
     fn change_host(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         let host = &mut self.hosts[index];
         match u.int_in_range(0..=3)? {
-            0 if host.speaks() => host.life = HostLife::Frozen,
-            1 if host.speaks() => {
+            0 if host.is_running() => host.process = ProcessState::Paused,
+            1 if host.is_running() => {
                 host.leaving = true;
-                host.speak();
+                host.announce();
             }
             2 => {
-                host.life = HostLife::Dead;
-                self.break_stream(index);
+                host.process = ProcessState::Dead;
+                self.close_stream(index);
             }
             _ => {
-                // A new process on the host, also when the old one was only frozen.
+                // A new process starts on the host, even if the previous one was only paused.
                 host.incarnation += 1;
                 host.sequence = 0;
-                host.life = HostLife::Runs;
+                host.process = ProcessState::Running;
                 host.leaving = false;
-                self.break_stream(index);
+                self.close_stream(index);
             }
         }
         Ok(())
     }
 
-    /// The list as it stands; it lags, since it is shown now and then only.
-    fn show_list(&mut self) {
-        let entries: Vec<HostEntry> = self.hosts.iter().map(RealHost::entry).collect();
+    /// Passes the current host list to the observer. The observer's list is stale in between, since
+    /// this happens at random steps only.
+    fn update_host_list(&mut self) {
+        let entries: Vec<HostEntry> = self.hosts.iter().map(SimulatedHost::entry).collect();
         self.table.on_list(&entries, self.now);
     }
 
-    fn break_stream(&mut self, index: usize) {
-        self.hosts[index].stream = false;
+    fn close_stream(&mut self, index: usize) {
+        self.hosts[index].is_stream_open = false;
         let name = self.hosts[index].name.clone();
         self.table.on_lost(&name, self.now);
     }
 
-    /// The host's stream brings its newest word.
-    fn frame(&mut self, index: usize) {
+    /// Delivers the host's newest status over its stream, which is opened if necessary.
+    fn receive_status(&mut self, index: usize) {
         let host = &mut self.hosts[index];
-        if !host.speaks() {
+        if !host.is_running() {
             return;
         }
-        if !host.stream {
-            host.stream = true;
-            host.speak();
+        if !host.is_stream_open {
+            host.is_stream_open = true;
+            host.announce();
         }
         let (name, status) = (host.name.clone(), host.status());
-        self.table.on_heard(&name, PACE, self.now);
-        self.hear(index, Word::Status(status));
+        self.table.on_heard(&name, STATUS_INTERVAL, self.now);
+        self.receive(index, HostAnnouncement::Status(status));
     }
 
-    /// Any word of the past arrives, for the first time or again.
-    fn replay(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
-        let said = &self.hosts[index].said;
-        if !said.is_empty() {
-            let word = said[u.choose_index(said.len())?].clone();
-            self.hear(index, word);
+    /// Delivers a randomly chosen past announcement, which may have been delivered before.
+    fn deliver_past_announcement(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
+        let announcements = &self.hosts[index].announcements;
+        if !announcements.is_empty() {
+            let announcement = announcements[u.choose_index(announcements.len())?].clone();
+            self.receive(index, announcement);
         }
         Ok(())
     }
 
-    fn hear(&mut self, index: usize, word: Word) {
-        let (incarnation, leaving) = match &word {
-            Word::Status(status) => (status.incarnation, status.leaving),
-            Word::Facts(facts) => {
+    fn receive(&mut self, index: usize, announcement: HostAnnouncement) {
+        let (incarnation, leaving) = match &announcement {
+            HostAnnouncement::Status(status) => (status.incarnation, status.leaving),
+            HostAnnouncement::Facts(facts) => {
                 let leaving = facts.entry.state == ListedState::Leaving;
                 (facts.incarnation, leaving)
             }
         };
         if leaving {
-            let heard = &mut self.heard_leaving[index];
-            *heard = (*heard).max(incarnation);
+            let leaving_incarnation = &mut self.leaving_incarnations[index];
+            *leaving_incarnation = (*leaving_incarnation).max(incarnation);
         }
-        match word {
-            Word::Status(status) => {
+        match announcement {
+            HostAnnouncement::Status(status) => {
                 self.table.on_status(status, self.now);
             }
-            Word::Facts(facts) => {
+            HostAnnouncement::Facts(facts) => {
                 self.table.on_facts(&facts, self.now);
             }
         }
@@ -244,48 +250,52 @@
     }
 
     fn check(&self) {
-        for (host, leaving) in self.hosts.iter().zip(&self.heard_leaving) {
+        for (host, leaving) in self.hosts.iter().zip(&self.leaving_incarnations) {
             let Some(member) = self.table.get(&host.name) else {
                 continue;
             };
-            let known = member.facts.incarnation;
-            assert!(known <= host.incarnation, "a process that never was");
-            let takes_work = member.state() == MemberState::Live;
+            let known_incarnation = member.facts.incarnation;
             assert!(
-                !takes_work || known != *leaving || known == 0,
-                "{} takes new work after its word that it leaves",
+                known_incarnation <= host.incarnation,
+                "the observer reports an incarnation that never existed"
+            );
+            let is_live = member.state() == MemberState::Live;
+            assert!(
+                !is_live || known_incarnation != *leaving || known_incarnation == 0,
+                "{} counts as live after it announced that it leaves",
                 host.name
             );
             assert!(
-                known >= *leaving,
-                "{} is taken for an earlier process",
+                known_incarnation >= *leaving,
+                "{} is known by an earlier incarnation than the one that leaves",
                 host.name
             );
         }
     }
 
-    /// Nothing fails any more: the observer comes to see every host as it is.
-    fn settle(&mut self) {
-        for _ in 0..QUIET_STEPS {
-            self.now = self.now + PACE;
-            self.show_list();
+    /// Runs without further faults, after which the observer must know the true state of every
+    /// host.
+    fn converge(&mut self) {
+        for _ in 0..FAULTLESS_STEPS {
+            self.now = self.now + STATUS_INTERVAL;
+            self.update_host_list();
             for index in 0..HOSTS {
-                self.frame(index);
+                self.receive_status(index);
             }
             self.table.on_tick(self.now);
         }
         for host in &self.hosts {
             let state = self.table.get(&host.name).map(MemberView::state);
-            let state = state.expect("a listed host is known");
-            let is_due = match (host.speaks(), host.leaving) {
+            let state = state.expect("the observer knows every listed host");
+            let is_expected = match (host.is_running(), host.leaving) {
                 (false, _) => state != MemberState::Live,
                 (true, true) => state == MemberState::Leaving,
                 (true, false) => state == MemberState::Live,
             };
-            let speaks = host.speaks();
+            let is_running = host.is_running();
             assert!(
-                is_due,
-                "{} speaks: {speaks}, is seen as {state:?}",
+                is_expected,
+                "{}: process running: {is_running}, known as {state:?}",
                 host.name
             );
         }
--- a/src/lab/soak/rollout.rs
+++ b/src/lab/soak/rollout.rs
@@ -1,5 +1,6 @@
-//! Random rollouts: several hosts' activations over engines that lose answers, report late, restart
-//! and refuse, and over a table that is away, answers late or not at all.
+//! Drives random rollouts: the activation machines of several hosts, whose engines lose responses,
+//! report late, restart and reject orders, and whose shared table is unavailable or loses
+//! responses.
 
 use std::time::Duration;
 
@@ -20,46 +21,48 @@
 
 const HOSTS_MAX: usize = 5;
 const STEP: Duration = Duration::from_millis(100);
-const WILD_STEPS: usize = 400;
-/// How long every host then has to come to what it should serve.
-const CALM_STEPS: usize = 6_000;
-const PART: f64 = 0.5;
+const FAULT_STEPS: usize = 400;
+/// Steps without faults within which every host must serve the expected version.
+const RECOVERY_STEPS: usize = 6_000;
+const JITTER: f64 = 0.5;
 
-/// What one case is about.
-struct Rollout {
+/// State of one case.
+struct RolloutCase {
     now: ClockTime,
     hosts: Vec<FakeHost>,
     table: FakeTable,
     target: TargetVersion,
-    /// No engine loads it.
-    bad: Option<WeightsDigest>,
-    is_wild: bool,
+    /// The version that no engine can load, if there is one.
+    unloadable_digest: Option<WeightsDigest>,
+    /// Whether random faults are injected.
+    has_faults: bool,
 }
 
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is a state of its own that may stand beside any other"
+    reason = "the flags are independent of each other"
 )]
 struct FakeHost {
     name: ByteString,
     machine: ActivationMachine,
     engine: FakeEngine,
+    /// The version for which the host admits requests.
     gate: Option<ServingVersion>,
-    /// When the order under way is done, and what comes of it.
+    /// The order that the engine carries out.
     order: Option<FakeOrder>,
-    /// The document as this host knows it.
+    /// The target version as this host knows it, which may be stale.
     target: TargetVersion,
     incarnation: u64,
-    /// Whether the bad version took this host out of service and was refused.
-    was_refused: bool,
-    /// Whether this process has let requests in.
+    /// Whether the host was out of service for the unloadable version and its engine rejected it.
+    has_failed_swap: bool,
+    /// Whether this process has admitted requests.
     has_served: bool,
-    /// Whether requests of an earlier version are still under way.
-    still_runs: bool,
-    /// Whether this host alone does not reach the table.
-    is_cut_off: bool,
-    /// When this host last gave an order.
-    ordered_at: ClockTime,
+    /// Whether requests on the previous version are still running.
+    has_running_requests: bool,
+    /// Whether this host, unlike the others, cannot reach the table.
+    is_cut_off_from_table: bool,
+    /// When this host last gave its engine an order.
+    last_order_at: ClockTime,
 }
 
 #[derive(Clone)]
@@ -67,60 +70,62 @@
     done_at: ClockTime,
     fence: u64,
     serving: ServingVersion,
-    answer_is_lost: bool,
+    is_response_lost: bool,
+    /// Whether the host was out of service for the order.
     is_swap: bool,
 }
 
 struct FakeEngine {
     serving: Option<ServingVersion>,
+    /// Whether it rejects orders with a fencing number lower than the greatest so far.
     checks_fencing: bool,
-    /// Loses what it serves when it does not load another version.
-    loses: bool,
+    /// Whether it unloads the current version when it fails to load another.
+    unloads_on_failure: bool,
     fence: u64,
-    /// What it served, by the time from which on.
-    past: Vec<(ClockTime, Option<ServingVersion>)>,
+    /// The versions that it has served, each with the time from which it was served.
+    history: Vec<(ClockTime, Option<ServingVersion>)>,
 }
 
 #[derive(Default)]
 struct FakeTable {
     row: Option<(RowRevision, RolloutRow)>,
     last_revision: u64,
-    is_away: bool,
+    is_unavailable: bool,
 }
 
-/// Runs one case.
+/// Runs one random case.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut rollout = Rollout::new(u)?;
-    for _ in 0..WILD_STEPS {
-        rollout.disturb(u)?;
-        rollout.step(u)?;
+    let mut case = RolloutCase::new(u)?;
+    for _ in 0..FAULT_STEPS {
+        case.inject_fault(u)?;
+        case.step(u)?;
     }
-    rollout.is_wild = false;
-    rollout.table.is_away = false;
-    let newest = rollout.target.clone();
-    for host in &mut rollout.hosts {
+    case.has_faults = false;
+    case.table.is_unavailable = false;
+    let newest = case.target.clone();
+    for host in &mut case.hosts {
         host.target = newest.clone();
-        host.is_cut_off = false;
+        host.is_cut_off_from_table = false;
     }
     let mut steps = 0;
-    while !rollout.is_done() {
+    while !case.is_done() {
         assert!(
-            steps < CALM_STEPS,
-            "a host did not come to what it should serve: {}",
-            rollout.describe()
+            steps < RECOVERY_STEPS,
+            "a host does not serve the expected version after the recovery steps: {}",
+            case.describe()
         );
-        rollout.step(u)?;
+        case.step(u)?;
         steps += 1;
     }
     Ok(())
 }
 
-impl Rollout {
+impl RolloutCase {
     fn new(u: &mut Unstructured<'_>) -> Result<Self> {
         let count = u.int_in_range(1..=HOSTS_MAX)?;
-        let bound = u.int_in_range(1..=2)?;
+        let max_out_of_service = u.int_in_range(1..=2)?;
         let stop_after = u.int_in_range(1..=2)?;
-        let first = version(1, bound, stop_after);
+        let first_target = target_version(1, max_out_of_service, stop_after);
         let now = ClockTime(0);
         let mut hosts = Vec::new();
         for index in 0..count {
@@ -131,90 +136,95 @@
                 engine: FakeEngine {
                     serving: None,
                     checks_fencing: u.arbitrary()?,
-                    loses: u.arbitrary()?,
+                    unloads_on_failure: u.arbitrary()?,
                     fence: 0,
-                    past: vec![(now, None)],
+                    history: vec![(now, None)],
                 },
                 gate: None,
                 order: None,
-                target: first.clone(),
+                target: first_target.clone(),
                 incarnation: 1,
-                was_refused: false,
+                has_failed_swap: false,
                 has_served: false,
-                still_runs: false,
-                is_cut_off: false,
-                ordered_at: now,
+                has_running_requests: false,
+                is_cut_off_from_table: false,
+                last_order_at: now,
             });
         }
         Ok(Self {
             now,
             hosts,
             table: FakeTable::default(),
-            target: first,
-            bad: None,
-            is_wild: true,
+            target: first_target,
+            unloadable_digest: None,
+            has_faults: true,
         })
     }
 
-    /// All serve what they should: the wanted version, or, when that is bad, something older.
+    /// Returns whether all hosts serve the target version or, if no engine can load it, a previous
+    /// one.
     fn is_done(&self) -> bool {
         let target = self.target.digest;
         self.hosts.iter().all(|host| {
-            let open = host.gate.as_ref().map(|serving| serving.digest);
-            let is_right = match self.bad {
-                // A process that found an empty engine knows no older version to go back to.
-                Some(bad) if bad == target => match open {
-                    Some(digest) => digest != bad,
+            let served_digest = host.gate.as_ref().map(|serving| serving.digest);
+            let serves_expected = match self.unloadable_digest {
+                // A process that started with an empty engine knows no previous version to restore.
+                Some(unloadable_digest) if unloadable_digest == target => match served_digest {
+                    Some(digest) => digest != unloadable_digest,
                     None => !host.has_served,
                 },
-                _ => open == Some(target),
+                _ => served_digest == Some(target),
             };
-            is_right && !host.machine.is_changing()
+            serves_expected && !host.machine.is_changing()
         })
     }
 
     fn describe(&self) -> String {
         let hosts = self.hosts.iter().map(|host| {
-            let open = host.gate.as_ref().map(|serving| serving.version.clone());
-            format!("{} open for {open:?}, {:?}\n", host.name, host.machine)
+            let served = host.gate.as_ref().map(|serving| serving.version.clone());
+            format!(
+                "{} admits requests for {served:?}, {:?}\n",
+                host.name, host.machine
+            )
         });
         let hosts: String = hosts.collect();
         format!(
-            "wanted {:?}, row {:?}\n{hosts}",
+            "target {:?}, row {:?}\n{hosts}",
             self.target, self.table.row
         )
     }
 
-    fn disturb(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Injects or ends a fault at random, or changes the target version.
+    fn inject_fault(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if !u.ratio(1, 15)? {
             return Ok(());
         }
         let index = u.choose_index(self.hosts.len())?;
         match u.int_in_range(0..=5)? {
-            5 => self.hosts[index].is_cut_off = !self.hosts[index].is_cut_off,
-            0 => self.table.is_away = !self.table.is_away,
+            5 => self.hosts[index].is_cut_off_from_table = !self.hosts[index].is_cut_off_from_table,
+            0 => self.table.is_unavailable = !self.table.is_unavailable,
             1 => self.restart_process(index),
             2 => self.hosts[index].engine.serve(None, self.now),
             3 => self.hosts[index].target = self.target.clone(),
-            _ => self.want_another(u)?,
+            _ => self.set_next_target(u)?,
         }
         Ok(())
     }
 
-    /// A new document, which some hosts see at once. After a first version that is served
-    /// everywhere, one that no engine loads may come.
-    fn want_another(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let number = self.target.document + 1;
+    /// Sets a new target version, which some hosts know at once. If all engines serve a version,
+    /// the new one may be one that no engine can load.
+    fn set_next_target(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        let document_version = self.target.document + 1;
         let rollout = &self.target.rollout;
-        self.target = version(
-            number,
+        self.target = target_version(
+            document_version,
             rollout.max_out_of_service,
             rollout.stop_after_failures,
         );
         let all_serve = self.hosts.iter().all(|host| host.engine.serving.is_some());
-        self.bad = (all_serve && u.ratio(1, 3)?).then_some(self.target.digest);
+        self.unloadable_digest = (all_serve && u.ratio(1, 3)?).then_some(self.target.digest);
         for host in &mut self.hosts {
-            host.was_refused = false;
+            host.has_failed_swap = false;
             if u.ratio(3, 4)? {
                 host.target = self.target.clone();
             }
@@ -222,7 +232,8 @@
         Ok(())
     }
 
-    /// A new process on the host knows nothing; the engine and an order under way go on.
+    /// Starts a new process on the host without any state. The engine and its running order
+    /// continue, but the response to that order is lost.
     fn restart_process(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         host.incarnation += 1;
@@ -230,112 +241,125 @@
         host.gate = None;
         host.has_served = false;
         if let Some(order) = host.order.as_mut() {
-            order.answer_is_lost = true;
+            order.is_response_lost = true;
         }
     }
 
+    /// Runs all hosts for one step of the clock and checks the limits of the rollout.
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         for index in 0..self.hosts.len() {
-            self.finish_order(index);
-            self.act(u, index)?;
+            self.complete_order(index);
+            self.run_host_steps(u, index)?;
         }
-        let bound = usize::try_from(self.target.rollout.max_out_of_service).unwrap_or(0);
-        let out = self.hosts.iter().filter(|host| host.machine.is_swapping());
+        let max_out_of_service =
+            usize::try_from(self.target.rollout.max_out_of_service).unwrap_or(0);
+        let out_of_service = self.hosts.iter().filter(|host| host.machine.is_swapping());
         assert!(
-            out.count() <= bound,
-            "more hosts than allowed are out of service: {}",
+            out_of_service.count() <= max_out_of_service,
+            "more hosts are out of service than allowed: {}",
             self.describe()
         );
         let stop_after = usize::try_from(self.target.rollout.stop_after_failures).unwrap_or(0);
-        let refused = self.hosts.iter().filter(|host| host.was_refused).count();
+        let failed_swaps = self
+            .hosts
+            .iter()
+            .filter(|host| host.has_failed_swap)
+            .count();
         assert!(
-            refused < stop_after + bound,
-            "a bad version went on after it should have stopped: {}",
+            failed_swaps < stop_after + max_out_of_service,
+            "the rollout of an unloadable version continued after too many failures: {}",
             self.describe()
         );
         self.now = self.now + STEP;
         Ok(())
     }
 
-    fn finish_order(&mut self, index: usize) {
+    /// Completes the order of a host that is due, and passes the response to the host's machine.
+    fn complete_order(&mut self, index: usize) {
         let now = self.now;
-        let bad = self.bad;
+        let unloadable_digest = self.unloadable_digest;
         let host = &mut self.hosts[index];
         let Some(order) = host.order.take_if(|order| order.done_at <= now) else {
             return;
         };
-        let answer = if host.engine.checks_fencing && order.fence < host.engine.fence {
-            Err(SwitchError::new(ErrorKind::OrderStale, "an old number"))
-        } else if Some(order.serving.digest) == bad {
-            host.was_refused |= order.is_swap;
-            if host.engine.loses {
+        let response = if host.engine.checks_fencing && order.fence < host.engine.fence {
+            Err(SwitchError::new(
+                ErrorKind::OrderStale,
+                "the fencing number is outdated",
+            ))
+        } else if Some(order.serving.digest) == unloadable_digest {
+            host.has_failed_swap |= order.is_swap;
+            if host.engine.unloads_on_failure {
                 host.engine.serve(None, now);
             }
             Err(SwitchError::new(
                 ErrorKind::ActivationFailed,
-                "does not load",
+                "the engine cannot load the version",
             ))
         } else {
             host.engine.fence = order.fence;
             host.engine.serve(Some(order.serving), now);
             Ok(())
         };
-        let answer = if order.answer_is_lost {
-            Err(SwitchError::new(ErrorKind::PeerSilent, "no answer"))
+        let response = if order.is_response_lost {
+            Err(SwitchError::new(
+                ErrorKind::PeerSilent,
+                "no response from the engine",
+            ))
         } else {
-            answer
+            response
         };
         if host.machine.is_ordering() {
-            host.machine.on_ordered(answer, now);
+            host.machine.on_ordered(response, now);
         }
     }
 
-    /// Carries out steps of a host until one of them waits.
-    fn act(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
+    /// Carries out the steps of a host until it waits, at most six of them.
+    fn run_host_steps(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         for _ in 0..6 {
             let now = self.now;
             let host = &mut self.hosts[index];
             let gate = host.gate.clone();
-            let view = ActivationInputs {
+            let inputs = ActivationInputs {
                 target: Some(&host.target),
                 is_complete: &|_| true,
                 gate: gate.as_ref(),
                 is_live: &|_| true,
                 batches_ahead: 0,
-                jitter: PART,
+                jitter: JITTER,
             };
-            match host.machine.next_step(&view, now) {
+            match host.machine.next_step(&inputs, now) {
                 ActivationStep::WaitUntil(_) => return Ok(()),
                 ActivationStep::ReadEngine => self.read_engine(u, index)?,
                 ActivationStep::ReadRow => {
-                    let answer = if host.is_cut_off {
-                        Err(away())
+                    let response = if host.is_cut_off_from_table {
+                        Err(table_unavailable())
                     } else {
                         self.table.read()
                     };
-                    self.hosts[index].machine.on_row(answer, PART, now);
+                    self.hosts[index].machine.on_row(response, JITTER, now);
                 }
                 ActivationStep::WriteRow { expected, row } => {
-                    let is_lost = self.is_wild && u.ratio(1, 6)?;
-                    let answer = if host.is_cut_off {
-                        Err(away())
+                    let is_lost = self.has_faults && u.ratio(1, 6)?;
+                    let response = if host.is_cut_off_from_table {
+                        Err(table_unavailable())
                     } else {
                         self.table.write(expected, row, is_lost)
                     };
-                    self.hosts[index].machine.on_written(answer, PART, now);
+                    self.hosts[index].machine.on_written(response, JITTER, now);
                 }
                 ActivationStep::CloseGate => {
                     host.gate = None;
-                    let all_ended = !self.is_wild || u.ratio(2, 3)?;
+                    let all_ended = !self.has_faults || u.ratio(2, 3)?;
                     let host = &mut self.hosts[index];
-                    host.still_runs = !all_ended;
+                    host.has_running_requests = !all_ended;
                     host.machine.on_gate_closed(all_ended);
                 }
                 ActivationStep::Order { fence, serving } => {
-                    self.take_order(u, index, fence, serving)?;
+                    self.receive_order(u, index, fence, serving)?;
                 }
                 ActivationStep::OpenGate(serving) => {
-                    host.engine.assert_served(&serving, host.ordered_at, now);
+                    host.engine.assert_served(&serving, host.last_order_at, now);
                     host.gate = Some(serving);
                     host.has_served = true;
                 }
@@ -344,14 +368,15 @@
         Ok(())
     }
 
-    fn take_order(
+    /// Passes an order to a host's engine, which completes it later.
+    fn receive_order(
         &mut self,
         u: &mut Unstructured<'_>,
         index: usize,
         fence: u64,
         serving: ServingVersion,
     ) -> Result<()> {
-        let millis = match self.is_wild {
+        let millis = match self.has_faults {
             true if u.ratio(1, 6)? => 15_000,
             true => u.int_in_range(0..=3_000)?,
             false => 300,
@@ -360,41 +385,46 @@
             done_at: self.now + Duration::from_millis(millis),
             fence,
             serving,
-            answer_is_lost: self.is_wild && u.ratio(1, 5)?,
+            is_response_lost: self.has_faults && u.ratio(1, 5)?,
             is_swap: self.hosts[index].machine.is_swapping(),
         };
         let host = &mut self.hosts[index];
         assert!(
             host.gate.is_none(),
-            "an order was given while requests were let in"
+            "an order was given while requests were admitted"
         );
         assert!(
-            !host.still_runs,
-            "an order was given while requests were under way"
+            !host.has_running_requests,
+            "an order was given while requests were running"
         );
-        host.ordered_at = self.now;
+        host.last_order_at = self.now;
         if let Some(earlier) = &host.order {
-            // Of an earlier process on the host; the machine itself gives one at a time.
+            // The earlier order is of a previous process on the host, since a machine gives one
+            // order at a time.
             assert!(
-                earlier.answer_is_lost,
-                "two orders of one process at a time"
+                earlier.is_response_lost,
+                "one process gave two orders at a time"
             );
         }
         host.order = Some(order);
         Ok(())
     }
 
+    /// Reports the state of a host's engine, possibly delayed, or a lost response.
     fn read_engine(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         let now = self.now;
-        let lag_ms = if self.is_wild {
+        let lag_ms = if self.has_faults {
             u.int_in_range(0..=900)?
         } else {
             0
         };
-        let is_silent = self.is_wild && u.ratio(1, 8)?;
+        let is_unresponsive = self.has_faults && u.ratio(1, 8)?;
         let host = &mut self.hosts[index];
-        let answer = if is_silent {
-            Err(SwitchError::new(ErrorKind::PeerSilent, "no answer"))
+        let response = if is_unresponsive {
+            Err(SwitchError::new(
+                ErrorKind::PeerSilent,
+                "no response from the engine",
+            ))
         } else {
             Ok(EngineState {
                 load: LoadReport::default(),
@@ -403,31 +433,37 @@
                 age_ms: lag_ms,
             })
         };
-        host.machine.on_engine(answer, now, now);
+        host.machine.on_engine(response, now, now);
         Ok(())
     }
 }
 
 impl FakeEngine {
     fn serve(&mut self, serving: Option<ServingVersion>, now: ClockTime) {
-        self.past.push((now, serving.clone()));
+        self.history.push((now, serving.clone()));
         self.serving = serving;
     }
 
-    fn served_at(&self, then: ClockTime) -> Option<ServingVersion> {
-        let held = self.past.iter().rev().find(|(since, _)| *since <= then);
-        held.and_then(|(_, serving)| serving.clone())
+    /// Returns what the engine served at the given time.
+    fn served_at(&self, time: ClockTime) -> Option<ServingVersion> {
+        let entry = self.history.iter().rev().find(|(since, _)| *since <= time);
+        entry.and_then(|(_, serving)| serving.clone())
     }
 
-    /// The gate opens only for what the engine served after the last order, at most a report's lag
-    /// and a look ago.
-    fn assert_served(&self, serving: &ServingVersion, ordered_at: ClockTime, now: ClockTime) {
-        let lately = ordered_at.max(now - Duration::from_secs(2));
-        let in_force = self.served_at(lately);
-        let since = self.past.iter().filter(|(since, _)| *since >= lately);
-        let mut served = since.filter_map(|(_, serving)| serving.as_ref());
+    /// Checks that the gate opens only for a version that the engine has served since the last
+    /// order and within the last 2 s, which covers the delay of a report and the interval between
+    /// reads.
+    fn assert_served(&self, serving: &ServingVersion, last_order_at: ClockTime, now: ClockTime) {
+        let window_start = last_order_at.max(now - Duration::from_secs(2));
+        let served_at_start = self.served_at(window_start);
+        let recent = self
+            .history
+            .iter()
+            .filter(|(since, _)| *since >= window_start);
+        let mut served = recent.filter_map(|(_, serving)| serving.as_ref());
         assert!(
-            in_force.as_ref() == Some(serving) || served.any(|known| known == serving),
+            served_at_start.as_ref() == Some(serving)
+                || served.any(|served_version| served_version == serving),
             "the gate opened for a version that the engine does not serve"
         );
     }
@@ -435,35 +471,37 @@
 
 impl FakeTable {
     fn read(&self) -> std::result::Result<RowSnapshot, SwitchError> {
-        if self.is_away {
-            return Err(away());
+        if self.is_unavailable {
+            return Err(table_unavailable());
         }
-        Ok(self.seen())
+        Ok(self.snapshot())
     }
 
+    /// Writes the row if its revision is `expected`. With `is_lost`, the write succeeds but its
+    /// response is lost.
     fn write(
         &mut self,
         expected: RowRevision,
         row: RolloutRow,
         is_lost: bool,
     ) -> std::result::Result<RowWriteResult, SwitchError> {
-        if self.is_away {
-            return Err(away());
+        if self.is_unavailable {
+            return Err(table_unavailable());
         }
-        if self.seen().revision != expected {
-            return Ok(RowWriteResult::Conflict(self.seen()));
+        if self.snapshot().revision != expected {
+            return Ok(RowWriteResult::Conflict(self.snapshot()));
         }
         let last = self.row.as_ref().map_or(0, |(_, row)| row.fence);
-        assert!(row.fence >= last, "a fencing number went back");
+        assert!(row.fence >= last, "a fencing number decreased");
         self.last_revision += 1;
         self.row = Some((RowRevision(self.last_revision), row));
         if is_lost {
-            return Err(away());
+            return Err(table_unavailable());
         }
         Ok(RowWriteResult::Written)
     }
 
-    fn seen(&self) -> RowSnapshot {
+    fn snapshot(&self) -> RowSnapshot {
         match &self.row {
             Some((revision, row)) => RowSnapshot {
                 revision: *revision,
@@ -474,8 +512,8 @@
     }
 }
 
-fn away() -> SwitchError {
-    SwitchError::new(ErrorKind::TableUnavailable, "away")
+fn table_unavailable() -> SwitchError {
+    SwitchError::new(ErrorKind::TableUnavailable, "the table is unavailable")
 }
 
 fn holder(name: &ByteString, incarnation: u64) -> LeaseHolder {
@@ -485,13 +523,17 @@
     }
 }
 
-fn version(number: u64, max_out_of_service: u32, stop_after_failures: u32) -> TargetVersion {
-    let digest = WeightsDigest::of(&number.to_be_bytes());
+fn target_version(
+    document_version: u64,
+    max_out_of_service: u32,
+    stop_after_failures: u32,
+) -> TargetVersion {
+    let digest = WeightsDigest::of(&document_version.to_be_bytes());
     TargetVersion {
         service: "sky-writer".into(),
-        document: number,
+        document: document_version,
         spec: WeightsSpec {
-            version: format!("v{number}").into(),
+            version: format!("v{document_version}").into(),
             source: "weights".into(),
             digest: digest.to_string().into(),
             objective: SpreadObjective::Time,
--- a/src/lab/soak/spread.rs
+++ b/src/lab/soak/spread.rs
@@ -1,5 +1,6 @@
-//! Several control machines that hear of documents from a table that shows old rows and from each
-//! other, are cut off and joined, and start anew.
+//! Drives the spreading of one document among several control processes. They read it from a table
+//! that may return stale rows and pull it from each other, are separated by network partitions and
+//! rejoined, and restart.
 
 use std::time::Duration;
 
@@ -16,56 +17,58 @@
 const PROCESSES: usize = 5;
 const SERVICE: &str = "pisar";
 
-/// One process and what it acts on.
-struct Process {
+/// A process that runs a control machine.
+struct ControlProcess {
     machine: ControlMachine,
     incarnation: u64,
-    /// The group of processes that it can reach.
-    group: u8,
-    /// The greatest version that it ever acted on, earlier processes on the host included.
-    acted_on: u64,
+    /// The network partition that it is in. It reaches only processes of the same partition.
+    partition: u8,
+    /// The greatest version that this process or an earlier one on the host has applied.
+    applied_version: u64,
 }
 
-/// Everything in one run.
-struct Run {
+/// State of one run.
+struct SpreadRun {
     now: ClockTime,
-    /// Every row that the document has had, the oldest first.
-    stood: Vec<Bytes>,
-    processes: Vec<Process>,
+    /// All rows of the document, oldest first.
+    row_history: Vec<Bytes>,
+    processes: Vec<ControlProcess>,
 }
 
-/// One run: changes, readings, cuts and restarts, with checks after each.
+/// Runs one case: random changes, table reads, pulls, partitions and restarts, with checks after
+/// each.
 ///
 /// # Errors
 ///
-/// Never by itself; `u` ends a run early when its bytes are used up.
+/// Only if the bytes of `u` are used up, which ends the run early.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut run = Run {
+    let mut run = SpreadRun {
         now: ClockTime::from_millis(1000),
-        stood: Vec::new(),
-        processes: (0..PROCESSES).map(Process::new).collect(),
+        row_history: Vec::new(),
+        processes: (0..PROCESSES).map(ControlProcess::new).collect(),
     };
-    run.accept(0);
+    run.accept_change(0);
     for _ in 0..STEPS {
         run.now = run.now + Duration::from_millis(u.int_in_range(1..=500)?);
         let index = u.choose_index(PROCESSES)?;
         run.step(u, index)?;
     }
-    run.join_all();
+    run.rejoin_all();
     Ok(())
 }
 
-impl Process {
+impl ControlProcess {
     fn new(index: usize) -> Self {
         Self {
-            machine: machine(index, 1),
+            machine: control_machine(index, 1),
             incarnation: 1,
-            group: 0,
-            acted_on: 0,
+            partition: 0,
+            applied_version: 0,
         }
     }
 
-    fn act(&mut self) {
+    /// Applies the latest snapshot, whose version must not be older than the one applied before.
+    fn apply_documents(&mut self) {
         self.machine.take_spread();
         let Some(snapshot) = self.machine.take_snapshot() else {
             return;
@@ -74,87 +77,91 @@
             return;
         };
         assert!(
-            record.version >= self.acted_on,
-            "version {} is in force again after {}",
+            record.version >= self.applied_version,
+            "version {} was applied again after {}",
             record.version,
-            self.acted_on
+            self.applied_version
         );
-        self.acted_on = record.version;
+        self.applied_version = record.version;
     }
 }
 
-impl Run {
+impl SpreadRun {
     fn step(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         match u.int_in_range(0..=9)? {
-            0 => self.accept(index),
-            1 => self.processes[index].group = u.int_in_range(0..=1)?,
+            0 => self.accept_change(index),
+            1 => self.processes[index].partition = u.int_in_range(0..=1)?,
             2 => self.restart(u, index)?,
             3 | 4 => self.read_table(u, index)?,
-            _ => self.pull(index, u.choose_index(PROCESSES)?),
+            _ => self.pull_documents(index, u.choose_index(PROCESSES)?),
         }
-        self.processes[index].act();
+        self.processes[index].apply_documents();
         Ok(())
     }
 
-    /// A change is accepted at a process, which puts it in force at once.
-    fn accept(&mut self, index: usize) {
-        let version = u64::try_from(self.stood.len()).unwrap_or(u64::MAX) + 1;
-        let row = row(version);
-        self.stood.push(row.clone());
+    /// Accepts a change at a process, whose control machine receives the new row at once.
+    fn accept_change(&mut self, index: usize) {
+        let version = u64::try_from(self.row_history.len()).unwrap_or(u64::MAX) + 1;
+        let row = document_row(version);
+        self.row_history.push(row.clone());
         self.processes[index].machine.on_row(&row);
     }
 
-    /// A reading of the table, which may be stale.
+    /// Reads the table, with a stale row in some cases.
     fn read_table(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
-        let newest = self.stood.len() - 1;
-        let at = if u.ratio(1, 3)? {
+        let newest = self.row_history.len() - 1;
+        let row_index = if u.ratio(1, 3)? {
             u.int_in_range(0..=newest)?
         } else {
             newest
         };
         let machine = &mut self.processes[index].machine;
-        machine.on_row(&self.stood[at]);
+        machine.on_row(&self.row_history[row_index]);
         machine.on_table(true);
         machine.on_tick(false, self.now);
         Ok(())
     }
 
-    /// The process asks another for what it lacks, if it can reach it.
-    fn pull(&mut self, index: usize, other: usize) {
-        if index == other || self.processes[index].group != self.processes[other].group {
+    /// Copies the documents of another process, if it is reachable and has newer ones.
+    fn pull_documents(&mut self, index: usize, other: usize) {
+        if index == other || self.processes[index].partition != self.processes[other].partition {
             return;
         }
-        let there = self.processes[other].machine.documents().clone();
+        let other_documents = self.processes[other].machine.documents().clone();
         let machine = &mut self.processes[index].machine;
-        if machine.lacks_any(&there.versions()) {
-            for held in there.all() {
-                machine.on_row(&held.row);
+        if machine.lacks_any(&other_documents.versions()) {
+            for document in other_documents.all() {
+                machine.on_row(&document.row);
             }
         }
     }
 
-    /// A new process starts on the host, reads the table and asks whom it can reach. The one case
-    /// that nothing can help, an old reading while nobody who knows better can be reached, is left
-    /// out.
+    /// Starts a new process on the host, which reads the table and pulls from all reachable
+    /// processes. Does nothing if no reachable process holds the version that the host has applied
+    /// or a newer one: a stale read could then make the new process apply an older version, which
+    /// nothing can prevent.
     fn restart(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
-        let greatest = self.processes[index].acted_on;
-        let group = self.processes[index].group;
-        let knows = |process: &Process| {
-            process.group == group && process.machine.documents().version_of(SERVICE) >= greatest
+        let applied_version = self.processes[index].applied_version;
+        let partition = self.processes[index].partition;
+        let is_current = |process: &ControlProcess| {
+            process.partition == partition
+                && process.machine.documents().version_of(SERVICE) >= applied_version
         };
         let others = (0..PROCESSES).filter(|other| *other != index);
-        let is_helped = others.clone().any(|other| knows(&self.processes[other]));
-        if !is_helped {
+        let can_catch_up = others
+            .clone()
+            .any(|other| is_current(&self.processes[other]));
+        if !can_catch_up {
             return Ok(());
         }
         let process = &mut self.processes[index];
         process.incarnation += 1;
-        process.machine = machine(index, process.incarnation);
+        process.machine = control_machine(index, process.incarnation);
         self.read_table(u, index)?;
-        self.processes[index].act();
+        self.processes[index].apply_documents();
         for other in others {
-            self.pull(index, other);
-            self.processes[index].act();
+            self.pull_documents(index, other);
+            self.processes[index].apply_documents();
         }
         let machine = &mut self.processes[index].machine;
         machine.on_list(&[], self.now);
@@ -162,36 +169,36 @@
         Ok(())
     }
 
-    /// Everyone reaches everyone: all come to act on the newest.
-    fn join_all(&mut self) {
+    /// Ends all partitions, after which every process must apply the newest version.
+    fn rejoin_all(&mut self) {
         self.now = self.now + Duration::from_secs(5);
         for process in &mut self.processes {
-            process.group = 0;
+            process.partition = 0;
             process.machine.on_tick(true, self.now);
-            process.act();
+            process.apply_documents();
         }
         for index in 0..PROCESSES {
             self.processes[index].machine.on_table(true);
         }
-        let newest = u64::try_from(self.stood.len()).unwrap_or(u64::MAX);
-        let last = self.stood.len() - 1;
-        let row = self.stood[last].clone();
+        let newest = u64::try_from(self.row_history.len()).unwrap_or(u64::MAX);
+        let last = self.row_history.len() - 1;
+        let row = self.row_history[last].clone();
         self.processes[0].machine.on_row(&row);
         for index in 0..PROCESSES {
-            self.pull(index, 0);
+            self.pull_documents(index, 0);
             self.now = self.now + Duration::from_secs(5);
             let process = &mut self.processes[index];
             process.machine.on_tick(true, self.now);
-            process.act();
+            process.apply_documents();
             assert_eq!(
-                process.acted_on, newest,
+                process.applied_version, newest,
                 "process {index} does not converge"
             );
         }
     }
 }
 
-fn machine(index: usize, incarnation: u64) -> ControlMachine {
+fn control_machine(index: usize, incarnation: u64) -> ControlMachine {
     ControlMachine::new(HostIdentity {
         host: format!("entry-{index}").into(),
         data_centre: "kp-luka".into(),
@@ -203,7 +210,7 @@
     })
 }
 
-fn row(version: u64) -> Bytes {
+fn document_row(version: u64) -> Bytes {
     let nonce = format!("change-{version}");
     let document = serde_json::json!({
         "format": 1,
@@ -226,5 +233,5 @@
         }],
         document,
     };
-    record.to_row().expect("a record writes")
+    record.to_row().expect("the record is serialisable")
 }
--- a/src/lab/soak/weights.rs
+++ b/src/lab/soak/weights.rs
@@ -1,6 +1,6 @@
-//! Random bursts of weights: several hosts' fetch plans over a network that loses, delays, corrupts,
-//! shortens and crosses what it carries, with hosts that die, data centres that are cut off, views
-//! that differ and an origin that goes away.
+//! Drives the fetch plans of several hosts that fetch the same weights over a simulated network.
+//! The network loses, delays, reorders, corrupts and truncates messages. Hosts fail, data centres
+//! are isolated, the host lists of the hosts differ, and the origin becomes unavailable.
 
 use std::time::Duration;
 
@@ -19,28 +19,32 @@
 const CHUNKS_MAX: usize = 20;
 const CHUNK_BYTES: usize = 16;
 const TICK: Duration = Duration::from_millis(50);
-/// How long the network does its worst.
-const WILD_MILLIS: u64 = 8_000;
-/// How long every live host then has to come to the whole.
-const CALM_MILLIS: u64 = 240_000;
-const ASK_MILLIS: u64 = 1_000;
-const CALM_DELAY: u64 = 20;
-
-/// What one case is about.
-struct Burst {
+/// Duration of the phase with faults.
+const FAULT_PHASE_MS: u64 = 8_000;
+/// Time without faults within which every live host must hold the complete version.
+const RECOVERY_LIMIT_MS: u64 = 240_000;
+/// Time after which a query without a response fails.
+const QUERY_TIMEOUT_MS: u64 = 1_000;
+/// Delay of a message on a network without faults.
+const FAULTLESS_DELAY_MS: u64 = 20;
+
+/// State of one case.
+struct FetchCase {
     now: ClockTime,
     version: VersionManifest,
     data: Vec<Bytes>,
     hosts: Vec<FakeHost>,
-    arrivals: Vec<Arrival>,
-    origin_is_up: bool,
-    /// The data centre that is cut off from the others, and whether the origin is on its side.
-    cut: Option<(usize, bool)>,
-    is_wild: bool,
-    /// Reads from the origin that delivered.
+    scheduled_events: Vec<ScheduledEvent>,
+    is_origin_available: bool,
+    /// The data centre that is isolated from the others, and whether the origin is reachable from
+    /// it only (true) or from the others only (false).
+    isolated_centre: Option<(usize, bool)>,
+    /// Whether random faults are injected.
+    has_faults: bool,
+    /// Number of chunk reads that the origin served.
     origin_reads: usize,
-    /// How long a read from the origin takes on a calm network.
-    origin_millis: u64,
+    /// Duration of a read from the origin on a network without faults.
+    origin_read_ms: u64,
 }
 
 struct FakeHost {
@@ -48,69 +52,80 @@
     plan: FetchPlan,
     staged: StagedVersion,
     is_alive: bool,
-    centre: usize,
+    data_centre_index: usize,
 }
 
-struct Arrival {
+/// An event that reaches a host at a given time.
+struct ScheduledEvent {
     at: ClockTime,
     host: usize,
-    news: News,
+    event: HostEvent,
 }
 
-enum News {
-    Asked(PeerKey, std::result::Result<ChunkAnnouncement, ErrorKind>),
+enum HostEvent {
+    /// The response to a query, or the error that ended it.
+    QueryResponse(PeerKey, std::result::Result<ChunkAnnouncement, ErrorKind>),
+    /// The bytes of a chunk transfer, or the error that ended it.
     Chunk(TransferId, u32, std::result::Result<Bytes, ErrorKind>),
 }
 
-/// Runs one case.
+/// Runs one random case.
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut burst = Burst::new(u)?;
-    while burst.now < ClockTime::from_millis(WILD_MILLIS) {
-        burst.disturb(u)?;
-        burst.step(u)?;
+    let mut case = FetchCase::new(u)?;
+    while case.now < ClockTime::from_millis(FAULT_PHASE_MS) {
+        case.inject_fault(u)?;
+        case.step(u)?;
     }
-    burst.calm_down(u)?;
-    let ends = burst.now + Duration::from_millis(CALM_MILLIS);
-    while !burst.is_done() {
+    case.end_faults(u)?;
+    let deadline = case.now + Duration::from_millis(RECOVERY_LIMIT_MS);
+    while !case.is_done() {
         assert!(
-            burst.now < ends,
-            "a live host did not come to the whole while a source was left"
+            case.now < deadline,
+            "a live host did not complete the version although sources remain"
         );
-        burst.step(u)?;
+        case.step(u)?;
     }
-    for host in burst.hosts.iter().filter(|host| host.is_alive) {
+    for host in case.hosts.iter().filter(|host| host.is_alive) {
         host.staged
             .verify()
             .expect("all chunks matched the manifest");
-        let all_bytes = host.staged.all_bytes().expect("it is sealed");
-        assert_eq!(all_bytes, burst.data, "a host ended with other bytes");
+        let all_bytes = host
+            .staged
+            .all_bytes()
+            .expect("the verified version is sealed");
+        assert_eq!(
+            all_bytes, case.data,
+            "a host completed the version with wrong bytes"
+        );
     }
     Ok(())
 }
 
-/// Runs a burst without faults, in which a read from the origin takes `origin_millis`, and returns
-/// how many chunks there were and how many reads from the origin it took.
+/// Runs a fetch by `hosts` hosts without faults, in which a read from the origin takes
+/// `origin_read_ms` milliseconds. Returns the number of chunks and the number of reads from the
+/// origin.
 #[cfg(test)]
 pub(crate) fn run_without_faults(
     hosts: usize,
     objective: SpreadObjective,
-    origin_millis: u64,
+    origin_read_ms: u64,
 ) -> (usize, usize) {
     let mut u = Unstructured::new(&[]);
-    let mut burst = Burst::of(hosts, CHUNKS_MAX, objective, 1);
-    burst.is_wild = false;
-    burst.origin_millis = origin_millis;
-    while !burst.is_done() {
+    let mut case = FetchCase::with_size(hosts, CHUNKS_MAX, objective, 1);
+    case.has_faults = false;
+    case.origin_read_ms = origin_read_ms;
+    while !case.is_done() {
         assert!(
-            burst.now < ClockTime::from_millis(CALM_MILLIS),
-            "it does not end"
+            case.now < ClockTime::from_millis(RECOVERY_LIMIT_MS),
+            "the fetch did not finish in time"
         );
-        burst.step(&mut u).expect("nothing is drawn");
+        case.step(&mut u)
+            .expect("a run without faults needs no random bytes");
     }
-    (burst.data.len(), burst.origin_reads)
+    (case.data.len(), case.origin_reads)
 }
 
-impl Burst {
+impl FetchCase {
     fn new(u: &mut Unstructured<'_>) -> Result<Self> {
         let hosts = u.int_in_range(1..=HOSTS_MAX)?;
         let chunks = u.int_in_range(1..=CHUNKS_MAX)?;
@@ -119,13 +134,13 @@
         } else {
             SpreadObjective::OriginBytes
         };
-        Ok(Self::of(hosts, chunks, objective, u.arbitrary()?))
+        Ok(Self::with_size(hosts, chunks, objective, u.arbitrary()?))
     }
 
-    fn of(hosts: usize, chunks: usize, objective: SpreadObjective, seed: u64) -> Self {
+    fn with_size(hosts: usize, chunks: usize, objective: SpreadObjective, seed: u64) -> Self {
         let data: Vec<Bytes> = (0..chunks)
             .map(|chunk| {
-                // The last chunk is shorter, as it may be.
+                // The last chunk may be shorter than the others.
                 let length = if chunk + 1 == chunks {
                     CHUNK_BYTES / 2
                 } else {
@@ -144,138 +159,145 @@
         };
         let now = ClockTime(0);
         let hosts = (0..hosts).map(|index| {
-            let location = line_of(index);
-            let spans = (Duration::from_millis(20), seed ^ index as u64);
+            let location = location_of(index);
+            let chunk_time_and_seed = (Duration::from_millis(20), seed ^ index as u64);
             let held = ChunkMap::empty(version.chunk_count());
-            let wanted = (version.digest, objective);
+            let target = (version.digest, objective);
             FakeHost {
                 plan: FetchPlan::new(
                     location.clone(),
-                    wanted,
+                    target,
                     held,
                     FetchLimits::default(),
-                    spans,
+                    chunk_time_and_seed,
                     now,
                 ),
                 location,
                 staged: StagedVersion::new(version.clone()),
                 is_alive: true,
-                centre: index % 3,
+                data_centre_index: index % 3,
             }
         });
-        let mut burst = Self {
+        let mut case = Self {
             now,
             hosts: hosts.collect(),
             data,
             version,
-            arrivals: Vec::new(),
-            origin_is_up: true,
-            cut: None,
-            is_wild: true,
+            scheduled_events: Vec::new(),
+            is_origin_available: true,
+            isolated_centre: None,
+            has_faults: true,
             origin_reads: 0,
-            origin_millis: CALM_DELAY,
+            origin_read_ms: FAULTLESS_DELAY_MS,
         };
-        burst.show_all_hosts();
-        burst
+        case.set_full_host_lists();
+        case
     }
 
+    /// Returns whether every live host holds all chunks.
     fn is_done(&self) -> bool {
         let mut live = self.hosts.iter().filter(|host| host.is_alive);
         live.all(|host| host.plan.held().is_full())
     }
 
-    fn show_all_hosts(&mut self) {
+    /// Gives every host the full list of live hosts.
+    fn set_full_host_lists(&mut self) {
         let live: Vec<PeerHost> = (0..self.hosts.len())
             .filter(|index| self.hosts[*index].is_alive)
-            .map(|index| self.plan_host(index))
+            .map(|index| self.peer_host(index))
             .collect();
         for host in &mut self.hosts {
             host.plan.set_hosts(&live);
         }
     }
 
-    fn plan_host(&self, index: usize) -> PeerHost {
+    fn peer_host(&self, index: usize) -> PeerHost {
         PeerHost {
             location: self.hosts[index].location.clone(),
             address: ([127, 0, 0, 1], u16::try_from(index + 1).unwrap_or(0)).into(),
         }
     }
 
-    /// Something goes wrong, or right again.
-    fn disturb(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Injects or ends a fault at random.
+    fn inject_fault(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if !u.ratio(1, 12)? {
             return Ok(());
         }
         let index = u.choose_index(self.hosts.len())?;
         match u.int_in_range(0..=4)? {
-            0 => self.origin_is_up = !self.origin_is_up,
+            0 => self.is_origin_available = !self.is_origin_available,
             1 => {
-                self.cut = match self.cut {
+                self.isolated_centre = match self.isolated_centre {
                     Some(_) => None,
                     None => Some((u.int_in_range(0..=2)?, u.arbitrary()?)),
                 }
             }
-            2 => self.kill(index),
-            3 => self.restart(index),
-            _ => self.show_some_hosts(u, index)?,
+            2 => self.stop_host(index),
+            3 => self.restart_host(index),
+            _ => self.set_partial_host_list(u, index)?,
         }
         Ok(())
     }
 
-    fn kill(&mut self, index: usize) {
+    /// Stops a host and drops the events on their way to it, unless it is the last live host.
+    fn stop_host(&mut self, index: usize) {
         let alive = self.hosts.iter().filter(|host| host.is_alive).count();
         if alive > 1 {
             self.hosts[index].is_alive = false;
-            self.arrivals.retain(|arrival| arrival.host != index);
+            self.scheduled_events
+                .retain(|scheduled| scheduled.host != index);
         }
     }
 
-    /// A new process on the host keeps nothing.
-    fn restart(&mut self, index: usize) {
-        self.arrivals.retain(|arrival| arrival.host != index);
+    /// Starts a new process on the host, which has no chunks.
+    fn restart_host(&mut self, index: usize) {
+        self.scheduled_events
+            .retain(|scheduled| scheduled.host != index);
         let count = self.version.chunk_count();
         let host = &mut self.hosts[index];
         host.is_alive = true;
         host.staged = StagedVersion::new(self.version.clone());
-        let wanted = (self.version.digest, SpreadObjective::OriginBytes);
+        let target = (self.version.digest, SpreadObjective::OriginBytes);
         host.plan = FetchPlan::new(
             host.location.clone(),
-            wanted,
+            target,
             ChunkMap::empty(count),
             FetchLimits::default(),
             (Duration::from_millis(20), self.now.0),
             self.now,
         );
-        self.show_all_hosts();
+        self.set_full_host_lists();
     }
 
-    /// One host's view loses some hosts and keeps some that are gone.
-    fn show_some_hosts(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
-        let mut view = Vec::new();
+    /// Gives a host a list that lacks some live hosts and may contain failed ones.
+    fn set_partial_host_list(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
+        let mut visible_hosts = Vec::new();
         for other in 0..self.hosts.len() {
             if u.ratio(2, 3)? {
-                view.push(self.plan_host(other));
+                visible_hosts.push(self.peer_host(other));
             }
         }
-        self.hosts[index].plan.set_hosts(&view);
+        self.hosts[index].plan.set_hosts(&visible_hosts);
         Ok(())
     }
 
-    /// From now on the network is honest, the cut is over and the views agree. The origin stays
-    /// away for good if the live hosts have all chunks between them.
-    fn calm_down(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        self.is_wild = false;
-        self.cut = None;
-        let held = |index: u32| {
+    /// Ends all network faults and gives every host the full list. If the live hosts together hold
+    /// all chunks, the origin may stay unavailable for the rest of the case.
+    fn end_faults(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        self.has_faults = false;
+        self.isolated_centre = None;
+        let is_held = |index: u32| {
             let mut live = self.hosts.iter().filter(|host| host.is_alive);
             live.any(|host| host.plan.held().contains(index))
         };
-        let all_held = (0..self.version.chunk_count()).all(held);
-        self.origin_is_up = !(all_held && u.arbitrary()?);
-        self.show_all_hosts();
+        let all_held = (0..self.version.chunk_count()).all(is_held);
+        self.is_origin_available = !(all_held && u.arbitrary()?);
+        self.set_full_host_lists();
         Ok(())
     }
 
+    /// Delivers the events that are due, carries out the steps of the live hosts, and advances the
+    /// clock to the next event, by at least 1 ms and at most one tick.
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         self.deliver(u)?;
         for index in 0..self.hosts.len() {
@@ -284,10 +306,14 @@
             }
             let steps = self.hosts[index].plan.next_steps(self.now);
             for step in steps {
-                self.carry_out(u, index, step)?;
+                self.carry_out_step(u, index, step)?;
             }
         }
-        let next = self.arrivals.iter().map(|arrival| arrival.at).min();
+        let next = self
+            .scheduled_events
+            .iter()
+            .map(|scheduled| scheduled.at)
+            .min();
         let tick = self.now + TICK;
         self.now = next.map_or(tick, |next| {
             next.clamp(self.now + Duration::from_millis(1), tick)
@@ -295,61 +321,70 @@
         Ok(())
     }
 
-    fn carry_out(&mut self, u: &mut Unstructured<'_>, host: usize, step: FetchStep) -> Result<()> {
+    fn carry_out_step(
+        &mut self,
+        u: &mut Unstructured<'_>,
+        host: usize,
+        step: FetchStep,
+    ) -> Result<()> {
         match step {
             FetchStep::Query(key) => {
-                let asked = self.find_peer(host, key);
-                let word = self.word_of(u, host, asked)?;
-                let lost = self.is_wild && u.ratio(1, 6)?;
-                let (answer, millis) = match word {
-                    Some(word) if !lost => (Ok(word), self.delay(u)?),
-                    _ => (Err(ErrorKind::PeerSilent), ASK_MILLIS),
+                let peer = self.find_peer(host, key);
+                let announcement = self.announcement_of(u, host, peer)?;
+                let is_lost = self.has_faults && u.ratio(1, 6)?;
+                let (response, delay_ms) = match announcement {
+                    Some(announcement) if !is_lost => (Ok(announcement), self.delay(u)?),
+                    _ => (Err(ErrorKind::PeerSilent), QUERY_TIMEOUT_MS),
                 };
-                if let Some(asked) = asked.filter(|_| answer.is_ok()) {
-                    // The question itself says what its sender holds.
-                    if let Some(word) = self.word_of(u, asked, Some(host))? {
+                if let Some(peer) = peer.filter(|_| response.is_ok()) {
+                    // A query also carries the announcement of its sender.
+                    if let Some(announcement) = self.announcement_of(u, peer, Some(host))? {
                         let now = self.now;
-                        self.hosts[asked].plan.on_announcement(&word, now);
+                        self.hosts[peer].plan.on_announcement(&announcement, now);
                     }
                 }
-                self.post(host, millis, News::Asked(key, answer));
+                self.schedule(host, delay_ms, HostEvent::QueryResponse(key, response));
             }
             FetchStep::Fetch {
                 transfer,
                 index,
                 source,
             } => {
-                let answer = match source {
-                    ChunkSource::Peer(key) => self.pull(u, host, key, index)?,
+                let response = match source {
+                    ChunkSource::Peer(key) => self.pull_chunk(u, host, key, index)?,
                     ChunkSource::Origin => self.read_origin(u, host, index)?,
                 };
-                // Some are never answered: the plan has to give them up itself.
-                if !(self.is_wild && u.ratio(1, 10)?) {
-                    let millis = match source {
-                        ChunkSource::Origin if !self.is_wild => self.origin_millis,
+                // Some transfers get no response, so that the plan has to abandon them itself.
+                if !(self.has_faults && u.ratio(1, 10)?) {
+                    let delay_ms = match source {
+                        ChunkSource::Origin if !self.has_faults => self.origin_read_ms,
                         _ => self.delay(u)?,
                     };
-                    self.post(host, millis, News::Chunk(transfer, index, answer));
+                    self.schedule(host, delay_ms, HostEvent::Chunk(transfer, index, response));
                 }
             }
-            FetchStep::Cancel(transfer, _) => self.arrivals.retain(|arrival| {
-                let is_it = matches!(&arrival.news, News::Chunk(known, ..) if *known == transfer);
-                arrival.host != host || !is_it
+            FetchStep::Cancel(transfer, _) => self.scheduled_events.retain(|scheduled| {
+                let is_cancelled = matches!(
+                    &scheduled.event,
+                    HostEvent::Chunk(id, ..) if *id == transfer
+                );
+                scheduled.host != host || !is_cancelled
             }),
         }
         Ok(())
     }
 
-    fn post(&mut self, host: usize, millis: u64, news: News) {
-        let at = self.now + Duration::from_millis(millis);
-        self.arrivals.push(Arrival { at, host, news });
+    fn schedule(&mut self, host: usize, delay_ms: u64, event: HostEvent) {
+        let at = self.now + Duration::from_millis(delay_ms);
+        self.scheduled_events
+            .push(ScheduledEvent { at, host, event });
     }
 
     fn delay(&self, u: &mut Unstructured<'_>) -> Result<u64> {
-        if self.is_wild {
+        if self.has_faults {
             u.int_in_range(1..=400)
         } else {
-            Ok(CALM_DELAY)
+            Ok(FAULTLESS_DELAY_MS)
         }
     }
 
@@ -359,32 +394,35 @@
             .hosts
             .iter()
             .position(|other| other.location.host == *name)?;
-        self.reaches(host, found).then_some(found)
+        self.can_reach(host, found).then_some(found)
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        let is_split = |(centre, _): (usize, bool)| {
-            (self.hosts[from].centre == centre) != (self.hosts[to].centre == centre)
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        let is_separated = |(data_centre_index, _): (usize, bool)| {
+            (self.hosts[from].data_centre_index == data_centre_index)
+                != (self.hosts[to].data_centre_index == data_centre_index)
         };
-        self.hosts[to].is_alive && !self.cut.is_some_and(is_split)
+        self.hosts[to].is_alive && !self.isolated_centre.is_some_and(is_separated)
     }
 
-    /// What `asked` says of itself to host `to`; wild hosts may claim what they do not hold.
-    fn word_of(
+    /// Returns the announcement of the host `peer` to the host `to`, or `None` if it cannot be
+    /// reached. While faults are injected, it may list chunks that the host does not hold, or a
+    /// wrong count.
+    fn announcement_of(
         &self,
         u: &mut Unstructured<'_>,
         to: usize,
-        asked: Option<usize>,
+        peer: Option<usize>,
     ) -> Result<Option<ChunkAnnouncement>> {
-        let Some(asked) = asked.filter(|asked| self.reaches(to, *asked)) else {
+        let Some(peer) = peer.filter(|peer| self.can_reach(to, *peer)) else {
             return Ok(None);
         };
-        let host = &self.hosts[asked];
+        let host = &self.hosts[peer];
         let mut held = host.plan.held().clone();
-        if self.is_wild && u.ratio(1, 20)? {
+        if self.has_faults && u.ratio(1, 20)? {
             held.insert(u.int_in_range(0..=self.version.chunk_count() - 1)?);
         }
-        if self.is_wild && u.ratio(1, 40)? {
+        if self.has_faults && u.ratio(1, 40)? {
             held = ChunkMap::full(self.version.chunk_count() + 1);
         }
         Ok(Some(ChunkAnnouncement {
@@ -395,7 +433,7 @@
         }))
     }
 
-    fn pull(
+    fn pull_chunk(
         &self,
         u: &mut Unstructured<'_>,
         host: usize,
@@ -405,11 +443,11 @@
         let Some(peer) = self.find_peer(host, key) else {
             return Ok(Err(ErrorKind::ConnectFailed));
         };
-        if self.is_wild && u.ratio(1, 8)? {
+        if self.has_faults && u.ratio(1, 8)? {
             return Ok(Err(ErrorKind::UploadBusy));
         }
         match self.hosts[peer].staged.chunk(index) {
-            Some(bytes) => self.spoil(u, bytes).map(Ok),
+            Some(bytes) => self.corrupt(u, bytes).map(Ok),
             None => Ok(Err(ErrorKind::ChunkMissing)),
         }
     }
@@ -420,72 +458,76 @@
         host: usize,
         index: u32,
     ) -> Result<std::result::Result<Bytes, ErrorKind>> {
-        let centre = self.hosts[host].centre;
-        let is_cut = self
-            .cut
-            .is_some_and(|(cut, has_origin)| (cut == centre) != has_origin);
-        if !self.origin_is_up || is_cut {
+        let data_centre_index = self.hosts[host].data_centre_index;
+        let is_origin_cut_off =
+            self.isolated_centre
+                .is_some_and(|(isolated_centre, has_origin)| {
+                    (isolated_centre == data_centre_index) != has_origin
+                });
+        if !self.is_origin_available || is_origin_cut_off {
             return Ok(Err(ErrorKind::OriginUnavailable));
         }
-        if self.is_wild && u.ratio(1, 4)? {
+        if self.has_faults && u.ratio(1, 4)? {
             return Ok(Err(ErrorKind::OriginLimited));
         }
         self.origin_reads += 1;
-        let at = usize::try_from(index).unwrap_or(usize::MAX);
-        self.spoil(u, self.data[at].clone()).map(Ok)
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
+        self.corrupt(u, self.data[position].clone()).map(Ok)
     }
 
-    /// What arrives of `bytes`.
-    fn spoil(&self, u: &mut Unstructured<'_>, bytes: Bytes) -> Result<Bytes> {
-        if !self.is_wild || !u.ratio(1, 8)? {
+    /// Returns `bytes` as they arrive: unchanged or, while faults are injected, sometimes
+    /// corrupted.
+    fn corrupt(&self, u: &mut Unstructured<'_>, bytes: Bytes) -> Result<Bytes> {
+        if !self.has_faults || !u.ratio(1, 8)? {
             return Ok(bytes);
         }
-        let mut spoilt = bytes.to_vec();
+        let mut corrupted = bytes.to_vec();
         match u.int_in_range(0..=3)? {
-            0 => spoilt[0] ^= 1,
-            1 => spoilt.truncate(spoilt.len() - 1),
-            2 => spoilt.push(0),
-            // Another version's chunk, of the right length.
-            _ => spoilt.fill(255),
+            0 => corrupted[0] ^= 1,
+            1 => corrupted.truncate(corrupted.len() - 1),
+            2 => corrupted.push(0),
+            // A chunk of another version, of the expected length.
+            _ => corrupted.fill(255),
         }
-        Ok(spoilt.into())
+        Ok(corrupted.into())
     }
 
+    /// Passes the events that are due to their hosts, in random order while faults are injected.
     fn deliver(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.arrivals)
+        let (due, rest) = std::mem::take(&mut self.scheduled_events)
             .into_iter()
-            .partition(|arrival| arrival.at <= now);
-        self.arrivals = rest;
-        let mut due: Vec<Arrival> = due;
+            .partition(|scheduled| scheduled.at <= now);
+        self.scheduled_events = rest;
+        let mut due: Vec<ScheduledEvent> = due;
         while !due.is_empty() {
-            let at = if self.is_wild {
+            let position = if self.has_faults {
                 u.choose_index(due.len())?
             } else {
                 0
             };
-            let arrival = due.remove(at);
-            self.hosts[arrival.host].take(arrival.news, now);
+            let scheduled = due.remove(position);
+            self.hosts[scheduled.host].handle(scheduled.event, now);
         }
         Ok(())
     }
 }
 
 impl FakeHost {
-    fn take(&mut self, news: News, now: ClockTime) {
-        match news {
-            News::Asked(key, answer) => {
-                if let Ok(word) = &answer {
-                    self.plan.on_announcement(word, now);
+    fn handle(&mut self, event: HostEvent, now: ClockTime) {
+        match event {
+            HostEvent::QueryResponse(key, response) => {
+                if let Ok(announcement) = &response {
+                    self.plan.on_announcement(announcement, now);
                 }
-                self.plan.on_queried(key, answer.err(), now);
+                self.plan.on_queried(key, response.err(), now);
             }
-            News::Chunk(transfer, index, answer) => {
-                let kept = answer.and_then(|bytes| {
-                    let kept = self.staged.store_chunk(index, bytes);
-                    kept.map_err(|error| error.kind)
+            HostEvent::Chunk(transfer, index, response) => {
+                let stored = response.and_then(|bytes| {
+                    let stored = self.staged.store_chunk(index, bytes);
+                    stored.map_err(|error| error.kind)
                 });
-                match kept {
+                match stored {
                     Ok(()) => {
                         self.plan.on_delivered(transfer, now);
                     }
@@ -496,7 +538,7 @@
     }
 }
 
-fn line_of(index: usize) -> HostLocation {
+fn location_of(index: usize) -> HostLocation {
     let centres = ["cusco-hall-a", "arequipa-hall-a", "lima-hall-a"];
     let regions = ["sierra", "sierra", "costa"];
     HostLocation {
