--- a/src/lab/calls/call_run.rs
+++ b/src/lab/calls/call_run.rs
@@ -171,8 +171,8 @@
             CallClass::Urgent | CallClass::Normal | CallClass::Batch | CallClass::Stream => {
                 self.names.model
             }
-            CallClass::Repeatable => self.names.portal,
-            CallClass::Once => self.names.desk,
+            CallClass::Repeatable => self.names.single_worker_service,
+            CallClass::Once => self.names.at_most_once_service,
         }
     }
 
@@ -192,7 +192,7 @@
             },
             CallClass::Once => CallAsk::Plain {
                 method: Method::POST,
-                path: self.names.desk_path.to_owned(),
+                path: self.names.at_most_once_path.to_owned(),
                 body: text.to_owned(),
             },
         }
--- a/src/lab/documents/command.rs
+++ b/src/lab/documents/command.rs
@@ -5,7 +5,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 use super::run::{DocumentsOrder, measure_documents};
-use crate::lab::launch::Company;
+use crate::lab::launch::SampleCompany;
 use crate::lab::run_lab;
 
 /// The subcommand.
@@ -57,7 +57,7 @@
     let count = |name: &str| usize::try_from(number(name)).unwrap_or(usize::MAX);
     let company = matches.get_one::<String>("company");
     let order = DocumentsOrder {
-        company: Company::named(company.map_or("", String::as_str)),
+        company: SampleCompany::from_flag(company.map_or("", String::as_str)),
         seed: number("seed"),
         changes: number("changes"),
         entries: count("entries").clamp(1, 60),
--- a/src/lab/documents/leaving.rs
+++ b/src/lab/documents/leaving.rs
@@ -22,7 +22,7 @@
         let mut longest: f64 = 0.0;
         for node in self.system.backends.iter().take(LEAVERS) {
             let begun = clock_now();
-            node.process.ask_to_stop();
+            node.process.request_stop();
             while !self.all_know(&node.host).await? {
                 if clock_now().since(begun) > GIVE_UP_AFTER {
                     eprintln!("not everyone knows that {} is leaving", node.host);
--- a/src/lab/documents/run.rs
+++ b/src/lab/documents/run.rs
@@ -14,7 +14,7 @@
 use super::report::{DocumentsReport, SlowChange};
 use crate::documents::{DocumentVersion, ServiceDocument};
 use crate::errors::SwitchResult;
-use crate::lab::launch::{Company, LabSystem, SystemShape, put_document};
+use crate::lab::launch::{LabSystem, SampleCompany, SystemShape, put_document};
 use crate::time::{ClockTime, clock_now};
 
 const FIRST_WITHIN: Duration = Duration::from_secs(20);
@@ -26,7 +26,7 @@
 /// What to run.
 #[derive(Clone, Copy)]
 pub(super) struct DocumentsOrder {
-    pub(super) company: Company,
+    pub(super) company: SampleCompany,
     pub(super) seed: u64,
     pub(super) changes: u64,
     pub(super) entries: usize,
@@ -71,7 +71,7 @@
         let shape = SystemShape {
             entries: order.entries,
             models: order.workers - 2,
-            desks: 1,
+            at_most_once_workers: 1,
             linger_ms: 200,
             ..SystemShape::small(order.company)
         };
@@ -80,8 +80,8 @@
         let names = system.names;
         let documents = vec![
             names.model_document("v1", "weights", &weights.digest),
-            names.desk_document(),
-            names.portal_document(),
+            names.at_most_once_document(),
+            names.single_worker_document(),
         ];
         let admin = system.entries[0].admin()?;
         for document in &documents {
--- a/src/lab/faults/command.rs
+++ b/src/lab/faults/command.rs
@@ -7,7 +7,7 @@
 
 use super::disturbance::FaultDeed;
 use super::fault_run::FaultRun;
-use crate::lab::launch::Company;
+use crate::lab::launch::SampleCompany;
 use crate::lab::run_lab;
 
 const DEEDS: [&str; 12] = [
@@ -80,7 +80,7 @@
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or(1);
     let company = matches.get_one::<String>("company");
     let run = FaultRun {
-        company: Company::named(company.map_or("", String::as_str)),
+        company: SampleCompany::from_flag(company.map_or("", String::as_str)),
         seed: number("seed"),
         span: Duration::from_secs(number("seconds")),
         rate: number("rate"),
--- a/src/lab/faults/fault_driver.rs
+++ b/src/lab/faults/fault_driver.rs
@@ -154,14 +154,14 @@
         match deed {
             FaultDeed::Kill => process.kill().await,
             FaultDeed::Freeze => process.freeze(),
-            _ => process.ask_to_stop(),
+            _ => process.request_stop(),
         }
         // The platform may or may not have listed a leaving host as such by then.
         if let (FaultTarget::Host(place), FaultDeed::Drain) = (target, deed)
             && self.random.random_range(0..2) == 0
         {
             self.system.backends[place].listed = ListedState::Leaving;
-            self.system.publish_list().await?;
+            self.system.publish_host_list().await?;
         }
         Ok(())
     }
@@ -239,7 +239,7 @@
             FaultTarget::Host(place) => &mut system.backends[place].process,
             FaultTarget::Engine(place) => &mut system.backends[place].engine,
             FaultTarget::Table => &mut system.table,
-            FaultTarget::List => &mut system.list,
+            FaultTarget::List => &mut system.host_list,
             FaultTarget::Origin | FaultTarget::Document => &mut system.origin,
         }
     }
--- a/src/lab/faults/fault_run.rs
+++ b/src/lab/faults/fault_run.rs
@@ -11,7 +11,7 @@
 use super::fault_driver::{FaultDriver, FaultTally};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::calls::{CallClass, CallCounts, CallJudge, CallRunner, FinishedCall};
-use crate::lab::launch::{Company, LabSystem, SystemShape};
+use crate::lab::launch::{LabSystem, SampleCompany, SystemShape};
 use crate::lab::quickstart::{first_spread, plain_runs, start_runner, wait_until_served};
 
 /// Short, so that leases lapse and change hands often; shorter than the longest freeze and outage.
@@ -22,7 +22,7 @@
 
 /// What is to be run.
 pub(super) struct FaultRun {
-    pub(super) company: Company,
+    pub(super) company: SampleCompany,
     pub(super) seed: u64,
     pub(super) span: Duration,
     pub(super) rate: u64,
--- a/src/lab/launch/child_process.rs
+++ b/src/lab/launch/child_process.rs
@@ -22,7 +22,7 @@
 
 /// What is to be started.
 #[derive(Clone, Debug)]
-pub(crate) struct LaunchOrder {
+pub(crate) struct LaunchSpec {
     /// Its name, for messages.
     pub(crate) name: String,
     /// The program, found beside the running one.
@@ -31,7 +31,7 @@
     variables: Vec<(&'static str, String)>,
 }
 
-impl LaunchOrder {
+impl LaunchSpec {
     /// Starts `program` under `name`.
     pub(crate) fn new(program: &'static str, name: impl Into<String>) -> Self {
         Self {
@@ -77,7 +77,7 @@
     ///
     /// `SettingInvalid` with the process's own words when it cannot be started or ends before it
     /// listens.
-    pub(crate) async fn start(order: &LaunchOrder) -> SwitchResult<Self> {
+    pub(crate) async fn start(order: &LaunchSpec) -> SwitchResult<Self> {
         let (mut child, log) = spawn(order)?;
         let stdout = child.stdout.take();
         let stdout = stdout.ok_or_else(|| failed("a process has no output"))?;
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// `SettingInvalid` when it cannot be started.
-    pub(crate) fn start_unannounced(order: &LaunchOrder) -> SwitchResult<Self> {
+    pub(crate) fn start_without_addresses(order: &LaunchSpec) -> SwitchResult<Self> {
         let (mut child, log) = spawn(order)?;
         if let Some(stdout) = child.stdout.take() {
             tokio::spawn(log.clone().follow(stdout));
@@ -168,12 +168,12 @@
     }
 
     /// Asks it for a graceful stop (SIGTERM).
-    pub(crate) fn ask_to_stop(&self) {
+    pub(crate) fn request_stop(&self) {
         self.signal(Signal::SIGTERM);
     }
 
     /// Tells it that its settings file has changed (SIGHUP).
-    pub(crate) fn ask_to_reload(&self) {
+    pub(crate) fn request_reload(&self) {
         self.signal(Signal::SIGHUP);
     }
 
@@ -200,7 +200,7 @@
     }
 }
 
-fn spawn(order: &LaunchOrder) -> SwitchResult<(Child, LogTail)> {
+fn spawn(order: &LaunchSpec) -> SwitchResult<(Child, LogTail)> {
     let mut child = Command::new(program_path(order.program)?)
         .arg0(order.program)
         .args(&order.arguments)
--- a/src/lab/launch/company.rs
+++ b/src/lab/launch/company.rs
@@ -11,7 +11,7 @@
 
 /// A company.
 #[apply(key!)]
-pub(crate) enum Company {
+pub(crate) enum SampleCompany {
     /// Auroras del Sur Franquicias S.A.C.
     Auroras,
     /// Skupno Gostovanje d.o.o.
@@ -36,11 +36,11 @@
     /// Its model service.
     pub(crate) model: &'static str,
     /// Its service with calls that may run at most once.
-    pub(crate) desk: &'static str,
+    pub(crate) at_most_once_service: &'static str,
     /// Its service with a single worker.
-    pub(crate) portal: &'static str,
+    pub(crate) single_worker_service: &'static str,
     /// The path of the desk's unrepeatable calls.
-    pub(crate) desk_path: &'static str,
+    pub(crate) at_most_once_path: &'static str,
     /// Its client accounts; the first is the largest.
     pub(crate) accounts: [&'static str; 10],
     /// What it wants the spread of weights to save.
@@ -63,9 +63,9 @@
         },
     ],
     model: "sky-writer",
-    desk: "alert-desk",
-    portal: "franchise-portal",
-    desk_path: "/wake-ups",
+    at_most_once_service: "alert-desk",
+    single_worker_service: "franchise-portal",
+    at_most_once_path: "/wake-ups",
     accounts: [
         "head-office",
         "cusco-tours",
@@ -97,9 +97,9 @@
         },
     ],
     model: "pisar",
-    desk: "nadzor",
-    portal: "gostitelj",
-    desk_path: "/mail-replies",
+    at_most_once_service: "nadzor",
+    single_worker_service: "gostitelj",
+    at_most_once_path: "/mail-replies",
     accounts: [
         "house-one",
         "house-two",
@@ -129,9 +129,9 @@
     stream_ms: 20_000,
 };
 
-impl Company {
+impl SampleCompany {
     /// The company called `name` on the command line.
-    pub(crate) fn named(name: &str) -> Self {
+    pub(crate) fn from_flag(name: &str) -> Self {
         match name {
             "skupno" => Self::Skupno,
             _ => Self::Auroras,
@@ -173,26 +173,26 @@
         }
     }
 
-    /// The document of the desk: calls below [`CompanyNames::desk_path`] run at most once, the
+    /// The document of the desk: calls below [`CompanyNames::at_most_once_path`] run at most once, the
     /// rest may be repeated.
-    pub(crate) fn desk_document(&self) -> ServiceDocument {
+    pub(crate) fn at_most_once_document(&self) -> ServiceDocument {
         let once = RouteSpec {
             method: Some("POST".into()),
-            path_prefix: self.desk_path.into(),
+            path_prefix: self.at_most_once_path.into(),
             repeatable: false,
             in_outage: OutageRule::default(),
         };
         ServiceDocument {
             routes: vec![once, repeatable_route()],
-            ..self.document(self.desk, ServiceKind::Plain)
+            ..self.document(self.at_most_once_service, ServiceKind::Plain)
         }
     }
 
     /// The document of the portal, whose calls may all be repeated.
-    pub(crate) fn portal_document(&self) -> ServiceDocument {
+    pub(crate) fn single_worker_document(&self) -> ServiceDocument {
         ServiceDocument {
             routes: vec![repeatable_route()],
-            ..self.document(self.portal, ServiceKind::Plain)
+            ..self.document(self.single_worker_service, ServiceKind::Plain)
         }
     }
 
--- a/src/lab/launch/lab_system.rs
+++ b/src/lab/launch/lab_system.rs
@@ -7,12 +7,12 @@
 use futures::future::try_join_all;
 
 use super::admin_client::read_admin;
-use super::child_process::{ChildProcess, LaunchOrder};
+use super::child_process::{ChildProcess, LaunchSpec};
 use super::company::{CompanyNames, DataCentre, OPERATOR_KEY};
 use super::lab_client::LabClient;
 use super::system_parts::{BackendNode, EntryNode, SystemShape};
 use crate::errors::SwitchResult;
-use crate::lab::stand_ins::{ANY_PORT, FaultSettings, PublishOrder, PublishedManifest};
+use crate::lab::stand_ins::{ANY_PORT, FaultSettings, PublishRequest, PublishedManifest};
 use crate::stores::{HostEntry, HostRole, ListedState};
 use crate::weights::WeightsDigest;
 
@@ -37,7 +37,7 @@
     /// The origin of weights.
     pub(crate) origin: ChildProcess,
     /// The list of hosts.
-    pub(crate) list: ChildProcess,
+    pub(crate) host_list: ChildProcess,
     /// The entry hosts.
     pub(crate) entries: Vec<EntryNode>,
     /// The backend servers.
@@ -55,14 +55,15 @@
             names: shape.company.names(),
             table: start_stand_in("table", &[]).await?,
             origin: start_stand_in("origin", &[("link-bytes-per-second", origin_rate)]).await?,
-            list: start_stand_in("hosts", &[]).await?,
+            host_list: start_stand_in("hosts", &[]).await?,
             entries: Vec::new(),
             backends: Vec::new(),
             ended_logs: String::new(),
         };
         started();
         // Listed before it runs, so that the processes see each other from their first reading on.
-        let backends = (0..=shape.models + shape.desks).map(|index| system.start_backend(index));
+        let backends = (0..=shape.models + shape.at_most_once_workers)
+            .map(|index| system.start_backend(index));
         let backends = try_join_all(backends).await?;
         system.backends = backends;
         started();
@@ -70,7 +71,7 @@
         let entries = try_join_all(entries).await?;
         system.entries = entries;
         started();
-        system.publish_list().await?;
+        system.publish_host_list().await?;
         Ok(system)
     }
 
@@ -80,7 +81,7 @@
         let host = format!("entry-{}-{}", data_centre.name, index + 1);
         let operator_digest = WeightsDigest::of(OPERATOR_KEY.as_bytes());
         let order = self
-            .common(LaunchOrder::new("savory-entry", &host), &host, data_centre)?
+            .common(LaunchSpec::new("savory-entry", &host), &host, data_centre)?
             .setting("caller-address", LOOPBACK_ANY)
             .setting("admin-address", LOOPBACK_ANY)
             .setting("operator-key-digest", operator_digest);
@@ -118,7 +119,7 @@
         if dialect == "plain" {
             return start_stand_in("plain", &[("service-ms", self.shape.service_ms)]).await;
         }
-        let order = LaunchOrder::new("savory-lab", format!("engine {dialect}"))
+        let order = LaunchSpec::new("savory-lab", format!("engine {dialect}"))
             .argument("stand-in")
             .argument("engine")
             .setting("listen", address)
@@ -137,7 +138,7 @@
         engine: &ChildProcess,
     ) -> SwitchResult<ChildProcess> {
         let order = self
-            .common(LaunchOrder::new("savory-host", host), host, data_centre)?
+            .common(LaunchSpec::new("savory-host", host), host, data_centre)?
             .setting("service", service)
             .setting("engine-dialect", dialect)
             .setting("engine-address", engine.address("")?)
@@ -157,7 +158,7 @@
         let earlier = std::mem::replace(&mut node.process, process);
         self.ended_logs.push_str(&log_of(&earlier));
         self.backends[index].listed = ListedState::Live;
-        self.publish_list().await
+        self.publish_host_list().await
     }
 
     /// Starts the engine of backend `index` anew, with nothing loaded, where the earlier one was.
@@ -183,11 +184,11 @@
         let node = self.start_entry(index).await?;
         let earlier = std::mem::replace(&mut self.entries[index], node);
         self.ended_logs.push_str(&log_of(&earlier.process));
-        self.publish_list().await
+        self.publish_host_list().await
     }
 
     /// Tells the list of hosts what is there.
-    pub(crate) async fn publish_list(&self) -> SwitchResult<()> {
+    pub(crate) async fn publish_host_list(&self) -> SwitchResult<()> {
         let mut hosts = Vec::new();
         for node in &self.entries {
             let entry = HostEntry {
@@ -213,7 +214,7 @@
             };
             hosts.push(entry);
         }
-        let address = self.list.address("")?;
+        let address = self.host_list.address("")?;
         LabClient::default()
             .post(address, "/lab/hosts", &hosts)
             .await
@@ -226,7 +227,7 @@
         size: usize,
         seed: u64,
     ) -> SwitchResult<PublishedManifest> {
-        let order = PublishOrder {
+        let order = PublishRequest {
             name: name.to_owned(),
             size,
             chunk_size: CHUNK_BYTES,
@@ -251,7 +252,7 @@
     }
 
     /// The backend servers of `service`, by their place.
-    pub(crate) fn backends_of(&self, service: &str) -> Vec<usize> {
+    pub(crate) fn backend_indices(&self, service: &str) -> Vec<usize> {
         let places = 0..self.backends.len();
         places
             .filter(|index| self.backends[*index].service == service)
@@ -282,7 +283,7 @@
     /// Ends all processes and waits for their end; returns how many were left then.
     pub(crate) async fn end(mut self) -> usize {
         let mut left = 0;
-        let stand_ins = [&mut self.table, &mut self.origin, &mut self.list];
+        let stand_ins = [&mut self.table, &mut self.origin, &mut self.host_list];
         let entries = self.entries.iter_mut().map(|node| &mut node.process);
         let hosts = self
             .backends
@@ -299,17 +300,17 @@
 
     fn common(
         &self,
-        order: LaunchOrder,
+        order: LaunchSpec,
         host: &str,
         data_centre: DataCentre,
-    ) -> SwitchResult<LaunchOrder> {
+    ) -> SwitchResult<LaunchSpec> {
         Ok(order
             .setting("host-name", host)
             .setting("data-centre", data_centre.name)
             .setting("region", data_centre.region)
             .setting("peer-address", LOOPBACK_ANY)
             .setting("table-address", self.table.address("")?)
-            .setting("list-address", self.list.address("")?)
+            .setting("list-address", self.host_list.address("")?)
             .setting("leave-linger-ms", self.shape.linger_ms))
     }
 
@@ -322,10 +323,10 @@
         if index < shape.models {
             let dialects = ["metrics_text", "json_state"];
             (self.names.model, dialects[index % dialects.len()])
-        } else if index < shape.models + shape.desks {
-            (self.names.desk, "plain")
+        } else if index < shape.models + shape.at_most_once_workers {
+            (self.names.at_most_once_service, "plain")
         } else {
-            (self.names.portal, "plain")
+            (self.names.single_worker_service, "plain")
         }
     }
 }
@@ -342,7 +343,7 @@
     kind: &'static str,
     settings: &[(&'static str, u64)],
 ) -> SwitchResult<ChildProcess> {
-    let mut order = LaunchOrder::new("savory-lab", kind)
+    let mut order = LaunchSpec::new("savory-lab", kind)
         .argument("stand-in")
         .argument(kind);
     for (flag, value) in settings {
--- a/src/lab/launch/mod.rs
+++ b/src/lab/launch/mod.rs
@@ -9,8 +9,8 @@
 mod system_parts;
 
 pub(crate) use admin_client::{put_document, read_admin};
-pub(crate) use child_process::{ChildProcess, LaunchOrder};
-pub(crate) use company::{Company, CompanyNames, DataCentre, OPERATOR_KEY, account_key};
+pub(crate) use child_process::{ChildProcess, LaunchSpec};
+pub(crate) use company::{CompanyNames, DataCentre, OPERATOR_KEY, SampleCompany, account_key};
 pub(crate) use lab_client::LabClient;
 pub(crate) use lab_system::LabSystem;
 pub(crate) use system_parts::{EntryNode, SystemShape};
--- a/src/lab/launch/system_parts.rs
+++ b/src/lab/launch/system_parts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::child_process::ChildProcess;
-use super::company::{Company, DataCentre};
+use super::company::{DataCentre, SampleCompany};
 use crate::errors::SwitchResult;
 use crate::stores::ListedState;
 
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SystemShape {
     /// Whose names it has.
-    pub(crate) company: Company,
+    pub(crate) company: SampleCompany,
     /// Entry hosts, spread over the data centres.
     pub(crate) entries: usize,
     /// Model engines.
     pub(crate) models: usize,
     /// Workers of the desk.
-    pub(crate) desks: usize,
+    pub(crate) at_most_once_workers: usize,
     /// Requests that an engine runs at a time.
     pub(crate) running_max: u64,
     /// Tokens a second of each running request.
@@ -32,12 +32,12 @@
 
 impl SystemShape {
     /// Three entry hosts and six backend servers in three data centres.
-    pub(crate) const fn small(company: Company) -> Self {
+    pub(crate) const fn small(company: SampleCompany) -> Self {
         Self {
             company,
             entries: 3,
             models: 3,
-            desks: 2,
+            at_most_once_workers: 2,
             running_max: 8,
             tokens_per_second: 200,
             service_ms: 5,
--- a/src/lab/load/command.rs
+++ b/src/lab/load/command.rs
@@ -9,7 +9,7 @@
 use super::parts::{HopReport, LoadParts, RetryReport, ShareReport, UrgentReport};
 use crate::errors::SwitchResult;
 use crate::lab::calls::CallClass;
-use crate::lab::launch::{Company, LabSystem, SystemShape};
+use crate::lab::launch::{LabSystem, SampleCompany, SystemShape};
 use crate::lab::quickstart::{first_spread, start_runner, wait_until_served};
 use crate::lab::run_lab;
 
@@ -78,7 +78,7 @@
 /// Runs it.
 pub(crate) fn run_load(matches: &ArgMatches) -> ExitCode {
     let company = matches.get_one::<String>("company");
-    let company = Company::named(company.map_or("", String::as_str));
+    let company = SampleCompany::from_flag(company.map_or("", String::as_str));
     let seconds = matches.get_one::<u64>("seconds").copied().unwrap_or(15);
     let urgent_rate = matches.get_one::<f64>("urgent-rate").copied();
     let urgent_rate = urgent_rate.unwrap_or(1.0).max(0.1);
--- a/src/lab/load/parts.rs
+++ b/src/lab/load/parts.rs
@@ -207,7 +207,7 @@
 
     pub(super) async fn hop(&self) -> SwitchResult<HopReport> {
         let model = self.system.names.model;
-        let node = &self.system.backends[self.system.backends_of(model)[0]];
+        let node = &self.system.backends[self.system.backend_indices(model)[0]];
         let engine = node.engine.address("")?;
         let direct = time_direct_calls(engine, model, HOP_CALLS, HOP_PAUSE, 1).await?;
         let mut stream = self.stream(1, "normal", 1.0 / HOP_PAUSE.as_secs_f64());
@@ -258,7 +258,7 @@
             refuse,
             ..FaultSettings::default()
         };
-        for place in self.system.backends_of(self.system.names.model) {
+        for place in self.system.backend_indices(self.system.names.model) {
             LabSystem::set_faults(&self.system.backends[place].engine, faults).await?;
         }
         Ok(())
--- a/src/lab/platform_soak/process_slot.rs
+++ b/src/lab/platform_soak/process_slot.rs
@@ -8,7 +8,7 @@
 
 use super::run_journal::RunJournal;
 use crate::errors::SwitchResult;
-use crate::lab::launch::{ChildProcess, LaunchOrder};
+use crate::lab::launch::{ChildProcess, LaunchSpec};
 use crate::time::clock_now;
 
 /// How long a process that got SIGTERM has until it must have ended.
@@ -18,7 +18,7 @@
 
 /// What stands under the name.
 struct SlotState {
-    order: LaunchOrder,
+    order: LaunchSpec,
     child: ChildProcess,
     /// The logs of processes that ended.
     past_logs: String,
@@ -37,8 +37,8 @@
     /// # Errors
     ///
     /// `SettingInvalid` when it cannot be started.
-    pub(super) fn start(order: LaunchOrder, journal: &RunJournal) -> SwitchResult<Self> {
-        let child = ChildProcess::start_unannounced(&order)?;
+    pub(super) fn start(order: LaunchSpec, journal: &RunJournal) -> SwitchResult<Self> {
+        let child = ChildProcess::start_without_addresses(&order)?;
         let past_logs = String::new();
         let state = SlotState {
             order,
@@ -71,13 +71,13 @@
 
     /// Tells it that its settings file has changed.
     pub(super) async fn reload(&self) {
-        self.state.lock().await.child.ask_to_reload();
+        self.state.lock().await.child.request_reload();
     }
 
     /// Asks it to stop, and starts it again once it has ended.
     pub(super) async fn stop(&self) {
         let mut state = self.state.lock().await;
-        state.child.ask_to_stop();
+        state.child.request_stop();
         let ended = state.child.wait(GRACE).await;
         let name = state.order.name.clone();
         match ended {
@@ -115,7 +115,7 @@
     fn start_again(&self, state: &mut SlotState) {
         state.past_logs += &state.child.log_text();
         state.past_logs += "\n--- started again ---\n";
-        match ChildProcess::start_unannounced(&state.order) {
+        match ChildProcess::start_without_addresses(&state.order) {
             Ok(child) => state.child = child,
             Err(error) => self.note(format!("{} does not start: {error}", state.order.name)),
         }
--- a/src/lab/platform_soak/soak_system.rs
+++ b/src/lab/platform_soak/soak_system.rs
@@ -18,7 +18,7 @@
 use super::run_journal::{DeedRecord, PlannedWork, RunJournal, SoakPart, WorkRecord};
 use super::soak_client::EntryDoor;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::lab::launch::LaunchOrder;
+use crate::lab::launch::LaunchSpec;
 use crate::platform::{
     EngineLoad, FakeBackend, FakeBackendConfig, FakeEngine, FakeOrigin, FakeStore,
     ProcessAddresses, RunEvent, SETTINGS_PATH_VARIABLE, StagedAfterRestart, StartTimeField,
@@ -195,7 +195,7 @@
     ) -> SwitchResult<ProcessSlot> {
         let path = self.folder.0.join(format!("{}.toml", place.host));
         std::fs::write(&path, settings_text(place)).map_err(|fault| failed(&fault))?;
-        let order = LaunchOrder::new(program, &place.host)
+        let order = LaunchSpec::new(program, &place.host)
             .argument("platform")
             .setting("metrics-port", METRICS_PORT)
             .variable(SETTINGS_PATH_VARIABLE, path.to_string_lossy());
--- a/src/lab/quickstart/command.rs
+++ b/src/lab/quickstart/command.rs
@@ -5,7 +5,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
 use super::show::QuickstartShow;
-use crate::lab::launch::Company;
+use crate::lab::launch::SampleCompany;
 use crate::lab::run_lab;
 
 /// The subcommand.
@@ -31,7 +31,7 @@
 /// Runs it.
 pub(crate) fn run_quickstart(matches: &ArgMatches) -> ExitCode {
     let company = matches.get_one::<String>("company");
-    let company = Company::named(company.map_or("", String::as_str));
+    let company = SampleCompany::from_flag(company.map_or("", String::as_str));
     let show = QuickstartShow::new(company, matches.get_flag("logs"));
     run_lab(show.run())
 }
--- a/src/lab/quickstart/show.rs
+++ b/src/lab/quickstart/show.rs
@@ -13,7 +13,7 @@
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::calls::{CallClass, CallJudge, CallRunner, FinishedCall};
-use crate::lab::launch::{Company, LabSystem, SystemShape, put_document};
+use crate::lab::launch::{LabSystem, SampleCompany, SystemShape, put_document};
 use crate::lab::stand_ins::PublishedManifest;
 
 const STOPPED_WITHIN: Duration = Duration::from_secs(20);
@@ -22,12 +22,12 @@
 
 /// One quickstart.
 pub(super) struct QuickstartShow {
-    company: Company,
+    company: SampleCompany,
     shows_logs: bool,
 }
 
 impl QuickstartShow {
-    pub(super) const fn new(company: Company, shows_logs: bool) -> Self {
+    pub(super) const fn new(company: SampleCompany, shows_logs: bool) -> Self {
         Self {
             company,
             shows_logs,
@@ -76,7 +76,7 @@
     /// A kill, a graceful stop and a new version while calls are under way.
     async fn disturb(&self, system: &mut LabSystem) -> SwitchResult<PublishedManifest> {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let models = system.backends_of(system.names.model);
+        let models = system.backend_indices(system.names.model);
         let killed = models[0];
         system.backends[killed].process.kill().await;
         println!(
@@ -84,9 +84,9 @@
             system.backends[killed].host
         );
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let drained = system.backends_of(system.names.desk)[0];
+        let drained = system.backend_indices(system.names.at_most_once_service)[0];
         let node = &mut system.backends[drained];
-        node.process.ask_to_stop();
+        node.process.request_stop();
         let ended_well = node.process.wait(STOPPED_WITHIN).await;
         if ended_well != Some(true) {
             return Err(failed(format!("{} did not stop well", node.host)));
--- a/src/lab/quickstart/spread_watch.rs
+++ b/src/lab/quickstart/spread_watch.rs
@@ -6,7 +6,7 @@
 
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::launch::{LabClient, LabSystem};
-use crate::lab::stand_ins::{EngineTruth, WeightsCounts};
+use crate::lab::stand_ins::{EngineSnapshot, WeightsCounts};
 use crate::time::clock_now;
 use crate::weights::WeightsDigest;
 
@@ -64,7 +64,7 @@
         return false;
     };
     let client = LabClient::default();
-    let truth: SwitchResult<EngineTruth> = client.get(address, "/lab/engine").await;
+    let truth: SwitchResult<EngineSnapshot> = client.get(address, "/lab/engine").await;
     let loaded = truth.ok().and_then(|truth| truth.loaded);
     loaded.is_some_and(|loaded| loaded.digest == digest)
 }
--- a/src/lab/quickstart/steps.rs
+++ b/src/lab/quickstart/steps.rs
@@ -34,8 +34,8 @@
     let admin = system.entries[0].admin()?;
     let documents = [
         names.model_document("v1", "weights-1", &manifest.digest),
-        names.desk_document(),
-        names.portal_document(),
+        names.at_most_once_document(),
+        names.single_worker_document(),
     ];
     for document in &documents {
         put_document(admin, document, 0, ACCEPTED_WITHIN).await?;
@@ -50,7 +50,7 @@
     version: &str,
     manifest: &PublishedManifest,
 ) -> SwitchResult<()> {
-    let places = system.backends_of(system.names.model);
+    let places = system.backend_indices(system.names.model);
     let digest: WeightsDigest = manifest.digest;
     let (taken, copies) =
         wait_for_spread(system, &places, digest, manifest.size, SPREAD_WITHIN).await?;
--- a/src/lab/slopes/run.rs
+++ b/src/lab/slopes/run.rs
@@ -14,7 +14,7 @@
 use crate::derives::message;
 use crate::documents::ServiceDocument;
 use crate::errors::SwitchResult;
-use crate::lab::launch::{Company, LabSystem, SystemShape, put_document};
+use crate::lab::launch::{LabSystem, SampleCompany, SystemShape, put_document};
 
 /// After the start the list is read often; that is no part of the steady cost.
 const SETTLE: Duration = Duration::from_secs(25);
@@ -98,7 +98,7 @@
 
 /// What one word costs, on a system of its own.
 async fn weigh_words() -> SwitchResult<TransportCost> {
-    let system = LabSystem::start(SystemShape::small(Company::Auroras), || {}).await?;
+    let system = LabSystem::start(SystemShape::small(SampleCompany::Auroras), || {}).await?;
     put_documents(&system, 3, 10).await?;
     let cost = weigh_transports(system.entries[0].process.address("peer")?).await;
     system.end().await;
@@ -120,8 +120,8 @@
     let shape = SystemShape {
         entries,
         models: workers - 2,
-        desks: 1,
-        ..SystemShape::small(Company::Auroras)
+        at_most_once_workers: 1,
+        ..SystemShape::small(SampleCompany::Auroras)
     };
     let system = LabSystem::start(shape, || {}).await?;
     let first = put_documents(&system, documents, accounts).await?;
@@ -149,13 +149,13 @@
     let admin = system.entries[0].admin()?;
     let weights = system.publish_weights("weights", WEIGHTS_BYTES, 1).await?;
     let names = system.names;
-    let portal = with_accounts(names.portal_document(), accounts);
+    let portal = with_accounts(names.single_worker_document(), accounts);
     let mut wanted = vec![
         with_accounts(
             names.model_document("v1", "weights", &weights.digest),
             accounts,
         ),
-        with_accounts(names.desk_document(), accounts),
+        with_accounts(names.at_most_once_document(), accounts),
         portal.clone(),
     ];
     for index in wanted.len()..documents {
@@ -205,7 +205,7 @@
     let daemons = daemons_of(system);
     let peers = peer_addresses(system)?;
     let table = system.table.address("")?;
-    let list = system.list.address("")?;
+    let host_list = system.host_list.address("")?;
     let processor = |daemon: &Daemon| read_processor(daemon.process);
     let before = read_connections().await?;
     let time_before: Vec<ProcessorTime> = daemons.iter().map(processor).collect();
@@ -230,7 +230,7 @@
             role: daemon.role.to_owned(),
             peer_bytes_per_s: bytes(&to_peers),
             table_bytes_per_s: bytes(&|grown| grown.touches(table)),
-            list_bytes_per_s: bytes(&|grown| grown.touches(list)),
+            list_bytes_per_s: bytes(&|grown| grown.touches(host_list)),
             messages_per_s: rate(
                 of_daemon()
                     .filter(to_peers)
--- a/src/lab/stand_ins/engine.rs
+++ b/src/lab/stand_ins/engine.rs
@@ -83,7 +83,7 @@
 
 /// What `GET /lab/engine` tells: the truth, without the report's lag.
 #[apply(message!)]
-pub(crate) struct EngineTruth {
+pub(crate) struct EngineSnapshot {
     /// What it serves.
     pub(crate) loaded: Option<LoadedWeights>,
     /// Requests that it runs.
@@ -155,9 +155,9 @@
     }
 
     /// What it holds, without the report's lag.
-    pub(crate) fn truth(&self) -> EngineTruth {
+    pub(crate) fn truth(&self) -> EngineSnapshot {
         let core = self.lock();
-        EngineTruth {
+        EngineSnapshot {
             loaded: core.loaded.clone(),
             running: core.batch.running(),
             waiting: core.batch.waiting(),
--- a/src/lab/stand_ins/host_list.rs
+++ b/src/lab/stand_ins/host_list.rs
@@ -17,12 +17,12 @@
 /// The list of hosts. `POST /lab/hosts` replaces it; `lag_ms` among the faults makes readers see it
 /// as it was that long ago.
 #[derive(Debug, Default)]
-pub(crate) struct ListStandIn {
+pub(crate) struct HostListStandIn {
     /// The lists by the time from which they held.
     lists: Mutex<Vec<(ClockTime, Vec<HostEntry>)>>,
 }
 
-impl ListStandIn {
+impl HostListStandIn {
     /// Replaces the list from `now` on.
     pub(crate) fn replace(&self, hosts: Vec<HostEntry>, now: ClockTime) {
         let mut lists = self.lists.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/lab/stand_ins/mod.rs
+++ b/src/lab/stand_ins/mod.rs
@@ -27,13 +27,13 @@
 use volo_http::response::Response;
 
 pub(crate) use command::{run_stand_in, stand_in_command};
-pub(crate) use engine::{EngineShape, EngineStandIn, EngineTruth, LabDialect};
+pub(crate) use engine::{EngineShape, EngineSnapshot, EngineStandIn, LabDialect};
 pub(crate) use engine_stream::{answer_text, token_text};
 pub(crate) use fault::FaultSettings;
-pub(crate) use host_list::ListStandIn;
+pub(crate) use host_list::HostListStandIn;
 pub(crate) use plain::{PlainAnswer, PlainCall};
 pub(crate) use stand_in::{ANY_PORT, StandIn, StandInKind};
-pub(crate) use weights::{PublishOrder, PublishedManifest, WeightsCounts, WeightsStandIn};
+pub(crate) use weights::{PublishRequest, PublishedManifest, WeightsCounts, WeightsStandIn};
 
 use crate::transport::json_reply;
 
--- a/src/lab/stand_ins/stand_in.rs
+++ b/src/lab/stand_ins/stand_in.rs
@@ -20,7 +20,7 @@
 
 use super::engine::EngineStandIn;
 use super::fault::{FaultBoard, FaultSettings};
-use super::host_list::ListStandIn;
+use super::host_list::HostListStandIn;
 use super::plain::PlainStandIn;
 use super::table::TableStandIn;
 use super::weights::WeightsStandIn;
@@ -43,7 +43,7 @@
     /// The origin of weights, or the weight store.
     Weights(Arc<WeightsStandIn>),
     /// The platform's list of hosts.
-    Hosts(Arc<ListStandIn>),
+    Hosts(Arc<HostListStandIn>),
     /// A model engine.
     Engine(Arc<EngineStandIn>),
     /// A plain service.
--- a/src/lab/stand_ins/tests.rs
+++ b/src/lab/stand_ins/tests.rs
@@ -93,7 +93,7 @@
 #[tokio::test]
 async fn origin_answers_ranges_that_match_the_manifest() {
     let weights = Arc::new(WeightsStandIn::new(0, Duration::from_secs(1)));
-    let manifest = weights.publish(&PublishOrder {
+    let manifest = weights.publish(&PublishRequest {
         name: "w1".to_owned(),
         size: 1000,
         chunk_size: 300,
@@ -120,7 +120,7 @@
 #[tokio::test]
 async fn engine_serves_what_it_loaded_and_checks_fencing() {
     let weights = Arc::new(WeightsStandIn::new(0, Duration::from_secs(1)));
-    let manifest = weights.publish(&PublishOrder {
+    let manifest = weights.publish(&PublishRequest {
         name: "w1".to_owned(),
         size: 1000,
         chunk_size: 300,
@@ -165,7 +165,7 @@
         ..EngineShape::default()
     }));
     let weights = Arc::new(WeightsStandIn::new(0, Duration::from_secs(1)));
-    let manifest = weights.publish(&PublishOrder {
+    let manifest = weights.publish(&PublishRequest {
         name: "w1".to_owned(),
         size: 10,
         chunk_size: 10,
--- a/src/lab/stand_ins/weights.rs
+++ b/src/lab/stand_ins/weights.rs
@@ -25,7 +25,7 @@
 
 /// What is to be published. The bytes are random, made from the seed.
 #[apply(message!)]
-pub(crate) struct PublishOrder {
+pub(crate) struct PublishRequest {
     /// The name under which they are read.
     pub(crate) name: String,
     /// Bytes of the whole.
@@ -98,7 +98,7 @@
     }
 
     /// Publishes weights.
-    pub(crate) fn publish(&self, order: &PublishOrder) -> PublishedManifest {
+    pub(crate) fn publish(&self, order: &PublishRequest) -> PublishedManifest {
         let mut data = vec![0; order.size];
         StdRng::seed_from_u64(order.seed).fill_bytes(&mut data);
         let chunk_size = order.chunk_size.max(1);
--- a/src/lab/weights/baseline.rs
+++ b/src/lab/weights/baseline.rs
@@ -11,7 +11,7 @@
 use super::shape::BurstShape;
 use crate::derives::plain;
 use crate::errors::{ErrorKind, SwitchResult};
-use crate::lab::stand_ins::{ANY_PORT, PublishOrder, StandIn, StandInKind, WeightsStandIn};
+use crate::lab::stand_ins::{ANY_PORT, PublishRequest, StandIn, StandInKind, WeightsStandIn};
 use crate::stores::WeightSource;
 use crate::stores::http::{HttpWeights, PlatformClient};
 use crate::time::clock_now;
@@ -45,7 +45,7 @@
     let origin = Arc::new(WeightsStandIn::new(shape.origin_rate(), BACKLOG));
     let stand_in = StandIn::start(ANY_PORT, StandInKind::Weights(origin.clone())).await?;
     let chunk_size = shape.chunk_size.min(size);
-    origin.publish(&PublishOrder {
+    origin.publish(&PublishRequest {
         name: NAME.to_owned(),
         size: usize::try_from(size).unwrap_or(usize::MAX),
         chunk_size: usize::try_from(chunk_size).unwrap_or(usize::MAX),
--- a/src/lab/weights/swarm.rs
+++ b/src/lab/weights/swarm.rs
@@ -11,12 +11,12 @@
 use crate::documents::{RolloutSpec, ServiceDocument, SpreadObjective, WeightsSpec};
 use crate::errors::SwitchResult;
 use crate::lab::launch::{
-    ChildProcess, Company, CompanyNames, DataCentre, LabClient, LaunchOrder, OPERATOR_KEY,
+    ChildProcess, CompanyNames, DataCentre, LabClient, LaunchSpec, OPERATOR_KEY, SampleCompany,
     put_document,
 };
 use crate::lab::stand_ins::{
-    ANY_PORT, EngineShape, EngineStandIn, FaultSettings, LabDialect, ListStandIn, PublishOrder,
-    PublishedManifest, StandIn, StandInKind, WeightsStandIn,
+    ANY_PORT, EngineShape, EngineStandIn, FaultSettings, HostListStandIn, LabDialect,
+    PublishRequest, PublishedManifest, StandIn, StandInKind, WeightsStandIn,
 };
 use crate::stores::{HostEntry, HostRole, ListedState};
 use crate::time::clock_now;
@@ -55,7 +55,7 @@
     pub(super) entry: ChildProcess,
     names: CompanyNames,
     shape: BurstShape,
-    list: Arc<ListStandIn>,
+    list: Arc<HostListStandIn>,
 }
 
 #[derive(Clone, Copy)]
@@ -69,11 +69,11 @@
     /// Starts all and waits until the processes know each other.
     pub(super) async fn start(shape: &BurstShape) -> SwitchResult<Self> {
         let company = match shape.objective {
-            SpreadObjective::Time => Company::Auroras,
-            SpreadObjective::OriginBytes => Company::Skupno,
+            SpreadObjective::Time => SampleCompany::Auroras,
+            SpreadObjective::OriginBytes => SampleCompany::Skupno,
         };
         let names = company.names();
-        let list: Arc<ListStandIn> = Arc::default();
+        let list: Arc<HostListStandIn> = Arc::default();
         let origin = Arc::new(WeightsStandIn::new(shape.origin_rate(), ORIGIN_BACKLOG));
         let source = StandIn::start(ANY_PORT, StandInKind::Weights(origin.clone())).await?;
         source.set_faults(FaultSettings {
@@ -102,7 +102,7 @@
             shape: shape.clone(),
             list,
         };
-        swarm.publish_list()?;
+        swarm.publish_host_list()?;
         tokio::time::sleep(SETTLED_AFTER).await;
         Ok(swarm)
     }
@@ -131,7 +131,7 @@
 
     /// Publishes weights `name` at the origin.
     pub(super) fn publish(&self, name: &str, seed: u64) -> PublishedManifest {
-        self.origin.publish(&PublishOrder {
+        self.origin.publish(&PublishRequest {
             name: name.to_owned(),
             size: usize::try_from(self.shape.size).unwrap_or(usize::MAX),
             chunk_size: usize::try_from(self.shape.chunk_size).unwrap_or(usize::MAX),
@@ -214,7 +214,7 @@
         logs.collect()
     }
 
-    fn publish_list(&self) -> SwitchResult<()> {
+    fn publish_host_list(&self) -> SwitchResult<()> {
         let first = self.names.data_centres[0];
         let mut entries = vec![HostEntry {
             host: "entry-1".into(),
@@ -283,11 +283,11 @@
 }
 
 /// The host process; one that spoils what it sends where chunks are to arrive corrupted.
-fn launch_host(host: &str, shape: &BurstShape) -> LaunchOrder {
+fn launch_host(host: &str, shape: &BurstShape) -> LaunchSpec {
     if shape.corrupt_percent == 0 {
-        return LaunchOrder::new("savory-host", host);
+        return LaunchSpec::new("savory-host", host);
     }
-    LaunchOrder::new("savory-lab", host)
+    LaunchSpec::new("savory-lab", host)
         .argument("spoiling-host")
         .setting("spoilt-percent", shape.corrupt_percent)
         .argument("--")
@@ -300,7 +300,7 @@
     let host = "entry-1";
     let operator_digest = WeightsDigest::of(OPERATOR_KEY.as_bytes());
     let order = common(
-        LaunchOrder::new("savory-entry", host),
+        LaunchSpec::new("savory-entry", host),
         host,
         data_centre,
         platform,
@@ -312,11 +312,11 @@
 }
 
 fn common(
-    order: LaunchOrder,
+    order: LaunchSpec,
     host: &str,
     data_centre: DataCentre,
     platform: PlatformAddresses,
-) -> LaunchOrder {
+) -> LaunchSpec {
     order
         .setting("host-name", host)
         .setting("data-centre", data_centre.name)
