--- a/src/lab/launch/admin_client.rs
+++ b/src/lab/launch/admin_client.rs
@@ -1,4 +1,4 @@
-//! The administration API, as far as the lab uses it.
+//! Client for the part of the administration API that the lab uses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,41 +7,46 @@
 use uuid::Uuid;
 use volo_http::body::Body;
 
-use super::company::OPERATOR_KEY;
+use super::sample_company::OPERATOR_KEY;
 use crate::documents::ServiceDocument;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::time::clock_now;
 use crate::transport::{ClientLimits, PeerClient, read_body};
 
-const ANSWER_BYTES_MAX: usize = 16 * 1024 * 1024;
-const WITHIN: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(100);
+const RESPONSE_BYTES_MAX: usize = 16 * 1024 * 1024;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Puts `document` through the entry host's administration API at `admin`, in place of version
-/// `replaces` (0: there is none yet). Tries again for `patience` while it is not accepted.
+/// Writes `document` through the entry host's administration API at `admin`, in place of version
+/// `replaces` (0 if there is none yet). A failed attempt is retried until `timeout` has passed.
 ///
 /// # Errors
 ///
-/// `DocumentNotAccepted` with what the entry host said last.
+/// The error of the last attempt: `DocumentNotAccepted` with the response if the entry host
+/// rejected the document, or the error of the transport.
 pub(crate) async fn put_document(
     admin: SocketAddr,
     document: &ServiceDocument,
     replaces: u64,
-    patience: Duration,
+    timeout: Duration,
 ) -> SwitchResult<()> {
-    let begun = clock_now();
-    // Names the change, so that a put whose answer was lost is not met as a conflict.
+    let started_at = clock_now();
+    // Identifies the write, so that a retry after a lost response does not count as a conflict.
     let nonce = Uuid::now_v7();
     loop {
         match try_put(admin, document, replaces, nonce).await {
             Ok(()) => return Ok(()),
-            Err(error) if clock_now().since(begun) > patience => return Err(error),
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(error) if clock_now().since(started_at) > timeout => return Err(error),
+            Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
 
-/// What the entry host's administration API at `admin` says at `path`, for people.
+/// Reads the text at `path` of the entry host's administration API at `admin`.
+///
+/// # Errors
+///
+/// `DocumentNotAccepted` if the status is not 200, or the error of the transport.
 pub(crate) async fn read_admin(admin: SocketAddr, path: &str) -> SwitchResult<String> {
     let request = http::Request::get(path);
     exchange(admin, request, Body::empty()).await
@@ -75,14 +80,16 @@
         .body(body)
         .map_err(|fault| failed(fault.to_string()))?;
     let client = PeerClient::new(ClientLimits::default());
-    let answer = client.send(admin, request, WITHIN).await?;
-    let status = answer.status();
-    let body = read_body(answer.into_body(), ANSWER_BYTES_MAX).await?;
+    let response = client.send(admin, request, REQUEST_TIMEOUT).await?;
+    let status = response.status();
+    let body = read_body(response.into_body(), RESPONSE_BYTES_MAX).await?;
     let text = String::from_utf8_lossy(&body).into_owned();
     if status == StatusCode::OK {
         return Ok(text);
     }
-    Err(failed(format!("answered {status}: {text}")))
+    Err(failed(format!(
+        "the administration API answered {status}: {text}"
+    )))
 }
 
 fn failed(text: String) -> SwitchError {
--- a/src/lab/launch/child_process.rs
+++ b/src/lab/launch/child_process.rs
@@ -1,4 +1,5 @@
-//! One process that the lab started: told to stop, killed, frozen, and never left behind.
+//! A process that the lab started. It can be stopped, killed and frozen, and it is killed when its
+//! handle is dropped, so that none outlives the lab.
 
 use std::collections::VecDeque;
 use std::fmt::Display;
@@ -16,23 +17,23 @@
 
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// How long a process may take until it listens.
-const LISTENS_WITHIN: Duration = Duration::from_secs(15);
-const LOG_LINES_KEPT: usize = 4000;
+/// Time limit for a started process to print its `listening` line.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(15);
+const LOG_LINES_KEPT_MAX: usize = 4000;
 
-/// What is to be started.
+/// A process to start: program, arguments and environment.
 #[derive(Clone, Debug)]
 pub(crate) struct LaunchSpec {
-    /// Its name, for messages.
+    /// Name of the process in messages.
     pub(crate) name: String,
-    /// The program, found beside the running one.
+    /// File name of the program, which is searched for next to the running one.
     pub(crate) program: &'static str,
     arguments: Vec<String>,
     variables: Vec<(&'static str, String)>,
 }
 
 impl LaunchSpec {
-    /// Starts `program` under `name`.
+    /// Creates a spec of `program` without arguments. `name` is its name in messages.
     pub(crate) fn new(program: &'static str, name: impl Into<String>) -> Self {
         Self {
             name: name.into(),
@@ -42,26 +43,26 @@
         }
     }
 
-    /// Adds a plain argument.
+    /// Adds one argument.
     pub(crate) fn argument(mut self, text: impl Into<String>) -> Self {
         self.arguments.push(text.into());
         self
     }
 
-    /// Sets a variable of its environment.
+    /// Sets an environment variable.
     pub(crate) fn variable(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.variables.push((name, value.into()));
         self
     }
 
-    /// Adds the setting `--flag value`.
+    /// Adds the arguments `--flag value`.
     pub(crate) fn setting(self, flag: &str, value: impl Display) -> Self {
         self.argument(format!("--{flag}"))
             .argument(value.to_string())
     }
 }
 
-/// A process that the lab started. Dropping it kills it.
+/// A process that the lab started. It is killed on drop.
 #[derive(Debug)]
 pub(crate) struct ChildProcess {
     name: String,
@@ -71,16 +72,17 @@
 }
 
 impl ChildProcess {
-    /// Starts what `order` says and waits until it listens.
+    /// Starts the process and waits until it prints the addresses on which it listens.
     ///
     /// # Errors
     ///
-    /// `SettingInvalid` with the process's own words when it cannot be started or ends before it
-    /// listens.
-    pub(crate) async fn start(order: &LaunchSpec) -> SwitchResult<Self> {
-        let (mut child, log) = spawn(order)?;
+    /// `SettingInvalid` if the process cannot be started, or if it ends or exceeds the time limit
+    /// before it listens; in the latter cases with the end of its log.
+    pub(crate) async fn start(spec: &LaunchSpec) -> SwitchResult<Self> {
+        let (mut child, log) = spawn(spec)?;
         let stdout = child.stdout.take();
-        let stdout = stdout.ok_or_else(|| failed("a process has no output"))?;
+        let stdout =
+            stdout.ok_or_else(|| failed("the standard output of the process is not piped"))?;
         let mut lines = BufReader::new(stdout).lines();
         let listening = async {
             while let Ok(Some(line)) = lines.next_line().await {
@@ -90,109 +92,114 @@
             }
             None
         };
-        let Ok(Some(listening)) = timeout(LISTENS_WITHIN, listening).await else {
-            let words = log.last_lines(20);
-            return Err(failed(&format!("{} does not listen:\n{words}", order.name)));
+        let Ok(Some(listening)) = timeout(STARTUP_TIMEOUT, listening).await else {
+            let log_end = log.last_lines(20);
+            return Err(failed(&format!(
+                "{} did not report its addresses:\n{log_end}",
+                spec.name
+            )));
         };
-        // The pipe stays open for as long as the process lives, so that it can go on printing.
+        // Keeps reading the pipe, so that the process can print as long as it runs.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         Ok(Self {
-            name: order.name.clone(),
+            name: spec.name.clone(),
             child,
             listening,
             log,
         })
     }
 
-    /// Starts what `order` says, a program that does not tell where it listens; what it prints is its
-    /// log.
+    /// Starts a process that prints no `listening` line. Its standard output goes to its log.
     ///
     /// # Errors
     ///
-    /// `SettingInvalid` when it cannot be started.
-    pub(crate) fn start_without_addresses(order: &LaunchSpec) -> SwitchResult<Self> {
-        let (mut child, log) = spawn(order)?;
+    /// `SettingInvalid` if it cannot be started.
+    pub(crate) fn start_without_addresses(spec: &LaunchSpec) -> SwitchResult<Self> {
+        let (mut child, log) = spawn(spec)?;
         if let Some(stdout) = child.stdout.take() {
             tokio::spawn(log.clone().follow(stdout));
         }
         Ok(Self {
-            name: order.name.clone(),
+            name: spec.name.clone(),
             child,
             listening: Vec::new(),
             log,
         })
     }
 
-    /// Its name.
+    /// Returns the name from its spec.
     pub(crate) fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its process id, while it lives.
+    /// Returns its process id, or `None` once it has been waited for.
     pub(crate) fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Where it listens for `purpose`, such as `peer`; empty for stand-ins.
+    /// Returns the address on which it listens for `purpose`, such as `peer`. The address of a
+    /// stand-in has the empty purpose.
     ///
     /// # Errors
     ///
-    /// `Internal` when it did not say so.
+    /// `SettingInvalid` if it did not print such an address.
     pub(crate) fn address(&self, purpose: &str) -> SwitchResult<SocketAddr> {
-        let mut found = self.listening.iter().filter(|(known, _)| known == purpose);
-        found
-            .next()
-            .map(|(_, address)| *address)
-            .ok_or_else(|| failed(&format!("{} named no {purpose} address", self.name)))
+        let mut matching = self.listening.iter().filter(|(key, _)| key == purpose);
+        matching.next().map(|(_, address)| *address).ok_or_else(|| {
+            failed(&format!(
+                "{} reported no address for {purpose:?}",
+                self.name
+            ))
+        })
     }
 
-    /// Its log so far, the newest lines.
+    /// Returns the newest lines of its log.
     pub(crate) fn log_text(&self) -> String {
-        self.log.last_lines(LOG_LINES_KEPT)
+        self.log.last_lines(LOG_LINES_KEPT_MAX)
     }
 
-    /// Kills it at once and waits for its end.
+    /// Kills it and waits for its end.
     pub(crate) async fn kill(&mut self) {
         // An error means that it has ended already.
         let _ = self.child.kill().await;
     }
 
-    /// Stops it in its tracks (SIGSTOP); its connections stay open.
+    /// Suspends it (SIGSTOP). Its connections stay open.
     pub(crate) fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets a frozen process go on (SIGCONT).
+    /// Resumes it after [`Self::freeze`] (SIGCONT).
     pub(crate) fn thaw(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks it for a graceful stop (SIGTERM).
+    /// Requests a graceful stop (SIGTERM).
     pub(crate) fn request_stop(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Tells it that its settings file has changed (SIGHUP).
+    /// Requests that it reloads its settings file (SIGHUP).
     pub(crate) fn request_reload(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Whether it has ended, and well.
+    /// Returns whether it ended successfully, or `None` while it runs.
     pub(crate) fn ended(&mut self) -> Option<bool> {
         let status = self.child.try_wait().ok().flatten()?;
         Some(status.success())
     }
 
-    /// Waits for its end; `None` when it goes on for longer than `within`, else whether it ended
-    /// well.
-    pub(crate) async fn wait(&mut self, within: Duration) -> Option<bool> {
-        let status = timeout(within, self.child.wait()).await.ok()?.ok()?;
+    /// Waits for its end, and returns whether it was successful; `None` if it still runs after
+    /// `limit`.
+    pub(crate) async fn wait(&mut self, limit: Duration) -> Option<bool> {
+        let status = timeout(limit, self.child.wait()).await.ok()?.ok()?;
         Some(status.success())
     }
 
     fn signal(&self, signal: Signal) {
-        // The id is only there while the process has not been waited for, so that no other
-        // process can have taken it over.
+        // The id is only available until the process has been waited for, and cannot be reused
+        // for another process before that.
         let id = self.child.id().and_then(|id| i32::try_from(id).ok());
         if let Some(id) = id {
             let _ = kill(Pid::from_raw(id), signal);
@@ -200,17 +207,17 @@
     }
 }
 
-fn spawn(order: &LaunchSpec) -> SwitchResult<(Child, LogTail)> {
-    let mut child = Command::new(program_path(order.program)?)
-        .arg0(order.program)
-        .args(&order.arguments)
-        .envs(order.variables.iter().map(|(name, value)| (name, value)))
+fn spawn(spec: &LaunchSpec) -> SwitchResult<(Child, LogTail)> {
+    let mut child = Command::new(program_path(spec.program)?)
+        .arg0(spec.program)
+        .args(&spec.arguments)
+        .envs(spec.variables.iter().map(|(name, value)| (name, value)))
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .kill_on_drop(true)
         .spawn()
-        .map_err(|fault| failed(&format!("{}: {fault}", order.program)))?;
+        .map_err(|fault| failed(&format!("{}: {fault}", spec.program)))?;
     let log = LogTail::default();
     if let Some(stderr) = child.stderr.take() {
         tokio::spawn(log.clone().follow(stderr));
@@ -218,18 +225,19 @@
     Ok((child, log))
 }
 
-/// The newest lines of a process's log.
+/// The newest lines of a process's log. Clones share them.
 #[derive(Clone, Debug, Default)]
 struct LogTail {
     lines: Arc<Mutex<VecDeque<String>>>,
 }
 
 impl LogTail {
-    async fn follow(self, stderr: impl AsyncRead + Unpin) {
-        let mut lines = BufReader::new(stderr).lines();
+    /// Appends the lines of `output` until it ends.
+    async fn follow(self, output: impl AsyncRead + Unpin) {
+        let mut lines = BufReader::new(output).lines();
         while let Ok(Some(line)) = lines.next_line().await {
             let mut kept = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-            if kept.len() == LOG_LINES_KEPT {
+            if kept.len() == LOG_LINES_KEPT_MAX {
                 kept.pop_front();
             }
             kept.push_back(line);
@@ -248,21 +256,22 @@
     SwitchError::new(ErrorKind::SettingInvalid, text)
 }
 
-/// Where `program` is: beside the running one, or beside its folder when that is a test.
+/// Returns the path of `program`: in the folder of the running program, or in its parent folder,
+/// since Cargo builds tests one level deeper. Falls back to the running program itself.
 fn program_path(program: &str) -> SwitchResult<PathBuf> {
     let running = std::env::current_exe().map_err(|fault| failed(&fault.to_string()))?;
     let folders = running.ancestors().skip(1).take(2);
     let found = folders
         .map(|folder| folder.join(program))
         .find(|path| path.is_file());
-    // Built alone, this program is all there is; it takes the daemon's part under that name.
+    // If only this program was built, it is started under the daemon's name and acts as it.
     Ok(found.unwrap_or(running.clone()))
 }
 
-/// The addresses in `caller=IP:PORT peer=IP:PORT`, or in `IP:PORT` alone.
+/// Parses `caller=IP:PORT peer=IP:PORT`, or a single `IP:PORT`, which gets the empty purpose.
 fn read_addresses(text: &str) -> Vec<(String, SocketAddr)> {
-    let words = text.split_whitespace();
-    let pairs = words.map(|word| word.split_once('=').unwrap_or(("", word)));
+    let fields = text.split_whitespace();
+    let pairs = fields.map(|field| field.split_once('=').unwrap_or(("", field)));
     pairs
         .filter_map(|(purpose, address)| Some((purpose.to_owned(), address.parse().ok()?)))
         .collect()
--- a/src/lab/launch/lab_client.rs
+++ b/src/lab/launch/lab_client.rs
@@ -1,4 +1,4 @@
-//! JSON over HTTP to whatever the lab started.
+//! HTTP client for the processes that the lab starts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::transport::{ClientLimits, PeerClient, read_body};
 
-const ANSWER_BYTES_MAX: usize = 64 * 1024 * 1024;
-const WITHIN: Duration = Duration::from_secs(5);
+const RESPONSE_BYTES_MAX: usize = 64 * 1024 * 1024;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The client.
+/// Client that takes any status other than 200 as an error.
 pub(crate) struct LabClient {
     client: PeerClient,
 }
@@ -29,39 +29,39 @@
 }
 
 impl LabClient {
-    /// The JSON at `path`.
+    /// Reads the JSON at `path`.
     pub(crate) async fn get<A: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         path: &str,
     ) -> SwitchResult<A> {
-        let answer = self.send(peer, Method::GET, path, Bytes::new()).await?;
-        read_json(&answer)
+        let response = self.send(peer, Method::GET, path, Bytes::new()).await?;
+        read_json(&response)
     }
 
-    /// The text at `path`.
+    /// Reads the text at `path`.
     pub(crate) async fn text(&self, peer: SocketAddr, path: &str) -> SwitchResult<String> {
-        let answer = self.send(peer, Method::GET, path, Bytes::new()).await?;
-        Ok(String::from_utf8_lossy(&answer).into_owned())
+        let response = self.send(peer, Method::GET, path, Bytes::new()).await?;
+        Ok(String::from_utf8_lossy(&response).into_owned())
     }
 
-    /// Whether `path` answers 200.
+    /// Whether a GET of `path` returns status 200.
     pub(crate) async fn is_ok(&self, peer: SocketAddr, path: &str) -> bool {
         self.send(peer, Method::GET, path, Bytes::new())
             .await
             .is_ok()
     }
 
-    /// Posts `order` as JSON and reads the JSON answer.
+    /// Posts `body` as JSON and parses the response as JSON.
     pub(crate) async fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         path: &str,
-        order: &Q,
+        body: &Q,
     ) -> SwitchResult<A> {
-        let body = serde_json::to_vec(order).unwrap_or_default();
-        let answer = self.send(peer, Method::POST, path, body.into()).await?;
-        read_json(&answer)
+        let body = serde_json::to_vec(body).unwrap_or_default();
+        let response = self.send(peer, Method::POST, path, body.into()).await?;
+        read_json(&response)
     }
 
     async fn send(
@@ -76,9 +76,9 @@
             .uri(path)
             .body(Body::from(body))
             .map_err(|fault| failed(fault.to_string()))?;
-        let answer = self.client.send(peer, request, WITHIN).await?;
-        let status = answer.status();
-        let body = read_body(answer.into_body(), ANSWER_BYTES_MAX).await?;
+        let response = self.client.send(peer, request, REQUEST_TIMEOUT).await?;
+        let status = response.status();
+        let body = read_body(response.into_body(), RESPONSE_BYTES_MAX).await?;
         if status == StatusCode::OK {
             return Ok(body);
         }
--- a/src/lab/launch/lab_system.rs
+++ b/src/lab/launch/lab_system.rs
@@ -1,5 +1,5 @@
-//! A whole small system: the platform's stand-ins, entry hosts, backend servers with their host
-//! processes, each a process of its own.
+//! A complete small system. The stand-ins of the platform, the entry hosts, the backend servers and
+//! their host processes each run as a separate process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,47 +8,51 @@
 
 use super::admin_client::read_admin;
 use super::child_process::{ChildProcess, LaunchSpec};
-use super::company::{CompanyNames, DataCentre, OPERATOR_KEY};
 use super::lab_client::LabClient;
+use super::sample_company::{CompanyNames, DataCentre, OPERATOR_KEY};
 use super::system_parts::{BackendNode, EntryNode, SystemShape};
 use crate::errors::SwitchResult;
 use crate::lab::stand_ins::{ANY_PORT, FaultSettings, PublishRequest, PublishedManifest};
 use crate::stores::{HostEntry, HostRole, ListedState};
 use crate::weights::WeightsDigest;
 
-const LOOPBACK_ANY: &str = "127.0.0.1:0";
-/// The address space that a host process may fill with weights in the lab.
-const MEMORY_BYTES: u64 = 256 * 1024 * 1024;
-/// How often and how far apart a port is asked for again.
-const PORT_TRIES: u32 = 20;
-const PORT_PAUSE: Duration = Duration::from_millis(250);
+const LOOPBACK_ANY_PORT: &str = "127.0.0.1:0";
+/// Memory that a host process may use for weights, in bytes.
+const WEIGHTS_MEMORY_BYTES: u64 = 256 * 1024 * 1024;
+/// Retries, and the interval between them, to bind the port of an engine that is restarted.
+const PORT_RETRIES_MAX: u32 = 20;
+const PORT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// The whole system. Ends with all its processes when it is dropped.
+/// A running lab system. Dropping it kills all its processes.
 #[derive(Debug)]
 pub(crate) struct LabSystem {
-    /// How it was asked for.
+    /// The size and settings with which it was started.
     pub(crate) shape: SystemShape,
-    /// Its company's names.
+    /// Names of its company.
     pub(crate) names: CompanyNames,
-    /// The table.
+    /// The stand-in of the platform's table.
     pub(crate) table: ChildProcess,
-    /// The object store.
-    /// The origin of weights.
+    /// The stand-in of the origin of weights, which is the platform's object store.
     pub(crate) origin: ChildProcess,
-    /// The list of hosts.
+    /// The stand-in of the list of hosts.
     pub(crate) host_list: ChildProcess,
     /// The entry hosts.
     pub(crate) entries: Vec<EntryNode>,
     /// The backend servers.
     pub(crate) backends: Vec<BackendNode>,
-    /// The logs of daemons that were replaced.
+    /// Logs of daemons that were restarted.
     ended_logs: String,
 }
 
 impl LabSystem {
-    /// Starts the system; `started` is told after each process.
-    pub(crate) async fn start(shape: SystemShape, started: impl Fn()) -> SwitchResult<Self> {
+    /// Starts the system. `on_step` is called after the stand-ins, the backend servers and the
+    /// entry hosts have each been started.
+    ///
+    /// # Errors
+    ///
+    /// The first error of a process that could not be started.
+    pub(crate) async fn start(shape: SystemShape, on_step: impl Fn()) -> SwitchResult<Self> {
         let origin_rate = shape.origin_bytes_per_second;
         let mut system = Self {
             shape,
@@ -60,33 +64,33 @@
             backends: Vec::new(),
             ended_logs: String::new(),
         };
-        started();
-        // Listed before it runs, so that the processes see each other from their first reading on.
+        on_step();
         let backends = (0..=shape.models + shape.at_most_once_workers)
             .map(|index| system.start_backend(index));
         let backends = try_join_all(backends).await?;
         system.backends = backends;
-        started();
+        on_step();
         let entries = (0..shape.entries).map(|index| system.start_entry(index));
         let entries = try_join_all(entries).await?;
         system.entries = entries;
-        started();
+        on_step();
+        // Hosts are listed only after all processes have started.
         system.publish_host_list().await?;
         Ok(system)
     }
 
-    /// Starts entry host `index`.
+    /// Starts a process of entry host `index`, without adding it to the system.
     pub(crate) async fn start_entry(&self, index: usize) -> SwitchResult<EntryNode> {
         let data_centre = self.data_centre(index);
         let host = format!("entry-{}-{}", data_centre.name, index + 1);
         let operator_digest = WeightsDigest::of(OPERATOR_KEY.as_bytes());
-        let order = self
-            .common(LaunchSpec::new("savory-entry", &host), &host, data_centre)?
-            .setting("caller-address", LOOPBACK_ANY)
-            .setting("admin-address", LOOPBACK_ANY)
+        let spec = self
+            .with_common_settings(LaunchSpec::new("savory-entry", &host), &host, data_centre)?
+            .setting("caller-address", LOOPBACK_ANY_PORT)
+            .setting("admin-address", LOOPBACK_ANY_PORT)
             .setting("operator-key-digest", operator_digest);
         Ok(EntryNode {
-            process: ChildProcess::start(&order).await?,
+            process: ChildProcess::start(&spec).await?,
             host,
             data_centre,
         })
@@ -94,7 +98,7 @@
 
     async fn start_backend(&self, index: usize) -> SwitchResult<BackendNode> {
         let data_centre = self.data_centre(index);
-        let (service, dialect) = self.duty(index);
+        let (service, dialect) = self.assignment(index);
         let host = format!("{service}-{}-{}", data_centre.name, index + 1);
         let engine = self.start_engine(dialect, ANY_PORT).await?;
         let process = self
@@ -119,17 +123,17 @@
         if dialect == "plain" {
             return start_stand_in("plain", &[("service-ms", self.shape.service_ms)]).await;
         }
-        let order = LaunchSpec::new("savory-lab", format!("engine {dialect}"))
+        let spec = LaunchSpec::new("savory-lab", format!("engine {dialect}"))
             .argument("stand-in")
             .argument("engine")
             .setting("listen", address)
             .setting("dialect", dialect)
             .setting("running-max", self.shape.running_max)
             .setting("tokens-per-second", self.shape.tokens_per_second);
-        ChildProcess::start(&order).await
+        ChildProcess::start(&spec).await
     }
 
-    /// Starts the host process `host` before `engine`.
+    /// Starts the host process `host` of the backend server `engine`.
     pub(crate) async fn start_host(
         &self,
         host: &str,
@@ -137,57 +141,58 @@
         (service, dialect): (&str, &str),
         engine: &ChildProcess,
     ) -> SwitchResult<ChildProcess> {
-        let order = self
-            .common(LaunchSpec::new("savory-host", host), host, data_centre)?
+        let spec = self
+            .with_common_settings(LaunchSpec::new("savory-host", host), host, data_centre)?
             .setting("service", service)
             .setting("engine-dialect", dialect)
             .setting("engine-address", engine.address("")?)
             .setting("origin-address", self.origin.address("")?)
-            .setting("memory-bytes", MEMORY_BYTES);
-        ChildProcess::start(&order).await
+            .setting("memory-bytes", WEIGHTS_MEMORY_BYTES);
+        ChildProcess::start(&spec).await
     }
 
-    /// Starts the host process of backend `index` anew, beside the same engine.
+    /// Starts a new host process of backend `index` for the same engine, in place of the previous
+    /// one.
     pub(crate) async fn restart_host(&mut self, index: usize) -> SwitchResult<()> {
         let node = &self.backends[index];
-        let duty = (node.service, node.dialect);
+        let assignment = (node.service, node.dialect);
         let process = self
-            .start_host(&node.host, node.data_centre, duty, &node.engine)
+            .start_host(&node.host, node.data_centre, assignment, &node.engine)
             .await?;
         let node = &mut self.backends[index];
-        let earlier = std::mem::replace(&mut node.process, process);
-        self.ended_logs.push_str(&log_of(&earlier));
+        let previous = std::mem::replace(&mut node.process, process);
+        self.ended_logs.push_str(&titled_log(&previous));
         self.backends[index].listed = ListedState::Live;
         self.publish_host_list().await
     }
 
-    /// Starts the engine of backend `index` anew, with nothing loaded, where the earlier one was.
+    /// Starts a new engine of backend `index` on the same address, with no weights loaded.
     pub(crate) async fn restart_engine(&mut self, index: usize) -> SwitchResult<()> {
         let node = &self.backends[index];
         let address = node.engine.address("")?;
-        let mut tries = 0;
+        let mut retries = 0;
         let engine = loop {
             match self.start_engine(node.dialect, address).await {
                 Ok(engine) => break engine,
-                Err(error) if tries >= PORT_TRIES => return Err(error),
-                // Some connection may have taken the port for its own end meanwhile.
-                Err(_) => tries += 1,
+                Err(error) if retries >= PORT_RETRIES_MAX => return Err(error),
+                // An outgoing connection may use the port as its local port meanwhile.
+                Err(_) => retries += 1,
             }
-            tokio::time::sleep(PORT_PAUSE).await;
+            tokio::time::sleep(PORT_RETRY_INTERVAL).await;
         };
         self.backends[index].engine = engine;
         Ok(())
     }
 
-    /// Starts entry host `index` anew.
+    /// Starts a new process of entry host `index`, in place of the previous one.
     pub(crate) async fn restart_entry(&mut self, index: usize) -> SwitchResult<()> {
         let node = self.start_entry(index).await?;
-        let earlier = std::mem::replace(&mut self.entries[index], node);
-        self.ended_logs.push_str(&log_of(&earlier.process));
+        let previous = std::mem::replace(&mut self.entries[index], node);
+        self.ended_logs.push_str(&titled_log(&previous.process));
         self.publish_host_list().await
     }
 
-    /// Tells the list of hosts what is there.
+    /// Publishes the current hosts on the list of hosts.
     pub(crate) async fn publish_host_list(&self) -> SwitchResult<()> {
         let mut hosts = Vec::new();
         for node in &self.entries {
@@ -220,14 +225,14 @@
             .await
     }
 
-    /// Publishes weights of `size` bytes as `name` at the origin.
+    /// Publishes weights of `size` bytes, generated from `seed`, as `name` at the origin.
     pub(crate) async fn publish_weights(
         &self,
         name: &str,
         size: usize,
         seed: u64,
     ) -> SwitchResult<PublishedManifest> {
-        let order = PublishRequest {
+        let request = PublishRequest {
             name: name.to_owned(),
             size,
             chunk_size: CHUNK_BYTES,
@@ -235,11 +240,11 @@
         };
         let address = self.origin.address("")?;
         LabClient::default()
-            .post(address, "/lab/publish", &order)
+            .post(address, "/lab/publish", &request)
             .await
     }
 
-    /// Replaces the faults of a stand-in.
+    /// Replaces the fault settings of `stand_in`.
     pub(crate) async fn set_faults(
         stand_in: &ChildProcess,
         faults: FaultSettings,
@@ -251,23 +256,24 @@
         Ok(())
     }
 
-    /// The backend servers of `service`, by their place.
+    /// Returns the indices in `backends` of the servers of `service`.
     pub(crate) fn backend_indices(&self, service: &str) -> Vec<usize> {
-        let places = 0..self.backends.len();
-        places
+        let indices = 0..self.backends.len();
+        indices
             .filter(|index| self.backends[*index].service == service)
             .collect()
     }
 
-    /// Every daemon's newest log lines, and what each entry host sees, for finding a cause.
+    /// Returns the newest log lines of every daemon, and the hosts and requests that each entry
+    /// host shows, to diagnose a failure.
     pub(crate) async fn logs(&self) -> String {
         let mut text = self.daemon_logs();
         for node in &self.entries {
             let Ok(admin) = node.admin() else { continue };
             for path in ["/admin/v1/hosts", "/admin/v1/requests"] {
-                let seen = read_admin(admin, path).await;
-                let seen = seen.unwrap_or_else(|error| error.to_string());
-                text.push_str(&titled(&format!("{}{path}", node.host), &seen));
+                let state = read_admin(admin, path).await;
+                let state = state.unwrap_or_else(|error| error.to_string());
+                text.push_str(&titled(&format!("{}{path}", node.host), &state));
             }
         }
         text
@@ -276,13 +282,13 @@
     fn daemon_logs(&self) -> String {
         let entries = self.entries.iter().map(|node| &node.process);
         let hosts = self.backends.iter().map(|node| &node.process);
-        let running: String = entries.chain(hosts).map(log_of).collect();
+        let running: String = entries.chain(hosts).map(titled_log).collect();
         format!("{}{running}", self.ended_logs)
     }
 
-    /// Ends all processes and waits for their end; returns how many were left then.
+    /// Kills all processes and waits for their end. Returns the number of those still running.
     pub(crate) async fn end(mut self) -> usize {
-        let mut left = 0;
+        let mut still_running = 0;
         let stand_ins = [&mut self.table, &mut self.origin, &mut self.host_list];
         let entries = self.entries.iter_mut().map(|node| &mut node.process);
         let hosts = self
@@ -292,23 +298,23 @@
         for process in entries.chain(hosts).chain(stand_ins) {
             process.kill().await;
             if process.wait(Duration::from_secs(1)).await.is_none() {
-                left += 1;
+                still_running += 1;
             }
         }
-        left
+        still_running
     }
 
-    fn common(
+    fn with_common_settings(
         &self,
-        order: LaunchSpec,
+        spec: LaunchSpec,
         host: &str,
         data_centre: DataCentre,
     ) -> SwitchResult<LaunchSpec> {
-        Ok(order
+        Ok(spec
             .setting("host-name", host)
             .setting("data-centre", data_centre.name)
             .setting("region", data_centre.region)
-            .setting("peer-address", LOOPBACK_ANY)
+            .setting("peer-address", LOOPBACK_ANY_PORT)
             .setting("table-address", self.table.address("")?)
             .setting("list-address", self.host_list.address("")?)
             .setting("leave-linger-ms", self.shape.linger_ms))
@@ -318,7 +324,8 @@
         self.names.data_centres[index % self.names.data_centres.len()]
     }
 
-    fn duty(&self, index: usize) -> (&'static str, &'static str) {
+    /// Returns the service of backend `index`, and the dialect of its engine.
+    fn assignment(&self, index: usize) -> (&'static str, &'static str) {
         let shape = &self.shape;
         if index < shape.models {
             let dialects = ["metrics_text", "json_state"];
@@ -331,7 +338,7 @@
     }
 }
 
-fn log_of(process: &ChildProcess) -> String {
+fn titled_log(process: &ChildProcess) -> String {
     titled(process.name(), &process.log_text())
 }
 
@@ -343,11 +350,11 @@
     kind: &'static str,
     settings: &[(&'static str, u64)],
 ) -> SwitchResult<ChildProcess> {
-    let mut order = LaunchSpec::new("savory-lab", kind)
+    let mut spec = LaunchSpec::new("savory-lab", kind)
         .argument("stand-in")
         .argument(kind);
     for (flag, value) in settings {
-        order = order.setting(flag, value);
+        spec = spec.setting(flag, value);
     }
-    ChildProcess::start(&order).await
+    ChildProcess::start(&spec).await
 }
--- a/src/lab/launch/company.rs
+++ b/src/lab/launch/sample_company.rs
@@ -1,4 +1,4 @@
-//! The two companies of the samples: their data centres, services and client accounts.
+//! The two sample companies: their data centres, services and client accounts.
 
 use macro_rules_attribute::apply;
 
@@ -9,7 +9,7 @@
 };
 use crate::weights::WeightsDigest;
 
-/// A company.
+/// A sample company.
 #[apply(key!)]
 pub(crate) enum SampleCompany {
     /// Auroras del Sur Franquicias S.A.C.
@@ -27,7 +27,7 @@
     pub(crate) region: &'static str,
 }
 
-/// A company's names.
+/// A company's names, and its objective for the distribution of weights.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(crate) struct CompanyNames {
@@ -35,15 +35,15 @@
     pub(crate) data_centres: [DataCentre; 3],
     /// Its model service.
     pub(crate) model: &'static str,
-    /// Its service with calls that may run at most once.
+    /// Its plain service that has calls that may run at most once.
     pub(crate) at_most_once_service: &'static str,
-    /// Its service with a single worker.
+    /// Its plain service that has a single worker.
     pub(crate) single_worker_service: &'static str,
-    /// The path of the desk's unrepeatable calls.
+    /// Path prefix of the calls that may run at most once.
     pub(crate) at_most_once_path: &'static str,
     /// Its client accounts; the first is the largest.
     pub(crate) accounts: [&'static str; 10],
-    /// What it wants the spread of weights to save.
+    /// What the distribution of weights minimises.
     pub(crate) objective: SpreadObjective,
 }
 
@@ -115,13 +115,14 @@
     objective: SpreadObjective::OriginBytes,
 };
 
-/// The key with which the lab creates and changes documents.
+/// The operator key that the lab uses to write documents.
 pub(crate) const OPERATOR_KEY: &str = "lab-operator-key";
 
+/// Requests per second of each client account.
 const ACCOUNT_RATE: u32 = 5_000;
 const ACCOUNT_CONCURRENCY: u32 = 2_000;
-const OUT_OF_SERVICE: u32 = 2;
-/// Short, so that a caller who waits half a minute has seen the end of every call.
+const OUT_OF_SERVICE_MAX: u32 = 2;
+/// Short, so that every call has ended when a caller has waited for 30 s.
 const DEADLINES: DeadlineSpec = DeadlineSpec {
     urgent_ms: 4_000,
     normal_ms: 10_000,
@@ -130,7 +131,7 @@
 };
 
 impl SampleCompany {
-    /// The company called `name` on the command line.
+    /// Returns the company called `name` on the command line; unknown names give the first one.
     pub(crate) fn from_flag(name: &str) -> Self {
         match name {
             "skupno" => Self::Skupno,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Its names.
+    /// Returns its names.
     pub(crate) const fn names(self) -> CompanyNames {
         match self {
             Self::Auroras => AURORAS,
@@ -147,13 +148,14 @@
     }
 }
 
-/// The key of client account `name`.
+/// Returns the key of client account `name`.
 pub(crate) fn account_key(name: &str) -> String {
     format!("lab-key-of-{name}")
 }
 
 impl CompanyNames {
-    /// The document of the model service with weights `version`, published as `source`.
+    /// Returns the document of the model service whose target weights are `version`, which the
+    /// origin publishes as `source`.
     pub(crate) fn model_document(
         &self,
         version: &str,
@@ -173,22 +175,22 @@
         }
     }
 
-    /// The document of the desk: calls below [`CompanyNames::at_most_once_path`] run at most once, the
-    /// rest may be repeated.
+    /// Returns the document of the service whose calls below
+    /// [`CompanyNames::at_most_once_path`] run at most once; its other calls may be repeated.
     pub(crate) fn at_most_once_document(&self) -> ServiceDocument {
-        let once = RouteSpec {
+        let at_most_once = RouteSpec {
             method: Some("POST".into()),
             path_prefix: self.at_most_once_path.into(),
             repeatable: false,
             in_outage: OutageRule::default(),
         };
         ServiceDocument {
-            routes: vec![once, repeatable_route()],
+            routes: vec![at_most_once, repeatable_route()],
             ..self.document(self.at_most_once_service, ServiceKind::Plain)
         }
     }
 
-    /// The document of the portal, whose calls may all be repeated.
+    /// Returns the document of the single-worker service, all of whose calls may be repeated.
     pub(crate) fn single_worker_document(&self) -> ServiceDocument {
         ServiceDocument {
             routes: vec![repeatable_route()],
@@ -209,7 +211,7 @@
             hosts: HostSelection::Listed,
             weights: None,
             rollout: RolloutSpec {
-                max_out_of_service: OUT_OF_SERVICE,
+                max_out_of_service: OUT_OF_SERVICE_MAX,
                 table_away: TableAwayRule::IdleHostsOnly,
                 ..RolloutSpec::default()
             },
--- a/src/lab/launch/system_parts.rs
+++ b/src/lab/launch/system_parts.rs
@@ -1,37 +1,37 @@
-//! The shape of a small system, and the hosts that it is made of.
+//! The size of a lab system, and the hosts that it consists of.
 
 use std::net::SocketAddr;
 
 use super::child_process::ChildProcess;
-use super::company::{DataCentre, SampleCompany};
+use super::sample_company::{DataCentre, SampleCompany};
 use crate::errors::SwitchResult;
 use crate::stores::ListedState;
 
-/// How large the system is and how its parts behave.
+/// Size of a lab system and settings of its parts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SystemShape {
-    /// Whose names it has.
+    /// The company whose names it uses.
     pub(crate) company: SampleCompany,
-    /// Entry hosts, spread over the data centres.
+    /// Number of entry hosts, distributed over the data centres.
     pub(crate) entries: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub(crate) models: usize,
-    /// Workers of the desk.
+    /// Number of workers of the service whose calls may run at most once.
     pub(crate) at_most_once_workers: usize,
-    /// Requests that an engine runs at a time.
+    /// Limit of concurrently running requests of an engine.
     pub(crate) running_max: u64,
-    /// Tokens a second of each running request.
+    /// Tokens per second of each running request.
     pub(crate) tokens_per_second: u64,
-    /// How long a plain service takes for a call.
+    /// Time that a plain service takes for a request, in milliseconds.
     pub(crate) service_ms: u64,
-    /// How long a graceful stop lasts at least.
+    /// Minimum duration of a graceful stop, in milliseconds.
     pub(crate) linger_ms: u64,
-    /// Bytes a second of the origin's link; 0 means no pacing.
+    /// Bandwidth of the origin's link in bytes per second; 0 means no pacing.
     pub(crate) origin_bytes_per_second: u64,
 }
 
 impl SystemShape {
-    /// Three entry hosts and six backend servers in three data centres.
+    /// Returns a system of three entry hosts and six backend servers in three data centres.
     pub(crate) const fn small(company: SampleCompany) -> Self {
         Self {
             company,
@@ -52,19 +52,19 @@
 pub(crate) struct EntryNode {
     /// Its name.
     pub(crate) host: String,
-    /// Where it stands.
+    /// Its data centre.
     pub(crate) data_centre: DataCentre,
     /// Its process.
     pub(crate) process: ChildProcess,
 }
 
 impl EntryNode {
-    /// Where callers reach it.
+    /// Returns the address for callers.
     pub(crate) fn caller(&self) -> SwitchResult<SocketAddr> {
         self.process.address("caller")
     }
 
-    /// Where operators reach it.
+    /// Returns the address of its administration API.
     pub(crate) fn admin(&self) -> SwitchResult<SocketAddr> {
         self.process.address("admin")
     }
@@ -75,16 +75,16 @@
 pub(crate) struct BackendNode {
     /// Its name.
     pub(crate) host: String,
-    /// Where it stands.
+    /// Its data centre.
     pub(crate) data_centre: DataCentre,
     /// The service that it serves.
     pub(crate) service: &'static str,
-    /// The dialect of its engine.
+    /// The dialect of its engine; `plain` for a plain service.
     pub(crate) dialect: &'static str,
     /// Its engine or plain service.
     pub(crate) engine: ChildProcess,
     /// Its host process.
     pub(crate) process: ChildProcess,
-    /// What the list says of it.
+    /// Its state on the host list.
     pub(crate) listed: ListedState,
 }
--- a/src/lab/stand_ins/batch.rs
+++ b/src/lab/stand_ins/batch.rs
@@ -1,30 +1,30 @@
-//! Continuous batching: so many requests run, the rest wait by priority, a place that falls free
-//! is taken at once.
+//! Continuous batching: a limited number of requests runs, the others wait in order of priority,
+//! and a free slot goes to the first of them at once.
 
 use macro_rules_attribute::apply;
 use tokio::sync::oneshot;
 
 use crate::derives::key;
 
-/// A request's place.
+/// Identifies a request in the batch or its queue.
 #[apply(key!)]
-pub(super) struct BatchPlace(u64);
+pub(super) struct BatchRequestId(u64);
 
-/// What runs and what waits.
+/// The running and the waiting requests.
 #[derive(Debug)]
 pub(super) struct BatchState {
     running_max: usize,
     waiting_max: usize,
-    next_place: u64,
-    running: Vec<BatchPlace>,
-    /// Sorted by priority, then by arrival.
+    last_id: u64,
+    running: Vec<BatchRequestId>,
+    /// Sorted by priority (lower values first), then by arrival.
     waiting: Vec<WaitingRequest>,
 }
 
 #[derive(Debug)]
 struct WaitingRequest {
     priority: u8,
-    place: BatchPlace,
+    id: BatchRequestId,
     ready: oneshot::Sender<()>,
 }
 
@@ -33,7 +33,7 @@
         Self {
             running_max,
             waiting_max,
-            next_place: 0,
+            last_id: 0,
             running: Vec::new(),
             waiting: Vec::new(),
         }
@@ -47,39 +47,44 @@
         self.waiting.len()
     }
 
-    /// Takes a place; `ready` is told when it runs. `None` when no more may wait.
-    pub(super) fn ask(&mut self, priority: u8, ready: oneshot::Sender<()>) -> Option<BatchPlace> {
+    /// Adds a request, and signals `ready` when it starts. Returns `None` if the queue is full.
+    pub(super) fn admit(
+        &mut self,
+        priority: u8,
+        ready: oneshot::Sender<()>,
+    ) -> Option<BatchRequestId> {
         let is_full = self.running.len() >= self.running_max;
         if is_full && self.waiting.len() >= self.waiting_max {
             return None;
         }
-        self.next_place += 1;
-        let place = BatchPlace(self.next_place);
+        self.last_id += 1;
+        let id = BatchRequestId(self.last_id);
         let request = WaitingRequest {
             priority,
-            place,
+            id,
             ready,
         };
-        let at = self
+        let position = self
             .waiting
-            .partition_point(|other| (other.priority, other.place) < (priority, place));
-        self.waiting.insert(at, request);
-        self.fill();
-        Some(place)
+            .partition_point(|other| (other.priority, other.id) < (priority, id));
+        self.waiting.insert(position, request);
+        self.start_waiting();
+        Some(id)
     }
 
-    /// Gives a place back.
-    pub(super) fn leave(&mut self, place: BatchPlace) {
-        self.running.retain(|known| *known != place);
-        self.waiting.retain(|request| request.place != place);
-        self.fill();
+    /// Removes a request that ended or was abandoned, and starts waiting ones in its slot.
+    pub(super) fn release(&mut self, id: BatchRequestId) {
+        self.running.retain(|other| *other != id);
+        self.waiting.retain(|request| request.id != id);
+        self.start_waiting();
     }
 
-    fn fill(&mut self) {
+    /// Starts waiting requests while slots are free. One whose receiver was dropped is discarded.
+    fn start_waiting(&mut self) {
         while self.running.len() < self.running_max && !self.waiting.is_empty() {
             let request = self.waiting.remove(0);
             if request.ready.send(()).is_ok() {
-                self.running.push(request.place);
+                self.running.push(request.id);
             }
         }
     }
--- a/src/lab/stand_ins/command.rs
+++ b/src/lab/stand_ins/command.rs
@@ -1,4 +1,4 @@
-//! `savory-lab stand-in`: one stand-in as a process of its own.
+//! `savory-lab stand-in`: runs one stand-in as a separate process.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 
 const THREADS: usize = 2;
 
-/// The subcommand.
+/// Defines the subcommand and its flags.
 pub(crate) fn stand_in_command() -> Command {
     Command::new("stand-in")
-        .about("Runs one stand-in until it is ended; prints `listening IP:PORT`")
+        .about("Runs one stand-in until it is signalled to stop; prints `listening IP:PORT`")
         .after_help("Example:\n  savory-lab stand-in engine --dialect json_state --running-max 4")
         .arg(
             Arg::new("kind")
                 .required(true)
                 .value_parser(["table", "origin", "store", "hosts", "engine", "plain"])
-                .help("What it stands for"),
+                .help("The service that it replaces"),
         )
         .arg(
             Arg::new("listen")
@@ -32,45 +32,49 @@
                 .value_name("IP:PORT")
                 .default_value("127.0.0.1:0")
                 .value_parser(value_parser!(std::net::SocketAddr))
-                .help("Where it listens; port 0 takes a free one"),
+                .help("Address to listen on; port 0 binds to any free port"),
         )
         .arg(
             Arg::new("dialect")
                 .long("dialect")
                 .default_value("metrics_text")
                 .value_parser(["metrics_text", "json_state"])
-                .help("engine: its vendor's protocol"),
+                .help("engine: the vendor protocol that it speaks"),
         )
         .arg(number(
             "running-max",
             "8",
-            "engine: requests that it runs at a time",
+            "engine: limit of concurrently running requests",
         ))
         .arg(number(
             "waiting-max",
             "16",
-            "engine: requests that wait inside it",
+            "engine: limit of requests waiting in its queue",
         ))
         .arg(number(
             "tokens-per-second",
             "200",
-            "engine: tokens a second of each request",
+            "engine: tokens per second and running request",
         ))
         .arg(number(
             "prefill-ms",
             "10",
-            "engine: work before the first token",
+            "engine: prefill time of a prompt that is not cached",
+        ))
+        .arg(number(
+            "service-ms",
+            "5",
+            "plain: service time of a request",
         ))
-        .arg(number("service-ms", "5", "plain: time for each call"))
         .arg(number(
             "link-bytes-per-second",
             "0",
-            "origin, store: 0 means no pacing",
+            "origin, store: bandwidth of the link; 0 means no pacing",
         ))
         .arg(number(
             "backlog-max-ms",
             "4000",
-            "origin, store: asks to slow down beyond it",
+            "origin, store: answers 429 while the link is backlogged for longer",
         ))
 }
 
@@ -83,7 +87,7 @@
         .help(help)
 }
 
-/// Runs the stand-in that `matches` asks for.
+/// Runs the stand-in that the command line in `matches` selects.
 pub(crate) fn run_stand_in(matches: &ArgMatches) -> ExitCode {
     run_process("savory-lab stand-in", THREADS, listen(matches))
 }
@@ -93,8 +97,8 @@
     let address = address.unwrap_or(super::ANY_PORT);
     let stand_in = StandIn::start(address, read_kind(matches)).await?;
     println!("listening {}", stand_in.address());
-    // The servers catch the signals that ask for a stop, each for itself; a stand-in has nothing
-    // to finish and ends at once.
+    // The HTTP server installs its own handler of the stop signals, so they don't end the process
+    // by default. A stand-in has no work to complete and exits at once.
     crate::lab::stop_asked().await;
     Ok(())
 }
--- a/src/lab/stand_ins/engine.rs
+++ b/src/lab/stand_ins/engine.rs
@@ -1,5 +1,8 @@
-//! A model engine: continuous batching, tokens that anyone can recompute, a state that is reported
-//! late, a prefix cache, and both vendors' dialects.
+//! Stand-in for a model engine, in the dialects of both vendors.
+//!
+//! It batches requests continuously, has a prefix cache, and can report its state with a lag. Its
+//! tokens depend only on the weights, the prompt and their position, so that a test can recompute
+//! them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,41 +14,42 @@
 use volo_http::body::Body;
 use volo_http::response::Response;
 
-use super::batch::{BatchPlace, BatchState};
-use super::fault::FaultBoard;
+use super::batch::{BatchRequestId, BatchState};
+use super::fault::FaultInjector;
 use super::prefix_cache::PrefixCache;
-use super::stand_in::{LabCall, unknown};
+use super::stand_in::{StandInRequest, unknown_path_reply};
 use super::{engine_stream, json_state, metrics_text};
 use crate::derives::{key, message, plain};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{ClientLimits, PeerClient, json_reply};
 use crate::weights::WeightsDigest;
 
-const REPORTS_KEPT: usize = 4096;
-const LOAD_HEAD_WITHIN: Duration = Duration::from_secs(10);
+/// Past reports that stay available for lagging reads; the older half is dropped beyond it.
+const REPORTS_KEPT_MAX: usize = 4096;
+const LOAD_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Which vendor's protocol an engine speaks.
+/// The vendor protocol that an engine speaks.
 #[apply(key!)]
 pub(crate) enum LabDialect {
-    /// Prometheus text and completions.
+    /// State as Prometheus text, generation as completions.
     MetricsText,
-    /// A JSON state.
+    /// State as JSON.
     JsonState,
 }
 
-/// How fast and how large an engine is.
+/// Speed and capacity of an engine.
 #[apply(plain!)]
 #[derive(Copy)]
 pub(crate) struct EngineShape {
     /// Its dialect.
     pub(crate) dialect: LabDialect,
-    /// Requests that it runs at a time.
+    /// Limit of concurrently running requests.
     pub(crate) running_max: usize,
-    /// Requests that wait inside it at most.
+    /// Limit of requests waiting in its queue.
     pub(crate) waiting_max: usize,
-    /// Tokens a second of each running request.
+    /// Tokens per second of each running request.
     pub(crate) tokens_per_second: u64,
-    /// How long it works on a prompt before the first token, less when its prefix is cached.
+    /// Time before the first token of a prompt whose prefix is not cached.
     pub(crate) prefill: Duration,
 }
 
@@ -61,47 +65,50 @@
     }
 }
 
-/// The engine.
+/// A model engine.
 #[derive(Debug)]
 pub(crate) struct EngineStandIn {
     pub(super) shape: EngineShape,
-    state: Mutex<EngineCore>,
+    state: Mutex<EngineStandInState>,
 }
 
-/// What the engine holds.
+/// State of the engine.
 #[derive(Debug)]
-pub(super) struct EngineCore {
+pub(super) struct EngineStandInState {
     pub(super) batch: BatchState,
     pub(super) loaded: Option<LoadedWeights>,
     pub(super) fence: u64,
     pub(super) role: String,
     pub(super) cache: PrefixCache,
+    /// Ids of cancelled requests whose run has not ended yet.
     pub(super) cancelled: Vec<String>,
+    /// Prompt of the request that started last; a crossed stream carries a token of it.
     pub(super) last_prompt: String,
+    /// Reports with the time from which each was current, oldest first.
     reports: Vec<(ClockTime, EngineReport)>,
 }
 
-/// What `GET /lab/engine` tells: the truth, without the report's lag.
+/// Response to `GET /lab/engine`: the engine's current state, without the lag of its reports.
 #[apply(message!)]
 pub(crate) struct EngineSnapshot {
-    /// What it serves.
+    /// The loaded weights.
     pub(crate) loaded: Option<LoadedWeights>,
-    /// Requests that it runs.
+    /// Running requests.
     pub(crate) running: usize,
-    /// Requests that wait inside it.
+    /// Requests waiting in the queue.
     pub(crate) waiting: usize,
 }
 
-/// Weights that the engine serves.
+/// Weights that the engine has loaded.
 #[apply(message!)]
 pub(crate) struct LoadedWeights {
-    /// The version's name.
+    /// Name of the version.
     pub(crate) version: String,
-    /// The digest of the bytes that it read.
+    /// Digest of the bytes read while loading.
     pub(crate) digest: WeightsDigest,
 }
 
-/// What the engine says of itself.
+/// State that the engine reports, possibly with a lag.
 #[apply(plain!)]
 #[derive(Default)]
 pub(super) struct EngineReport {
@@ -111,9 +118,9 @@
     pub(super) fence: u64,
 }
 
-/// An order to load, in either dialect.
+/// A request to load weights, from either dialect.
 #[apply(plain!)]
-pub(super) struct LoadText {
+pub(super) struct LoadRequest {
     pub(super) version: String,
     pub(super) digest: String,
     pub(super) size: u64,
@@ -121,19 +128,19 @@
     pub(super) fence: Option<u64>,
 }
 
-/// Why an order was not carried out.
+/// Why a request to load weights failed.
 #[apply(plain!)]
 pub(super) enum LoadRefusal {
-    /// Another order carried a greater fencing number.
+    /// An earlier request carried this greater fencing number.
     Stale(u64),
-    /// The weights did not load.
+    /// The weights could not be loaded, with the reason.
     Failed(String),
 }
 
 impl EngineStandIn {
-    /// An engine with nothing loaded.
+    /// Creates an engine with no weights loaded.
     pub(crate) fn new(shape: EngineShape) -> Self {
-        let core = EngineCore {
+        let state = EngineStandInState {
             batch: BatchState::new(shape.running_max, shape.waiting_max),
             loaded: None,
             fence: 0,
@@ -145,127 +152,134 @@
         };
         Self {
             shape,
-            state: Mutex::new(core),
+            state: Mutex::new(state),
         }
     }
 
-    /// What it serves.
+    /// Returns the loaded weights.
     pub(crate) fn loaded(&self) -> Option<LoadedWeights> {
         self.lock().loaded.clone()
     }
 
-    /// What it holds, without the report's lag.
-    pub(crate) fn truth(&self) -> EngineSnapshot {
-        let core = self.lock();
+    /// Returns the current state, without the lag of the reports.
+    pub(crate) fn snapshot(&self) -> EngineSnapshot {
+        let state = self.lock();
         EngineSnapshot {
-            loaded: core.loaded.clone(),
-            running: core.batch.running(),
-            waiting: core.batch.waiting(),
+            loaded: state.loaded.clone(),
+            running: state.batch.running(),
+            waiting: state.batch.waiting(),
         }
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, EngineCore> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, EngineStandInState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) async fn answer(
         self: &Arc<Self>,
-        call: &LabCall,
-        faults: &Arc<FaultBoard>,
+        request: &StandInRequest,
+        faults: &Arc<FaultInjector>,
     ) -> Response {
-        if is_call(call, &Method::GET, "/lab/engine") {
-            return json_reply(StatusCode::OK, &self.truth());
+        if is_request_for(request, &Method::GET, "/lab/engine") {
+            return json_reply(StatusCode::OK, &self.snapshot());
         }
-        let known = match self.shape.dialect {
-            LabDialect::MetricsText => metrics_text::answer(self, call, faults).await,
-            LabDialect::JsonState => json_state::answer(self, call, faults).await,
+        let reply = match self.shape.dialect {
+            LabDialect::MetricsText => metrics_text::answer(self, request, faults).await,
+            LabDialect::JsonState => json_state::answer(self, request, faults).await,
         };
-        known.unwrap_or_else(|| unknown(call))
+        reply.unwrap_or_else(|| unknown_path_reply(request))
     }
 
-    /// Its state as it was when the faults' lag says, and how old that is.
-    pub(super) fn report(&self, faults: &FaultBoard) -> (EngineReport, u64) {
+    /// Returns the report that was current before the lag set by `faults`, and that lag in
+    /// milliseconds.
+    pub(super) fn report(&self, faults: &FaultInjector) -> (EngineReport, u64) {
         let lag_ms = faults.settings().lag_ms;
         let then = clock_now() - Duration::from_millis(lag_ms);
-        let core = self.lock();
-        let held = core.reports.iter().rev().find(|(since, _)| *since <= then);
-        let report = held.map(|(_, report)| report.clone());
+        let state = self.lock();
+        let current = state.reports.iter().rev().find(|(since, _)| *since <= then);
+        let report = current.map(|(_, report)| report.clone());
         (report.unwrap_or_default(), lag_ms)
     }
 
-    /// Loads a version: reads all of it from where the order says and checks its digest.
+    /// Loads a version: reads all its bytes from the source in `request` and checks the digest.
+    /// The fencing number is checked before and after, since a newer request may arrive meanwhile.
     pub(super) async fn load(
         &self,
-        order: &LoadText,
-        faults: &FaultBoard,
+        request: &LoadRequest,
+        faults: &FaultInjector,
     ) -> Result<(), LoadRefusal> {
         let settings = faults.settings();
-        let checks = self.shape.dialect == LabDialect::MetricsText && !settings.ignore_fencing;
-        if let (true, Some(fence)) = (checks, order.fence) {
-            let mut core = self.lock();
-            if fence < core.fence {
-                return Err(LoadRefusal::Stale(core.fence));
+        let checks_fence =
+            self.shape.dialect == LabDialect::MetricsText && !settings.ignore_fencing;
+        if let (true, Some(fence)) = (checks_fence, request.fence) {
+            let mut state = self.lock();
+            if fence < state.fence {
+                return Err(LoadRefusal::Stale(state.fence));
             }
-            core.fence = fence;
+            state.fence = fence;
         }
         if settings.fail_load {
-            return Err(LoadRefusal::Failed("does not load".to_owned()));
+            return Err(LoadRefusal::Failed(
+                "loading fails by an injected fault".to_owned(),
+            ));
         }
-        let digest = read_source(&order.source, order.size)
+        let digest = read_source(&request.source, request.size)
             .await
             .map_err(LoadRefusal::Failed)?;
-        if digest.to_string() != order.digest {
-            return Err(LoadRefusal::Failed("the digest does not match".to_owned()));
+        if digest.to_string() != request.digest {
+            return Err(LoadRefusal::Failed(
+                "the digest of the weights does not match".to_owned(),
+            ));
         }
-        let mut core = self.lock();
-        if checks && order.fence.is_some_and(|fence| fence < core.fence) {
-            return Err(LoadRefusal::Stale(core.fence));
+        let mut state = self.lock();
+        if checks_fence && request.fence.is_some_and(|fence| fence < state.fence) {
+            return Err(LoadRefusal::Stale(state.fence));
         }
-        core.loaded = Some(LoadedWeights {
-            version: order.version.clone(),
+        state.loaded = Some(LoadedWeights {
+            version: request.version.clone(),
             digest,
         });
-        core.note(clock_now());
+        state.record_report(clock_now());
         Ok(())
     }
 
-    /// Runs a request; `None` when it is not taken.
+    /// Starts or queues a request, and returns the stream of its events; `None` if it is refused.
     pub(super) fn generate(
         self: &Arc<Self>,
-        request: engine_stream::GenerateText,
-        faults: &Arc<FaultBoard>,
+        request: engine_stream::GenerateRequest,
+        faults: &Arc<FaultInjector>,
     ) -> Option<Body> {
         if faults.settings().refuse {
             return None;
         }
         let (sender, ready) = oneshot::channel();
-        let place = {
-            let mut core = self.lock();
-            let place = core.batch.ask(request.priority, sender);
-            core.note(clock_now());
-            BatchTicket {
+        let guard = {
+            let mut state = self.lock();
+            let id = state.batch.admit(request.priority, sender);
+            state.record_report(clock_now());
+            BatchGuard {
                 engine: self.clone(),
-                place: place?,
+                id: id?,
             }
         };
         Some(engine_stream::start(
             self.clone(),
             request,
-            place,
+            guard,
             ready,
             faults.clone(),
         ))
     }
 
-    /// Ends a request under way.
-    pub(super) fn cancel(&self, request: &str) {
-        self.lock().cancelled.push(request.to_owned());
+    /// Cancels the running or waiting request with this id.
+    pub(super) fn cancel(&self, request_id: &str) {
+        self.lock().cancelled.push(request_id.to_owned());
     }
 }
 
-impl EngineCore {
-    /// Keeps a report of the state from `now` on.
-    pub(super) fn note(&mut self, now: ClockTime) {
+impl EngineStandInState {
+    /// Records the current state as the report in force from `now`.
+    pub(super) fn record_report(&mut self, now: ClockTime) {
         let report = EngineReport {
             running: self.batch.running(),
             waiting: self.batch.waiting(),
@@ -273,41 +287,47 @@
             fence: self.fence,
         };
         self.reports.push((now, report));
-        if self.reports.len() > REPORTS_KEPT {
-            self.reports.drain(..REPORTS_KEPT / 2);
+        if self.reports.len() > REPORTS_KEPT_MAX {
+            self.reports.drain(..REPORTS_KEPT_MAX / 2);
         }
     }
 }
 
-/// A request's place in the batch; left when it is dropped.
+/// Keeps a request in the batch or its queue, and removes it when dropped.
 #[derive(Debug)]
-pub(super) struct BatchTicket {
+pub(super) struct BatchGuard {
     engine: Arc<EngineStandIn>,
-    place: BatchPlace,
+    id: BatchRequestId,
 }
 
-impl Drop for BatchTicket {
+impl Drop for BatchGuard {
     fn drop(&mut self) {
-        let mut core = self.engine.lock();
-        core.batch.leave(self.place);
-        core.note(clock_now());
+        let mut state = self.engine.lock();
+        state.batch.release(self.id);
+        state.record_report(clock_now());
     }
 }
 
-/// The digest of `size` bytes read from `source`.
+/// Reads `size` bytes from the URL `source` and returns their digest.
+///
+/// # Errors
+///
+/// The reason in words, if the source cannot be read completely.
 async fn read_source(source: &str, size: u64) -> Result<WeightsDigest, String> {
-    let uri: Uri = source.parse().map_err(|_| "the source is no URL")?;
+    let uri: Uri = source
+        .parse()
+        .map_err(|_| "the source is not a valid URL")?;
     let address = uri
         .authority()
         .and_then(|authority| authority.as_str().parse().ok())
-        .ok_or("the source names no IP and port")?;
+        .ok_or("the source URL has no IP address and port")?;
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     let request = http::Request::get(path)
         .body(Body::empty())
         .map_err(|fault| fault.to_string())?;
     let client = PeerClient::new(ClientLimits::default());
     let answer = client
-        .send(address, request, LOAD_HEAD_WITHIN)
+        .send(address, request, LOAD_HEAD_TIMEOUT)
         .await
         .map_err(|error| error.to_string())?;
     if answer.status() != StatusCode::OK {
@@ -320,12 +340,15 @@
         hasher.update(frame.data_ref().map_or(&[], |data| data));
     }
     if hasher.count() != size {
-        return Err(format!("{} bytes in place of {size}", hasher.count()));
+        return Err(format!(
+            "the source sent {} bytes, expected {size}",
+            hasher.count()
+        ));
     }
     Ok(WeightsDigest::from_hasher(&hasher))
 }
 
-/// Whether `call` is `method` on `path`.
-pub(super) fn is_call(call: &LabCall, method: &Method, path: &str) -> bool {
-    call.method == *method && call.path == path
+/// Whether `request` has this method and path.
+pub(super) fn is_request_for(request: &StandInRequest, method: &Method, path: &str) -> bool {
+    request.method == *method && request.path == path
 }
--- a/src/lab/stand_ins/fault.rs
+++ b/src/lab/stand_ins/fault.rs
@@ -1,4 +1,4 @@
-//! What a stand-in is told to do wrong, and the connections that it lets go silent.
+//! The faults that a stand-in injects, and the connections on which it stopped answering.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,68 +8,70 @@
 
 use crate::derives::message;
 
-/// What a stand-in does wrong. `POST /lab/fault` replaces the whole; what is not named is off.
-/// Percentages are spread evenly over the answers that they concern.
+/// The faults that a stand-in injects. `POST /lab/fault` replaces all of them; a missing field
+/// turns its fault off. A percentage is spread evenly over the responses that it applies to.
 #[apply(message!)]
 #[derive(Copy, Default, Eq)]
 #[serde(default, deny_unknown_fields)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each switch is a fault of its own and any may stand together"
+    reason = "each switch is an independent fault, and any of them may be combined"
 )]
 pub(crate) struct FaultSettings {
-    /// Every answer comes this much later, in milliseconds.
+    /// Delay of every response, in milliseconds.
     pub(crate) slow_ms: u64,
-    /// Every request is answered 503 and has no effect.
+    /// Whether every request is answered 503 and has no effect.
     pub(crate) down: bool,
-    /// Writes that take effect and are never answered, in percent.
+    /// Writes that take effect but are never answered, in percent.
     pub(crate) lost_answers_percent: u64,
-    /// Connections that are open when this is set go silent for good; new ones work.
+    /// Whether the connections that are open when this is set stay unanswered from then on. New
+    /// connections work.
     pub(crate) silence_open: bool,
-    /// Every connection is accepted and never answered.
+    /// Whether every connection is accepted but never answered.
     pub(crate) silence_all: bool,
-    /// Answers to reads of weights with a wrong byte, in percent.
+    /// Reads of weights whose response has a corrupt byte, in percent.
     pub(crate) corrupt_percent: u64,
-    /// Answers to reads of weights that stop in the middle, in percent.
+    /// Reads of weights whose response stalls halfway with the connection open, in percent.
     pub(crate) stall_percent: u64,
-    /// Answers to reads of weights that break off in the middle, in percent.
+    /// Reads of weights whose connection is closed halfway through the response, in percent.
     pub(crate) short_percent: u64,
-    /// Reads of weights that are answered 429, in percent.
+    /// Reads of weights answered 429, in percent.
     pub(crate) limit_percent: u64,
-    /// The list of hosts, or the engine's report, shows what was so long ago, in milliseconds.
+    /// Age of the state that the host list or the engine's report shows, in milliseconds.
     pub(crate) lag_ms: u64,
-    /// The engine's streams that break off after their third token, in percent.
+    /// Streams of the engine that are cut after their third token, in percent.
     pub(crate) cut_streams_percent: u64,
-    /// The engine's streams that carry a token of another request, in percent.
+    /// Streams of the engine that carry a token of another request, in percent.
     pub(crate) crossed_percent: u64,
-    /// The engine refuses what it is asked to generate.
+    /// Whether the engine refuses all requests to generate.
     pub(crate) refuse: bool,
-    /// The engine fails to load any version.
+    /// Whether the engine fails to load any version.
     pub(crate) fail_load: bool,
-    /// The engine carries out orders with old fencing numbers.
+    /// Whether the engine accepts commands with outdated fencing numbers.
     pub(crate) ignore_fencing: bool,
-    /// Cache events that are lost, in percent.
+    /// Prefix cache events that are lost, in percent.
     pub(crate) cache_gap_percent: u64,
 }
 
-/// The faults that stand, and what they have come to.
+/// The current fault settings, and the connections that they affect.
 #[derive(Debug, Default)]
-pub(crate) struct FaultBoard {
+pub(crate) struct FaultInjector {
     state: Mutex<FaultState>,
 }
 
 #[derive(Debug, Default)]
 struct FaultState {
     settings: FaultSettings,
-    drawn: u64,
-    /// Peers of connections that have sent something, sorted.
+    /// Calls of [`FaultInjector::applies`] with a percentage above 0.
+    draws: u64,
+    /// Peer addresses of connections that have sent a request, sorted.
     seen: Vec<SocketAddr>,
-    /// Peers of connections that are silent for good, sorted.
+    /// Peer addresses of connections that are never answered again, sorted.
     silent: Vec<SocketAddr>,
 }
 
-impl FaultBoard {
-    /// Replaces the faults.
+impl FaultInjector {
+    /// Replaces the fault settings.
     pub(crate) fn set(&self, settings: FaultSettings) {
         let mut state = self.lock();
         if settings.silence_open {
@@ -81,39 +83,40 @@
         state.settings = settings;
     }
 
-    /// The faults that stand.
+    /// Returns the current fault settings.
     pub(crate) fn settings(&self) -> FaultSettings {
         self.lock().settings
     }
 
-    /// Whether the next of the answers that a fault concerns is one of its `percent`.
-    pub(crate) fn strikes(&self, percent: u64) -> bool {
-        // A step without a common factor with 100 visits every remainder once in 100 draws.
+    /// Decides whether a fault applies to the next response that it concerns, so that it applies
+    /// to `percent` percent of them.
+    pub(crate) fn applies(&self, percent: u64) -> bool {
+        // The step is coprime to 100, so 100 draws visit each remainder once.
         const STEP: u64 = 37;
         if percent == 0 {
             return false;
         }
         let mut state = self.lock();
-        state.drawn += 1;
-        state.drawn.wrapping_mul(STEP) % 100 < percent
+        state.draws += 1;
+        state.draws.wrapping_mul(STEP) % 100 < percent
     }
 
-    /// Remembers that the connection from `peer` has sent something.
-    pub(crate) fn saw(&self, peer: SocketAddr) {
+    /// Records that the connection from `peer` has sent a request.
+    pub(crate) fn record_peer(&self, peer: SocketAddr) {
         let mut state = self.lock();
         if let Err(at) = state.seen.binary_search(&peer) {
             state.seen.insert(at, peer);
         }
     }
 
-    /// Whether the connection from `peer` is silent.
+    /// Whether the connection from `peer` is to stay unanswered.
     pub(crate) fn is_silent(&self, peer: SocketAddr) -> bool {
         let state = self.lock();
         state.settings.silence_all || state.silent.binary_search(&peer).is_ok()
     }
 
-    /// Waits as long as answers are to come later.
-    pub(crate) async fn slow_down(&self) {
+    /// Waits for the configured delay of responses.
+    pub(crate) async fn delay_answer(&self) {
         let wait = Duration::from_millis(self.settings().slow_ms);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
--- a/src/lab/stand_ins/json_state.rs
+++ b/src/lab/stand_ins/json_state.rs
@@ -1,4 +1,4 @@
-//! The `json_state` dialect, from the engine's side. This vendor checks no fencing numbers.
+//! The engine's side of the `json_state` dialect. This vendor does not check fencing numbers.
 
 use std::sync::Arc;
 
@@ -7,16 +7,16 @@
 use serde::{Deserialize, Serialize};
 use volo_http::response::Response;
 
-use super::engine::{EngineStandIn, LoadRefusal, LoadText, is_call};
-use super::engine_stream::GenerateText;
+use super::engine::{EngineStandIn, LoadRefusal, LoadRequest, is_request_for};
+use super::engine_stream::GenerateRequest;
 use super::event_reply;
-use super::fault::FaultBoard;
-use super::stand_in::LabCall;
+use super::fault::FaultInjector;
+use super::stand_in::StandInRequest;
 use crate::derives::plain;
 use crate::transport::{error_reply, json_reply};
 
 #[derive(Serialize)]
-struct StateText {
+struct StateReply {
     engine: &'static str,
     fencing: bool,
     slots: SlotsText,
@@ -65,7 +65,7 @@
 }
 
 #[derive(Serialize)]
-struct MessageText<'a> {
+struct MessageReply<'a> {
     message: &'a str,
 }
 
@@ -91,54 +91,54 @@
     count: u32,
 }
 
-/// The answer to `call`; `None` when it is not known.
+/// Answers `request`; `None` if the dialect has no such method and path.
 pub(super) async fn answer(
     engine: &Arc<EngineStandIn>,
-    call: &LabCall,
-    faults: &Arc<FaultBoard>,
+    request: &StandInRequest,
+    faults: &Arc<FaultInjector>,
 ) -> Option<Response> {
-    if is_call(call, &Method::GET, "/state") {
+    if is_request_for(request, &Method::GET, "/state") {
         return Some(json_reply(StatusCode::OK, &state(engine, faults)));
     }
-    if is_call(call, &Method::GET, "/prefixes") {
-        return Some(prefixes(engine, call));
+    if is_request_for(request, &Method::GET, "/prefixes") {
+        return Some(prefixes(engine, request));
     }
-    if call.method == Method::DELETE {
-        engine.cancel(call.path.strip_prefix("/generate/")?);
-        return Some(super::done());
+    if request.method == Method::DELETE {
+        engine.cancel(request.path.strip_prefix("/generate/")?);
+        return Some(super::empty_reply());
     }
-    if call.method != Method::POST {
+    if request.method != Method::POST {
         return None;
     }
-    match call.path.as_str() {
-        "/models/load" => Some(load(engine, call, faults).await),
-        "/role" => Some(set_role(engine, call)),
-        "/generate" => Some(generate(engine, call, faults)),
+    match request.path.as_str() {
+        "/models/load" => Some(load(engine, request, faults).await),
+        "/role" => Some(set_role(engine, request)),
+        "/generate" => Some(generate(engine, request, faults)),
         _ => None,
     }
 }
 
-pub(super) fn token_event(request: &str, index: u32, text: &str) -> String {
+pub(super) fn token_event(request_id: &str, index: u32, text: &str) -> String {
     let token = TokenText {
-        id: request,
+        id: request_id,
         n: index,
         t: text,
     };
     super::event_text(&token)
 }
 
-pub(super) fn end_events(request: &str, reason: &str, tokens: u32) -> String {
+pub(super) fn end_events(request_id: &str, reason: &str, tokens: u32) -> String {
     let end = EndText {
-        id: request,
+        id: request_id,
         done: reason,
         count: tokens,
     };
     super::event_text(&end)
 }
 
-fn state(engine: &EngineStandIn, faults: &FaultBoard) -> StateText {
+fn state(engine: &EngineStandIn, faults: &FaultInjector) -> StateReply {
     let (report, age_ms) = engine.report(faults);
-    StateText {
+    StateReply {
         engine: "json_state",
         fencing: false,
         slots: SlotsText {
@@ -154,9 +154,10 @@
     }
 }
 
-fn prefixes(engine: &EngineStandIn, call: &LabCall) -> Response {
-    let (events, cursor, lost) = engine.lock().cache.news(call.number("since", 0));
-    let (added, dropped): (Vec<_>, Vec<_>) = events.into_iter().partition(|(_, held)| *held);
+fn prefixes(engine: &EngineStandIn, request: &StandInRequest) -> Response {
+    let (events, cursor, lost) = engine.lock().cache.events_after(request.number("since", 0));
+    let (added, dropped): (Vec<_>, Vec<_>) =
+        events.into_iter().partition(|(_, is_added)| *is_added);
     let names = |events: Vec<(String, bool)>| events.into_iter().map(|(prefix, _)| prefix);
     let text = PrefixesText {
         added: names(added).collect(),
@@ -167,56 +168,67 @@
     json_reply(StatusCode::OK, &text)
 }
 
-async fn load(engine: &EngineStandIn, call: &LabCall, faults: &FaultBoard) -> Response {
-    let body: LoadBody = match call.json() {
+async fn load(
+    engine: &EngineStandIn,
+    request: &StandInRequest,
+    faults: &FaultInjector,
+) -> Response {
+    let body: LoadBody = match request.json() {
         Ok(body) => body,
         Err(error) => return error_reply(&error),
     };
-    let order = LoadText {
+    let load_request = LoadRequest {
         version: body.name,
         digest: body.sha,
         size: body.bytes,
         source: body.from,
         fence: None,
     };
-    match engine.load(&order, faults).await {
-        Ok(()) => super::done(),
+    match engine.load(&load_request, faults).await {
+        Ok(()) => super::empty_reply(),
         Err(LoadRefusal::Stale(_)) => message(StatusCode::BAD_REQUEST, "stale"),
         Err(LoadRefusal::Failed(text)) => message(StatusCode::BAD_REQUEST, &text),
     }
 }
 
-fn set_role(engine: &EngineStandIn, call: &LabCall) -> Response {
-    match call.json::<RoleBody>() {
+fn set_role(engine: &EngineStandIn, request: &StandInRequest) -> Response {
+    match request.json::<RoleBody>() {
         Ok(body) => {
             engine.lock().role = body.role;
-            super::done()
+            super::empty_reply()
         }
         Err(error) => error_reply(&error),
     }
 }
 
-fn generate(engine: &Arc<EngineStandIn>, call: &LabCall, faults: &Arc<FaultBoard>) -> Response {
-    let body: GenerateBody = match call.json() {
+fn generate(
+    engine: &Arc<EngineStandIn>,
+    request: &StandInRequest,
+    faults: &Arc<FaultInjector>,
+) -> Response {
+    let body: GenerateBody = match request.json() {
         Ok(body) => body,
         Err(error) => return error_reply(&error),
     };
     if engine.loaded().is_none() {
-        return message(StatusCode::CONFLICT, "no model");
+        return message(StatusCode::CONFLICT, "no model is loaded");
     }
-    let request = GenerateText {
-        request: body.id,
+    let generation = GenerateRequest {
+        request_id: body.id,
         prompt: body.text,
         max_tokens: body.limit,
         resume_from: body.skip,
         priority: body.prio,
     };
-    match engine.generate(request, faults) {
+    match engine.generate(generation, faults) {
         Some(body) => event_reply(body),
-        None => message(StatusCode::TOO_MANY_REQUESTS, "takes no more"),
+        None => message(
+            StatusCode::TOO_MANY_REQUESTS,
+            "the engine accepts no more requests",
+        ),
     }
 }
 
 fn message(status: StatusCode, text: &str) -> Response {
-    json_reply(status, &MessageText { message: text })
+    json_reply(status, &MessageReply { message: text })
 }
--- a/src/lab/stand_ins/metrics_text.rs
+++ b/src/lab/stand_ins/metrics_text.rs
@@ -1,4 +1,4 @@
-//! The `metrics_text` dialect, from the engine's side.
+//! The engine's side of the `metrics_text` dialect.
 
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use volo_http::body::Body;
 use volo_http::response::Response;
 
-use super::engine::{EngineStandIn, LoadRefusal, LoadText, is_call};
-use super::engine_stream::GenerateText;
+use super::engine::{EngineStandIn, LoadRefusal, LoadRequest, is_request_for};
+use super::engine_stream::GenerateRequest;
 use super::event_reply;
-use super::fault::FaultBoard;
-use super::stand_in::{LabCall, refusal};
+use super::fault::FaultInjector;
+use super::stand_in::{StandInRequest, refusal};
 use crate::derives::plain;
 use crate::transport::{error_reply, json_reply};
 
 #[apply(plain!)]
 #[derive(Serialize)]
-struct VersionText {
+struct VersionReply {
     vendor: &'static str,
     checks_fencing: bool,
     max_running: usize,
@@ -92,52 +92,52 @@
     tokens: u32,
 }
 
-/// The answer to `call`; `None` when it is not known.
+/// Answers `request`; `None` if the dialect has no such method and path.
 pub(super) async fn answer(
     engine: &Arc<EngineStandIn>,
-    call: &LabCall,
-    faults: &Arc<FaultBoard>,
+    request: &StandInRequest,
+    faults: &Arc<FaultInjector>,
 ) -> Option<Response> {
-    if is_call(call, &Method::GET, "/version") {
+    if is_request_for(request, &Method::GET, "/version") {
         return Some(json_reply(
             StatusCode::OK,
-            &VersionText {
+            &VersionReply {
                 vendor: "metrics_text",
                 checks_fencing: !faults.settings().ignore_fencing,
                 max_running: engine.shape.running_max,
             },
         ));
     }
-    if is_call(call, &Method::GET, "/metrics") {
+    if is_request_for(request, &Method::GET, "/metrics") {
         return Some(Response::new(Body::from(metrics(engine, faults))));
     }
-    if is_call(call, &Method::GET, "/cache/events") {
-        return Some(cache_events(engine, call));
+    if is_request_for(request, &Method::GET, "/cache/events") {
+        return Some(cache_events(engine, request));
     }
-    if call.method != Method::POST {
+    if request.method != Method::POST {
         return None;
     }
-    match call.path.as_str() {
-        "/control/load" => Some(load(engine, call, faults).await),
-        "/control/role" => Some(set_role(engine, call)),
-        "/v1/completions" => Some(complete(engine, call, faults)),
-        "/control/cancel" => Some(cancel(engine, call)),
+    match request.path.as_str() {
+        "/control/load" => Some(load(engine, request, faults).await),
+        "/control/role" => Some(set_role(engine, request)),
+        "/v1/completions" => Some(complete(engine, request, faults)),
+        "/control/cancel" => Some(cancel(engine, request)),
         _ => None,
     }
 }
 
-pub(super) fn token_event(request: &str, index: u32, text: &str) -> String {
+pub(super) fn token_event(request_id: &str, index: u32, text: &str) -> String {
     let token = TokenText {
-        request_id: request,
+        request_id,
         index,
         text,
     };
     super::event_text(&token)
 }
 
-pub(super) fn end_events(request: &str, reason: &str, tokens: u32) -> String {
+pub(super) fn end_events(request_id: &str, reason: &str, tokens: u32) -> String {
     let end = EndText {
-        request_id: request,
+        request_id,
         finish_reason: reason,
         tokens,
     };
@@ -146,7 +146,7 @@
     events
 }
 
-fn metrics(engine: &EngineStandIn, faults: &FaultBoard) -> String {
+fn metrics(engine: &EngineStandIn, faults: &FaultInjector) -> String {
     let (report, age_ms) = engine.report(faults);
     let mut text = format!(
         "# TYPE engine_requests_running gauge\nengine_requests_running {}\n\
@@ -167,8 +167,8 @@
     text
 }
 
-fn cache_events(engine: &EngineStandIn, call: &LabCall) -> Response {
-    let (events, next, gap) = engine.lock().cache.news(call.number("after", 0));
+fn cache_events(engine: &EngineStandIn, request: &StandInRequest) -> Response {
+    let (events, next, gap) = engine.lock().cache.events_after(request.number("after", 0));
     let events = events
         .into_iter()
         .map(|(prefix, held)| CacheEventText { prefix, held })
@@ -176,65 +176,76 @@
     json_reply(StatusCode::OK, &CacheText { events, next, gap })
 }
 
-async fn load(engine: &EngineStandIn, call: &LabCall, faults: &FaultBoard) -> Response {
-    let body: LoadBody = match call.json() {
+async fn load(
+    engine: &EngineStandIn,
+    request: &StandInRequest,
+    faults: &FaultInjector,
+) -> Response {
+    let body: LoadBody = match request.json() {
         Ok(body) => body,
         Err(error) => return error_reply(&error),
     };
-    let order = LoadText {
+    let load_request = LoadRequest {
         version: body.version,
         digest: body.digest,
         size: body.size,
         source: body.source,
         fence: Some(body.fence),
     };
-    match engine.load(&order, faults).await {
-        Ok(()) => super::done(),
+    match engine.load(&load_request, faults).await {
+        Ok(()) => super::empty_reply(),
         Err(LoadRefusal::Stale(fence)) => json_reply(StatusCode::CONFLICT, &FenceText { fence }),
         Err(LoadRefusal::Failed(text)) => refusal(StatusCode::UNPROCESSABLE_ENTITY, &text),
     }
 }
 
-fn set_role(engine: &EngineStandIn, call: &LabCall) -> Response {
-    let body: RoleBody = match call.json() {
+fn set_role(engine: &EngineStandIn, request: &StandInRequest) -> Response {
+    let body: RoleBody = match request.json() {
         Ok(body) => body,
         Err(error) => return error_reply(&error),
     };
-    let mut core = engine.lock();
-    if body.fence < core.fence {
-        return json_reply(StatusCode::CONFLICT, &FenceText { fence: core.fence });
+    let mut state = engine.lock();
+    if body.fence < state.fence {
+        return json_reply(StatusCode::CONFLICT, &FenceText { fence: state.fence });
     }
-    core.fence = body.fence;
-    core.role = body.role;
-    super::done()
+    state.fence = body.fence;
+    state.role = body.role;
+    super::empty_reply()
 }
 
-fn complete(engine: &Arc<EngineStandIn>, call: &LabCall, faults: &Arc<FaultBoard>) -> Response {
-    let body: CompletionBody = match call.json() {
+fn complete(
+    engine: &Arc<EngineStandIn>,
+    request: &StandInRequest,
+    faults: &Arc<FaultInjector>,
+) -> Response {
+    let body: CompletionBody = match request.json() {
         Ok(body) => body,
         Err(error) => return error_reply(&error),
     };
     if engine.loaded().is_none() {
-        return refusal(StatusCode::CONFLICT, "no weights");
+        return refusal(StatusCode::CONFLICT, "no weights are loaded");
     }
-    let request = GenerateText {
-        request: body.request_id,
+    let generation = GenerateRequest {
+        request_id: body.request_id,
         prompt: body.prompt,
         max_tokens: body.max_tokens,
         resume_from: body.resume_from,
         priority: body.priority,
     };
-    match engine.generate(request, faults) {
+    match engine.generate(generation, faults) {
         Some(body) => event_reply(body),
-        None => refusal(StatusCode::SERVICE_UNAVAILABLE, "takes no more"),
+        None => refusal(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the engine accepts no more requests",
+        ),
     }
 }
 
-fn cancel(engine: &EngineStandIn, call: &LabCall) -> Response {
-    match call.json::<CancelBody>() {
+fn cancel(engine: &EngineStandIn, request: &StandInRequest) -> Response {
+    match request.json::<CancelBody>() {
         Ok(body) => {
             engine.cancel(&body.request_id);
-            super::done()
+            super::empty_reply()
         }
         Err(error) => error_reply(&error),
     }
--- a/src/lab/stand_ins/mod.rs
+++ b/src/lab/stand_ins/mod.rs
@@ -1,5 +1,7 @@
-//! Stand-ins for what the platform and the backend servers offer: small, honest, and nasty on
-//! demand by `POST /lab/fault`. Each runs inside the lab's process or as a process of its own.
+//! Stand-ins for the platform's services and for backend servers.
+//!
+//! A stand-in follows the protocol of the service that it replaces. `POST /lab/fault` makes it
+//! inject faults. It runs inside the lab's process or as a separate process.
 
 mod batch;
 mod command;
@@ -37,24 +39,26 @@
 
 use crate::transport::json_reply;
 
-const FRAMES_WAITING: usize = 8;
+/// Frames that a streamed body buffers before its sender has to wait.
+const FRAMES_BUFFERED_MAX: usize = 8;
 
-/// One frame of a body, or the fault that cuts the connection.
+/// One frame of a body, or the error that closes the connection before the body is complete.
 type FrameResult = Result<Frame<Bytes>, Box<dyn std::error::Error + Send + Sync>>;
 
-/// A body fed by the sender; an error sent through it cuts the connection.
+/// Returns a streamed body and the sender of its frames. Sending an error closes the connection
+/// before the body is complete.
 fn body_channel() -> (mpsc::Sender<FrameResult>, Body) {
-    let (sender, receiver) = mpsc::channel(FRAMES_WAITING);
+    let (sender, receiver) = mpsc::channel(FRAMES_BUFFERED_MAX);
     (sender, Body::from_stream(ReceiverStream::new(receiver)))
 }
 
-/// One server-sent event.
+/// Formats `event` as one server-sent event.
 fn event_text<T: Serialize>(event: &T) -> String {
     let text = serde_json::to_string(event).unwrap_or_default();
     format!("data: {text}\n\n")
 }
 
-/// A reply of server-sent events.
+/// Returns a response whose `body` is a stream of server-sent events.
 fn event_reply(body: Body) -> Response {
     let mut reply = Response::new(body);
     let content_type = HeaderValue::from_static("text/event-stream");
@@ -65,9 +69,9 @@
 }
 
 #[derive(Serialize)]
-struct Done {}
+struct EmptyBody {}
 
-/// The reply `{}`.
-fn done() -> Response {
-    json_reply(StatusCode::OK, &Done {})
+/// Returns a 200 response with the body `{}`.
+fn empty_reply() -> Response {
+    json_reply(StatusCode::OK, &EmptyBody {})
 }
--- a/src/lab/stand_ins/stand_in.rs
+++ b/src/lab/stand_ins/stand_in.rs
@@ -1,4 +1,5 @@
-//! One stand-in on one listener: its faults before and after, what it stands for in between.
+//! The listener of a stand-in: it applies the configured faults before and after the request is
+//! answered by the service that the stand-in replaces.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -19,7 +20,7 @@
 use volo_http::server::route::Router;
 
 use super::engine::EngineStandIn;
-use super::fault::{FaultBoard, FaultSettings};
+use super::fault::{FaultInjector, FaultSettings};
 use super::host_list::HostListStandIn;
 use super::plain::PlainStandIn;
 use super::table::TableStandIn;
@@ -28,50 +29,49 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::transport::{HttpServer, error_reply, json_reply, read_body};
 
-/// A free port on loopback.
+/// Loopback with port 0, which binds to any free port.
 pub(crate) const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// What a stand-in stands for.
+/// The service that a stand-in replaces.
 #[derive(Clone, Debug)]
 pub(crate) enum StandInKind {
     /// The platform's table.
     Table(Arc<TableStandIn>),
-    /// The platform's object store.
-    /// The origin of weights, or the weight store.
+    /// The origin of weights, or the weight store: both are the platform's object store.
     Weights(Arc<WeightsStandIn>),
     /// The platform's list of hosts.
     Hosts(Arc<HostListStandIn>),
     /// A model engine.
     Engine(Arc<EngineStandIn>),
-    /// A plain service.
+    /// A plain service, which runs no model.
     Plain(Arc<PlainStandIn>),
 }
 
-/// A stand-in that listens. It goes on until the process ends.
+/// A listening stand-in. It serves until the process ends.
 #[derive(Clone, Debug)]
 pub(crate) struct StandIn {
     address: SocketAddr,
-    faults: Arc<FaultBoard>,
+    faults: Arc<FaultInjector>,
 }
 
 impl StandIn {
-    /// Starts `kind` on `address`; port 0 takes a free one.
+    /// Starts a stand-in of `kind` on `address`. Port 0 binds to any free port.
     ///
     /// # Errors
     ///
-    /// `SettingInvalid` when the address cannot be had.
+    /// `SettingInvalid` if `address` cannot be bound.
     pub(crate) async fn start(address: SocketAddr, kind: StandInKind) -> SwitchResult<Self> {
-        let faults = Arc::new(FaultBoard::default());
-        let desk = RequestDesk {
+        let faults = Arc::new(FaultInjector::default());
+        let handler = RequestHandler {
             kind,
             faults: faults.clone(),
         };
         let handler = move |peer: Address, request: Request| {
-            let desk = desk.clone();
-            async move { desk.take(peer, request).await }
+            let handler = handler.clone();
+            async move { handler.handle(peer, request).await }
         };
         let server = HttpServer::bind(address, Router::new().fallback(handler)).await?;
         let address = server.local_address()?;
@@ -80,26 +80,26 @@
         Ok(Self { address, faults })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub(crate) const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Replaces its faults.
+    /// Replaces the fault settings.
     pub(crate) fn set_faults(&self, settings: FaultSettings) {
         self.faults.set(settings);
     }
 }
 
-/// Takes requests for one stand-in.
+/// Answers the requests to one stand-in, with its faults applied.
 #[derive(Clone)]
-struct RequestDesk {
+struct RequestHandler {
     kind: StandInKind,
-    faults: Arc<FaultBoard>,
+    faults: Arc<FaultInjector>,
 }
 
-impl RequestDesk {
-    async fn take(self, peer: Address, request: Request) -> Response {
+impl RequestHandler {
+    async fn handle(self, peer: Address, request: Request) -> Response {
         if request.uri().path() == "/lab/fault" {
             return self.change_faults(request).await;
         }
@@ -107,20 +107,23 @@
             return self.answer(request).await;
         }
         let Address::Ip(peer) = peer else {
-            return refusal(StatusCode::BAD_REQUEST, "only TCP");
+            return refusal(
+                StatusCode::BAD_REQUEST,
+                "only TCP connections are supported",
+            );
         };
         if self.faults.is_silent(peer) {
             return pending().await;
         }
-        self.faults.saw(peer);
-        self.faults.slow_down().await;
+        self.faults.record_peer(peer);
+        self.faults.delay_answer().await;
         let settings = self.faults.settings();
         if settings.down {
             return refusal(StatusCode::SERVICE_UNAVAILABLE, "down");
         }
         let is_write = !matches!(*request.method(), Method::GET | Method::HEAD);
         let reply = self.answer(request).await;
-        let is_lost = is_write && self.faults.strikes(settings.lost_answers_percent);
+        let is_lost = is_write && self.faults.applies(settings.lost_answers_percent);
         if is_lost || self.faults.is_silent(peer) {
             return pending().await;
         }
@@ -128,16 +131,16 @@
     }
 
     async fn answer(&self, request: Request) -> Response {
-        let call = match LabCall::read(request).await {
-            Ok(call) => call,
+        let request = match StandInRequest::read(request).await {
+            Ok(request) => request,
             Err(error) => return error_reply(&error),
         };
         match &self.kind {
-            StandInKind::Table(table) => table.answer(&call),
-            StandInKind::Weights(weights) => weights.answer(&call, &self.faults),
-            StandInKind::Hosts(hosts) => hosts.answer(&call, &self.faults),
-            StandInKind::Engine(engine) => engine.answer(&call, &self.faults).await,
-            StandInKind::Plain(plain) => plain.answer(&call).await,
+            StandInKind::Table(table) => table.answer(&request),
+            StandInKind::Weights(weights) => weights.answer(&request, &self.faults),
+            StandInKind::Hosts(hosts) => hosts.answer(&request, &self.faults),
+            StandInKind::Engine(engine) => engine.answer(&request, &self.faults).await,
+            StandInKind::Plain(plain) => plain.answer(&request).await,
         }
     }
 
@@ -157,7 +160,8 @@
         }
     }
 
-    /// A stream under way stops when its connection goes silent.
+    /// Wraps a streamed body so that it stops without an end once the faults silence the
+    /// connection from `peer`. Bodies of a known length pass unchanged.
     fn silence_body(&self, peer: SocketAddr, reply: Response) -> Response {
         let (head, body) = reply.into_parts();
         if body.size_hint().exact().is_some() {
@@ -182,22 +186,22 @@
     }
 }
 
-/// A request as the stand-ins see it.
+/// A request to a stand-in, with its body read completely.
 #[derive(Debug)]
-pub(crate) struct LabCall {
+pub(crate) struct StandInRequest {
     /// The method.
     pub(crate) method: Method,
     /// The path.
     pub(crate) path: String,
-    /// The query as it came.
+    /// The query string, not decoded.
     pub(crate) query: String,
     /// The headers.
     pub(crate) headers: http::HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub(crate) body: Bytes,
 }
 
-impl LabCall {
+impl StandInRequest {
     async fn read(request: Request) -> SwitchResult<Self> {
         let (head, body) = request.into_parts();
         Ok(Self {
@@ -209,29 +213,33 @@
         })
     }
 
-    /// The value of `name` in the query.
+    /// Returns the value of query parameter `name`.
     pub(crate) fn parameter(&self, name: &str) -> Option<&str> {
         let pairs = self
             .query
             .split('&')
             .filter_map(|pair| pair.split_once('='));
-        let mut found = pairs.filter(|(known, _)| *known == name);
-        found.next().map(|(_, value)| value)
+        let mut matching = pairs.filter(|(key, _)| *key == name);
+        matching.next().map(|(_, value)| value)
     }
 
-    /// The number `name` in the query; `default` when it is not there.
+    /// Returns query parameter `name` as a number, or `default` if it is missing or no number.
     pub(crate) fn number(&self, name: &str, default: u64) -> u64 {
         self.parameter(name)
             .and_then(|text| text.parse().ok())
             .unwrap_or(default)
     }
 
-    /// The text of header `name`.
+    /// Returns the value of header `name`, if it is visible ASCII.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
+    ///
+    /// # Errors
+    ///
+    /// `BadRequest` if the body is not valid JSON for `T`.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> SwitchResult<T> {
         serde_json::from_slice(&self.body)
             .map_err(|fault| SwitchError::new(ErrorKind::BadRequest, fault.to_string()))
@@ -240,17 +248,17 @@
 
 #[apply(crate::derives::plain!)]
 #[derive(Serialize)]
-struct RefusalText<'a> {
+struct RefusalBody<'a> {
     error: &'a str,
 }
 
-/// A stand-in's refusal.
+/// Returns an error response with `text` as its reason.
 pub(crate) fn refusal(status: StatusCode, text: &str) -> Response {
-    json_reply(status, &RefusalText { error: text })
+    json_reply(status, &RefusalBody { error: text })
 }
 
-/// What a stand-in says to a request that it does not know.
-pub(crate) fn unknown(call: &LabCall) -> Response {
-    let text = format!("no {} {}", call.method, call.path);
+/// Returns the 404 response to a method and path that the stand-in does not serve.
+pub(crate) fn unknown_path_reply(request: &StandInRequest) -> Response {
+    let text = format!("no route for {} {}", request.method, request.path);
     refusal(StatusCode::NOT_FOUND, &text)
 }
--- a/src/lab/stand_ins/tests.rs
+++ b/src/lab/stand_ins/tests.rs
@@ -1,4 +1,4 @@
-//! The stand-ins keep to the protocols that the product's clients speak.
+//! Checks that the stand-ins follow the protocols that the product's clients speak.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::stores::{RowRevision, TableStore, WeightSource, WriteResult};
 use crate::transport::{ClientLimits, PeerClient};
 
-const WITHIN: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-fn platform(address: SocketAddr, away: ErrorKind) -> PlatformClient {
+fn platform(address: SocketAddr, unavailable: ErrorKind) -> PlatformClient {
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
-    PlatformClient::new(address, client, WITHIN, away)
+    PlatformClient::new(address, client, REQUEST_TIMEOUT, unavailable)
 }
 
 async fn start(kind: StandInKind) -> StandIn {
@@ -49,20 +49,20 @@
     let first = table.write("a/b", RowRevision::ABSENT, "one".into()).await;
     assert_eq!(first, Ok(WriteResult::Written(RowRevision(1))));
     let second = table.write("a/b", RowRevision::ABSENT, "two".into()).await;
-    let Ok(WriteResult::Conflict(Some(standing))) = second else {
-        panic!("a conflict, not {second:?}");
+    let Ok(WriteResult::Conflict(Some(current))) = second else {
+        panic!("expected a conflict, got {second:?}");
     };
-    assert_eq!(standing.value, Bytes::from("one"));
+    assert_eq!(current.value, Bytes::from("one"));
     let again = table.write("a/b", RowRevision(1), "three".into()).await;
     assert_eq!(again, Ok(WriteResult::Written(RowRevision(2))));
     let rows = table.list("a/").await.expect("rows");
     assert_eq!(rows.len(), 1);
 }
 
-/// Symptom: a writer is told nothing, but the row stands. The write took effect, then its answer
-/// was lost on the way.
+/// A write can take effect although its response is lost: the writer gets an error, and the row
+/// has the new value.
 #[tokio::test]
-async fn lost_answer_leaves_the_write_in_effect() {
+async fn write_with_a_lost_response_takes_effect() {
     let stand_in = start(StandInKind::Table(Arc::default())).await;
     let table = HttpTable(platform(stand_in.address(), ErrorKind::TableUnavailable));
     stand_in.set_faults(FaultSettings {
@@ -72,13 +72,13 @@
     let written = table.write("a", RowRevision::ABSENT, "one".into()).await;
     assert_eq!(written.unwrap_err().kind, ErrorKind::TableUnavailable);
     let row = table.read("a").await.expect("the read is answered");
-    assert_eq!(row.expect("the row stands").value, Bytes::from("one"));
+    assert_eq!(row.expect("the row was written").value, Bytes::from("one"));
 }
 
-/// Symptom: every request on a pooled connection runs into its time limit. Something between the
-/// ends has lost track of the open connections; new ones work.
+/// A middlebox can lose the state of open connections: every request on a pooled connection then
+/// times out, while new connections work.
 #[tokio::test]
-async fn open_connections_go_silent_and_new_ones_work() {
+async fn silenced_connections_time_out_and_new_ones_work() {
     let stand_in = start(StandInKind::Table(Arc::default())).await;
     let table = HttpTable(platform(stand_in.address(), ErrorKind::TableUnavailable));
     table.read("a").await.expect("answered");
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn origin_answers_ranges_that_match_the_manifest() {
+async fn origin_serves_ranges_that_match_the_manifest() {
     let weights = Arc::new(WeightsStandIn::new(0, Duration::from_secs(1)));
     let manifest = weights.publish(&PublishRequest {
         name: "w1".to_owned(),
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn engine_serves_what_it_loaded_and_checks_fencing() {
+async fn engine_generates_with_loaded_weights_and_checks_fencing() {
     let weights = Arc::new(WeightsStandIn::new(0, Duration::from_secs(1)));
     let manifest = weights.publish(&PublishRequest {
         name: "w1".to_owned(),
@@ -148,8 +148,8 @@
             .expect("refused"),
         r#"{"fence":7}"#
     );
-    let call = r#"{"request_id":"r","model":"m","prompt":"p","max_tokens":3,"resume_from":1}"#;
-    let events = post(address, "/v1/completions", call)
+    let body = r#"{"request_id":"r","model":"m","prompt":"p","max_tokens":3,"resume_from":1}"#;
+    let events = post(address, "/v1/completions", body)
         .await
         .expect("events");
     let text = |index| token_text(&manifest.digest, "p", index);
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn cut_stream_is_no_clean_end() {
+async fn cut_stream_ends_with_an_error() {
     let engine = Arc::new(EngineStandIn::new(EngineShape {
         dialect: LabDialect::JsonState,
         ..EngineShape::default()
@@ -185,13 +185,13 @@
         cut_streams_percent: 100,
         ..FaultSettings::default()
     });
-    let call = r#"{"id":"r","text":"p","limit":9}"#;
-    let cut = post(stand_in.address(), "/generate", call).await;
+    let body = r#"{"id":"r","text":"p","limit":9}"#;
+    let cut = post(stand_in.address(), "/generate", body).await;
     assert_eq!(cut.unwrap_err().kind, ErrorKind::AnswerCut);
 }
 
 #[tokio::test]
-async fn plain_service_records_each_call() {
+async fn plain_service_records_each_request() {
     let plain = Arc::new(super::plain::PlainStandIn::new(Duration::ZERO));
     let stand_in = start(StandInKind::Plain(plain.clone())).await;
     let answer = post(stand_in.address(), "/calls/wake?room=7", "wake").await;
--- a/src/lab/stand_ins/weights.rs
+++ b/src/lab/stand_ins/weights.rs
@@ -1,4 +1,5 @@
-//! The origin of weights and the weight store: published weights behind one paced link.
+//! Stand-in for the origin of weights and for the weight store. All readers share one link,
+//! whose bandwidth can be limited.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,62 +13,64 @@
 use volo_http::body::Body;
 use volo_http::response::Response;
 
-use super::fault::{FaultBoard, FaultSettings};
-use super::stand_in::{LabCall, refusal, unknown};
+use super::fault::{FaultInjector, FaultSettings};
+use super::stand_in::{StandInRequest, refusal, unknown_path_reply};
 use crate::derives::{message, plain};
 use crate::time::{ClockTime, clock_now};
 use crate::transport::{error_reply, json_reply};
 use crate::weights::WeightsDigest;
 
-/// Bytes that go out together; small enough that readers share the link evenly.
+/// Bytes sent at once; small enough that concurrent readers share the link evenly.
 const SLICE_BYTES: usize = 32 * 1024;
-const LIMITED_WAIT: &str = "200";
+/// Value of the header `retry-after-ms` of a 429 response.
+const RETRY_AFTER_MS: &str = "200";
 
-/// What is to be published. The bytes are random, made from the seed.
+/// Body of `POST /lab/publish`: the weights to publish. Their bytes are random.
 #[apply(message!)]
 pub(crate) struct PublishRequest {
-    /// The name under which they are read.
+    /// Name by which readers request the weights.
     pub(crate) name: String,
-    /// Bytes of the whole.
+    /// Size in bytes.
     pub(crate) size: usize,
-    /// Bytes of a chunk.
+    /// Size of a chunk in bytes; 0 counts as 1.
     pub(crate) chunk_size: usize,
-    /// Makes the bytes.
+    /// Seed of the random bytes.
     pub(crate) seed: u64,
 }
 
-/// The manifest, as `docs/PLATFORM.md` has it.
+/// Manifest of published weights, in the format of `docs/PLATFORM.md`.
 #[apply(message!)]
 pub(crate) struct PublishedManifest {
-    /// The name.
+    /// Name of the weights.
     pub(crate) name: String,
-    /// Bytes of the whole.
+    /// Size of the weights in bytes.
     pub(crate) size: u64,
-    /// Bytes of each chunk but the last.
+    /// Size in bytes of each chunk except the last, which may be smaller.
     pub(crate) chunk_size: u64,
-    /// The chunks' digests.
+    /// Digests of the chunks, in order.
     pub(crate) chunks: Vec<WeightsDigest>,
-    /// The digest of the whole.
+    /// Digest of the complete weights.
     pub(crate) digest: WeightsDigest,
 }
 
-/// What was read.
+/// Traffic served so far.
 #[apply(message!)]
 #[derive(Copy, Eq, Default)]
 pub(crate) struct WeightsCounts {
-    /// Bytes of weights that went out.
+    /// Bytes of weights sent.
     pub(crate) data_bytes: u64,
-    /// Reads of ranges.
+    /// Reads of weight data, rate-limited ones excluded.
     pub(crate) data_reads: u64,
     /// Reads of manifests.
     pub(crate) manifest_reads: u64,
-    /// Reads that were asked to slow down.
+    /// Reads answered 429.
     pub(crate) limited: u64,
 }
 
-/// The origin or the weight store.
+/// The origin or the weight store, with its published weights.
 #[derive(Debug)]
 pub(crate) struct WeightsStandIn {
+    /// Bandwidth of the link; 0 means no limit.
     bytes_per_second: u64,
     backlog_max: Duration,
     state: Arc<Mutex<WeightsState>>,
@@ -77,6 +80,7 @@
 struct WeightsState {
     published: Vec<PublishedWeights>,
     counts: WeightsCounts,
+    /// When the link has sent all slices scheduled so far.
     link_free_at: ClockTime,
 }
 
@@ -87,8 +91,8 @@
 }
 
 impl WeightsStandIn {
-    /// A source whose link carries `bytes_per_second` (0: as fast as it goes) and which asks to
-    /// slow down while what it has promised to send takes longer than `backlog_max`.
+    /// Creates a source whose link carries `bytes_per_second` (0: not limited), and which answers
+    /// 429 while sending the slices already scheduled takes longer than `backlog_max`.
     pub(crate) fn new(bytes_per_second: u64, backlog_max: Duration) -> Self {
         Self {
             bytes_per_second,
@@ -97,13 +101,13 @@
         }
     }
 
-    /// Publishes weights.
-    pub(crate) fn publish(&self, order: &PublishRequest) -> PublishedManifest {
-        let mut data = vec![0; order.size];
-        StdRng::seed_from_u64(order.seed).fill_bytes(&mut data);
-        let chunk_size = order.chunk_size.max(1);
+    /// Publishes weights, in place of any with the same name.
+    pub(crate) fn publish(&self, request: &PublishRequest) -> PublishedManifest {
+        let mut data = vec![0; request.size];
+        StdRng::seed_from_u64(request.seed).fill_bytes(&mut data);
+        let chunk_size = request.chunk_size.max(1);
         let manifest = PublishedManifest {
-            name: order.name.clone(),
+            name: request.name.clone(),
             size: data.len() as u64,
             chunk_size: chunk_size as u64,
             chunks: data.chunks(chunk_size).map(WeightsDigest::of).collect(),
@@ -116,42 +120,45 @@
         let mut state = lock(&self.state);
         state
             .published
-            .retain(|known| known.manifest.name != order.name);
+            .retain(|weights| weights.manifest.name != request.name);
         state.published.push(published);
         manifest
     }
 
-    /// What was read.
+    /// Returns the traffic served so far.
     pub(crate) fn counts(&self) -> WeightsCounts {
         lock(&self.state).counts
     }
 
-    pub(super) fn answer(&self, call: &LabCall, faults: &FaultBoard) -> Response {
-        match (&call.method, call.path.as_str()) {
-            (&Method::POST, "/lab/publish") => match call.json() {
-                Ok(order) => json_reply(StatusCode::OK, &self.publish(&order)),
+    pub(super) fn answer(&self, request: &StandInRequest, faults: &FaultInjector) -> Response {
+        match (&request.method, request.path.as_str()) {
+            (&Method::POST, "/lab/publish") => match request.json() {
+                Ok(publish) => json_reply(StatusCode::OK, &self.publish(&publish)),
                 Err(error) => error_reply(&error),
             },
             (&Method::GET, "/lab/counts") => json_reply(StatusCode::OK, &self.counts()),
-            (&Method::GET, path) => self.read(path, call, faults),
-            _ => unknown(call),
+            (&Method::GET, path) => self.read(path, request, faults),
+            _ => unknown_path_reply(request),
         }
     }
 
-    fn read(&self, path: &str, call: &LabCall, faults: &FaultBoard) -> Response {
+    fn read(&self, path: &str, request: &StandInRequest, faults: &FaultInjector) -> Response {
         let Some((name, part)) = path
             .strip_prefix("/weights/v1/")
             .and_then(|rest| rest.rsplit_once('/'))
         else {
-            return unknown(call);
+            return unknown_path_reply(request);
         };
         let mut state = lock(&self.state);
         let found = state
             .published
             .iter()
-            .find(|known| known.manifest.name == name);
+            .find(|weights| weights.manifest.name == name);
         let Some(weights) = found.cloned() else {
-            return refusal(StatusCode::NOT_FOUND, "no such weights");
+            return refusal(
+                StatusCode::NOT_FOUND,
+                "no weights of this name are published",
+            );
         };
         match part {
             "manifest" => {
@@ -160,31 +167,39 @@
             }
             "data" => {
                 drop(state);
-                self.read_data(&weights.data, call, faults)
+                self.read_data(&weights.data, request, faults)
             }
-            _ => unknown(call),
+            _ => unknown_path_reply(request),
         }
     }
 
-    fn read_data(&self, data: &Bytes, call: &LabCall, faults: &FaultBoard) -> Response {
+    fn read_data(
+        &self,
+        data: &Bytes,
+        request: &StandInRequest,
+        faults: &FaultInjector,
+    ) -> Response {
         let settings = faults.settings();
-        let Some((first, end)) = read_range(call.header("range"), data.len()) else {
-            return refusal(StatusCode::RANGE_NOT_SATISFIABLE, "no such range");
+        let Some((first, end)) = read_range(request.header("range"), data.len()) else {
+            return refusal(
+                StatusCode::RANGE_NOT_SATISFIABLE,
+                "the range is malformed or beyond the end",
+            );
         };
-        if faults.strikes(settings.limit_percent) || self.is_backlogged(clock_now()) {
+        if faults.applies(settings.limit_percent) || self.is_backlogged(clock_now()) {
             lock(&self.state).counts.limited += 1;
-            return slow_down();
+            return rate_limit_reply();
         }
         lock(&self.state).counts.data_reads += 1;
         let mut part = data.slice(first..end);
-        if faults.strikes(settings.corrupt_percent) {
+        if faults.applies(settings.corrupt_percent) {
             let mut bytes = part.to_vec();
             let middle = bytes.len() / 2;
             bytes[middle] ^= 1;
             part = bytes.into();
         }
-        let mut reply = Response::new(self.paced_body(part, SendEnd::draw(faults, settings)));
-        if call.header("range").is_some() {
+        let mut reply = Response::new(self.paced_body(part, BodyEnding::draw(faults, settings)));
+        if request.header("range").is_some() {
             *reply.status_mut() = StatusCode::PARTIAL_CONTENT;
         }
         reply
@@ -194,7 +209,7 @@
         self.bytes_per_second > 0 && lock(&self.state).link_free_at.since(now) > self.backlog_max
     }
 
-    fn paced_body(&self, data: Bytes, end: SendEnd) -> Body {
+    fn paced_body(&self, data: Bytes, ending: BodyEnding) -> Body {
         let (sender, body) = super::body_channel();
         let state = self.state.clone();
         let rate = self.bytes_per_second;
@@ -202,7 +217,7 @@
         tokio::spawn(async move {
             let mut rest = data.clone();
             while !rest.is_empty() {
-                if end != SendEnd::Whole && rest.len() <= half {
+                if ending != BodyEnding::Complete && rest.len() <= half {
                     break;
                 }
                 let slice = rest.split_to(rest.len().min(SLICE_BYTES));
@@ -212,11 +227,11 @@
                     return;
                 }
             }
-            match end {
-                SendEnd::Whole => {}
-                SendEnd::Stalled => sender.closed().await,
-                SendEnd::Short => {
-                    let _ = sender.send(Err("broke off".into())).await;
+            match ending {
+                BodyEnding::Complete => {}
+                BodyEnding::Stalled => sender.closed().await,
+                BodyEnding::Truncated => {
+                    let _ = sender.send(Err("cut by an injected fault".into())).await;
                 }
             }
         });
@@ -224,27 +239,27 @@
     }
 }
 
-/// How an answer ends.
+/// How the body of a response ends.
 #[apply(crate::derives::key!)]
-enum SendEnd {
-    Whole,
+enum BodyEnding {
+    Complete,
     Stalled,
-    Short,
+    Truncated,
 }
 
-impl SendEnd {
-    fn draw(faults: &FaultBoard, settings: FaultSettings) -> Self {
-        if faults.strikes(settings.stall_percent) {
+impl BodyEnding {
+    fn draw(faults: &FaultInjector, settings: FaultSettings) -> Self {
+        if faults.applies(settings.stall_percent) {
             Self::Stalled
-        } else if faults.strikes(settings.short_percent) {
-            Self::Short
+        } else if faults.applies(settings.short_percent) {
+            Self::Truncated
         } else {
-            Self::Whole
+            Self::Complete
         }
     }
 }
 
-/// Books `bytes` on the link and waits until they have gone out.
+/// Schedules `bytes` on the link, and waits until it has sent them.
 async fn wait_for_link(state: &Mutex<WeightsState>, rate: u64, bytes: usize) {
     if rate == 0 {
         return;
@@ -264,14 +279,15 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn slow_down() -> Response {
-    let mut reply = refusal(StatusCode::TOO_MANY_REQUESTS, "slow down");
-    let wait = HeaderValue::from_static(LIMITED_WAIT);
+fn rate_limit_reply() -> Response {
+    let mut reply = refusal(StatusCode::TOO_MANY_REQUESTS, "too many reads; retry later");
+    let wait = HeaderValue::from_static(RETRY_AFTER_MS);
     reply.headers_mut().insert("retry-after-ms", wait);
     reply
 }
 
-/// First byte and end of what `bytes=A-B` asks for, cut to `size`; all when nothing is asked.
+/// Returns the first byte and the exclusive end of a range header `bytes=A-B`, limited to `size`;
+/// everything if there is no header.
 fn read_range(header: Option<&str>, size: usize) -> Option<(usize, usize)> {
     let Some(header) = header else {
         return Some((0, size));
