--- a/src/lab/calls/call_run.rs
+++ b/src/lab/calls/call_run.rs
@@ -173,8 +173,8 @@
             CallClass::Urgent | CallClass::Normal | CallClass::Batch | CallClass::Stream => {
                 self.names.model
             }
-            CallClass::Repeatable => self.names.portal,
-            CallClass::Once => self.names.desk,
+            CallClass::Repeatable => self.names.single_worker_service,
+            CallClass::Once => self.names.at_most_once_service,
         }
     }
 
@@ -194,7 +194,7 @@
             },
             CallClass::Once => CallPayload::Plain {
                 method: Method::POST,
-                path: self.names.desk_path.to_owned(),
+                path: self.names.at_most_once_path.to_owned(),
                 body: text.to_owned(),
             },
         }
--- a/src/lab/platform_soak/soak_system.rs
+++ b/src/lab/platform_soak/soak_system.rs
@@ -18,7 +18,7 @@
 use super::soak_operator::SoakOperator;
 use super::supervised_daemon::SupervisedDaemon;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
-use crate::lab::launch::LaunchOrder;
+use crate::lab::launch::LaunchSpec;
 use crate::platform::{
     EngineLoad, FakeBackend, FakeBackendConfig, FakeEngine, FakeOrigin, FakeStore,
     ProcessAddresses, RunEvent, SETTINGS_PATH_VARIABLE, StagedAfterRestart, StartTimeField,
@@ -209,7 +209,7 @@
     ) -> SwitchResult<SupervisedDaemon> {
         let path = self.folder.0.join(format!("{}.toml", addresses.host));
         std::fs::write(&path, settings_text(addresses)).map_err(|fault| settings_error(&fault))?;
-        let order = LaunchOrder::new(program, &addresses.host)
+        let order = LaunchSpec::new(program, &addresses.host)
             .argument("platform")
             .setting("metrics-port", METRICS_PORT)
             .variable(SETTINGS_PATH_VARIABLE, path.to_string_lossy());
--- a/src/lab/platform_soak/supervised_daemon.rs
+++ b/src/lab/platform_soak/supervised_daemon.rs
@@ -9,7 +9,7 @@
 
 use super::run_journal::RunJournal;
 use crate::errors::SwitchResult;
-use crate::lab::launch::{ChildProcess, LaunchOrder};
+use crate::lab::launch::{ChildProcess, LaunchSpec};
 use crate::time::clock_now;
 
 /// How long a process may take to exit after SIGTERM.
@@ -19,7 +19,7 @@
 
 /// The current process and what is needed to restart it.
 struct DaemonState {
-    order: LaunchOrder,
+    order: LaunchSpec,
     child: ChildProcess,
     /// The logs of earlier processes of this daemon.
     previous_logs: String,
@@ -38,8 +38,8 @@
     /// # Errors
     ///
     /// `SettingInvalid` when the process cannot be started.
-    pub(super) fn start(order: LaunchOrder, journal: &RunJournal) -> SwitchResult<Self> {
-        let child = ChildProcess::start_unannounced(&order)?;
+    pub(super) fn start(order: LaunchSpec, journal: &RunJournal) -> SwitchResult<Self> {
+        let child = ChildProcess::start_without_addresses(&order)?;
         let previous_logs = String::new();
         let state = DaemonState {
             order,
@@ -72,14 +72,14 @@
 
     /// Sends SIGHUP, on which the daemon reloads its settings file.
     pub(super) async fn reload(&self) {
-        self.state.lock().await.child.ask_to_reload();
+        self.state.lock().await.child.request_reload();
     }
 
     /// Sends SIGTERM and restarts the process once it has exited. A process that exits with an
     /// error, or not within `STOP_GRACE`, breaks a promise.
     pub(super) async fn stop(&self) {
         let mut state = self.state.lock().await;
-        state.child.ask_to_stop();
+        state.child.request_stop();
         let ended = state.child.wait(STOP_GRACE).await;
         let name = state.order.name.clone();
         match ended {
@@ -117,7 +117,7 @@
     fn restart(&self, state: &mut DaemonState) {
         state.previous_logs += &state.child.log_text();
         state.previous_logs += "\n--- restarted ---\n";
-        match ChildProcess::start_unannounced(&state.order) {
+        match ChildProcess::start_without_addresses(&state.order) {
             Ok(child) => state.child = child,
             Err(error) => self.note(format!("{} did not start: {error}", state.order.name)),
         }
