--- a/src/entry/tests/fake_host.rs
+++ b/src/entry/tests/fake_host.rs
@@ -21,7 +21,7 @@
 use crate::entry::entry_state::EntryState;
 use crate::entry::routes::caller_routes;
 use crate::errors::{ErrorKind, RunOutcome};
-use crate::lab::picks::world::{document, entry, record};
+use crate::lab::picks::fixtures::{document, entry, member_record};
 use crate::membership::{HostStatus, LoadReport, ServingVersion};
 use crate::stores::HostRole;
 use crate::transport::{
@@ -83,7 +83,7 @@
         let router = Router::new()
             .route("/peer/run", post(run))
             .route("/peer/settle", post(settle));
-        let mut member = record(name.into(), HostRole::Backend, Some(status(name)));
+        let mut member = member_record(name.into(), HostRole::Backend, Some(status(name)));
         member.peer_address = listener.local_addr().expect("bound");
         if !is_near {
             member.data_centre = "cusco-hall-a".into();
--- a/src/lab/mod.rs
+++ b/src/lab/mod.rs
@@ -41,7 +41,7 @@
         Some(("quickstart", matches)) => quickstart::run_quickstart(matches),
         Some(("slopes", matches)) => slopes::run_slopes(matches),
         Some(("soak", matches)) => soak::run_soak(matches),
-        Some(("spoiling-host", matches)) => weights::run_spoiling_host(matches),
+        Some(("spoiling-host", matches)) => weights::run_corrupting_host(matches),
         Some(("weights", matches)) => weights::run_weights(matches),
         Some(("stand-in", matches)) => stand_ins::run_stand_in(matches),
         _ => ExitCode::FAILURE,
@@ -63,7 +63,7 @@
         .subcommand(slopes::slopes_command())
         .subcommand(soak::soak_command())
         .subcommand(stand_ins::stand_in_command())
-        .subcommand(weights::spoiling_host_command())
+        .subcommand(weights::corrupting_host_command())
         .subcommand(weights::weights_command())
 }
 
--- a/src/lab/picks/world.rs
+++ b/src/lab/picks/fixtures.rs
@@ -61,7 +61,7 @@
         region: REGION.into(),
         role: HostRole::Entry,
         service: None,
-        peer_address: address(),
+        peer_address: unused_address(),
         incarnation: 1,
     }
 }
@@ -104,15 +104,15 @@
         serving: None,
         staging: None,
     };
-    record(host, HostRole::Backend, Some(Arc::new(status)))
+    member_record(host, HostRole::Backend, Some(Arc::new(status)))
 }
 
 fn entry_record(number: usize) -> MemberRecord {
-    record(format!("entry-{number}").into(), HostRole::Entry, None)
+    member_record(format!("entry-{number}").into(), HostRole::Entry, None)
 }
 
 /// What the control state says of the host `host`.
-pub(crate) fn record(
+pub(crate) fn member_record(
     host: ByteString,
     role: HostRole,
     status: Option<Arc<HostStatus>>,
@@ -124,13 +124,13 @@
         region: REGION.into(),
         role,
         service: is_backend.then(|| SERVICE.into()),
-        peer_address: address(),
+        peer_address: unused_address(),
         state: MemberState::Live,
         status,
     }
 }
 
 /// An address that nothing is sent to.
-pub(crate) const fn address() -> SocketAddr {
+pub(crate) const fn unused_address() -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), PORT)
 }
--- a/src/lab/picks/mod.rs
+++ b/src/lab/picks/mod.rs
@@ -3,8 +3,8 @@
 //! differ in size and speed and report late.
 
 mod command;
+pub(crate) mod fixtures;
 mod model;
 mod timing;
-pub(crate) mod world;
 
 pub(crate) use command::{picks_command, run_picks};
--- a/src/lab/picks/model.rs
+++ b/src/lab/picks/model.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::world::{backend_number, document, entry, snapshot};
+use super::fixtures::{backend_number, document, entry, snapshot};
 use crate::documents::ServiceDocument;
 use crate::membership::LoadReport;
 use crate::routing::{BackendKey, BackendPool, PickCriteria, PickTarget};
--- a/src/lab/picks/timing.rs
+++ b/src/lab/picks/timing.rs
@@ -5,7 +5,7 @@
 
 use bytestring::ByteString;
 
-use super::world::{account_name, document, entry, snapshot};
+use super::fixtures::{account_name, document, entry, snapshot};
 use crate::admission::{AdmissionState, DispatchOutcome, QueuedRequest};
 use crate::documents::RequestPriority;
 use crate::membership::LoadReport;
--- a/src/lab/soak/routing.rs
+++ b/src/lab/soak/routing.rs
@@ -9,7 +9,7 @@
 use crate::control::{ControlSnapshot, MemberRecord, MemberState};
 use crate::documents::ServiceKind;
 use crate::errors::ErrorKind;
-use crate::lab::picks::world::{address, document, entry, record};
+use crate::lab::picks::fixtures::{document, entry, member_record, unused_address};
 use crate::membership::{HostIdentity, HostStatus, LoadReport, ServingVersion};
 use crate::routing::{BackendKey, BackendPool, PickCriteria, PickTarget, PickedBackend};
 use crate::stores::HostRole;
@@ -60,7 +60,7 @@
 }
 
 fn host(number: usize) -> MemberRecord {
-    let mut member = record(
+    let mut member = member_record(
         format!("backend-{number}").into(),
         HostRole::Backend,
         Some(Arc::new(HostStatus {
@@ -74,7 +74,7 @@
         })),
     );
     member.data_centre = CENTRES[number % CENTRES.len()].into();
-    member.peer_address = address();
+    member.peer_address = unused_address();
     member
 }
 
--- a/src/lab/weights/spoiling_host.rs
+++ b/src/lab/weights/corrupting_host.rs
@@ -24,7 +24,7 @@
 static SPOILT_PERCENT: AtomicU64 = AtomicU64::new(0);
 
 /// The subcommand.
-pub(crate) fn spoiling_host_command() -> Command {
+pub(crate) fn corrupting_host_command() -> Command {
     Command::new("spoiling-host")
         .about("Runs savory-host with some of the chunks that it sends spoilt")
         .arg(
@@ -45,7 +45,7 @@
 }
 
 /// Runs it.
-pub(crate) fn run_spoiling_host(matches: &ArgMatches) -> ExitCode {
+pub(crate) fn run_corrupting_host(matches: &ArgMatches) -> ExitCode {
     let percent = matches.get_one::<u64>("spoilt-percent").copied();
     SPOILT_PERCENT.store(percent.unwrap_or(0), Ordering::Relaxed);
     let settings = matches.get_many::<String>("settings").unwrap_or_default();
--- a/src/lab/weights/mod.rs
+++ b/src/lab/weights/mod.rs
@@ -5,13 +5,13 @@
 mod baseline;
 mod burst;
 mod command;
+mod corrupting_host;
 mod live;
 mod machine;
 mod plot;
 mod report;
 mod shape;
-mod spoiling_host;
 mod swarm;
 
 pub(crate) use command::{run_weights, weights_command};
-pub(crate) use spoiling_host::{run_spoiling_host, spoiling_host_command};
+pub(crate) use corrupting_host::{corrupting_host_command, run_corrupting_host};
