--- a/src/lab/weights/baseline.rs
+++ b/src/lab/weights/baseline.rs
@@ -1,4 +1,5 @@
-//! What it is measured against: every host reads the whole from the origin.
+//! The baseline that a burst is compared with: every host reads the complete weights from the
+//! origin.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +9,7 @@
 use rand::RngExt;
 use serde::Serialize;
 
-use super::shape::BurstShape;
+use super::burst_config::BurstConfig;
 use crate::derives::plain;
 use crate::errors::{ErrorKind, SwitchResult};
 use crate::lab::stand_ins::{ANY_PORT, PublishOrder, StandIn, StandInKind, WeightsStandIn};
@@ -17,71 +18,80 @@
 use crate::time::clock_now;
 use crate::transport::{ClientLimits, PeerClient};
 
-/// The baseline takes N/4 windows; it reads this part of the weights, at the same rates.
-const SIZE_PART: u64 = 16;
-const BACKLOG: Duration = Duration::from_secs(1);
-const READ_WITHIN: Duration = Duration::from_mins(1);
-const NAME: &str = "baseline";
+/// The baseline reads the burst's size divided by this, at the same rates, because reading all of
+/// it would take N/4 windows.
+const SIZE_DIVISOR: u64 = 16;
+/// The origin asks clients to slow down while its link needs longer than this for the responses
+/// that it has accepted to send.
+const ORIGIN_BACKLOG: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_mins(1);
+const WEIGHTS_NAME: &str = "baseline";
 
-/// What the baseline came to.
+/// The measured baseline.
 #[apply(plain!)]
 #[derive(Serialize)]
 pub(super) struct BaselineFigures {
-    /// Bytes of the weights that were read; smaller than the burst's.
+    /// Size of the weights in bytes; smaller than the burst's.
     pub(super) weights_bytes: u64,
-    /// Until the last host had them.
+    /// Seconds until the last host had the complete weights.
     pub(super) seconds: f64,
-    /// The least that any scheme could take for them.
+    /// Lower bound in seconds for any distribution scheme at this size.
     pub(super) bound_seconds: f64,
-    /// `seconds` against the bound.
+    /// `seconds` divided by `bound_seconds`.
     pub(super) ratio: f64,
-    /// Copies read from the origin.
+    /// Bytes that the origin sent, divided by the size of the weights.
     pub(super) origin_copies: f64,
 }
 
-/// Lets `shape.hosts` clients read all from an origin of their own.
-pub(super) async fn run_baseline(shape: &BurstShape) -> SwitchResult<BaselineFigures> {
-    let size = shape.size / SIZE_PART;
-    let origin = Arc::new(WeightsStandIn::new(shape.origin_rate(), BACKLOG));
+/// Measures `config.hosts` clients that read the complete weights from an origin started for them.
+///
+/// # Errors
+///
+/// Fails if the origin's stand-in cannot be started.
+pub(super) async fn run_baseline(config: &BurstConfig) -> SwitchResult<BaselineFigures> {
+    let size = config.size / SIZE_DIVISOR;
+    let origin = Arc::new(WeightsStandIn::new(config.origin_rate(), ORIGIN_BACKLOG));
     let stand_in = StandIn::start(ANY_PORT, StandInKind::Weights(origin.clone())).await?;
-    let chunk_size = shape.chunk_size.min(size);
+    let chunk_size = config.chunk_size.min(size);
     origin.publish(&PublishOrder {
-        name: NAME.to_owned(),
+        name: WEIGHTS_NAME.to_owned(),
         size: usize::try_from(size).unwrap_or(usize::MAX),
         chunk_size: usize::try_from(chunk_size).unwrap_or(usize::MAX),
-        seed: shape.seed,
+        seed: config.seed,
     });
     let client = Arc::new(PeerClient::new(ClientLimits::default()));
     let platform = PlatformClient::new(
         stand_in.address(),
         client,
-        READ_WITHIN,
+        READ_TIMEOUT,
         ErrorKind::OriginUnavailable,
     );
     let source = HttpWeights(platform);
     let begun = clock_now();
-    join_all((0..shape.hosts).map(|_| read_all(&source, size, chunk_size))).await;
+    join_all((0..config.hosts).map(|_| read_weights(&source, size, chunk_size))).await;
     let seconds = clock_now().since(begun).as_secs_f64();
-    let bound = shape.bound_seconds(size, shape.hosts);
+    let bound_seconds = config.bound_seconds(size, config.hosts);
     Ok(BaselineFigures {
         weights_bytes: size,
         seconds,
-        bound_seconds: bound,
-        ratio: seconds / bound,
-        origin_copies: super::shape::as_float(origin.counts().data_bytes)
-            / super::shape::as_float(size),
+        bound_seconds,
+        ratio: seconds / bound_seconds,
+        origin_copies: super::burst_config::as_float(origin.counts().data_bytes)
+            / super::burst_config::as_float(size),
     })
 }
 
-async fn read_all(source: &HttpWeights, size: u64, chunk_size: u64) {
+/// Reads the complete weights. After a failed read it retries in 0.5 to 1.5 times the time that the
+/// origin asked for, or 200 ms.
+async fn read_weights(source: &HttpWeights, size: u64, chunk_size: u64) {
     let mut offset = 0;
     while offset < size {
-        match source.read_range(NAME, offset, chunk_size).await {
+        match source.read_range(WEIGHTS_NAME, offset, chunk_size).await {
             Ok(bytes) => offset += u64::try_from(bytes.len()).unwrap_or(0),
             Err(error) => {
-                let wait = error.retry_after.unwrap_or(Duration::from_millis(200));
-                let part: f64 = rand::rng().random();
-                tokio::time::sleep(wait.mul_f64(0.5 + part)).await;
+                let retry_after = error.retry_after.unwrap_or(Duration::from_millis(200));
+                let jitter: f64 = rand::rng().random();
+                tokio::time::sleep(retry_after.mul_f64(0.5 + jitter)).await;
             }
         }
     }
--- a/src/lab/weights/swarm.rs
+++ b/src/lab/weights/burst_cluster.rs
@@ -1,4 +1,5 @@
-//! The hosts of a burst with their engines and the platform.
+//! The system under test of a burst: host processes with stand-in engines, an entry host, and
+//! stand-ins for the platform and the origin. Also sums up the hosts' counters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +8,7 @@
 use futures::StreamExt;
 use futures::stream;
 
-use super::shape::BurstShape;
+use super::burst_config::BurstConfig;
 use crate::documents::{RolloutSpec, ServiceDocument, SpreadObjective, WeightsSpec};
 use crate::errors::SwitchResult;
 use crate::lab::launch::{
@@ -22,39 +23,41 @@
 use crate::time::clock_now;
 use crate::weights::WeightsDigest;
 
-const LOOPBACK_ANY: &str = "127.0.0.1:0";
-const STARTED_AT_ONCE: usize = 8;
-/// What the origin promises to send before it asks to slow down.
+const LOOPBACK_ANY_PORT: &str = "127.0.0.1:0";
+const CONCURRENT_STARTS: usize = 8;
+/// The origin asks hosts to slow down while its link needs longer than this for the responses that
+/// it has accepted to send.
 const ORIGIN_BACKLOG: Duration = Duration::from_secs(1);
-const ACCEPTED_WITHIN: Duration = Duration::from_secs(20);
-/// How long the processes get to know each other before the burst.
-const SETTLED_AFTER: Duration = Duration::from_secs(5);
-const VERSIONS_HELD: u64 = 3;
-/// Out of this many hosts, one may be out of service.
-const OUT_OF_SERVICE_PART: usize = 8;
+const DOCUMENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for the processes to read the host list and exchange their states before the burst.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Memory of a host for weights, in versions of the burst's size.
+const MEMORY_IN_VERSIONS: u64 = 3;
+/// The rollout may take one host out of service at a time per this number of hosts.
+const HOSTS_PER_OUT_OF_SERVICE: usize = 8;
 
-/// One host.
-pub(super) struct SwarmHost {
-    /// Its process.
+/// A host process and its stand-in engine.
+pub(super) struct ClusterHost {
+    /// The host process.
     pub(super) process: ChildProcess,
-    /// Its engine.
+    /// The stand-in engine.
     pub(super) engine: Arc<EngineStandIn>,
-    /// Whether its process was killed.
+    /// Whether the burst has killed the process.
     pub(super) is_killed: bool,
     host: String,
     data_centre: DataCentre,
 }
 
-/// Everything that a burst needs. Ends with all its processes when it is dropped.
-pub(super) struct Swarm {
-    /// The hosts.
-    pub(super) hosts: Vec<SwarmHost>,
-    /// The origin.
+/// The processes and stand-ins of a burst. Its processes end when it is dropped.
+pub(super) struct BurstCluster {
+    /// Hosts, the killed ones included.
+    pub(super) hosts: Vec<ClusterHost>,
+    /// Stand-in of the origin.
     pub(super) origin: Arc<WeightsStandIn>,
-    /// The entry host.
+    /// The entry host's process.
     pub(super) entry: ChildProcess,
     names: CompanyNames,
-    shape: BurstShape,
+    config: BurstConfig,
     list: Arc<ListStandIn>,
 }
 
@@ -65,49 +68,56 @@
     origin: SocketAddr,
 }
 
-impl Swarm {
-    /// Starts all and waits until the processes know each other.
-    pub(super) async fn start(shape: &BurstShape) -> SwitchResult<Self> {
-        let company = match shape.objective {
+impl BurstCluster {
+    /// Starts all processes and stand-ins, publishes the host list and waits until the processes
+    /// have read it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a process or stand-in cannot be started, or a process does not report its peer
+    /// address.
+    pub(super) async fn start(config: &BurstConfig) -> SwitchResult<Self> {
+        let company = match config.objective {
             SpreadObjective::Time => Company::Auroras,
             SpreadObjective::OriginBytes => Company::Skupno,
         };
         let names = company.names();
         let list: Arc<ListStandIn> = Arc::default();
-        let origin = Arc::new(WeightsStandIn::new(shape.origin_rate(), ORIGIN_BACKLOG));
-        let source = StandIn::start(ANY_PORT, StandInKind::Weights(origin.clone())).await?;
-        source.set_faults(FaultSettings {
-            corrupt_percent: shape.corrupt_percent,
+        let origin = Arc::new(WeightsStandIn::new(config.origin_rate(), ORIGIN_BACKLOG));
+        let origin_server = StandIn::start(ANY_PORT, StandInKind::Weights(origin.clone())).await?;
+        origin_server.set_faults(FaultSettings {
+            corrupt_percent: config.corrupt_percent,
             ..FaultSettings::default()
         });
         let platform = PlatformAddresses {
-            table: listen(StandInKind::Table(Arc::default())).await?,
-            list: listen(StandInKind::Hosts(list.clone())).await?,
-            origin: source.address(),
+            table: start_stand_in(StandInKind::Table(Arc::default())).await?,
+            list: start_stand_in(StandInKind::Hosts(list.clone())).await?,
+            origin: origin_server.address(),
         };
         let entry = start_entry(names.data_centres[0], platform).await?;
-        let starts = (0..shape.hosts).map(|index| start_host(index, shape, &names, platform));
-        let started: Vec<SwitchResult<SwarmHost>> = stream::iter(starts)
-            .buffered(STARTED_AT_ONCE)
+        let host_starts =
+            (0..config.hosts).map(|index| start_host(index, config, &names, platform));
+        let started: Vec<SwitchResult<ClusterHost>> = stream::iter(host_starts)
+            .buffered(CONCURRENT_STARTS)
             .collect()
             .await;
         let hosts = started
             .into_iter()
-            .collect::<SwitchResult<Vec<SwarmHost>>>()?;
-        let swarm = Self {
+            .collect::<SwitchResult<Vec<ClusterHost>>>()?;
+        let cluster = Self {
             hosts,
             origin,
             entry,
             names,
-            shape: shape.clone(),
+            config: config.clone(),
             list,
         };
-        swarm.publish_list()?;
-        tokio::time::sleep(SETTLED_AFTER).await;
-        Ok(swarm)
+        cluster.publish_host_list()?;
+        tokio::time::sleep(SETTLE_TIME).await;
+        Ok(cluster)
     }
 
-    /// Regions that have hosts.
+    /// Number of regions that have hosts.
     pub(super) fn regions(&self) -> usize {
         let mut regions: Vec<&str> = self
             .hosts
@@ -119,56 +129,63 @@
         regions.len()
     }
 
-    /// The service that the hosts serve.
+    /// Name of the model service that the hosts serve.
     pub(super) const fn service(&self) -> &'static str {
         self.names.model
     }
 
-    /// An account that may call it.
+    /// Client account that may call the service.
     pub(super) const fn account(&self) -> &'static str {
         self.names.accounts[0]
     }
 
-    /// Publishes weights `name` at the origin.
+    /// Publishes weights of the configured size at the origin under `name`; `seed` determines their
+    /// content.
     pub(super) fn publish(&self, name: &str, seed: u64) -> PublishedManifest {
         self.origin.publish(&PublishOrder {
             name: name.to_owned(),
-            size: usize::try_from(self.shape.size).unwrap_or(usize::MAX),
-            chunk_size: usize::try_from(self.shape.chunk_size).unwrap_or(usize::MAX),
+            size: usize::try_from(self.config.size).unwrap_or(usize::MAX),
+            chunk_size: usize::try_from(self.config.chunk_size).unwrap_or(usize::MAX),
             seed,
         })
     }
 
-    /// Puts the document that wants `manifest`, in place of version `replaces`.
-    pub(super) async fn want(
+    /// Stores a document that sets `manifest` as the target weights, as `version`. `replaces` is
+    /// the version number of the document that it replaces, or 0 if there is none.
+    ///
+    /// # Errors
+    ///
+    /// `DocumentNotAccepted` if the entry host does not accept the document within
+    /// `DOCUMENT_TIMEOUT`.
+    pub(super) async fn set_target(
         &self,
         version: &str,
         manifest: &PublishedManifest,
         replaces: u64,
     ) -> SwitchResult<()> {
-        let plain = self
+        let base_document = self
             .names
             .model_document(version, &manifest.name, &manifest.digest);
-        let hosts = u32::try_from(self.hosts.len() / OUT_OF_SERVICE_PART).unwrap_or(1);
+        let hosts = u32::try_from(self.hosts.len() / HOSTS_PER_OUT_OF_SERVICE).unwrap_or(1);
         let document = ServiceDocument {
-            weights: plain.weights.clone().map(|weights| WeightsSpec {
-                objective: self.shape.objective,
+            weights: base_document.weights.clone().map(|weights| WeightsSpec {
+                objective: self.config.objective,
                 ..weights
             }),
             rollout: RolloutSpec {
                 max_out_of_service: hosts.max(1),
-                ..plain.rollout.clone()
+                ..base_document.rollout.clone()
             },
-            ..plain
+            ..base_document
         };
         let admin = self.entry.address("admin")?;
-        put_document(admin, &document, replaces, ACCEPTED_WITHIN).await
+        put_document(admin, &document, replaces, DOCUMENT_TIMEOUT).await
     }
 
-    /// How many of the hosts that live serve `digest`, and how many live.
+    /// Number of live hosts whose engine serves `digest`, and number of live hosts.
     pub(super) fn count_serving(&self, digest: &WeightsDigest) -> (usize, usize) {
-        let live: Vec<&SwarmHost> = self.hosts.iter().filter(|host| !host.is_killed).collect();
-        let serves = |host: &&&SwarmHost| {
+        let live: Vec<&ClusterHost> = self.hosts.iter().filter(|host| !host.is_killed).collect();
+        let serves = |host: &&&ClusterHost| {
             host.engine
                 .loaded()
                 .is_some_and(|loaded| loaded.digest == *digest)
@@ -176,21 +193,23 @@
         (live.iter().filter(serves).count(), live.len())
     }
 
-    /// The sum over the live hosts of what they counted as event `name`.
+    /// Sum over the live hosts of their counts of event `name`. Hosts whose metrics cannot be read
+    /// count as 0.
     pub(super) async fn sum_event(&self, name: &str) -> u64 {
-        self.sum("savory_events", &format!("event=\"{name}\""))
+        self.sum_metric("savory_events", &format!("event=\"{name}\""))
             .await
     }
 
-    /// The sum over the live hosts of their retries because of `reason`.
+    /// Sum over the live hosts of their retries for `reason`. Hosts whose metrics cannot be read
+    /// count as 0.
     pub(super) async fn sum_retries(&self, reason: &str) -> u64 {
-        self.sum("savory_retries", &format!("reason=\"{reason}\""))
+        self.sum_metric("savory_retries", &format!("reason=\"{reason}\""))
             .await
     }
 
-    async fn sum(&self, metric: &str, label: &str) -> u64 {
+    async fn sum_metric(&self, metric: &str, label: &str) -> u64 {
         let client = LabClient::default();
-        let mut sum = 0;
+        let mut total = 0;
         for host in self.hosts.iter().filter(|host| !host.is_killed) {
             let Ok(address) = host.process.address("peer") else {
                 continue;
@@ -200,12 +219,12 @@
                 .lines()
                 .filter(|line| line.starts_with(metric) && line.contains(label));
             let counts = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok());
-            sum += counts.map(whole).sum::<u64>();
+            total += counts.map(counter_value).sum::<u64>();
         }
-        sum
+        total
     }
 
-    /// The newest log lines of every host, for finding a cause.
+    /// The most recent log lines of every host, for diagnosis.
     pub(super) fn logs(&self) -> String {
         let logs = self
             .hosts
@@ -214,7 +233,7 @@
         logs.collect()
     }
 
-    fn publish_list(&self) -> SwitchResult<()> {
+    fn publish_host_list(&self) -> SwitchResult<()> {
         let first = self.names.data_centres[0];
         let mut entries = vec![HostEntry {
             host: "entry-1".into(),
@@ -241,39 +260,44 @@
     }
 }
 
-async fn listen(kind: StandInKind) -> SwitchResult<SocketAddr> {
+async fn start_stand_in(kind: StandInKind) -> SwitchResult<SocketAddr> {
     Ok(StandIn::start(ANY_PORT, kind).await?.address())
 }
 
 async fn start_host(
     index: usize,
-    shape: &BurstShape,
+    config: &BurstConfig,
     names: &CompanyNames,
     platform: PlatformAddresses,
-) -> SwitchResult<SwarmHost> {
+) -> SwitchResult<ClusterHost> {
     let data_centre = names.data_centres[index % names.data_centres.len()];
     let dialect = [LabDialect::MetricsText, LabDialect::JsonState][index % 2];
     let engine = Arc::new(EngineStandIn::new(EngineShape {
         dialect,
         ..EngineShape::default()
     }));
-    let engine_address = listen(StandInKind::Engine(engine.clone())).await?;
+    let engine_address = start_stand_in(StandInKind::Engine(engine.clone())).await?;
     let host = format!("{}-{}-{}", names.model, data_centre.name, index + 1);
-    let order = common(launch_host(&host, shape), &host, data_centre, platform)
-        .setting("service", names.model)
-        .setting(
-            "engine-dialect",
-            match dialect {
-                LabDialect::MetricsText => "metrics_text",
-                LabDialect::JsonState => "json_state",
-            },
-        )
-        .setting("engine-address", engine_address)
-        .setting("origin-address", platform.origin)
-        .setting("link-bytes-per-second", shape.host_rate())
-        .setting("memory-bytes", shape.size * VERSIONS_HELD)
-        .setting("traffic-threads", 1);
-    Ok(SwarmHost {
+    let order = with_common_settings(
+        host_launch_order(&host, config),
+        &host,
+        data_centre,
+        platform,
+    )
+    .setting("service", names.model)
+    .setting(
+        "engine-dialect",
+        match dialect {
+            LabDialect::MetricsText => "metrics_text",
+            LabDialect::JsonState => "json_state",
+        },
+    )
+    .setting("engine-address", engine_address)
+    .setting("origin-address", platform.origin)
+    .setting("link-bytes-per-second", config.host_rate())
+    .setting("memory-bytes", config.size * MEMORY_IN_VERSIONS)
+    .setting("traffic-threads", 1);
+    Ok(ClusterHost {
         process: ChildProcess::start(&order).await?,
         engine,
         is_killed: false,
@@ -282,14 +306,14 @@
     })
 }
 
-/// The host process; one that spoils what it sends where chunks are to arrive corrupted.
-fn launch_host(host: &str, shape: &BurstShape) -> LaunchOrder {
-    if shape.corrupt_percent == 0 {
+/// How to launch a host process: as `savory-lab spoiling-host` if chunks are to be corrupted.
+fn host_launch_order(host: &str, config: &BurstConfig) -> LaunchOrder {
+    if config.corrupt_percent == 0 {
         return LaunchOrder::new("savory-host", host);
     }
     LaunchOrder::new("savory-lab", host)
         .argument("spoiling-host")
-        .setting("spoilt-percent", shape.corrupt_percent)
+        .setting("spoilt-percent", config.corrupt_percent)
         .argument("--")
 }
 
@@ -299,19 +323,19 @@
 ) -> SwitchResult<ChildProcess> {
     let host = "entry-1";
     let operator_digest = WeightsDigest::of(OPERATOR_KEY.as_bytes());
-    let order = common(
+    let order = with_common_settings(
         LaunchOrder::new("savory-entry", host),
         host,
         data_centre,
         platform,
     )
-    .setting("caller-address", LOOPBACK_ANY)
-    .setting("admin-address", LOOPBACK_ANY)
+    .setting("caller-address", LOOPBACK_ANY_PORT)
+    .setting("admin-address", LOOPBACK_ANY_PORT)
     .setting("operator-key-digest", operator_digest);
     ChildProcess::start(&order).await
 }
 
-fn common(
+fn with_common_settings(
     order: LaunchOrder,
     host: &str,
     data_centre: DataCentre,
@@ -321,7 +345,7 @@
         .setting("host-name", host)
         .setting("data-centre", data_centre.name)
         .setting("region", data_centre.region)
-        .setting("peer-address", LOOPBACK_ANY)
+        .setting("peer-address", LOOPBACK_ANY_PORT)
         .setting("table-address", platform.table)
         .setting("list-address", platform.list)
 }
@@ -329,8 +353,8 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "counters are whole and not negative"
+    reason = "counters are non-negative integers"
 )]
-const fn whole(count: f64) -> u64 {
+const fn counter_value(count: f64) -> u64 {
     count as u64
 }
--- a/src/lab/weights/command.rs
+++ b/src/lab/weights/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the measurement.
+//! The `savory-lab weights` subcommand: reads its options, runs the bursts and prints the reports.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,56 +7,56 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 use super::baseline::run_baseline;
-use super::live::LiveCalls;
+use super::burst_cluster::BurstCluster;
+use super::burst_config::BurstConfig;
+use super::live_calls::LiveCalls;
 use super::plot::plot_curve;
 use super::report::{LiveReport, WeightsReport};
-use super::shape::BurstShape;
-use super::swarm::Swarm;
 use crate::documents::SpreadObjective;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::run_lab;
 
-/// How long live requests are measured before the burst.
-const LIVE_BEFORE: Duration = Duration::from_secs(15);
-const MIB: u64 = 1024 * 1024;
+/// How long the latency of live requests is measured before the burst starts.
+const LIVE_SPAN_BEFORE_BURST: Duration = Duration::from_secs(15);
+const BYTES_PER_MIB: u64 = 1024 * 1024;
 
-/// The subcommand.
+/// The `weights` subcommand.
 pub(crate) fn weights_command() -> Command {
     Command::new("weights")
-        .about("Measures a burst of new weights to N hosts against the fluid bound")
+        .about("Compares a burst of new weights to N hosts with the fluid lower bound of its time")
         .after_help(
             "Example:\n  savory-lab weights --hosts 64 --objective time --seed 1 --json\n  \
              savory-lab weights --curve 8,16,32,64 --plot docs/weights-curve.svg",
         )
-        .arg(number("hosts", "64", "Host processes"))
-        .arg(number(
+        .arg(number_arg("hosts", "64", "Number of host processes"))
+        .arg(number_arg(
             "seed",
             "1",
-            "Makes the weights and what is left to chance",
+            "Seed for the weights' content and the choice of killed hosts",
         ))
-        .arg(number(
+        .arg(number_arg(
             "kill",
             "0",
-            "Host processes that are killed on the way",
+            "Number of host processes that are killed during the burst",
         ))
-        .arg(number(
+        .arg(number_arg(
             "corrupt",
             "0",
-            "Chunks that arrive corrupted, in percent",
+            "Percentage of chunks that are corrupted on their way",
         ))
-        .arg(number("size-mib", "8", "MiB of the weights"))
-        .arg(number("chunk-kib", "32", "KiB of a chunk"))
-        .arg(number(
+        .arg(number_arg("size-mib", "8", "Size of the weights in MiB"))
+        .arg(number_arg("chunk-kib", "32", "Size of a chunk in KiB"))
+        .arg(number_arg(
             "window-ms",
             "40000",
-            "Time in which the origin sends 4 copies, a host 2",
+            "Milliseconds in which the origin can send 4 copies and a host 2",
         ))
         .arg(
             Arg::new("objective")
                 .long("objective")
                 .default_value("time")
                 .value_parser(["time", "origin_bytes"])
-                .help("What the document wants to save"),
+                .help("Whether the document asks to save time or bytes sent by the origin"),
         )
         .arg(
             Arg::new("curve")
@@ -64,22 +64,28 @@
                 .value_name("N,N,…")
                 .value_delimiter(',')
                 .value_parser(value_parser!(u64))
-                .help("Bursts to so many hosts each, one after the other, without live requests"),
+                .help("Runs one burst per given number of hosts, without live requests"),
         )
         .arg(
             Arg::new("plot")
                 .long("plot")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Draws the curve as SVG"),
+                .help("Writes the curve of --curve to this SVG file"),
         )
-        .arg(flag("json", "Print JSON"))
-        .arg(flag("no-live", "Leave out the burst under live requests"))
-        .arg(flag("no-baseline", "Leave out the baseline"))
-        .arg(flag("logs", "Print every host's log at the end"))
+        .arg(flag_arg("json", "Print the report as JSON on one line"))
+        .arg(flag_arg("no-live", "Skip the burst under live requests"))
+        .arg(flag_arg(
+            "no-baseline",
+            "Skip the baseline in which every host reads the origin",
+        ))
+        .arg(flag_arg(
+            "logs",
+            "Print every host's recent log lines at the end",
+        ))
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("NUMBER")
@@ -88,59 +94,60 @@
         .help(help)
 }
 
-fn flag(name: &'static str, help: &'static str) -> Arg {
+fn flag_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .action(ArgAction::SetTrue)
         .help(help)
 }
 
-/// Runs it.
+/// Runs the `weights` subcommand. The exit code is a failure if a live answer was mixed or the run
+/// ended with an error.
 pub(crate) fn run_weights(matches: &ArgMatches) -> ExitCode {
-    let parts = RunParts {
-        json: matches.get_flag("json"),
-        live: !matches.get_flag("no-live"),
-        baseline: !matches.get_flag("no-baseline"),
-        logs: matches.get_flag("logs"),
+    let options = RunOptions {
+        prints_json: matches.get_flag("json"),
+        measures_live: !matches.get_flag("no-live"),
+        measures_baseline: !matches.get_flag("no-baseline"),
+        prints_logs: matches.get_flag("logs"),
     };
-    let shape = read_shape(matches);
+    let config = read_config(matches);
     let curve = matches
         .get_many::<u64>("curve")
         .map(|hosts| hosts.copied().collect());
     match curve {
         Some(hosts) => {
             let plot = matches.get_one::<PathBuf>("plot").cloned();
-            run_lab(run_curve(shape, hosts, plot, parts))
+            run_lab(run_curve(config, hosts, plot, options))
         }
-        None => run_lab(run_one(shape, parts)),
+        None => run_lab(run_burst(config, options)),
     }
 }
 
-/// What belongs to a run.
+/// What a run measures and prints.
 #[derive(Clone, Copy)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is a switch of the command line"
+    reason = "each is a flag of the command line"
 )]
-struct RunParts {
-    json: bool,
-    live: bool,
-    baseline: bool,
-    logs: bool,
+struct RunOptions {
+    prints_json: bool,
+    measures_live: bool,
+    measures_baseline: bool,
+    prints_logs: bool,
 }
 
-fn read_shape(matches: &ArgMatches) -> BurstShape {
+fn read_config(matches: &ArgMatches) -> BurstConfig {
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default();
     let count = |name: &str| usize::try_from(number(name)).unwrap_or(usize::MAX);
     let objective = matches.get_one::<String>("objective");
-    BurstShape {
+    BurstConfig {
         hosts: count("hosts").max(1),
         objective: match objective.map(String::as_str) {
             Some("origin_bytes") => SpreadObjective::OriginBytes,
             _ => SpreadObjective::Time,
         },
         seed: number("seed"),
-        size: number("size-mib").max(1) * MIB,
+        size: number("size-mib").max(1) * BYTES_PER_MIB,
         chunk_size: number("chunk-kib").max(1) * 1024,
         window: Duration::from_millis(number("window-ms").max(1)),
         kill: count("kill"),
@@ -148,30 +155,30 @@
     }
 }
 
-async fn run_one(shape: BurstShape, parts: RunParts) -> SwitchResult<bool> {
-    let report = measure(&shape, parts).await?;
-    print_report(&report, parts);
+async fn run_burst(config: BurstConfig, options: RunOptions) -> SwitchResult<bool> {
+    let report = measure(&config, options).await?;
+    print_report(&report, options);
     Ok(report.mixed == 0)
 }
 
 async fn run_curve(
-    shape: BurstShape,
+    config: BurstConfig,
     hosts: Vec<u64>,
     plot: Option<PathBuf>,
-    parts: RunParts,
+    options: RunOptions,
 ) -> SwitchResult<bool> {
     let mut reports = Vec::new();
     for hosts in hosts {
-        let shape = BurstShape {
+        let config = BurstConfig {
             hosts: usize::try_from(hosts).unwrap_or(1),
-            ..shape.clone()
+            ..config.clone()
         };
-        let parts = RunParts {
-            live: false,
-            ..parts
+        let options = RunOptions {
+            measures_live: false,
+            ..options
         };
-        let report = measure(&shape, parts).await?;
-        print_report(&report, parts);
+        let report = measure(&config, options).await?;
+        print_report(&report, options);
         reports.push(report);
     }
     if let Some(path) = plot {
@@ -181,37 +188,38 @@
     Ok(true)
 }
 
-fn print_report(report: &WeightsReport, parts: RunParts) {
-    if parts.json {
+fn print_report(report: &WeightsReport, options: RunOptions) {
+    if options.prints_json {
         println!("{}", serde_json::to_string(report).unwrap_or_default());
     } else {
-        println!("{}", report.line());
+        println!("{}", report.summary());
     }
 }
 
-async fn measure(shape: &BurstShape, parts: RunParts) -> SwitchResult<WeightsReport> {
-    let mut swarm = Swarm::start(shape).await?;
-    let measured = measure_swarm(&mut swarm, shape, parts).await;
-    if parts.logs {
-        eprintln!("{}", swarm.logs());
+/// Starts a cluster, measures it and stops it again.
+async fn measure(config: &BurstConfig, options: RunOptions) -> SwitchResult<WeightsReport> {
+    let mut cluster = BurstCluster::start(config).await?;
+    let measured = measure_bursts(&mut cluster, config, options).await;
+    if options.prints_logs {
+        eprintln!("{}", cluster.logs());
     }
     measured
 }
 
-async fn measure_swarm(
-    swarm: &mut Swarm,
-    shape: &BurstShape,
-    parts: RunParts,
+async fn measure_bursts(
+    cluster: &mut BurstCluster,
+    config: &BurstConfig,
+    options: RunOptions,
 ) -> SwitchResult<WeightsReport> {
-    let first = swarm.publish("weights-1", shape.seed);
-    let burst = swarm.burst(shape, &first, ("v1", 0)).await?;
-    let live = if parts.live {
-        Some(measure_live(swarm, shape, first.digest).await?)
+    let first = cluster.publish("weights-1", config.seed);
+    let burst = cluster.burst(config, &first, ("v1", 0)).await?;
+    let live = if options.measures_live {
+        Some(measure_live_burst(cluster, config, first.digest).await?)
     } else {
         None
     };
-    let baseline = if parts.baseline {
-        Some(run_baseline(shape).await?)
+    let baseline = if options.measures_baseline {
+        Some(run_baseline(config).await?)
     } else {
         None
     };
@@ -222,15 +230,15 @@
         .as_ref()
         .map_or(0, |live| live.before.mixed + live.during.mixed);
     Ok(WeightsReport {
-        hosts: shape.hosts,
-        objective: shape.objective,
-        seed: shape.seed,
-        killed: shape.kill,
-        corrupt_percent: shape.corrupt_percent,
-        weights_bytes: shape.size,
-        chunk_bytes: shape.chunk_size,
-        window_seconds: shape.window.as_secs_f64(),
-        regions: swarm.regions(),
+        hosts: config.hosts,
+        objective: config.objective,
+        seed: config.seed,
+        killed: config.kill,
+        corrupt_percent: config.corrupt_percent,
+        weights_bytes: config.size,
+        chunk_bytes: config.chunk_size,
+        window_seconds: config.window.as_secs_f64(),
+        regions: cluster.regions(),
         burst,
         live,
         live_p99_ratio: ratio,
@@ -239,23 +247,30 @@
     })
 }
 
-async fn measure_live(
-    swarm: &mut Swarm,
-    shape: &BurstShape,
+/// Measures live requests before and during a burst of a second version. `first` is the version
+/// that the hosts already serve.
+async fn measure_live_burst(
+    cluster: &mut BurstCluster,
+    config: &BurstConfig,
     first: crate::weights::WeightsDigest,
 ) -> SwitchResult<LiveReport> {
-    let second = swarm.publish("weights-2", shape.seed + 1);
-    let entry = swarm.entry.address("caller")?;
-    let who = (swarm.service(), swarm.account());
+    let second = cluster.publish("weights-2", config.seed + 1);
+    let entry = cluster.entry.address("caller")?;
+    let service_and_account = (cluster.service(), cluster.account());
     let versions = vec![first, second.digest];
-    let gone = || SwitchError::new(ErrorKind::Internal, "the live calls ended early");
-    let calls = LiveCalls::begin(entry, who, versions.clone(), "before");
-    tokio::time::sleep(LIVE_BEFORE).await;
-    let before = calls.end().await.ok_or_else(gone)?;
+    let ended_early = || {
+        SwitchError::new(
+            ErrorKind::Internal,
+            "the live calls' task ended unexpectedly",
+        )
+    };
+    let calls = LiveCalls::begin(entry, service_and_account, versions.clone(), "before");
+    tokio::time::sleep(LIVE_SPAN_BEFORE_BURST).await;
+    let before = calls.end().await.ok_or_else(ended_early)?;
     let before = before.figures(Duration::ZERO, Duration::MAX);
-    let calls = LiveCalls::begin(entry, who, versions, "during");
-    let burst = swarm.burst(shape, &second, ("v2", 1)).await;
-    let calls = calls.end().await.ok_or_else(gone)?;
+    let calls = LiveCalls::begin(entry, service_and_account, versions, "during");
+    let burst = cluster.burst(config, &second, ("v2", 1)).await;
+    let calls = calls.end().await.ok_or_else(ended_early)?;
     let burst = burst?;
     let first = Duration::from_secs_f64(burst.first_seconds);
     Ok(LiveReport {
--- a/src/lab/weights/corrupting_host.rs
+++ b/src/lab/weights/corrupting_host.rs
@@ -1,5 +1,5 @@
-//! `savory-lab spoiling-host`: the host process as it is, but with some of the chunks that it sends
-//! spoilt on their way out, as a bad link or bad memory would.
+//! `savory-lab spoiling-host` runs an unmodified host process, but corrupts some of the chunks in
+//! its responses, as a faulty link or faulty memory would.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,51 +20,53 @@
 
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Chunks that are spoilt, in percent.
-static SPOILT_PERCENT: AtomicU64 = AtomicU64::new(0);
+/// Percentage of the sent chunks that are corrupted.
+static CORRUPT_PERCENT: AtomicU64 = AtomicU64::new(0);
 
-/// The subcommand.
+/// The `spoiling-host` subcommand.
 pub(crate) fn corrupting_host_command() -> Command {
     Command::new("spoiling-host")
-        .about("Runs savory-host with some of the chunks that it sends spoilt")
+        .about("Runs savory-host and corrupts some of the chunks that it sends")
         .arg(
             Arg::new("spoilt-percent")
                 .long("spoilt-percent")
                 .value_name("NUMBER")
                 .required(true)
                 .value_parser(value_parser!(u64))
-                .help("Chunks that are spoilt"),
+                .help("Percentage of the sent chunks that are corrupted"),
         )
         .arg(
             Arg::new("settings")
                 .num_args(0..)
                 .trailing_var_arg(true)
                 .allow_hyphen_values(true)
-                .help("Settings of savory-host"),
+                .help("Settings passed on to savory-host"),
         )
 }
 
-/// Runs it.
+/// Runs the `spoiling-host` subcommand.
 pub(crate) fn run_corrupting_host(matches: &ArgMatches) -> ExitCode {
     let percent = matches.get_one::<u64>("spoilt-percent").copied();
-    SPOILT_PERCENT.store(percent.unwrap_or(0), Ordering::Relaxed);
+    CORRUPT_PERCENT.store(percent.unwrap_or(0), Ordering::Relaxed);
     let settings = matches.get_many::<String>("settings").unwrap_or_default();
     let arguments = std::iter::once("savory-host".to_owned()).chain(settings.cloned());
-    run_host_with_middleware(arguments, |routes| routes.layer(from_fn(spoil)))
+    run_host_with_middleware(arguments, |routes| routes.layer(from_fn(corrupt_chunk)))
 }
 
-async fn spoil(context: &mut ServerContext, request: Request, next: Next) -> Response {
+/// Middleware that flips a bit in the last byte of a chunk response with probability
+/// `CORRUPT_PERCENT`.
+async fn corrupt_chunk(context: &mut ServerContext, request: Request, next: Next) -> Response {
     let is_chunk = request.uri().path().contains("/chunk/");
-    let reply = next.run(context, request).await.into_response();
-    let is_hit = rand::rng().random_range(0..100) < SPOILT_PERCENT.load(Ordering::Relaxed);
-    if !is_chunk || !is_hit || reply.status() != StatusCode::OK {
-        return reply;
+    let response = next.run(context, request).await.into_response();
+    let is_chosen = rand::rng().random_range(0..100) < CORRUPT_PERCENT.load(Ordering::Relaxed);
+    if !is_chunk || !is_chosen || response.status() != StatusCode::OK {
+        return response;
     }
-    let (head, body) = reply.into_parts();
+    let (head, body) = response.into_parts();
     let bytes = read_body(body, BODY_BYTES_MAX).await.unwrap_or_default();
-    let mut spoilt = bytes.to_vec();
-    if let Some(last) = spoilt.last_mut() {
+    let mut corrupt = bytes.to_vec();
+    if let Some(last) = corrupt.last_mut() {
         *last ^= 1;
     }
-    Response::from_parts(head, Body::from(Bytes::from(spoilt)))
+    Response::from_parts(head, Body::from(Bytes::from(corrupt)))
 }
--- a/src/lab/weights/live.rs
+++ b/src/lab/weights/live_calls.rs
@@ -1,4 +1,4 @@
-//! Live requests before and during a burst.
+//! Live requests that are sent before and during a burst, and their latencies.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,27 +17,27 @@
 use crate::weights::WeightsDigest;
 
 const CALLS_PER_SECOND: u32 = 40;
-const TOKENS: u32 = 8;
-const ANSWER_WITHIN: Duration = Duration::from_secs(10);
+const TOKENS_PER_CALL: u32 = 8;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 const P99: f64 = 0.99;
 
-/// What callers saw in a span of time.
+/// Measurements of the calls sent in a span of time.
 #[apply(plain!)]
 #[derive(Serialize)]
 pub(super) struct LiveFigures {
-    /// Calls.
+    /// Number of calls sent.
     pub(super) calls: u64,
-    /// Calls without a whole answer.
+    /// Calls without a complete answer.
     pub(super) unanswered: u64,
-    /// Answers that no single one of the versions gives.
+    /// Complete answers that match none of the versions, such as text of two versions.
     pub(super) mixed: u64,
-    /// The slowest of 99 in 100 whole answers, in milliseconds.
+    /// 99th percentile of the time until a complete answer ended, in milliseconds.
     pub(super) p99_ms: f64,
-    /// The slowest of 50 in 100.
+    /// Median of that time, in milliseconds.
     pub(super) p50_ms: f64,
 }
 
-/// What came of the calls, in the order in which they were made.
+/// Outcomes of the calls, in the order in which they were sent.
 pub(super) struct LiveRecords {
     versions: Vec<WeightsDigest>,
     records: Vec<LiveRecord>,
@@ -45,32 +45,33 @@
 
 struct LiveRecord {
     prompt: String,
-    /// When it was made, from the first call on.
-    made_after: Duration,
+    /// Time from the start of the calls until this one was sent.
+    sent_after: Duration,
     record: CallRecord,
 }
 
 impl LiveRecords {
-    /// The figures of the calls made between `from` and `until`, from the first call on.
+    /// Measurements of the calls sent between `from`, inclusive, and `until`, exclusive. Both are
+    /// times since the start of the calls.
     pub(super) fn figures(&self, from: Duration, until: Duration) -> LiveFigures {
         let mut tally = LiveTally::new(&self.versions);
-        let made = |call: &&LiveRecord| call.made_after >= from && call.made_after < until;
-        for call in self.records.iter().filter(made) {
-            tally.take(&call.prompt, &call.record.outcome, call.record.whole);
+        let is_in_span = |call: &&LiveRecord| call.sent_after >= from && call.sent_after < until;
+        for call in self.records.iter().filter(is_in_span) {
+            tally.add(&call.prompt, &call.record.outcome, call.record.whole);
         }
         tally.figures()
     }
 }
 
-/// Calls at a fixed rate, whatever the answers take, until it is ended.
+/// Sends calls at a fixed rate, independent of the answers, until `end`.
 pub(super) struct LiveCalls {
     stop: Arc<AtomicBool>,
     task: JoinHandle<LiveRecords>,
 }
 
 impl LiveCalls {
-    /// Begins to call `service` for `account` at `entry`; answers must be those of one of
-    /// `versions`.
+    /// Starts to call `service` as `account` at `entry`. A complete answer counts as mixed unless
+    /// it is that of one of `versions`. Prompts begin with `label`.
     pub(super) fn begin(
         entry: std::net::SocketAddr,
         (service, account): (&'static str, &'static str),
@@ -78,14 +79,14 @@
         label: &'static str,
     ) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = Arc::clone(&stop);
+        let is_stopped = Arc::clone(&stop);
         let task = tokio::spawn(async move {
-            let caller = Arc::new(LabCaller::new(ANSWER_WITHIN));
+            let caller = Arc::new(LabCaller::new(ANSWER_TIMEOUT));
             let begun = clock_now();
             let mut ticks = interval(Duration::from_secs(1) / CALLS_PER_SECOND);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
             let mut calls = Vec::new();
-            while !stopped.load(Ordering::Relaxed) {
+            while !is_stopped.load(Ordering::Relaxed) {
                 ticks.tick().await;
                 let prompt = format!("{label} {}", calls.len());
                 let order = CallOrder {
@@ -94,16 +95,16 @@
                     priority: "normal",
                     ask: CallAsk::Complete {
                         prompt: prompt.clone(),
-                        max_tokens: TOKENS,
+                        max_tokens: TOKENS_PER_CALL,
                         stream: false,
                     },
                 };
                 let caller = Arc::clone(&caller);
-                let made_after = clock_now().since(begun);
+                let sent_after = clock_now().since(begun);
                 calls.push(tokio::spawn(async move {
                     LiveRecord {
                         prompt,
-                        made_after,
+                        sent_after,
                         record: caller.call(entry, &order).await,
                     }
                 }));
@@ -117,7 +118,8 @@
         Self { stop, task }
     }
 
-    /// Ends the calls and returns what came of them.
+    /// Stops sending, waits for the calls in flight and returns all outcomes; `None` if the sending
+    /// task panicked.
     pub(super) async fn end(self) -> Option<LiveRecords> {
         self.stop.store(true, Ordering::Relaxed);
         self.task.await.ok()
@@ -129,7 +131,8 @@
     calls: u64,
     unanswered: u64,
     mixed: u64,
-    micros: Option<Histogram<u64>>,
+    /// Times until the end of complete answers, in microseconds.
+    latencies: Option<Histogram<u64>>,
 }
 
 impl<'a> LiveTally<'a> {
@@ -139,21 +142,22 @@
             calls: 0,
             unanswered: 0,
             mixed: 0,
-            micros: Histogram::new(3).ok(),
+            latencies: Histogram::new(3).ok(),
         }
     }
 
-    fn take(&mut self, prompt: &str, outcome: &CallOutcome, whole: Duration) {
+    fn add(&mut self, prompt: &str, outcome: &CallOutcome, duration: Duration) {
         self.calls += 1;
         let CallOutcome::Whole { text, .. } = outcome else {
-            log::warn!("live call: {outcome:?}");
+            log::warn!("live call without a complete answer: {outcome:?}");
             self.unanswered += 1;
             return;
         };
-        let is_from = |digest: &WeightsDigest| answer_text(digest, prompt, TOKENS) == *text;
+        let is_from =
+            |digest: &WeightsDigest| answer_text(digest, prompt, TOKENS_PER_CALL) == *text;
         self.mixed += u64::from(!self.versions.iter().any(is_from));
-        let micros = u64::try_from(whole.as_micros()).unwrap_or(u64::MAX);
-        if let Some(histogram) = self.micros.as_mut() {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+        if let Some(histogram) = self.latencies.as_mut() {
             let _ = histogram.record(micros);
         }
     }
@@ -161,10 +165,10 @@
     fn figures(&self) -> LiveFigures {
         let millis = |quantile: f64| {
             let micros = self
-                .micros
+                .latencies
                 .as_ref()
-                .map(|micros| micros.value_at_quantile(quantile));
-            super::shape::as_float(micros.unwrap_or(0)) / 1000.0
+                .map(|latencies| latencies.value_at_quantile(quantile));
+            super::burst_config::as_float(micros.unwrap_or(0)) / 1000.0
         };
         LiveFigures {
             calls: self.calls,
--- a/src/lab/weights/report.rs
+++ b/src/lab/weights/report.rs
@@ -1,46 +1,47 @@
-//! What a run came to, as JSON or text.
+//! The report of a run, as JSON or text.
 
 use macro_rules_attribute::apply;
 use serde::Serialize;
 
 use super::baseline::BaselineFigures;
 use super::burst::BurstFigures;
-use super::live::LiveFigures;
+use super::live_calls::LiveFigures;
 use crate::derives::plain;
 use crate::documents::SpreadObjective;
 
-/// A run's figures.
+/// Configuration and measurements of one run.
 #[apply(plain!)]
 #[derive(Serialize)]
 pub(super) struct WeightsReport {
-    /// Hosts.
+    /// Number of hosts.
     pub(super) hosts: usize,
-    /// What the document wanted to save.
+    /// Whether the document asked to save time or bytes sent by the origin.
     pub(super) objective: SpreadObjective,
     /// The run's seed.
     pub(super) seed: u64,
-    /// Host processes killed on the way.
+    /// Number of host processes killed during the first burst.
     pub(super) killed: usize,
-    /// Chunks corrupted, in percent.
+    /// Percentage of chunks that were corrupted on their way.
     pub(super) corrupt_percent: u64,
-    /// Bytes of the weights.
+    /// Size of the weights in bytes.
     pub(super) weights_bytes: u64,
-    /// Bytes of a chunk.
+    /// Size of a chunk in bytes.
     pub(super) chunk_bytes: u64,
-    /// Seconds of the window in which the origin sends four copies and a host two.
+    /// Seconds in which the origin can send four copies of the weights and a host two.
     pub(super) window_seconds: f64,
-    /// Regions with hosts.
+    /// Number of regions that have hosts.
     pub(super) regions: usize,
-    /// The burst to hosts that served nothing.
+    /// The first burst, to hosts that served no weights yet.
     #[serde(flatten)]
     pub(super) burst: BurstFigures,
-    /// The burst to hosts that served live requests, where it was asked for.
+    /// The second burst, to hosts that served live requests; `None` with
+    /// `--no-live` or `--curve`.
     pub(super) live: Option<LiveReport>,
-    /// The slowest of 99 in 100 live answers during the burst against before.
+    /// 99th percentile of the live requests' latency during the burst, divided by that before it.
     pub(super) live_p99_ratio: Option<f64>,
-    /// Live answers that no single version gives.
+    /// Live answers that match none of the published versions, such as text of two versions.
     pub(super) mixed: u64,
-    /// Everyone reads the origin.
+    /// The baseline in which every host reads the origin; `None` with `--no-baseline`.
     pub(super) baseline: Option<BaselineFigures>,
 }
 
@@ -48,21 +49,21 @@
 #[apply(plain!)]
 #[derive(Serialize)]
 pub(super) struct LiveReport {
-    /// Before.
+    /// Requests sent before the burst.
     pub(super) before: LiveFigures,
-    /// During.
+    /// Requests sent during the burst.
     pub(super) during: LiveFigures,
-    /// The part of these that were made until the first host served the new weights.
+    /// Those sent during the burst until the first host served the new weights.
     pub(super) transfer: LiveFigures,
-    /// The part that were made while hosts went over to them.
+    /// Those sent after that, while the other hosts switched to the new weights.
     pub(super) rollout: LiveFigures,
-    /// The burst, in which each host went out of service under a permit.
+    /// The burst, in which each host needs a permit to go out of service for the switch.
     pub(super) burst: BurstFigures,
 }
 
 impl WeightsReport {
     /// The report as one line of text.
-    pub(super) fn line(&self) -> String {
+    pub(super) fn summary(&self) -> String {
         format!(
             "{} hosts, {:?}: {:.2} s, bound {:.2} s, ratio {:.3}, {:.2} origin copies in {} \
              regions, {:.1} messages a host, machine busy {:.2}",
