--- a/src/lab/picks/command.rs
+++ b/src/lab/picks/command.rs
@@ -1,24 +1,27 @@
-//! The command line of the measurement.
+//! The `savory-lab picks` subcommand: runs the measurements and prints their results.
 
 use std::process::ExitCode;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use serde_json::{Value, json};
 
-use super::model::{ModelOutcome, ModelSize, PickWay, run_model};
-use super::timing::{StepCosts, measure_steps};
+use super::operation_costs::{OperationCosts, measure_operations};
+use super::simulation::{PickStrategy, SimulationConfig, SimulationResult, run_simulation};
 
+/// Backend servers for the measurement of operation costs.
 const BACKENDS: usize = 600;
+/// Client accounts for the measurement of operation costs.
 const ACCOUNTS: usize = 1_000;
-const MODEL_BACKENDS: usize = 48;
-const MODEL_ENTRIES: usize = 8;
-const LOADS: [f64; 3] = [0.6, 0.8, 0.9];
-const SECONDS: u64 = 120;
+const SIMULATED_BACKENDS: usize = 48;
+const SIMULATED_ENTRY_HOSTS: usize = 8;
+/// Requested fractions of the simulated backend servers' total capacity.
+const SIMULATED_LOADS: [f64; 3] = [0.6, 0.8, 0.9];
+const SIMULATED_SECONDS: u64 = 120;
 
-/// The subcommand.
+/// The `picks` subcommand.
 pub(crate) fn picks_command() -> Command {
     Command::new("picks")
-        .about("Measures picks and admissions, and compares picks with simpler ways")
+        .about("Measures picks and admissions, and compares picks with simpler strategies")
         .after_help("Example:\n  savory-lab picks --seed 7 --json")
         .arg(
             Arg::new("seed")
@@ -26,52 +29,56 @@
                 .value_name("NUMBER")
                 .default_value("1")
                 .value_parser(value_parser!(u64))
-                .help("Makes the model's backend servers and arrivals"),
+                .help("Seed for the simulated backend servers and arrivals"),
         )
         .arg(
             Arg::new("json")
                 .long("json")
                 .action(ArgAction::SetTrue)
-                .help("Prints JSON"),
+                .help("Prints the results as JSON on one line"),
         )
 }
 
-/// Runs it.
+/// Runs the `picks` subcommand.
 pub(crate) fn run_picks(matches: &ArgMatches) -> ExitCode {
     let seed = matches.get_one::<u64>("seed").copied().unwrap_or(1);
-    let costs = measure_steps(BACKENDS, ACCOUNTS);
+    let costs = measure_operations(BACKENDS, ACCOUNTS);
     let mut rows = Vec::new();
-    for load in LOADS {
-        for way in PickWay::ALL {
-            let size = ModelSize {
+    for load in SIMULATED_LOADS {
+        for strategy in PickStrategy::ALL {
+            let config = SimulationConfig {
                 seed,
-                backends: MODEL_BACKENDS,
-                entries: MODEL_ENTRIES,
+                backends: SIMULATED_BACKENDS,
+                entries: SIMULATED_ENTRY_HOSTS,
                 load,
-                seconds: SECONDS,
+                seconds: SIMULATED_SECONDS,
             };
-            rows.push((load, way, run_model(size, way)));
+            rows.push((load, strategy, run_simulation(config, strategy)));
         }
     }
     if matches.get_flag("json") {
-        println!("{}", json_text(seed, &costs, &rows));
+        println!("{}", json_report(seed, &costs, &rows));
     } else {
         print_table(&costs, &rows);
     }
     ExitCode::SUCCESS
 }
 
-fn json_text(seed: u64, costs: &StepCosts, rows: &[(f64, PickWay, ModelOutcome)]) -> Value {
+fn json_report(
+    seed: u64,
+    costs: &OperationCosts,
+    rows: &[(f64, PickStrategy, SimulationResult)],
+) -> Value {
     let rows: Vec<Value> = rows
         .iter()
-        .map(|(load, way, outcome)| {
+        .map(|(load, strategy, result)| {
             json!({
                 "load": load,
-                "way": way.name(),
-                "requests": outcome.requests,
-                "p50_ms": outcome.p50.as_millis(),
-                "p99_ms": outcome.p99.as_millis(),
-                "wait_p99_ms": outcome.wait_p99.as_millis(),
+                "way": strategy.name(),
+                "requests": result.requests,
+                "p50_ms": result.p50.as_millis(),
+                "p99_ms": result.p99.as_millis(),
+                "wait_p99_ms": result.wait_p99.as_millis(),
             })
         })
         .collect();
@@ -84,14 +91,14 @@
         "pick_when_full_ns": costs.pick_when_full,
         "admission_ns": costs.admission,
         "refusal_ns": costs.refusal,
-        "model_backends": MODEL_BACKENDS,
-        "model_entries": MODEL_ENTRIES,
-        "model_seconds": SECONDS,
+        "model_backends": SIMULATED_BACKENDS,
+        "model_entries": SIMULATED_ENTRY_HOSTS,
+        "model_seconds": SIMULATED_SECONDS,
         "ways": rows,
     })
 }
 
-fn print_table(costs: &StepCosts, rows: &[(f64, PickWay, ModelOutcome)]) {
+fn print_table(costs: &OperationCosts, rows: &[(f64, PickStrategy, SimulationResult)]) {
     println!("at {BACKENDS} backend servers and {ACCOUNTS} accounts, nanoseconds each:");
     println!("  pick                {:>8}", costs.pick);
     println!("  pick by prefix      {:>8}", costs.pick_by_prefix);
@@ -99,14 +106,14 @@
     println!("  admission           {:>8}", costs.admission);
     println!("  refusal             {:>8}", costs.refusal);
     println!("load  way                requests    p50 ms    p99 ms  wait p99 ms");
-    for (load, way, outcome) in rows {
+    for (load, strategy, result) in rows {
         println!(
             "{load:<5} {:<18} {:>8} {:>9} {:>9} {:>12}",
-            way.name(),
-            outcome.requests,
-            outcome.p50.as_millis(),
-            outcome.p99.as_millis(),
-            outcome.wait_p99.as_millis()
+            strategy.name(),
+            result.requests,
+            result.p50.as_millis(),
+            result.p99.as_millis(),
+            result.wait_p99.as_millis()
         );
     }
 }
--- a/src/lab/picks/fixtures.rs
+++ b/src/lab/picks/fixtures.rs
@@ -1,4 +1,4 @@
-//! Made-up hosts and documents for the measurements of picks.
+//! Invented hosts and documents for the measurements of picks. Tests of other modules use them too.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 const SERVICE: &str = "sky-writer";
 const DATA_CENTRE: &str = "lima-hall-a";
 const REGION: &str = "peru";
-const PORT: u16 = 7000;
+const PEER_PORT: u16 = 7000;
 
-/// The document of a service with `accounts` accounts.
+/// Document of a service with `accounts` client accounts. Their limits are too wide to be reached.
 pub(crate) fn document(accounts: usize) -> ServiceDocument {
     ServiceDocument {
         format: 1,
@@ -29,7 +29,7 @@
         hosts: HostSelection::Listed,
         weights: None,
         rollout: RolloutSpec::default(),
-        accounts: (0..accounts).map(account).collect(),
+        accounts: (0..accounts).map(account_spec).collect(),
         deadlines: DeadlineSpec::default(),
         routes: Vec::new(),
         retry: RetrySpec::default(),
@@ -37,7 +37,7 @@
     }
 }
 
-fn account(number: usize) -> AccountSpec {
+fn account_spec(number: usize) -> AccountSpec {
     AccountSpec {
         name: account_name(number),
         key_digest: ByteString::new(),
@@ -48,12 +48,12 @@
     }
 }
 
-/// The name of account `number`; the names sort as the numbers do.
+/// Name of client account `number`. Up to 10 000 accounts, the names sort like the numbers.
 pub(super) fn account_name(number: usize) -> ByteString {
     format!("account-{number:04}").into()
 }
 
-/// Entry host `number`.
+/// Identity of entry host `number`.
 pub(crate) fn entry(number: usize) -> HostIdentity {
     HostIdentity {
         host: format!("entry-{number}").into(),
@@ -66,8 +66,8 @@
     }
 }
 
-/// The control state with `entries` entry hosts and one backend server per report; each report
-/// comes with its sequence number.
+/// Control state with `entries` entry hosts and one backend server per load report. Each report is
+/// given with its sequence number.
 pub(super) fn snapshot(
     generation: u64,
     entries: usize,
@@ -76,7 +76,7 @@
     let mut members: Vec<Arc<MemberRecord>> = reports
         .iter()
         .enumerate()
-        .map(|(number, (load, sequence))| Arc::new(backend(number, *load, *sequence)))
+        .map(|(number, (load, sequence))| Arc::new(backend_record(number, *load, *sequence)))
         .collect();
     members.extend((0..entries).map(|number| Arc::new(entry_record(number))));
     ControlSnapshot {
@@ -87,13 +87,15 @@
     }
 }
 
-/// The number of the backend server `host`.
+/// Number of the backend server named `host` by [`snapshot`].
 pub(super) fn backend_number(host: &str) -> usize {
     let digits = host.trim_start_matches("backend-");
-    digits.parse().expect("the name was made here")
+    digits
+        .parse()
+        .expect("host names end in the backend server's number")
 }
 
-fn backend(number: usize, load: LoadReport, sequence: u64) -> MemberRecord {
+fn backend_record(number: usize, load: LoadReport, sequence: u64) -> MemberRecord {
     let host: ByteString = format!("backend-{number:04}").into();
     let status = HostStatus {
         host: host.clone(),
@@ -111,7 +113,7 @@
     member_record(format!("entry-{number}").into(), HostRole::Entry, None)
 }
 
-/// What the control state says of the host `host`.
+/// The control state's record of the live host `host`. Only a backend server belongs to a service.
 pub(crate) fn member_record(
     host: ByteString,
     role: HostRole,
@@ -130,7 +132,7 @@
     }
 }
 
-/// An address that nothing is sent to.
+/// Peer address of all fixture hosts; no request is sent to it.
 pub(crate) const fn unused_address() -> SocketAddr {
-    SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), PORT)
+    SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), PEER_PORT)
 }
--- a/src/lab/picks/mod.rs
+++ b/src/lab/picks/mod.rs
@@ -1,10 +1,11 @@
-//! `savory-lab picks`: what a pick and an admission cost, and how long requests take under the
-//! product's picks against three simpler ways, in a small queueing model of backend servers that
-//! differ in size and speed and report late.
+//! `savory-lab picks` measures how long it takes to pick a backend server and to admit a request.
+//! It also compares the request latency under the product's picks with that under three simpler
+//! strategies, in a small queueing simulation of backend servers that differ in capacity and
+//! speed and whose load reports arrive late.
 
 mod command;
 pub(crate) mod fixtures;
-mod model;
-mod timing;
+mod operation_costs;
+mod simulation;
 
 pub(crate) use command::{picks_command, run_picks};
--- a/src/lab/picks/operation_costs.rs
+++ b/src/lab/picks/operation_costs.rs
@@ -1,4 +1,4 @@
-//! What a pick and an admission cost, in nanoseconds of this machine.
+//! Measures the time that a pick and an admission take on this machine, in nanoseconds.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -12,30 +12,32 @@
 use crate::routing::{BackendPool, PickCriteria, PickFailure, PickTarget};
 use crate::time::ClockTime;
 
-const ROUNDS: u32 = 200_000;
-const WARM_UP: u32 = 20_000;
-const ENTRIES: usize = 52;
+const MEASURED_CALLS: u32 = 200_000;
+const WARM_UP_CALLS: u32 = 20_000;
+const ENTRY_HOSTS: usize = 52;
 const CAPACITY: u32 = 8;
-const LONG: Duration = Duration::from_mins(1);
-const SHORT: Duration = Duration::from_millis(100);
+const LONG_DEADLINE: Duration = Duration::from_mins(1);
+const SHORT_DEADLINE: Duration = Duration::from_millis(100);
 const NOW: ClockTime = ClockTime::from_millis(1_000);
 
-/// Nanoseconds of one step each.
-pub(super) struct StepCosts {
-    /// A pick and the note of its end, with room everywhere.
+/// Mean time of each operation in nanoseconds.
+pub(super) struct OperationCosts {
+    /// A pick and the recording of its success, while every backend server has free slots.
     pub(super) pick: u64,
-    /// The same with the prompt's beginning as a hint.
+    /// The same, with the hash of the prompt's prefix as a hint.
     pub(super) pick_by_prefix: u64,
-    /// A pick that finds every backend server full.
+    /// A pick that fails because every backend server is full.
     pub(super) pick_when_full: u64,
-    /// Letting in, queueing, leaving the queue and ending, with every account waiting.
+    /// Admitting, queueing, dispatching and releasing a request, while every account has queued
+    /// requests.
     pub(super) admission: u64,
-    /// Refusing one whose deadline the line does not allow, with every account waiting.
+    /// Refusing a request that would miss its deadline in the queue, while every account has queued
+    /// requests.
     pub(super) refusal: u64,
 }
 
-/// Measures all of them.
-pub(super) fn measure_steps(backends: usize, accounts: usize) -> StepCosts {
+/// Measures all operations, one after the other.
+pub(super) fn measure_operations(backends: usize, accounts: usize) -> OperationCosts {
     let report = LoadReport {
         running: CAPACITY / 2,
         waiting: 0,
@@ -46,111 +48,117 @@
         running: CAPACITY * 2,
         ..report
     };
-    StepCosts {
-        pick: time_picks(backends, report, false),
-        pick_by_prefix: time_picks(backends, report, true),
-        pick_when_full: time_picks(backends, full, false),
-        admission: time_admission(accounts, false),
-        refusal: time_admission(accounts, true),
+    OperationCosts {
+        pick: nanos_per_pick(backends, report, false),
+        pick_by_prefix: nanos_per_pick(backends, report, true),
+        pick_when_full: nanos_per_pick(backends, full, false),
+        admission: nanos_per_admission(accounts, false),
+        refusal: nanos_per_admission(accounts, true),
     }
 }
 
-fn time_picks(backends: usize, report: LoadReport, by_prefix: bool) -> u64 {
+/// Mean time of a pick among `backends` backend servers that all sent `report`.
+fn nanos_per_pick(backends: usize, report: LoadReport, by_prefix: bool) -> u64 {
     let mut pool = BackendPool::new(1);
-    let snapshot = snapshot(1, ENTRIES, &vec![(report, 1); backends]);
+    let snapshot = snapshot(1, ENTRY_HOSTS, &vec![(report, 1); backends]);
     pool.refresh(&snapshot, &document(1), &entry(0), NOW);
     let mut number = 0_u64;
-    time_steps(|| {
+    nanos_per_call(|| {
         number += 1;
-        let wish = PickCriteria {
+        let criteria = PickCriteria {
             target: PickTarget::Any,
             urgent: false,
             prefix: by_prefix.then_some(number),
             avoid: None,
         };
-        match black_box(pool.pick(&wish, NOW)) {
+        match black_box(pool.pick(&criteria, NOW)) {
             Ok(picked) => pool.note_success(picked.key, Duration::from_millis(1), 100, None, NOW),
             Err(PickFailure::Full) => {}
-            Err(PickFailure::NoneEligible) => panic!("there are backend servers"),
+            Err(PickFailure::NoneEligible) => panic!("the pool has eligible backend servers"),
         }
     })
 }
 
-/// One a millisecond goes, so that a line of all accounts takes about a second.
-fn time_admission(accounts: usize, refuses: bool) -> u64 {
-    let mut book = AdmissionState::new();
+/// Mean time of an admission, or of a refusal if `measures_refusal`. One request is dispatched per
+/// simulated millisecond, so a queue with one request per account takes about a second to drain
+/// with 1 000 accounts.
+fn nanos_per_admission(accounts: usize, measures_refusal: bool) -> u64 {
+    let mut admission = AdmissionState::new();
     let document = document(accounts);
-    book.refresh(&document.accounts, 10, 1, NOW);
+    admission.refresh(&document.accounts, 10, 1, NOW);
     let names: Vec<_> = (0..accounts).map(account_name).collect();
     let mut now = NOW;
     let mut number = 0;
     for name in &names {
-        enter(&mut book, name, now, LONG);
+        try_enqueue(&mut admission, name, now, LONG_DEADLINE);
     }
-    let mut go_one = |book: &mut AdmissionState<()>| {
+    let mut admit_and_dispatch = |admission: &mut AdmissionState<()>| {
         now = now + Duration::from_millis(1);
         number = (number + 1) % names.len();
-        enter(book, &names[number], now, LONG);
-        leave_one(book, now);
+        try_enqueue(admission, &names[number], now, LONG_DEADLINE);
+        dispatch_one(admission, now);
     };
-    for _ in 0..WARM_UP {
-        go_one(&mut book);
+    for _ in 0..WARM_UP_CALLS {
+        admit_and_dispatch(&mut admission);
     }
-    if !refuses {
-        return time_steps(|| go_one(&mut book));
+    if !measures_refusal {
+        return nanos_per_call(|| admit_and_dispatch(&mut admission));
     }
     let name = names[0].clone();
-    time_steps(|| {
-        let is_refused = !enter(&mut book, &name, now, SHORT);
-        assert!(is_refused, "the line is longer than that");
+    nanos_per_call(|| {
+        let was_refused = !try_enqueue(&mut admission, &name, now, SHORT_DEADLINE);
+        assert!(was_refused, "the queue takes longer than the deadline");
     })
 }
 
-/// Lets one request in, if it can make it; one that cannot leaves at once.
-fn enter(
-    book: &mut AdmissionState<()>,
+/// Admits and enqueues one request. Returns `false`, and releases the request, if it would miss its
+/// deadline in the queue.
+fn try_enqueue(
+    admission: &mut AdmissionState<()>,
     name: &ByteString,
     now: ClockTime,
-    limit: Duration,
+    time_limit: Duration,
 ) -> bool {
-    let account = book
+    let account = admission
         .admit(name, RequestPriority::Normal, now)
-        .expect("the limits are wide");
-    let wish = QueuedRequest {
+        .expect("the account's limits are not reached");
+    let request = QueuedRequest {
         account,
         priority: RequestPriority::Normal,
         cost: 100,
-        deadline: now + limit,
+        deadline: now + time_limit,
         skips_fair_queue: false,
         target: (),
     };
-    let entered = book.enqueue(wish, now).is_ok();
+    let entered = admission.enqueue(request, now).is_ok();
     if !entered {
-        book.release(account);
+        admission.release(account);
     }
     entered
 }
 
-fn leave_one(book: &mut AdmissionState<()>, now: ClockTime) {
-    let mut gone = None;
-    book.dispatch(now, |_, wish| {
-        if gone.is_some() {
+/// Dispatches one queued request and releases it.
+fn dispatch_one(admission: &mut AdmissionState<()>, now: ClockTime) {
+    let mut dispatched_account = None;
+    admission.dispatch(now, |_, request| {
+        if dispatched_account.is_some() {
             return DispatchOutcome::Full;
         }
-        gone = Some(wish.account);
+        dispatched_account = Some(request.account);
         DispatchOutcome::Placed
     });
-    book.release(gone.expect("the line is never empty"));
+    admission.release(dispatched_account.expect("the queue is never empty"));
 }
 
-fn time_steps(mut step: impl FnMut()) -> u64 {
-    for _ in 0..WARM_UP {
-        step();
+/// Mean time of `operation` in nanoseconds, after a warm-up.
+fn nanos_per_call(mut operation: impl FnMut()) -> u64 {
+    for _ in 0..WARM_UP_CALLS {
+        operation();
     }
-    let begun = Instant::now();
-    for _ in 0..ROUNDS {
-        step();
+    let started_at = Instant::now();
+    for _ in 0..MEASURED_CALLS {
+        operation();
     }
-    let nanos = begun.elapsed().as_nanos() / u128::from(ROUNDS);
+    let nanos = started_at.elapsed().as_nanos() / u128::from(MEASURED_CALLS);
     u64::try_from(nanos).unwrap_or(u64::MAX)
 }
--- a/src/lab/picks/simulation.rs
+++ b/src/lab/picks/simulation.rs
@@ -1,5 +1,6 @@
-//! The queueing model: backend servers that run a number of requests at a time and queue the rest,
-//! entry hosts that pick for each arrival by one way or another. All times are simulated.
+//! Simulation of backend servers that run a limited number of requests at a time and queue the
+//! others, and of entry hosts that pick a backend server for each arriving request. All times are
+//! simulated, in microseconds.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -16,193 +17,202 @@
 use crate::time::ClockTime;
 
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Backend servers say how they are this often, in microseconds.
-const REPORT_EVERY: u64 = 1_000_000;
-/// What they say arrives this much later, in microseconds.
-const REPORT_LAG: std::ops::Range<u64> = 1_000_000..2_000_000;
-/// Entry hosts take what has arrived this often, in microseconds.
-const REFRESH_EVERY: u64 = 20_000;
-const QUEUE_ROOM: u32 = 64;
-const LATENCY_DIGITS: u8 = 3;
+/// Interval at which each backend server sends a load report.
+const REPORT_INTERVAL_MICROS: u64 = 1_000_000;
+/// Delay until a load report arrives.
+const REPORT_DELAY_MICROS: std::ops::Range<u64> = 1_000_000..2_000_000;
+/// Interval at which entry hosts refresh their pools from the reports that have arrived.
+const REFRESH_INTERVAL_MICROS: u64 = 20_000;
+const REPORTED_QUEUE_ROOM: u32 = 64;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How an entry host picks.
+/// Strategy by which an entry host picks a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PickWay {
-    /// Any, evenly.
+pub(super) enum PickStrategy {
+    /// Uniformly at random.
     Random,
-    /// One after the other.
+    /// All in a fixed order, one after the other.
     RoundRobin,
-    /// The one with the fewest requests of this entry host.
-    LeastOwn,
-    /// The product's picks, with late reports only.
+    /// The one with the fewest unfinished requests of this entry host.
+    LeastOwnRequests,
+    /// The product's picks, which know the load only from the delayed reports.
     Product,
-    /// The product's picks; each answer's end tells how busy its host is, as host processes do.
-    ProductWithEnds,
+    /// The product's picks, where the end of each answer also carries its host's current load, as
+    /// the answers of host processes do.
+    ProductWithEndLoads,
 }
 
-impl PickWay {
+impl PickStrategy {
     pub(super) const ALL: [Self; 5] = [
         Self::Random,
         Self::RoundRobin,
-        Self::LeastOwn,
+        Self::LeastOwnRequests,
         Self::Product,
-        Self::ProductWithEnds,
+        Self::ProductWithEndLoads,
     ];
 
     pub(super) const fn name(self) -> &'static str {
         match self {
             Self::Random => "random",
             Self::RoundRobin => "round_robin",
-            Self::LeastOwn => "least_own",
+            Self::LeastOwnRequests => "least_own",
             Self::Product => "product",
-            Self::ProductWithEnds => "product_with_ends",
+            Self::ProductWithEndLoads => "product_with_ends",
         }
     }
 
-    const fn uses_pool(self) -> bool {
-        matches!(self, Self::Product | Self::ProductWithEnds)
+    const fn uses_backend_pool(self) -> bool {
+        matches!(self, Self::Product | Self::ProductWithEndLoads)
     }
 }
 
-/// The sizes of one run.
+/// Configuration of one simulation run.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ModelSize {
+pub(super) struct SimulationConfig {
     pub(super) seed: u64,
     pub(super) backends: usize,
     pub(super) entries: usize,
-    /// Part of what the backend servers can do that is asked of them.
+    /// Requested fraction of the backend servers' total capacity.
     pub(super) load: f64,
     pub(super) seconds: u64,
 }
 
-/// How long requests took, from arrival to end.
-pub(super) struct ModelOutcome {
+/// Latencies of the requests, from arrival to end.
+pub(super) struct SimulationResult {
     pub(super) requests: u64,
     pub(super) p50: Duration,
     pub(super) p99: Duration,
-    /// From arrival to the start at a backend server.
+    /// 99th percentile of the time from arrival to the start on a backend server.
     pub(super) wait_p99: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive { job: usize },
-    Finish { job: usize },
+    Arrive { request: usize },
+    Finish { request: usize },
     Report { backend: usize },
     ReportArrives { backend: usize, load: [u32; 2] },
     Refresh { entry: usize },
 }
 
-/// One request.
-struct Job {
+/// A request and the backend server it was sent to.
+struct SimulatedRequest {
     entry: usize,
-    arrived: u64,
-    /// Its length on a backend server of speed 1, in microseconds.
-    length: f64,
-    /// What the entry host takes it for, in milliseconds.
+    arrived_at: u64,
+    /// Service time on a backend server of speed 1, in microseconds.
+    length_micros: f64,
+    /// The entry host's estimate of the service time, in milliseconds.
     cost: u64,
     backend: usize,
     key: Option<BackendKey>,
-    sent: u64,
+    sent_at: u64,
 }
 
-struct Backend {
+struct SimulatedBackend {
     capacity: u32,
     speed: f64,
     running: u32,
     queue: VecDeque<usize>,
 }
 
-struct Entry {
+struct SimulatedEntry {
     pool: BackendPool,
-    own: Vec<u32>,
-    turn: usize,
+    /// Unfinished requests of this entry host per backend server.
+    own_requests: Vec<u32>,
+    round_robin_position: usize,
+    /// Requests that wait for a pick.
     waiting: VecDeque<usize>,
 }
 
-/// Runs the model once.
-pub(super) fn run_model(size: ModelSize, way: PickWay) -> ModelOutcome {
-    let mut model = Model::new(size, way);
-    model.run()
+/// Runs one simulation.
+pub(super) fn run_simulation(config: SimulationConfig, strategy: PickStrategy) -> SimulationResult {
+    let mut simulation = PickSimulation::new(config, strategy);
+    simulation.run()
 }
 
-struct Model {
-    size: ModelSize,
-    way: PickWay,
+struct PickSimulation {
+    config: SimulationConfig,
+    strategy: PickStrategy,
     document: ServiceDocument,
     rng: StdRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    numbers: u64,
-    jobs: Vec<Job>,
-    backends: Vec<Backend>,
-    entries: Vec<Entry>,
-    /// What has arrived of each backend server, with how many reports it has sent.
+    /// Number of events scheduled so far; orders events of the same time.
+    scheduled_events: u64,
+    requests: Vec<SimulatedRequest>,
+    backends: Vec<SimulatedBackend>,
+    entries: Vec<SimulatedEntry>,
+    /// Last report that has arrived from each backend server, with the number of its reports that
+    /// have arrived.
     reports: Vec<(LoadReport, u64)>,
-    has_news: bool,
+    has_new_reports: bool,
     generation: u64,
     latencies: Histogram<u64>,
     waits: Histogram<u64>,
 }
 
-impl Model {
-    fn new(size: ModelSize, way: PickWay) -> Self {
-        let mut rng = StdRng::seed_from_u64(size.seed);
-        // A quarter is small, a quarter is large; speeds differ by four.
-        let backends: Vec<Backend> = (0..size.backends)
-            .map(|_| Backend {
+impl PickSimulation {
+    fn new(config: SimulationConfig, strategy: PickStrategy) -> Self {
+        let mut rng = StdRng::seed_from_u64(config.seed);
+        // On average a quarter has capacity 4, half 8 and a quarter 16. Speeds differ by up to a
+        // factor of four.
+        let backends: Vec<SimulatedBackend> = (0..config.backends)
+            .map(|_| SimulatedBackend {
                 capacity: [4, 8, 8, 16][rng.random_range(0..4)],
                 speed: rng.random_range(0.5..2.0),
                 running: 0,
                 queue: VecDeque::new(),
             })
             .collect();
-        let reports = backends.iter().map(|one| (report_of(one), 0)).collect();
-        let entries = (0..size.entries)
-            .map(|number| Entry {
-                pool: BackendPool::new(size.seed + number as u64),
-                own: vec![0; size.backends],
-                turn: number,
+        let reports = backends
+            .iter()
+            .map(|backend| (report_of(backend), 0))
+            .collect();
+        let entries = (0..config.entries)
+            .map(|number| SimulatedEntry {
+                pool: BackendPool::new(config.seed + number as u64),
+                own_requests: vec![0; config.backends],
+                round_robin_position: number,
                 waiting: VecDeque::new(),
             })
             .collect();
         Self {
-            size,
-            way,
+            config,
+            strategy,
             document: document(1),
             rng,
             events: BinaryHeap::new(),
-            numbers: 0,
-            jobs: Vec::new(),
+            scheduled_events: 0,
+            requests: Vec::new(),
             backends,
             entries,
             reports,
-            has_news: true,
+            has_new_reports: true,
             generation: 0,
             latencies: new_histogram(),
             waits: new_histogram(),
         }
     }
 
-    fn run(&mut self) -> ModelOutcome {
-        self.make_arrivals();
-        for backend in 0..self.size.backends {
-            let first = self.rng.random_range(0..REPORT_EVERY);
+    fn run(&mut self) -> SimulationResult {
+        self.schedule_arrivals();
+        for backend in 0..self.config.backends {
+            let first = self.rng.random_range(0..REPORT_INTERVAL_MICROS);
             self.schedule(first, Event::Report { backend });
         }
-        for entry in 0..self.size.entries {
+        for entry in 0..self.config.entries {
             self.schedule(0, Event::Refresh { entry });
         }
-        let mut open = self.jobs.len();
-        while open > 0 {
+        let mut unfinished = self.requests.len();
+        while unfinished > 0 {
             let Some(Reverse((now, _, event))) = self.events.pop() else {
                 break;
             };
             if matches!(event, Event::Finish { .. }) {
-                open -= 1;
+                unfinished -= 1;
             }
             self.handle(event, now);
         }
-        ModelOutcome {
+        SimulationResult {
             requests: self.latencies.len(),
             p50: Duration::from_micros(self.latencies.value_at_quantile(0.5)),
             p99: Duration::from_micros(self.latencies.value_at_quantile(0.99)),
@@ -210,127 +220,129 @@
         }
     }
 
-    /// The same arrivals for every way of picking: they are drawn before anything else happens.
-    fn make_arrivals(&mut self) {
-        let work: f64 = self
+    /// Schedules all arrivals. They are drawn before any pick or report, so that every strategy
+    /// gets the same arrivals for a seed.
+    fn schedule_arrivals(&mut self) {
+        let total_speed: f64 = self
             .backends
             .iter()
             .map(|backend| f64::from(backend.capacity) * backend.speed)
             .sum();
-        // The mean length is one second at speed 1.
-        let gap = MICROS_PER_SECOND / (work * self.size.load);
-        let end = Duration::from_secs(self.size.seconds).as_secs_f64() * MICROS_PER_SECOND;
+        // The mean service time is one second at speed 1.
+        let mean_gap = MICROS_PER_SECOND / (total_speed * self.config.load);
+        let end = Duration::from_secs(self.config.seconds).as_secs_f64() * MICROS_PER_SECOND;
         let mut at = 0.0;
         while at < end {
-            at += gap * exponential(&mut self.rng);
-            // One request in ten is long.
+            at += mean_gap * exponential(&mut self.rng);
+            // One request in ten has a mean of 5.5 s, the others of 0.5 s.
             let mean = if self.rng.random_range(0..10) == 0 {
                 5.5
             } else {
                 0.5
             };
-            let length = mean * MICROS_PER_SECOND * exponential(&mut self.rng);
-            // What a request asks for is not what it gets.
-            let guess = self.rng.random_range(0.5..2.0);
-            let job = self.jobs.len();
-            let arrived = whole(at);
-            self.jobs.push(Job {
-                entry: self.rng.random_range(0..self.size.entries),
-                arrived,
-                length,
-                cost: whole(length * guess / 1_000.0),
+            let length_micros = mean * MICROS_PER_SECOND * exponential(&mut self.rng);
+            // The estimate from the request is wrong by up to a factor of two.
+            let cost_error = self.rng.random_range(0.5..2.0);
+            let request = self.requests.len();
+            let arrived_at = truncate_to_u64(at);
+            self.requests.push(SimulatedRequest {
+                entry: self.rng.random_range(0..self.config.entries),
+                arrived_at,
+                length_micros,
+                cost: truncate_to_u64(length_micros * cost_error / 1_000.0),
                 backend: 0,
                 key: None,
-                sent: 0,
+                sent_at: 0,
             });
-            self.schedule(arrived, Event::Arrive { job });
+            self.schedule(arrived_at, Event::Arrive { request });
         }
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
-        self.numbers += 1;
-        self.events.push(Reverse((at, self.numbers, event)));
+        self.scheduled_events += 1;
+        self.events
+            .push(Reverse((at, self.scheduled_events, event)));
     }
 
     fn handle(&mut self, event: Event, now: u64) {
         match event {
-            Event::Arrive { job } => {
-                let entry = self.jobs[job].entry;
-                self.entries[entry].waiting.push_back(job);
+            Event::Arrive { request } => {
+                let entry = self.requests[request].entry;
+                self.entries[entry].waiting.push_back(request);
                 self.send_waiting(entry, now);
             }
-            Event::Finish { job } => self.finish(job, now),
+            Event::Finish { request } => self.finish(request, now),
             Event::Report { backend } => {
                 let report = report_of(&self.backends[backend]);
-                let lag = self.rng.random_range(REPORT_LAG);
+                let delay = self.rng.random_range(REPORT_DELAY_MICROS);
                 let load = [report.running, report.waiting];
-                self.schedule(now + lag, Event::ReportArrives { backend, load });
-                self.schedule(now + REPORT_EVERY, Event::Report { backend });
+                self.schedule(now + delay, Event::ReportArrives { backend, load });
+                self.schedule(now + REPORT_INTERVAL_MICROS, Event::Report { backend });
             }
             Event::ReportArrives { backend, load } => {
                 let (report, sequence) = &mut self.reports[backend];
                 [report.running, report.waiting] = load;
                 *sequence += 1;
-                self.has_news = true;
+                self.has_new_reports = true;
             }
             Event::Refresh { entry } => {
-                if self.way.uses_pool() {
+                if self.strategy.uses_backend_pool() {
                     self.refresh(entry, now);
                     self.send_waiting(entry, now);
                 }
-                self.schedule(now + REFRESH_EVERY, Event::Refresh { entry });
+                self.schedule(now + REFRESH_INTERVAL_MICROS, Event::Refresh { entry });
             }
         }
     }
 
     fn refresh(&mut self, entry_number: usize, now: u64) {
-        if std::mem::take(&mut self.has_news) {
+        if std::mem::take(&mut self.has_new_reports) {
             self.generation += 1;
         }
-        let snapshot = snapshot(self.generation, self.size.entries, &self.reports);
+        let snapshot = snapshot(self.generation, self.config.entries, &self.reports);
         let identity = entry(entry_number);
         let pool = &mut self.entries[entry_number].pool;
         pool.refresh(&snapshot, &self.document, &identity, ClockTime(now));
     }
 
     fn send_waiting(&mut self, entry: usize, now: u64) {
-        while let Some(job) = self.entries[entry].waiting.front().copied() {
+        while let Some(request) = self.entries[entry].waiting.front().copied() {
             let Some((backend, key)) = self.pick(entry, now) else {
                 return;
             };
             self.entries[entry].waiting.pop_front();
-            self.entries[entry].own[backend] += 1;
-            self.jobs[job].backend = backend;
-            self.jobs[job].key = key;
-            self.jobs[job].sent = now;
-            self.backends[backend].queue.push_back(job);
+            self.entries[entry].own_requests[backend] += 1;
+            self.requests[request].backend = backend;
+            self.requests[request].key = key;
+            self.requests[request].sent_at = now;
+            self.backends[backend].queue.push_back(request);
             self.start_queued(backend, now);
         }
     }
 
     fn pick(&mut self, entry: usize, now: u64) -> Option<(usize, Option<BackendKey>)> {
-        let count = self.size.backends;
+        let count = self.config.backends;
         let entry = &mut self.entries[entry];
-        match self.way {
-            PickWay::Random => Some((self.rng.random_range(0..count), None)),
-            PickWay::RoundRobin => {
-                entry.turn += 1;
-                Some((entry.turn % count, None))
+        match self.strategy {
+            PickStrategy::Random => Some((self.rng.random_range(0..count), None)),
+            PickStrategy::RoundRobin => {
+                entry.round_robin_position += 1;
+                Some((entry.round_robin_position % count, None))
             }
-            PickWay::LeastOwn => {
+            PickStrategy::LeastOwnRequests => {
                 let start = self.rng.random_range(0..count);
-                let circle = (0..count).map(|step| (start + step) % count);
-                let least = circle.min_by_key(|backend| entry.own[*backend])?;
-                Some((least, None))
+                let candidates = (0..count).map(|step| (start + step) % count);
+                let chosen = candidates.min_by_key(|backend| entry.own_requests[*backend])?;
+                Some((chosen, None))
             }
-            PickWay::Product | PickWay::ProductWithEnds => {
-                let wish = PickCriteria {
+            PickStrategy::Product | PickStrategy::ProductWithEndLoads => {
+                let criteria = PickCriteria {
                     target: PickTarget::Any,
                     urgent: false,
                     prefix: None,
                     avoid: None,
                 };
-                let picked = entry.pool.pick(&wish, ClockTime(now)).ok()?;
+                let picked = entry.pool.pick(&criteria, ClockTime(now)).ok()?;
                 Some((backend_number(&picked.host), Some(picked.key)))
             }
         }
@@ -338,34 +350,39 @@
 
     fn start_queued(&mut self, backend: usize, now: u64) {
         while self.backends[backend].running < self.backends[backend].capacity {
-            let Some(job) = self.backends[backend].queue.pop_front() else {
+            let Some(request) = self.backends[backend].queue.pop_front() else {
                 return;
             };
             self.backends[backend].running += 1;
-            let waited = now - self.jobs[job].arrived;
-            self.waits.record(waited).expect("the histogram grows");
-            let takes = whole(self.jobs[job].length / self.backends[backend].speed);
-            self.schedule(now + takes, Event::Finish { job });
+            let waited = now - self.requests[request].arrived_at;
+            self.waits
+                .record(waited)
+                .expect("the histogram resizes automatically");
+            let service_time = truncate_to_u64(
+                self.requests[request].length_micros / self.backends[backend].speed,
+            );
+            self.schedule(now + service_time, Event::Finish { request });
         }
     }
 
     fn finish(&mut self, number: usize, now: u64) {
-        let job = &self.jobs[number];
-        let (entry, backend, key, cost) = (job.entry, job.backend, job.key, job.cost);
-        let took = Duration::from_micros(now - job.sent);
+        let request = &self.requests[number];
+        let (entry, backend, key, cost) =
+            (request.entry, request.backend, request.key, request.cost);
+        let time_since_send = Duration::from_micros(now - request.sent_at);
         self.latencies
-            .record(now - job.arrived)
-            .expect("the histogram grows");
+            .record(now - request.arrived_at)
+            .expect("the histogram resizes automatically");
         self.backends[backend].running -= 1;
-        self.entries[entry].own[backend] -= 1;
+        self.entries[entry].own_requests[backend] -= 1;
         self.start_queued(backend, now);
         if let Some(key) = key {
             let pool = &mut self.entries[entry].pool;
-            if self.way == PickWay::ProductWithEnds {
+            if self.strategy == PickStrategy::ProductWithEndLoads {
                 let load = report_of(&self.backends[backend]);
-                pool.note_success(key, took, cost, Some(load), ClockTime(now));
+                pool.note_success(key, time_since_send, cost, Some(load), ClockTime(now));
             } else {
-                pool.note_success(key, took, cost, None, ClockTime(now));
+                pool.note_success(key, time_since_send, cost, None, ClockTime(now));
             }
             self.send_waiting(entry, now);
         }
@@ -373,19 +390,19 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new(LATENCY_DIGITS).expect("three digits are allowed")
+    Histogram::new(SIGNIFICANT_DIGITS).expect("three significant digits are valid")
 }
 
-fn report_of(backend: &Backend) -> LoadReport {
+fn report_of(backend: &SimulatedBackend) -> LoadReport {
     LoadReport {
         running: backend.running,
         waiting: u32::try_from(backend.queue.len()).unwrap_or(u32::MAX),
         capacity: backend.capacity,
-        queue_room: QUEUE_ROOM,
+        queue_room: REPORTED_QUEUE_ROOM,
     }
 }
 
-/// An exponentially distributed number with mean 1.
+/// Draws from the exponential distribution with mean 1.
 fn exponential(rng: &mut StdRng) -> f64 {
     -(1.0 - rng.random::<f64>()).ln()
 }
@@ -393,8 +410,8 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "simulated microseconds, from 0 to some minutes"
+    reason = "simulated times are non-negative and a few minutes at most"
 )]
-const fn whole(micros: f64) -> u64 {
+const fn truncate_to_u64(micros: f64) -> u64 {
     micros as u64
 }
