--- a/src/lab/load/command.rs
+++ b/src/lab/load/command.rs
@@ -1,4 +1,5 @@
-//! `savory-lab load`.
+//! The `savory-lab load` subcommand: starts a system, runs the selected parts of the measurement
+//! and prints the report.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -6,20 +7,21 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use serde::Serialize;
 
-use super::parts::{HopReport, LoadParts, RetryReport, ShareReport, UrgentReport};
+use super::measurement::{HopReport, LoadMeasurement, RetryReport, ShareReport, UrgentReport};
 use crate::errors::SwitchResult;
 use crate::lab::calls::CallClass;
 use crate::lab::launch::{Company, LabSystem, SystemShape};
 use crate::lab::quickstart::{first_spread, start_runner, wait_until_served};
 use crate::lab::run_lab;
 
-/// Engines slow enough that their places, not the machine, are what is short.
-const RUNNING_MAX: u64 = 4;
-const TOKENS_PER_SECOND: u64 = 100;
-/// Between two parts, so that the queues of one do not reach into the next.
-const SETTLE: Duration = Duration::from_secs(12);
+/// Slots per engine. Slots and token rate are low enough that the engines limit the throughput, not
+/// the machine's processors.
+const ENGINE_SLOTS: u64 = 4;
+const ENGINE_TOKENS_PER_SECOND: u64 = 100;
+/// Pause after a part, so that its queues are empty before the next part starts.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
 
-/// The subcommand.
+/// The `load` subcommand.
 pub(crate) fn load_command() -> Command {
     Command::new("load")
         .about("Measures live requests on real processes")
@@ -30,7 +32,9 @@
                 .value_name("NUMBER")
                 .default_value("15")
                 .value_parser(value_parser!(u64).range(2..))
-                .help("How long each part lasts"),
+                .help(
+                    "Duration of each part in seconds; hop sends a fixed number of calls instead",
+                ),
         )
         .arg(
             Arg::new("urgent-rate")
@@ -38,29 +42,32 @@
                 .value_name("NUMBER")
                 .default_value("8")
                 .value_parser(value_parser!(f64))
-                .help("Urgent calls a second; the engines can answer 57 calls of any kind"),
+                .help(
+                    "Urgent calls per second; the engines can answer 57 calls per second in total",
+                ),
         )
         .arg(
             Arg::new("part")
                 .long("part")
                 .value_parser(["urgent", "shares", "retries", "hop"])
-                .help("Only this part"),
+                .help("Runs only this part"),
         )
         .arg(
             Arg::new("company")
                 .long("company")
                 .default_value("auroras")
                 .value_parser(["auroras", "skupno"])
-                .help("Whose data centres and services it has"),
+                .help("Company whose data centres and services the system uses"),
         )
         .arg(
             Arg::new("json")
                 .long("json")
                 .action(ArgAction::SetTrue)
-                .help("Print the result as JSON on one line"),
+                .help("Prints the report as JSON on one line"),
         )
 }
 
+/// Results of the parts that ran.
 #[derive(Debug, Default, Serialize)]
 struct LoadReport {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -71,11 +78,11 @@
     retries: Option<RetryReport>,
     #[serde(skip_serializing_if = "Option::is_none")]
     hop: Option<HopReport>,
-    /// The machine's load average over a minute, before and after; others may work on it too.
+    /// The machine's one-minute load average before and after the parts. Other programs count too.
     machine_load: Vec<String>,
 }
 
-/// Runs it.
+/// Runs the `load` subcommand.
 pub(crate) fn run_load(matches: &ArgMatches) -> ExitCode {
     let company = matches.get_one::<String>("company");
     let company = Company::named(company.map_or("", String::as_str));
@@ -86,17 +93,17 @@
     let prints_json = matches.get_flag("json");
     run_lab(async move {
         let shape = SystemShape {
-            running_max: RUNNING_MAX,
-            tokens_per_second: TOKENS_PER_SECOND,
+            running_max: ENGINE_SLOTS,
+            tokens_per_second: ENGINE_TOKENS_PER_SECOND,
             ..SystemShape::small(company)
         };
         let system = LabSystem::start(shape, || {}).await?;
-        let parts = LoadParts {
+        let measurement = LoadMeasurement {
             system: &system,
-            span: Duration::from_secs(seconds),
+            duration: Duration::from_secs(seconds),
             urgent_rate,
         };
-        let report = measure(&parts, part.as_deref()).await;
+        let report = measure_parts(&measurement, part.as_deref()).await;
         system.end().await;
         let text = if prints_json {
             serde_json::to_string(&report?)
@@ -108,30 +115,35 @@
     })
 }
 
-async fn measure(parts: &LoadParts<'_>, part: Option<&str>) -> SwitchResult<LoadReport> {
-    first_spread(parts.system).await?;
-    wait_until_served(&start_runner(parts.system)?, &[CallClass::Stream]).await?;
-    let is_wanted = |name| part.is_none_or(|part| part == name);
+/// Distributes the weights, waits until the service answers and runs all parts, or only `part`.
+async fn measure_parts(
+    measurement: &LoadMeasurement<'_>,
+    part: Option<&str>,
+) -> SwitchResult<LoadReport> {
+    first_spread(measurement.system).await?;
+    wait_until_served(&start_runner(measurement.system)?, &[CallClass::Stream]).await?;
+    let is_selected = |name| part.is_none_or(|part| part == name);
     let mut report = LoadReport::default();
     report.machine_load.push(machine_load());
-    if is_wanted("hop") {
-        report.hop = Some(parts.hop().await?);
+    if is_selected("hop") {
+        report.hop = Some(measurement.hop().await?);
     }
-    if is_wanted("urgent") {
-        report.urgent = Some(parts.urgent().await?);
-        tokio::time::sleep(SETTLE).await;
+    if is_selected("urgent") {
+        report.urgent = Some(measurement.urgent().await?);
+        tokio::time::sleep(SETTLE_TIME).await;
     }
-    if is_wanted("shares") {
-        report.shares = Some(parts.shares().await?);
-        tokio::time::sleep(SETTLE).await;
+    if is_selected("shares") {
+        report.shares = Some(measurement.shares().await?);
+        tokio::time::sleep(SETTLE_TIME).await;
     }
-    if is_wanted("retries") {
-        report.retries = Some(parts.retries().await?);
+    if is_selected("retries") {
+        report.retries = Some(measurement.retries().await?);
     }
     report.machine_load.push(machine_load());
     Ok(report)
 }
 
+/// Reads the one-minute load average; empty if `/proc/loadavg` is unavailable.
 fn machine_load() -> String {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split(' ').next().unwrap_or_default().to_owned()
