--- a/src/lab/load/measurement.rs
+++ b/src/lab/load/measurement.rs
@@ -35,7 +35,7 @@
 /// Measures a running system. Each method is one part.
 pub(super) struct LoadMeasurement<'a> {
     pub(super) system: &'a LabSystem,
-    /// How long each part sends calls.
+    /// How long each part but `hop` sends calls.
     pub(super) duration: Duration,
     /// Urgent calls per second.
     pub(super) urgent_rate: f64,
@@ -79,7 +79,7 @@
     refused: BTreeMap<String, u64>,
 }
 
-/// Number of retries while every engine refuses all calls.
+/// Retries while every engine refuses all calls.
 #[derive(Debug, Serialize)]
 pub(super) struct RetryReport {
     requests: u64,
--- a/src/lab/weights/burst_cluster.rs
+++ b/src/lab/weights/burst_cluster.rs
@@ -33,7 +33,7 @@
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Memory of a host for weights, in versions of the burst's size.
 const MEMORY_IN_VERSIONS: u64 = 3;
-/// The rollout may take one host out of service at a time per this number of hosts.
+/// The rollout may take one of this many hosts out of service at a time, but at least one.
 const HOSTS_PER_OUT_OF_SERVICE: usize = 8;
 
 /// A host process and its stand-in engine.
@@ -69,8 +69,8 @@
 }
 
 impl BurstCluster {
-    /// Starts all processes and stand-ins, publishes the host list and waits until the processes
-    /// have read it.
+    /// Starts all processes and stand-ins, publishes the host list and gives the processes
+    /// `SETTLE_TIME` to read it.
     ///
     /// # Errors
     ///
