--- a/src/lab/soak/routing.rs
+++ b/src/lab/soak/routing.rs
@@ -9,7 +9,7 @@
 use crate::control::{ControlSnapshot, MemberRecord, MemberState};
 use crate::documents::ServiceKind;
 use crate::errors::ErrorKind;
-use crate::lab::picks::world::{address, document, entry, record};
+use crate::lab::picks::fixtures::{document, entry, member_record, unused_address};
 use crate::membership::{HostIdentity, HostStatus, LoadReport, ServingVersion};
 use crate::routing::{BackendKey, BackendPool, PickCriteria, PickTarget, PickedBackend};
 use crate::stores::HostRole;
@@ -39,7 +39,7 @@
 pub(crate) fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
     let mut case = RoutingCase {
         pool: BackendPool::new(u.arbitrary()?),
-        hosts: (0..HOSTS).map(member_record).collect(),
+        hosts: (0..HOSTS).map(backend_record).collect(),
         listed: vec![false; HOSTS],
         identity: entry(0),
         active_picks: Vec::new(),
@@ -61,8 +61,8 @@
     Ok(())
 }
 
-fn member_record(number: usize) -> MemberRecord {
-    let mut member = record(
+fn backend_record(number: usize) -> MemberRecord {
+    let mut member = member_record(
         format!("backend-{number}").into(),
         HostRole::Backend,
         Some(Arc::new(HostStatus {
@@ -76,7 +76,7 @@
         })),
     );
     member.data_centre = DATA_CENTRES[number % DATA_CENTRES.len()].into();
-    member.peer_address = address();
+    member.peer_address = unused_address();
     member
 }
 
