--- a/src/lab/documents/report.rs
+++ b/src/lab/documents/documents_report.rs
@@ -1,84 +1,86 @@
-//! What a run found.
+//! The report of a run, and the limits that it is checked against.
 
 use macro_rules_attribute::apply;
 
 use crate::derives::message;
 
-/// How long a change may take until it is in force in the last process.
-const IN_FORCE_WITHIN_S: f64 = 4.0;
-/// How long senders may take to learn that a backend server is leaving.
-const LEAVING_KNOWN_WITHIN_S: f64 = 2.0;
+/// Limit, in seconds, until a change is in force in the last process.
+const IN_FORCE_LIMIT_S: f64 = 4.0;
+/// Limit, in seconds, until every entry host knows that a backend server is leaving.
+const LEAVING_KNOWN_LIMIT_S: f64 = 2.0;
 
-/// What a run found.
+/// The results of a run. The field names are the keys of the printed JSON.
 #[apply(message!)]
 #[derive(Default)]
 pub(crate) struct DocumentsReport {
-    /// Makes the same run again.
+    /// The seed, which reproduces the same changes and faults.
     pub(crate) seed: u64,
-    /// Processes that have to have each document in force.
+    /// Number of processes in which each document has to be in force.
     pub(crate) processes: usize,
-    /// Changes that were tried.
+    /// Changes that operators submitted.
     pub(crate) changes: u64,
     /// Changes that were accepted.
     pub(crate) accepted: u64,
-    /// Changes that lost a race or met an outage, and were told so.
+    /// Changes refused because of a concurrent change or an outage.
     pub(crate) refused: u64,
-    /// Changes that were never settled, over all repetitions.
+    /// Changes whose outcome remained unknown after all attempts.
     pub(crate) in_doubt: u64,
-    /// Seconds from acceptance, or from when a process was there again if that came later, until
-    /// the last process had the change in force: half of the changes took less.
+    /// Median time, in seconds, from the acceptance of a change until the last process had it in
+    /// force. For a process that was restarted or paused, the time counts from its return if that
+    /// was later than the acceptance.
     pub(crate) in_force_p50_s: f64,
-    /// 99 in 100 took less.
+    /// 99th percentile of the same time.
     pub(crate) in_force_p99_s: f64,
-    /// The longest.
+    /// Maximum of the same time.
     pub(crate) in_force_max_s: f64,
-    /// Changes that were not in force everywhere when the wait was given up.
+    /// Changes that were not in force in every process within the timeout.
     pub(crate) not_in_force: u64,
-    /// Times that a process had an older version in force than before, restarts included.
+    /// Number of times that a process had an older version in force than before, also across
+    /// restarts.
     pub(crate) reverted: u64,
-    /// Changes told as accepted that the table does not hold.
+    /// Changes reported as accepted that the table does not contain.
     pub(crate) accepted_lost: u64,
-    /// Changes that made two versions.
+    /// Changes stored as more than one version.
     pub(crate) accepted_twice: u64,
-    /// Changes told as refused that the table holds.
+    /// Changes reported as refused that the table contains.
     pub(crate) refused_but_stand: u64,
-    /// The table's reads a second for documents, by all processes together, while nothing changes.
+    /// Table reads for documents per second, all processes together, while no document changes.
     pub(crate) table_reads_per_s: f64,
-    /// The longest time, in seconds, from a backend server's signal to stop until every entry host
-    /// counted it as leaving.
+    /// The longest time, in seconds, from the stop signal to a backend server until every entry
+    /// host listed it as leaving.
     pub(crate) leaving_known_max_s: f64,
-    /// How often each fault struck.
+    /// One entry per fault that was injected.
     pub(crate) faults: Vec<FaultCount>,
-    /// The worst changes, for finding a cause.
-    pub(crate) slowest: Vec<SlowChange>,
+    /// The slowest changes, slowest first, for diagnosis.
+    pub(crate) slowest: Vec<ChangeTiming>,
 }
 
-/// How often a fault struck.
+/// The changes during which one fault was injected.
 #[apply(message!)]
 pub(crate) struct FaultCount {
-    /// The fault.
+    /// Name of the fault.
     pub(crate) fault: String,
-    /// How often.
+    /// Number of changes.
     pub(crate) count: u64,
-    /// The longest that a change took with it.
+    /// The longest time, in seconds, until such a change was in force everywhere.
     pub(crate) in_force_max_s: f64,
 }
 
-/// One change.
+/// Time that one change took until it was in force in every process.
 #[apply(message!)]
-pub(crate) struct SlowChange {
-    /// Its place in the run.
+pub(crate) struct ChangeTiming {
+    /// Index of the change in the run.
     pub(crate) change: u64,
-    /// The fault that struck.
+    /// Name of the injected fault.
     pub(crate) fault: String,
-    /// The process that was last.
+    /// Host of the slowest process.
     pub(crate) last: String,
-    /// How long it took there.
+    /// Time, in seconds, until the change was in force there.
     pub(crate) seconds: f64,
 }
 
 impl DocumentsReport {
-    /// Whether nothing was lost, doubled, reverted or late.
+    /// Returns whether no change was lost, duplicated, reverted, late or without a known outcome.
     pub(crate) fn held(&self) -> bool {
         self.reverted == 0
             && self.accepted_lost == 0
@@ -86,11 +88,11 @@
             && self.refused_but_stand == 0
             && self.not_in_force == 0
             && self.in_doubt == 0
-            && self.in_force_max_s <= IN_FORCE_WITHIN_S
-            && self.leaving_known_max_s <= LEAVING_KNOWN_WITHIN_S
+            && self.in_force_max_s <= IN_FORCE_LIMIT_S
+            && self.leaving_known_max_s <= LEAVING_KNOWN_LIMIT_S
     }
 
-    /// Prints it, as JSON or for people.
+    /// Prints the report to standard output, as JSON if `is_json` is set, and as text otherwise.
     pub(crate) fn print(&self, is_json: bool) {
         if is_json {
             println!("{}", serde_json::to_string(self).unwrap_or_default());
--- a/src/lab/documents/mod.rs
+++ b/src/lab/documents/mod.rs
@@ -1,14 +1,14 @@
-//! `savory-lab documents`: changes of documents on real processes, with faults, and how long each
-//! takes until it is in force in the last process.
+//! `savory-lab documents`: changes service documents on a running system, optionally with injected
+//! faults, and measures how long each change takes until every process has it in force.
 
+mod change_fault;
 mod command;
-mod fault_plan;
-mod judge;
-mod leaving;
-mod observer;
-mod operators;
-mod report;
-mod run;
-mod strike;
+mod documents_report;
+mod documents_run;
+mod evaluation;
+mod fault_injection;
+mod leaving_detection;
+mod operator_change;
+mod version_observer;
 
 pub(crate) use command::{documents_command, run_documents};
