--- a/src/lab/faults/command.rs
+++ b/src/lab/faults/command.rs
@@ -1,56 +1,61 @@
-//! `savory-lab faults`.
+//! The `savory-lab faults` subcommand: its flags and its entry point.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::disturbance::FaultDeed;
+use super::disturbance::DisturbanceKind;
 use super::fault_run::FaultRun;
 use crate::lab::launch::Company;
 use crate::lab::run_lab;
 
-const DEEDS: [&str; 12] = [
-    FaultDeed::Kill.name(),
-    FaultDeed::Freeze.name(),
-    FaultDeed::Drain.name(),
-    FaultDeed::Down.name(),
-    FaultDeed::Slow.name(),
-    FaultDeed::LoseAnswers.name(),
-    FaultDeed::SilenceOpen.name(),
-    FaultDeed::Lag.name(),
-    FaultDeed::BadChunks.name(),
-    FaultDeed::BadStreams.name(),
-    FaultDeed::Refuse.name(),
-    FaultDeed::NewVersion.name(),
+/// Values of `--only`.
+const KIND_NAMES: [&str; 12] = [
+    DisturbanceKind::Kill.name(),
+    DisturbanceKind::Freeze.name(),
+    DisturbanceKind::Drain.name(),
+    DisturbanceKind::Down.name(),
+    DisturbanceKind::Slow.name(),
+    DisturbanceKind::LoseAnswers.name(),
+    DisturbanceKind::SilenceOpen.name(),
+    DisturbanceKind::Lag.name(),
+    DisturbanceKind::BadChunks.name(),
+    DisturbanceKind::BadStreams.name(),
+    DisturbanceKind::Refuse.name(),
+    DisturbanceKind::NewVersion.name(),
 ];
 
-/// The subcommand.
+/// Returns the `faults` subcommand with its flags.
 pub(crate) fn faults_command() -> Command {
     Command::new("faults")
-        .about("Disturbs real processes under load and checks every answer")
+        .about("Disturbs a running system under load and checks the outcome of every call")
         .after_help("Example:\n  savory-lab faults --seed 7 --seconds 60 --json")
-        .arg(number("seed", "1", "Draws the disturbances"))
-        .arg(number("seconds", "30", "How long the system is disturbed"))
-        .arg(number(
+        .arg(number_arg("seed", "1", "Seed of the disturbances"))
+        .arg(number_arg(
+            "seconds",
+            "30",
+            "How long the system is disturbed",
+        ))
+        .arg(number_arg(
             "rate",
             "40",
-            "Calls a second, of all classes together",
+            "Calls per second, of all classes together",
         ))
         .arg(
             Arg::new("company")
                 .long("company")
                 .default_value("auroras")
                 .value_parser(["auroras", "skupno"])
-                .help("Whose data centres and services it has"),
+                .help("Sample company whose data centres and services are used"),
         )
         .arg(
             Arg::new("only")
                 .long("only")
-                .value_name("DEED,…")
+                .value_name("KIND,…")
                 .value_delimiter(',')
-                .value_parser(DEEDS)
-                .help("Do only these; all when it is not given"),
+                .value_parser(KIND_NAMES)
+                .help("Start only disturbances of these kinds; default: all kinds"),
         )
         .arg(
             Arg::new("json")
@@ -59,14 +64,13 @@
                 .help("Print the result as JSON"),
         )
         .arg(
-            Arg::new("logs")
-                .long("logs")
-                .value_name("FILE")
-                .help("Write every process's log there"),
+            Arg::new("logs").long("logs").value_name("FILE").help(
+                "Write the timeline of disturbances and the logs of all processes to this file",
+            ),
         )
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("NUMBER")
@@ -75,18 +79,18 @@
         .help(help)
 }
 
-/// Runs it.
+/// Runs the subcommand with the parsed flags; the exit code is 0 if every check held.
 pub(crate) fn run_faults(matches: &ArgMatches) -> ExitCode {
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or(1);
     let company = matches.get_one::<String>("company");
     let run = FaultRun {
         company: Company::named(company.map_or("", String::as_str)),
         seed: number("seed"),
-        span: Duration::from_secs(number("seconds")),
+        duration: Duration::from_secs(number("seconds")),
         rate: number("rate"),
-        only: matches
+        only_kinds: matches
             .get_many::<String>("only")
-            .map(|deeds| deeds.cloned().collect())
+            .map(|kinds| kinds.cloned().collect())
             .unwrap_or_default(),
         prints_json: matches.get_flag("json"),
         logs: matches.get_one::<String>("logs").map(Into::into),
--- a/src/lab/faults/disturbance.rs
+++ b/src/lab/faults/disturbance.rs
@@ -1,4 +1,4 @@
-//! What can be done to a running system, and how it is drawn.
+//! The disturbances of a running system, and how they are drawn at random.
 
 use std::time::Duration;
 
@@ -8,57 +8,56 @@
 
 use crate::derives::key;
 
-/// What a disturbance is done to. At most one disturbance per target at a time.
+/// What a disturbance acts on. A target has at most one disturbance at a time.
 #[apply(key!)]
-pub(super) enum FaultTarget {
-    /// An entry host, by its place.
+pub(super) enum DisturbanceTarget {
+    /// The entry host with this index.
     Entry(usize),
-    /// A host process, by its place.
+    /// The host process with this index.
     Host(usize),
-    /// An engine or plain service, by its place.
+    /// The engine or plain service of the backend server with this index.
     Engine(usize),
-    /// The table.
+    /// The stand-in of the table.
     Table,
-    /// The object store.
-    /// The list of hosts.
-    List,
-    /// The origin of weights.
+    /// The stand-in of the host list.
+    HostList,
+    /// The stand-in of the weights origin.
     Origin,
     /// The model service's document.
     Document,
 }
 
-/// What is done.
+/// The kind of a disturbance.
 #[apply(key!)]
-pub(super) enum FaultDeed {
-    /// Killed, and started anew later.
+pub(super) enum DisturbanceKind {
+    /// The process is killed, and restarted later.
     Kill,
-    /// Stopped in its tracks, and let go on later.
+    /// The process is paused, and resumed later.
     Freeze,
-    /// Asked for a graceful stop, and started anew when it has ended.
+    /// A graceful stop of the process is requested; it is restarted when it has ended.
     Drain,
-    /// Answers nothing but 503.
+    /// Every request is answered with 503.
     Down,
-    /// Answers late.
+    /// Responses are delayed.
     Slow,
-    /// Half of the answers to writes are lost.
+    /// Half of the responses to writes are lost.
     LoseAnswers,
-    /// Open connections go silent.
+    /// Open connections stop responding.
     SilenceOpen,
-    /// Shows what was some seconds ago.
+    /// The host list or engine report is some seconds old.
     Lag,
-    /// Sends corrupt, stalled and short chunks.
+    /// Some chunk responses are corrupt, stalled, truncated or rate-limited.
     BadChunks,
-    /// Streams break off, or carry tokens of other requests.
+    /// Streams end early or contain tokens of other requests, and cache events are lost.
     BadStreams,
-    /// Refuses to generate.
+    /// The engine refuses to generate.
     Refuse,
-    /// A new version of the weights is put.
+    /// A new version of the weights is published and set as target.
     NewVersion,
 }
 
-impl FaultDeed {
-    /// Its name in the output.
+impl DisturbanceKind {
+    /// Returns the name used in the report and in `--only`.
     pub(super) const fn name(self) -> &'static str {
         match self {
             Self::Kill => "kill",
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Whether it is done by a fault of a stand-in.
+    /// Returns whether this kind is implemented by the fault settings of a stand-in.
     pub(super) const fn is_stand_in_fault(self) -> bool {
         !matches!(
             self,
@@ -85,94 +84,107 @@
     }
 }
 
-/// One disturbance.
+/// One disturbance of a target.
 #[apply(key!)]
 pub(super) struct Disturbance {
-    /// To what.
-    pub(super) target: FaultTarget,
-    /// What.
-    pub(super) deed: FaultDeed,
-    /// How long until it is undone.
-    pub(super) lasts: Duration,
+    /// What it acts on.
+    pub(super) target: DisturbanceTarget,
+    /// Its kind.
+    pub(super) kind: DisturbanceKind,
+    /// Time until it is undone; unused for graceful stops and new weights.
+    pub(super) duration: Duration,
 }
 
-/// How many targets of each kind there are.
+/// Number of targets in a system.
 #[apply(key!)]
 pub(super) struct TargetCounts {
     /// Entry hosts.
     pub(super) entries: usize,
     /// Backend servers.
     pub(super) backends: usize,
-    /// How many of them, the first ones, are model engines.
+    /// Number of backend servers with a model engine; they have the lowest indices.
     pub(super) models: usize,
 }
 
-/// Draws of a wanted deed before a turn is left out.
-const DRAWS_MAX: u32 = 200;
+/// Maximum number of draws for one of the selected kinds.
+const MAX_DRAWS: u32 = 200;
 
 impl Disturbance {
-    /// Draws the next one, among the deeds named in `only` if any are.
+    /// Draws the next disturbance, of one of the kinds named in `only`, or of any kind if `only` is
+    /// empty. Returns `None` if no draw gives one of these kinds.
     pub(super) fn draw(random: &mut StdRng, counts: TargetCounts, only: &[String]) -> Option<Self> {
-        let mut draws = (0..DRAWS_MAX).map(|_| Self::draw_any(random, counts));
-        draws.find(|drawn| only.is_empty() || only.iter().any(|name| name == drawn.deed.name()))
+        let mut draws = (0..MAX_DRAWS).map(|_| Self::draw_any(random, counts));
+        draws.find(|drawn| only.is_empty() || only.iter().any(|name| name == drawn.kind.name()))
     }
 
+    /// Draws a disturbance of any kind.
     fn draw_any(random: &mut StdRng, counts: TargetCounts) -> Self {
         let target = draw_target(random, counts);
-        let deed = draw_deed(random, target, counts);
+        let kind = draw_kind(random, target, counts);
         Self {
             target,
-            deed,
-            lasts: draw_span(random, deed),
+            kind,
+            duration: draw_duration(random, kind),
         }
     }
 }
 
-fn draw_target(random: &mut StdRng, counts: TargetCounts) -> FaultTarget {
+/// Draws a target; the ranges are its probability in percent.
+fn draw_target(random: &mut StdRng, counts: TargetCounts) -> DisturbanceTarget {
     match random.random_range(0..100) {
-        0..18 => FaultTarget::Entry(random.random_range(0..counts.entries)),
-        18..48 => FaultTarget::Host(random.random_range(0..counts.backends)),
-        48..68 => FaultTarget::Engine(random.random_range(0..counts.backends)),
-        68..82 => FaultTarget::Table,
-        86..89 => FaultTarget::List,
-        89..92 => FaultTarget::Origin,
-        _ => FaultTarget::Document,
+        0..18 => DisturbanceTarget::Entry(random.random_range(0..counts.entries)),
+        18..48 => DisturbanceTarget::Host(random.random_range(0..counts.backends)),
+        48..68 => DisturbanceTarget::Engine(random.random_range(0..counts.backends)),
+        68..82 => DisturbanceTarget::Table,
+        86..89 => DisturbanceTarget::HostList,
+        89..92 => DisturbanceTarget::Origin,
+        // The remaining values, 82 to 85 and from 92.
+        _ => DisturbanceTarget::Document,
     }
 }
 
-fn draw_deed(random: &mut StdRng, target: FaultTarget, counts: TargetCounts) -> FaultDeed {
-    use FaultDeed as Deed;
-    let deeds: &[FaultDeed] = match target {
-        FaultTarget::Entry(_) | FaultTarget::Host(_) => &[Deed::Kill, Deed::Freeze, Deed::Drain],
-        FaultTarget::Engine(place) if place < counts.models => &[
-            Deed::Kill,
-            Deed::Freeze,
-            Deed::BadStreams,
-            Deed::Refuse,
-            Deed::Lag,
-            Deed::SilenceOpen,
+/// Draws one of the kinds that apply to `target`.
+fn draw_kind(
+    random: &mut StdRng,
+    target: DisturbanceTarget,
+    counts: TargetCounts,
+) -> DisturbanceKind {
+    use DisturbanceKind as Kind;
+    let kinds: &[DisturbanceKind] = match target {
+        DisturbanceTarget::Entry(_) | DisturbanceTarget::Host(_) => {
+            &[Kind::Kill, Kind::Freeze, Kind::Drain]
+        }
+        DisturbanceTarget::Engine(index) if index < counts.models => &[
+            Kind::Kill,
+            Kind::Freeze,
+            Kind::BadStreams,
+            Kind::Refuse,
+            Kind::Lag,
+            Kind::SilenceOpen,
         ],
-        // A plain service keeps the record by which the calls are judged, so it is never killed.
-        FaultTarget::Engine(_) => &[Deed::Freeze, Deed::SilenceOpen, Deed::Slow, Deed::Down],
-        FaultTarget::Table => &[
-            Deed::Down,
-            Deed::Slow,
-            Deed::LoseAnswers,
-            Deed::SilenceOpen,
-            Deed::Freeze,
+        // A plain service holds the record that the calls are checked against, and would lose it if
+        // it were killed.
+        DisturbanceTarget::Engine(_) => &[Kind::Freeze, Kind::SilenceOpen, Kind::Slow, Kind::Down],
+        DisturbanceTarget::Table => &[
+            Kind::Down,
+            Kind::Slow,
+            Kind::LoseAnswers,
+            Kind::SilenceOpen,
+            Kind::Freeze,
         ],
-        FaultTarget::List => &[Deed::Down, Deed::Lag],
-        FaultTarget::Origin => &[Deed::Down, Deed::BadChunks],
-        FaultTarget::Document => &[Deed::NewVersion],
+        DisturbanceTarget::HostList => &[Kind::Down, Kind::Lag],
+        DisturbanceTarget::Origin => &[Kind::Down, Kind::BadChunks],
+        DisturbanceTarget::Document => &[Kind::NewVersion],
     };
-    deeds[random.random_range(0..deeds.len())]
+    kinds[random.random_range(0..kinds.len())]
 }
 
-fn draw_span(random: &mut StdRng, deed: FaultDeed) -> Duration {
-    let longest_ms = match deed {
-        // Beyond the length of a lease now and then.
-        FaultDeed::Freeze | FaultDeed::Down if random.random_range(0..5) == 0 => 20_000,
-        FaultDeed::Kill => 3_000,
+/// Draws the time until a disturbance of `kind` is undone.
+fn draw_duration(random: &mut StdRng, kind: DisturbanceKind) -> Duration {
+    let longest_ms = match kind {
+        // One in five may exceed the duration of a lease.
+        DisturbanceKind::Freeze | DisturbanceKind::Down if random.random_range(0..5) == 0 => 20_000,
+        DisturbanceKind::Kill => 3_000,
         _ => 6_000,
     };
     Duration::from_millis(random.random_range(300..longest_ms))
--- a/src/lab/faults/fault_driver.rs
+++ b/src/lab/faults/fault_driver.rs
@@ -1,4 +1,4 @@
-//! Does the disturbances to the system and undoes them in time.
+//! Starts the disturbances of a system and undoes them when they are due.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::disturbance::{Disturbance, FaultDeed, FaultTarget, TargetCounts};
+use super::disturbance::{Disturbance, DisturbanceKind, DisturbanceTarget, TargetCounts};
 use crate::errors::SwitchResult;
 use crate::lab::calls::EntryBoard;
 use crate::lab::launch::{ChildProcess, LabSystem, put_document};
@@ -16,313 +16,349 @@
 use crate::time::{ClockTime, clock_now, wall_now};
 use crate::weights::WeightsDigest;
 
-const STEP: Duration = Duration::from_millis(20);
-const AT_A_TIME_MAX: usize = 4;
-/// How long a graceful stop may take before it counts as one that did not end.
-const STOP_WITHIN: Duration = Duration::from_mins(1);
-const PUT_WITHIN: Duration = Duration::from_secs(3);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of concurrent disturbances.
+const MAX_ACTIVE: usize = 4;
+/// After this long, a graceful stop counts as failed.
+const STOP_TIMEOUT: Duration = Duration::from_mins(1);
+/// Timeout for the update of the document with new weights.
+const PUT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay of each response of a slow stand-in, in milliseconds.
 const SLOW_MS: u64 = 700;
+/// Age of what a lagging stand-in reports, in milliseconds.
 const LAG_MS: u64 = 2_500;
 const WEIGHTS_BYTES: usize = 1024 * 1024;
 
-/// What was done.
+/// What was done to the system in a run.
 #[derive(Debug, Default)]
-pub(super) struct FaultTally {
-    /// How often each deed was done.
-    pub(super) deeds: BTreeMap<&'static str, u64>,
-    /// Graceful stops that did not end well or in time.
+pub(super) struct DisturbanceRecord {
+    /// Number of disturbances by kind.
+    pub(super) counts: BTreeMap<&'static str, u64>,
+    /// Graceful stops that ended with an error or not in time.
     pub(super) bad_stops: Vec<String>,
-    /// What was done when, for finding a cause.
+    /// When each disturbance was started and undone, in wall-clock time, for diagnosis.
     pub(super) timeline: Vec<String>,
-    /// Every version of the weights that was published.
+    /// The digest of every version of the weights that was published.
     pub(super) versions: Vec<WeightsDigest>,
 }
 
-/// Disturbs a system.
+/// Starts and undoes random disturbances of a system.
 pub(super) struct FaultDriver<'a> {
     system: &'a mut LabSystem,
     board: EntryBoard,
-    /// The deeds that are done; all when it is empty.
-    only: Vec<String>,
+    /// Names of the kinds to start; all kinds if empty.
+    only_kinds: Vec<String>,
     random: StdRng,
-    /// What is under way, with the time at which it is to be undone.
-    under_way: Vec<(ClockTime, Disturbance)>,
+    /// Active disturbances, each with the time at which it is due to be undone.
+    active: Vec<(ClockTime, Disturbance)>,
+    /// The latest accepted version of the model service's document.
     document_version: u64,
-    tally: FaultTally,
+    record: DisturbanceRecord,
 }
 
 impl<'a> FaultDriver<'a> {
-    /// A driver over a system whose model service runs `first`, put as version 1 of its document.
+    /// Creates a driver for a system whose model service runs `first_weights`, set as target in
+    /// version 1 of its document.
     pub(super) fn new(
         system: &'a mut LabSystem,
         board: EntryBoard,
         seed: u64,
-        first: WeightsDigest,
+        first_weights: WeightsDigest,
     ) -> Self {
-        let tally = FaultTally {
-            versions: vec![first],
-            ..FaultTally::default()
+        let record = DisturbanceRecord {
+            versions: vec![first_weights],
+            ..DisturbanceRecord::default()
         };
         Self {
             system,
             board,
-            only: Vec::new(),
+            only_kinds: Vec::new(),
             random: StdRng::seed_from_u64(seed),
-            under_way: Vec::new(),
+            active: Vec::new(),
             document_version: 1,
-            tally,
+            record,
         }
     }
 
-    /// Does only the deeds that `only` names.
-    pub(super) fn only(mut self, only: Vec<String>) -> Self {
-        self.only = only;
+    /// Limits the driver to the kinds named in `only_kinds`; an empty list selects all.
+    pub(super) fn only_kinds(mut self, only_kinds: Vec<String>) -> Self {
+        self.only_kinds = only_kinds;
         self
     }
 
-    /// Disturbs the system for `span`, then undoes all that is still under way.
-    pub(super) async fn run(mut self, span: Duration) -> SwitchResult<FaultTally> {
-        let begun = clock_now();
-        let mut next_at = begun;
-        while clock_now().since(begun) < span {
+    /// Disturbs the system for `duration`, then undoes all disturbances that are still active and
+    /// waits for graceful stops to end.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a disturbance cannot be started or undone.
+    pub(super) async fn run(mut self, duration: Duration) -> SwitchResult<DisturbanceRecord> {
+        let started_at = clock_now();
+        let mut next_disturbance_at = started_at;
+        while clock_now().since(started_at) < duration {
             self.undo_due(clock_now()).await?;
-            if clock_now() >= next_at {
+            if clock_now() >= next_disturbance_at {
                 self.disturb(clock_now()).await?;
                 let pause = self.random.random_range(100..900);
-                next_at = clock_now() + Duration::from_millis(pause);
+                next_disturbance_at = clock_now() + Duration::from_millis(pause);
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        for (due, disturbance) in &mut self.under_way {
-            if disturbance.deed != FaultDeed::Drain {
+        for (due, disturbance) in &mut self.active {
+            if disturbance.kind != DisturbanceKind::Drain {
                 *due = ClockTime::default();
             }
         }
-        while !self.under_way.is_empty() {
+        while !self.active.is_empty() {
             self.undo_due(clock_now()).await?;
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Ok(self.tally)
+        Ok(self.record)
     }
 
+    /// Draws a disturbance and starts it, if it is allowed at present.
     async fn disturb(&mut self, now: ClockTime) -> SwitchResult<()> {
         let counts = TargetCounts {
             entries: self.system.entries.len(),
             backends: self.system.backends.len(),
             models: self.system.shape.models,
         };
-        let drawn = Disturbance::draw(&mut self.random, counts, &self.only);
-        let Some(disturbance) = drawn.filter(|drawn| self.may_begin(drawn)) else {
+        let drawn = Disturbance::draw(&mut self.random, counts, &self.only_kinds);
+        let Some(disturbance) = drawn.filter(|drawn| self.may_start(drawn)) else {
             return Ok(());
         };
-        *self.tally.deeds.entry(disturbance.deed.name()).or_default() += 1;
-        self.note(&format!("{disturbance:?}"));
-        self.begin(&disturbance).await?;
-        let lasts = match disturbance.deed {
-            FaultDeed::Drain => STOP_WITHIN,
-            FaultDeed::NewVersion => return Ok(()),
-            _ => disturbance.lasts,
+        *self
+            .record
+            .counts
+            .entry(disturbance.kind.name())
+            .or_default() += 1;
+        self.add_to_timeline(&format!("{disturbance:?}"));
+        self.start(&disturbance).await?;
+        let duration = match disturbance.kind {
+            DisturbanceKind::Drain => STOP_TIMEOUT,
+            DisturbanceKind::NewVersion => return Ok(()),
+            _ => disturbance.duration,
         };
-        self.under_way.push((now + lasts, disturbance));
+        self.active.push((now + duration, disturbance));
         Ok(())
     }
 
-    /// One disturbance per target, a bounded number at a time, and one entry host that is left
-    /// alone, as the balancer must have one to send to.
-    fn may_begin(&self, wanted: &Disturbance) -> bool {
-        let is_entry = |target| matches!(target, FaultTarget::Entry(_));
-        let mut targets = self.under_way.iter().map(|(_, other)| other.target);
+    /// Returns whether `candidate` is allowed: it must not exceed the maximum number of concurrent
+    /// disturbances, its target must have none yet, and one entry host must stay undisturbed, so
+    /// that the balancer has one to send to.
+    fn may_start(&self, candidate: &Disturbance) -> bool {
+        let is_entry = |target| matches!(target, DisturbanceTarget::Entry(_));
+        let mut targets = self.active.iter().map(|(_, other)| other.target);
         let entries = targets.clone().filter(|target| is_entry(*target)).count();
         let entries_left = self.system.entries.len() - entries;
-        self.under_way.len() < AT_A_TIME_MAX
-            && !targets.any(|target| target == wanted.target)
-            && (!is_entry(wanted.target) || entries_left > 1)
+        self.active.len() < MAX_ACTIVE
+            && !targets.any(|target| target == candidate.target)
+            && (!is_entry(candidate.target) || entries_left > 1)
     }
 
-    async fn begin(&mut self, disturbance: &Disturbance) -> SwitchResult<()> {
-        let Disturbance { target, deed, .. } = *disturbance;
-        if deed.is_stand_in_fault() {
-            return self.set_faults(target, faults_of(deed)).await;
+    /// Starts a disturbance.
+    async fn start(&mut self, disturbance: &Disturbance) -> SwitchResult<()> {
+        let Disturbance { target, kind, .. } = *disturbance;
+        if kind.is_stand_in_fault() {
+            return self.set_faults(target, fault_settings(kind)).await;
         }
-        if deed == FaultDeed::NewVersion {
-            return self.put_version().await;
+        if kind == DisturbanceKind::NewVersion {
+            return self.update_weights().await;
         }
-        if let (FaultTarget::Entry(place), true) = (target, deed != FaultDeed::Drain) {
-            self.board.begin_disturbance(place);
+        if let (DisturbanceTarget::Entry(index), true) = (target, kind != DisturbanceKind::Drain) {
+            self.board.begin_disturbance(index);
         }
         let process = self.process(target);
-        match deed {
-            FaultDeed::Kill => process.kill().await,
-            FaultDeed::Freeze => process.freeze(),
+        match kind {
+            DisturbanceKind::Kill => process.kill().await,
+            DisturbanceKind::Freeze => process.freeze(),
             _ => process.ask_to_stop(),
         }
-        // The platform may or may not have listed a leaving host as such by then.
-        if let (FaultTarget::Host(place), FaultDeed::Drain) = (target, deed)
+        // In half of the cases, the platform lists the host as leaving from the start.
+        if let (DisturbanceTarget::Host(index), DisturbanceKind::Drain) = (target, kind)
             && self.random.random_range(0..2) == 0
         {
-            self.system.backends[place].listed = ListedState::Leaving;
+            self.system.backends[index].listed = ListedState::Leaving;
             self.system.publish_list().await?;
         }
         Ok(())
     }
 
+    /// Undoes the disturbances that are due, or whose graceful stop has ended.
     async fn undo_due(&mut self, now: ClockTime) -> SwitchResult<()> {
-        let mut at = 0;
-        while at < self.under_way.len() {
-            let (due, disturbance) = self.under_way[at];
-            let is_over = match disturbance.deed {
-                FaultDeed::Drain => self.stop_is_over(disturbance.target, due, now),
+        let mut index = 0;
+        while index < self.active.len() {
+            let (due, disturbance) = self.active[index];
+            let has_ended = match disturbance.kind {
+                DisturbanceKind::Drain => self.stop_has_ended(disturbance.target, due, now),
                 _ => now >= due,
             };
-            if is_over {
-                self.under_way.remove(at);
+            if has_ended {
+                self.active.remove(index);
                 self.undo(&disturbance).await?;
             } else {
-                at += 1;
+                index += 1;
             }
         }
         Ok(())
     }
 
-    fn stop_is_over(&mut self, target: FaultTarget, due: ClockTime, now: ClockTime) -> bool {
+    /// Returns whether a graceful stop has ended or timed out, and records a failed one.
+    fn stop_has_ended(
+        &mut self,
+        target: DisturbanceTarget,
+        due: ClockTime,
+        now: ClockTime,
+    ) -> bool {
         let process = self.process(target);
         let name = process.name().to_owned();
         match process.ended() {
             Some(true) => true,
             Some(false) => {
-                self.tally.bad_stops.push(format!("{name} ended in error"));
+                self.record.bad_stops.push(format!("{name} ended in error"));
                 true
             }
             None if now >= due => {
-                let finding = format!("{name} did not end within {STOP_WITHIN:?}");
-                self.tally.bad_stops.push(finding);
+                let failure = format!("{name} did not end within {STOP_TIMEOUT:?}");
+                self.record.bad_stops.push(failure);
                 true
             }
             None => false,
         }
     }
 
+    /// Undoes a disturbance.
     async fn undo(&mut self, disturbance: &Disturbance) -> SwitchResult<()> {
-        let Disturbance { target, deed, .. } = *disturbance;
-        self.note(&format!("undone: {disturbance:?}"));
-        match (deed, target) {
-            (FaultDeed::Freeze, _) => {
+        let Disturbance { target, kind, .. } = *disturbance;
+        self.add_to_timeline(&format!("undone: {disturbance:?}"));
+        match (kind, target) {
+            (DisturbanceKind::Freeze, _) => {
                 self.process(target).thaw();
-                if let FaultTarget::Entry(place) = target {
-                    self.board.end_disturbance(place);
+                if let DisturbanceTarget::Entry(index) = target {
+                    self.board.end_disturbance(index);
                 }
                 Ok(())
             }
-            (FaultDeed::Kill | FaultDeed::Drain, FaultTarget::Host(place)) => {
-                self.system.restart_host(place).await
+            (DisturbanceKind::Kill | DisturbanceKind::Drain, DisturbanceTarget::Host(index)) => {
+                self.system.restart_host(index).await
             }
-            (FaultDeed::Kill | FaultDeed::Drain, FaultTarget::Entry(place)) => {
-                self.system.restart_entry(place).await?;
+            (DisturbanceKind::Kill | DisturbanceKind::Drain, DisturbanceTarget::Entry(index)) => {
+                self.system.restart_entry(index).await?;
                 self.board
-                    .replace(place, self.system.entries[place].caller()?);
-                if deed == FaultDeed::Kill {
-                    self.board.end_disturbance(place);
+                    .replace(index, self.system.entries[index].caller()?);
+                if kind == DisturbanceKind::Kill {
+                    self.board.end_disturbance(index);
                 }
                 Ok(())
             }
-            (FaultDeed::Kill, FaultTarget::Engine(place)) => {
-                self.system.restart_engine(place).await
+            (DisturbanceKind::Kill, DisturbanceTarget::Engine(index)) => {
+                self.system.restart_engine(index).await
             }
             _ => self.set_faults(target, FaultSettings::default()).await,
         }
     }
 
-    fn process(&mut self, target: FaultTarget) -> &mut ChildProcess {
+    /// Returns the process of `target`; that of the weights origin for the document.
+    fn process(&mut self, target: DisturbanceTarget) -> &mut ChildProcess {
         let system = &mut *self.system;
         match target {
-            FaultTarget::Entry(place) => &mut system.entries[place].process,
-            FaultTarget::Host(place) => &mut system.backends[place].process,
-            FaultTarget::Engine(place) => &mut system.backends[place].engine,
-            FaultTarget::Table => &mut system.table,
-            FaultTarget::List => &mut system.list,
-            FaultTarget::Origin | FaultTarget::Document => &mut system.origin,
+            DisturbanceTarget::Entry(index) => &mut system.entries[index].process,
+            DisturbanceTarget::Host(index) => &mut system.backends[index].process,
+            DisturbanceTarget::Engine(index) => &mut system.backends[index].engine,
+            DisturbanceTarget::Table => &mut system.table,
+            DisturbanceTarget::HostList => &mut system.list,
+            DisturbanceTarget::Origin | DisturbanceTarget::Document => &mut system.origin,
         }
     }
 
-    fn note(&mut self, what: &str) {
+    /// Adds an entry with the current wall-clock time to the timeline.
+    fn add_to_timeline(&mut self, what: &str) {
         let at = wall_now().0;
-        self.tally.timeline.push(format!("{at} {what}"));
+        self.record.timeline.push(format!("{at} {what}"));
     }
 
-    async fn set_faults(&mut self, target: FaultTarget, faults: FaultSettings) -> SwitchResult<()> {
+    async fn set_faults(
+        &mut self,
+        target: DisturbanceTarget,
+        faults: FaultSettings,
+    ) -> SwitchResult<()> {
         LabSystem::set_faults(self.process(target), faults).await
     }
 
-    /// Publishes weights and puts them into the document. A put that is not accepted, as in an
-    /// outage of the table, is left at that.
-    async fn put_version(&mut self) -> SwitchResult<()> {
-        let number = self.tally.versions.len() as u64 + 1;
+    /// Publishes a new version of the weights and sets it as target, unless the origin is
+    /// disturbed. An update that is not accepted, as during a table outage, is not retried.
+    async fn update_weights(&mut self) -> SwitchResult<()> {
+        let number = self.record.versions.len() as u64 + 1;
         let name = format!("weights-{number}");
-        let origin_answers = !self
-            .under_way
+        let is_origin_undisturbed = !self
+            .active
             .iter()
-            .any(|(_, other)| other.target == FaultTarget::Origin);
-        if !origin_answers {
+            .any(|(_, other)| other.target == DisturbanceTarget::Origin);
+        if !is_origin_undisturbed {
             return Ok(());
         }
         let manifest = self
             .system
             .publish_weights(&name, WEIGHTS_BYTES, number)
             .await?;
-        self.tally.versions.push(manifest.digest);
+        self.record.versions.push(manifest.digest);
         let version = format!("v{number}");
         let document = self
             .system
             .names
             .model_document(&version, &name, &manifest.digest);
-        let place = self.random.random_range(0..self.system.entries.len());
-        let admin = self.system.entries[place].admin()?;
-        let put = put_document(admin, &document, self.document_version, PUT_WITHIN).await;
+        let index = self.random.random_range(0..self.system.entries.len());
+        let admin = self.system.entries[index].admin()?;
+        let put = put_document(admin, &document, self.document_version, PUT_TIMEOUT).await;
         match put {
             Ok(()) => self.document_version += 1,
-            Err(error) => self.note(&format!("{version} not accepted: {error}")),
+            Err(error) => self.add_to_timeline(&format!("{version} not accepted: {error}")),
         }
         Ok(())
     }
 }
 
-fn faults_of(deed: FaultDeed) -> FaultSettings {
+/// Returns the stand-in settings that implement `kind`; no faults for the other kinds.
+fn fault_settings(kind: DisturbanceKind) -> FaultSettings {
     let none = FaultSettings::default();
-    match deed {
-        FaultDeed::Down => FaultSettings { down: true, ..none },
-        FaultDeed::Slow => FaultSettings {
+    match kind {
+        DisturbanceKind::Down => FaultSettings { down: true, ..none },
+        DisturbanceKind::Slow => FaultSettings {
             slow_ms: SLOW_MS,
             ..none
         },
-        FaultDeed::LoseAnswers => FaultSettings {
+        DisturbanceKind::LoseAnswers => FaultSettings {
             lost_answers_percent: 50,
             ..none
         },
-        FaultDeed::SilenceOpen => FaultSettings {
+        DisturbanceKind::SilenceOpen => FaultSettings {
             silence_open: true,
             ..none
         },
-        FaultDeed::Lag => FaultSettings {
+        DisturbanceKind::Lag => FaultSettings {
             lag_ms: LAG_MS,
             ..none
         },
-        FaultDeed::BadChunks => FaultSettings {
+        DisturbanceKind::BadChunks => FaultSettings {
             corrupt_percent: 20,
             stall_percent: 10,
             short_percent: 10,
             limit_percent: 20,
             ..none
         },
-        FaultDeed::BadStreams => FaultSettings {
+        DisturbanceKind::BadStreams => FaultSettings {
             cut_streams_percent: 30,
             crossed_percent: 30,
             cache_gap_percent: 30,
             ..none
         },
-        FaultDeed::Refuse => FaultSettings {
+        DisturbanceKind::Refuse => FaultSettings {
             refuse: true,
             ..none
         },
-        FaultDeed::Kill | FaultDeed::Freeze | FaultDeed::Drain | FaultDeed::NewVersion => none,
+        DisturbanceKind::Kill
+        | DisturbanceKind::Freeze
+        | DisturbanceKind::Drain
+        | DisturbanceKind::NewVersion => none,
     }
 }
--- a/src/lab/faults/fault_run.rs
+++ b/src/lab/faults/fault_run.rs
@@ -1,4 +1,4 @@
-//! One run: the system, the load, the disturbances, the verdict.
+//! One run: starts the system, applies load and disturbances, and evaluates the calls.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -8,29 +8,29 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use super::fault_driver::{FaultDriver, FaultTally};
+use super::fault_driver::{DisturbanceRecord, FaultDriver};
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::calls::{CallClass, CallCounts, CallJudge, CallRunner, FinishedCall};
 use crate::lab::launch::{Company, LabSystem, SystemShape};
 use crate::lab::quickstart::{first_spread, plain_runs, start_runner, wait_until_served};
 
-/// Short, so that leases lapse and change hands often; shorter than the longest freeze and outage.
-/// Long, so that kills and freezes meet calls that run.
-const SERVICE_MS: u64 = 150;
-/// How long the load goes on when nothing is disturbed any more.
-const CALM: Duration = Duration::from_secs(2);
+/// Service time of a call, in milliseconds; long, so that kills and freezes hit running calls.
+const SERVICE_TIME_MS: u64 = 150;
+/// How long the load continues after all disturbances are undone.
+const COOL_DOWN: Duration = Duration::from_secs(2);
 
-/// What is to be run.
+/// Settings of a run, from the command line.
 pub(super) struct FaultRun {
     pub(super) company: Company,
     pub(super) seed: u64,
-    pub(super) span: Duration,
+    pub(super) duration: Duration,
     pub(super) rate: u64,
-    pub(super) only: Vec<String>,
+    pub(super) only_kinds: Vec<String>,
     pub(super) prints_json: bool,
     pub(super) logs: Option<PathBuf>,
 }
 
+/// The results of a run. The field names are the keys of the printed JSON.
 #[derive(Serialize)]
 struct FaultReport {
     seed: u64,
@@ -45,16 +45,21 @@
 }
 
 impl FaultReport {
+    /// Returns whether every check held.
     const fn all_held(&self) -> bool {
         self.counts.all_held() && self.bad_stops.is_empty()
     }
 }
 
 impl FaultRun {
-    /// Runs it; whether all that must hold did.
+    /// Carries out the run and prints its report. Returns whether every check held.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system cannot be started or disturbed, or the `--logs` file not be written.
     pub(super) async fn run(self) -> SwitchResult<bool> {
         let shape = SystemShape {
-            service_ms: SERVICE_MS,
+            service_ms: SERVICE_TIME_MS,
             ..SystemShape::small(self.company)
         };
         let mut system = LabSystem::start(shape, || {}).await?;
@@ -63,7 +68,8 @@
             let timeline = outcome.as_ref().map(|report| report.timeline.join("\n"));
             let text = format!("{}\n{}", timeline.unwrap_or_default(), system.logs().await);
             let written = std::fs::write(path, text);
-            written.map_err(|fault| failed(format!("--logs: {}: {fault}", path.display())))?;
+            written
+                .map_err(|fault| internal_error(format!("--logs: {}: {fault}", path.display())))?;
         }
         system.end().await;
         let report = outcome?;
@@ -71,46 +77,56 @@
         Ok(report.all_held())
     }
 
+    /// Applies load and disturbances to `system` and evaluates the calls.
     async fn disturb(&self, system: &mut LabSystem) -> SwitchResult<FaultReport> {
-        let first = first_spread(system).await?;
+        let first_weights = first_spread(system).await?;
         let runner = start_runner(system)?;
         let probing = tokio::spawn(runner.board.clone().keep_probing());
         wait_until_served(&runner, &CallClass::ALL).await?;
         let (stop, stopped) = watch::channel(false);
         let load = tokio::spawn(send_load(runner.clone(), self.rate, stopped));
-        let driver = FaultDriver::new(system, runner.board.clone(), self.seed, first.digest)
-            .only(self.only.clone());
-        let tally = driver.run(self.span).await?;
-        tokio::time::sleep(CALM).await;
+        let driver = FaultDriver::new(
+            system,
+            runner.board.clone(),
+            self.seed,
+            first_weights.digest,
+        )
+        .only_kinds(self.only_kinds.clone());
+        let record = driver.run(self.duration).await?;
+        tokio::time::sleep(COOL_DOWN).await;
         let _ = stop.send(true);
-        let calls = load.await.map_err(|fault| failed(fault.to_string()))?;
+        let calls = load
+            .await
+            .map_err(|fault| internal_error(fault.to_string()))?;
         probing.abort();
-        self.judge(system, &runner, &calls, tally).await
+        self.judge(system, &runner, &calls, record).await
     }
 
+    /// Checks the finished calls against what the plain services recorded.
     async fn judge(
         &self,
         system: &LabSystem,
         runner: &CallRunner,
         calls: &[FinishedCall],
-        tally: FaultTally,
+        record: DisturbanceRecord,
     ) -> SwitchResult<FaultReport> {
         let judge = CallJudge {
-            versions: tally.versions,
+            versions: record.versions,
             runs: plain_runs(system).await?,
             board: runner.board.clone(),
         };
         Ok(FaultReport {
             seed: self.seed,
-            seconds: self.span.as_secs(),
+            seconds: self.duration.as_secs(),
             counts: judge.judge(calls),
-            disturbances: tally.deeds,
+            disturbances: record.counts,
             versions: judge.versions.len(),
-            bad_stops: tally.bad_stops,
-            timeline: tally.timeline,
+            bad_stops: record.bad_stops,
+            timeline: record.timeline,
         })
     }
 
+    /// Prints the report to standard output.
     fn print(&self, report: &FaultReport) {
         if self.prints_json {
             let text = serde_json::to_string_pretty(report);
@@ -130,8 +146,8 @@
     }
 }
 
-/// Sends `rate` calls a second, each class in turn, whether earlier ones are answered or not, until
-/// it is told to stop; then waits for the last answers.
+/// Starts `rate` calls per second, of each class in turn, without waiting for earlier calls, until
+/// `stopped` is true; then waits for the calls still running and returns all calls.
 async fn send_load(
     runner: CallRunner,
     rate: u64,
@@ -139,19 +155,19 @@
 ) -> Vec<FinishedCall> {
     let pause = Duration::from_secs(1) / u32::try_from(rate).unwrap_or(u32::MAX);
     let mut ticks = tokio::time::interval(pause);
-    let mut under_way = JoinSet::new();
+    let mut running = JoinSet::new();
     let mut number = 0;
     let classes = CallClass::ALL;
     while !*stopped.borrow() {
         ticks.tick().await;
         let class = classes[usize::try_from(number).unwrap_or(0) % classes.len()];
         let runner = runner.clone();
-        under_way.spawn(async move { runner.run(class, number).await });
+        running.spawn(async move { runner.run(class, number).await });
         number += 1;
     }
-    under_way.join_all().await
+    running.join_all().await
 }
 
-fn failed(text: String) -> SwitchError {
+fn internal_error(text: String) -> SwitchError {
     SwitchError::new(ErrorKind::Internal, text)
 }
--- a/src/lab/faults/mod.rs
+++ b/src/lab/faults/mod.rs
@@ -1,5 +1,5 @@
-//! Real processes under random kills, freezes, outages, drains and changes of version, with every
-//! answer checked.
+//! `savory-lab faults`: disturbs a running system under load with random kills, freezes, outages,
+//! graceful stops and new weights versions, and checks the outcome of every call.
 
 mod command;
 mod disturbance;
