--- a/src/lab/documents/documents_run.rs
+++ b/src/lab/documents/documents_run.rs
@@ -46,7 +46,7 @@
 ) -> SwitchResult<DocumentsReport> {
     let mut run = DocumentsRun::start(settings).await?;
     for change in 0..settings.change_count {
-        run.change(change).await?;
+        run.run_change(change).await?;
     }
     run.finish().await
 }
@@ -146,14 +146,14 @@
             available_since: clock_now(),
             host,
         };
-        let known = self
+        let existing = self
             .processes
             .iter_mut()
-            .find(|known| known.host == process.host);
-        match known {
-            Some(known) => {
-                known.watch_task.abort();
-                *known = process;
+            .find(|existing| existing.host == process.host);
+        match existing {
+            Some(existing) => {
+                existing.watch_task.abort();
+                *existing = process;
             }
             None => self.processes.push(process),
         }
@@ -166,8 +166,9 @@
         }
     }
 
-    /// Submits change number `change` with a drawn fault, and waits until it is in force.
-    async fn change(&mut self, change: u64) -> SwitchResult<()> {
+    /// Submits change number `change`, with a drawn fault if faults are injected, and waits until
+    /// it is in force if it was accepted.
+    async fn run_change(&mut self, change: u64) -> SwitchResult<()> {
         let fault = if self.settings.injects_faults {
             ChangeFault::draw(&mut self.random)
         } else {
--- a/src/lab/faults/fault_driver.rs
+++ b/src/lab/faults/fault_driver.rs
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a disturbance cannot be started or undone.
+    /// Fails if the lab cannot start or undo a disturbance.
     pub(super) async fn run(mut self, duration: Duration) -> SwitchResult<DisturbanceRecord> {
         let started_at = clock_now();
         let mut next_disturbance_at = started_at;
@@ -174,7 +174,8 @@
             DisturbanceKind::Freeze => process.freeze(),
             _ => process.ask_to_stop(),
         }
-        // In half of the cases, the platform lists the host as leaving from the start.
+        // The platform may list a stopping host as leaving early or late; here, in half of the
+        // cases, it is listed at once.
         if let (DisturbanceTarget::Host(index), DisturbanceKind::Drain) = (target, kind)
             && self.random.random_range(0..2) == 0
         {
