--- a/src/lab/faults/fault_run.rs
+++ b/src/lab/faults/fault_run.rs
@@ -12,7 +12,9 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::calls::{CallClass, CallCounts, CallJudge, CallRunner, FinishedCall};
 use crate::lab::launch::{Company, LabSystem, SystemShape};
-use crate::lab::quickstart::{first_spread, plain_runs, start_runner, wait_until_served};
+use crate::lab::quickstart::{
+    new_call_runner, read_plain_calls, roll_out_first_version, wait_until_served,
+};
 
 /// Short, so that leases lapse and change hands often; shorter than the longest freeze and outage.
 /// Long, so that kills and freezes meet calls that run.
@@ -72,8 +74,8 @@
     }
 
     async fn disturb(&self, system: &mut LabSystem) -> SwitchResult<FaultReport> {
-        let first = first_spread(system).await?;
-        let runner = start_runner(system)?;
+        let first = roll_out_first_version(system).await?;
+        let runner = new_call_runner(system)?;
         let probing = tokio::spawn(runner.board.clone().keep_probing());
         wait_until_served(&runner, &CallClass::ALL).await?;
         let (stop, stopped) = watch::channel(false);
@@ -97,7 +99,7 @@
     ) -> SwitchResult<FaultReport> {
         let judge = CallJudge {
             versions: tally.versions,
-            runs: plain_runs(system).await?,
+            runs: read_plain_calls(system).await?,
             board: runner.board.clone(),
         };
         Ok(FaultReport {
--- a/src/lab/load/command.rs
+++ b/src/lab/load/command.rs
@@ -10,7 +10,7 @@
 use crate::errors::SwitchResult;
 use crate::lab::calls::CallClass;
 use crate::lab::launch::{Company, LabSystem, SystemShape};
-use crate::lab::quickstart::{first_spread, start_runner, wait_until_served};
+use crate::lab::quickstart::{new_call_runner, roll_out_first_version, wait_until_served};
 use crate::lab::run_lab;
 
 /// Engines slow enough that their places, not the machine, are what is short.
@@ -109,8 +109,8 @@
 }
 
 async fn measure(parts: &LoadParts<'_>, part: Option<&str>) -> SwitchResult<LoadReport> {
-    first_spread(parts.system).await?;
-    wait_until_served(&start_runner(parts.system)?, &[CallClass::Stream]).await?;
+    roll_out_first_version(parts.system).await?;
+    wait_until_served(&new_call_runner(parts.system)?, &[CallClass::Stream]).await?;
     let is_wanted = |name| part.is_none_or(|part| part == name);
     let mut report = LoadReport::default();
     report.machine_load.push(machine_load());
--- a/src/lab/mod.rs
+++ b/src/lab/mod.rs
@@ -82,7 +82,7 @@
     let outcome = runtime.block_on(async {
         tokio::select! {
             outcome = work => outcome,
-            () = stop_asked() => Err(SwitchError::new(ErrorKind::Internal, "asked to stop")),
+            () = wait_for_termination() => Err(SwitchError::new(ErrorKind::Internal, "asked to stop")),
         }
     });
     match outcome {
@@ -96,7 +96,7 @@
 }
 
 /// Returns when the process is asked to stop.
-pub(crate) async fn stop_asked() {
+pub(crate) async fn wait_for_termination() {
     let Ok(mut terminated) = signal(SignalKind::terminate()) else {
         return std::future::pending().await;
     };
--- a/src/lab/quickstart/mod.rs
+++ b/src/lab/quickstart/mod.rs
@@ -9,4 +9,6 @@
 
 pub(crate) use command::{quickstart_command, run_quickstart};
 pub(crate) use spread_watch::progress_bar;
-pub(crate) use steps::{first_spread, plain_runs, start_runner, wait_until_served};
+pub(crate) use steps::{
+    new_call_runner, read_plain_calls, roll_out_first_version, wait_until_served,
+};
--- a/src/lab/quickstart/show.rs
+++ b/src/lab/quickstart/show.rs
@@ -8,8 +8,8 @@
 use super::report::print_report;
 use super::spread_watch::progress_bar;
 use super::steps::{
-    ACCEPTED_WITHIN, WEIGHTS_BYTES, first_spread, plain_runs, spread, start_runner,
-    wait_until_served,
+    ACCEPTED_WITHIN, WEIGHTS_BYTES, new_call_runner, read_plain_calls, roll_out_first_version,
+    spread, wait_until_served,
 };
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::calls::{CallClass, CallJudge, CallRunner, FinishedCall};
@@ -55,8 +55,8 @@
     }
 
     async fn show(&self, system: &mut LabSystem) -> SwitchResult<bool> {
-        let first = first_spread(system).await?;
-        let runner = start_runner(system)?;
+        let first = roll_out_first_version(system).await?;
+        let runner = new_call_runner(system)?;
         let probing = tokio::spawn(runner.board.clone().keep_probing());
         wait_until_served(&runner, &CallClass::ALL).await?;
         let refused_well = check_bad_requests(system).await?;
@@ -66,7 +66,7 @@
         probing.abort();
         let judge = CallJudge {
             versions: vec![first.digest, second.digest],
-            runs: plain_runs(system).await?,
+            runs: read_plain_calls(system).await?,
             board: runner.board.clone(),
         };
         let counts = print_report(&judge, &calls);
--- a/src/lab/quickstart/steps.rs
+++ b/src/lab/quickstart/steps.rs
@@ -20,7 +20,7 @@
 
 /// Publishes the first weights, puts the documents of all services and waits until the engines
 /// serve them.
-pub(crate) async fn first_spread(system: &LabSystem) -> SwitchResult<PublishedManifest> {
+pub(crate) async fn roll_out_first_version(system: &LabSystem) -> SwitchResult<PublishedManifest> {
     let first = system
         .publish_weights("weights-1", WEIGHTS_BYTES, 1)
         .await?;
@@ -63,7 +63,7 @@
 }
 
 /// Callers of the system's entry hosts.
-pub(crate) fn start_runner(system: &LabSystem) -> SwitchResult<CallRunner> {
+pub(crate) fn new_call_runner(system: &LabSystem) -> SwitchResult<CallRunner> {
     let callers: SwitchResult<Vec<_>> = system.entries.iter().map(EntryNode::caller).collect();
     Ok(CallRunner {
         names: system.names,
@@ -93,7 +93,7 @@
 }
 
 /// What reached the plain services.
-pub(crate) async fn plain_runs(system: &LabSystem) -> SwitchResult<Vec<PlainCall>> {
+pub(crate) async fn read_plain_calls(system: &LabSystem) -> SwitchResult<Vec<PlainCall>> {
     let client = LabClient::default();
     let mut runs = Vec::new();
     for node in system
--- a/src/lab/stand_ins/command.rs
+++ b/src/lab/stand_ins/command.rs
@@ -95,7 +95,7 @@
     println!("listening {}", stand_in.address());
     // The servers catch the signals that ask for a stop, each for itself; a stand-in has nothing
     // to finish and ends at once.
-    crate::lab::stop_asked().await;
+    crate::lab::wait_for_termination().await;
     Ok(())
 }
 
