--- a/src/lab/quickstart/report.rs
+++ b/src/lab/quickstart/report.rs
@@ -1,19 +1,20 @@
-//! The table at the end of a quickstart.
+//! The table of results that a quickstart prints at its end.
 
 use std::time::Duration;
 
 use crate::lab::calls::{CallClass, CallCounts, CallJudge, FinishedCall};
 
-/// Prints one line for each class of calls, and what was found.
+/// Prints one line for each class of calls, the summary and the findings. Returns the counts of all
+/// calls.
 pub(super) fn print_report(judge: &CallJudge, calls: &[FinishedCall]) -> CallCounts {
     println!(
         "{:24}{:>7}{:>10}{:>10}{:>10}{:>10}{:>10}",
         "class", "calls", "answered", "not run", "unknown", "p50 ms", "max ms"
     );
     for class in CallClass::ALL {
-        let of_class = calls.iter().filter(|call| call.class == class);
-        let counts = judge.judge(of_class.clone());
-        let (middle, longest) = spans(of_class.map(|call| call.whole).collect());
+        let class_calls = calls.iter().filter(|call| call.class == class);
+        let counts = judge.judge(class_calls.clone());
+        let (median, maximum) = median_and_maximum(class_calls.map(|call| call.whole).collect());
         println!(
             "{:24}{:>7}{:>10}{:>10}{:>10}{:>10}{:>10}",
             class.name(),
@@ -21,8 +22,8 @@
             counts.answered,
             counts.refused,
             counts.not_known,
-            middle.as_millis(),
-            longest.as_millis()
+            median.as_millis(),
+            maximum.as_millis()
         );
     }
     let counts = judge.judge(calls);
@@ -33,9 +34,10 @@
     counts
 }
 
-fn spans(mut spans: Vec<Duration>) -> (Duration, Duration) {
-    spans.sort_unstable();
-    let middle = spans.get(spans.len() / 2).copied();
-    let longest = spans.last().copied();
-    (middle.unwrap_or_default(), longest.unwrap_or_default())
+/// The median and the maximum of `durations`; zero when there are none.
+fn median_and_maximum(mut durations: Vec<Duration>) -> (Duration, Duration) {
+    durations.sort_unstable();
+    let median = durations.get(durations.len() / 2).copied();
+    let maximum = durations.last().copied();
+    (median.unwrap_or_default(), maximum.unwrap_or_default())
 }
--- a/src/lab/quickstart/steps.rs
+++ b/src/lab/quickstart/steps.rs
@@ -1,9 +1,9 @@
-//! The steps that a quickstart shares with the measurements.
+//! Setup steps of the quickstart that the other measurements use as well.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::spread_watch::wait_for_spread;
+use super::rollout_watch::wait_for_rollout;
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::calls::{CallClass, CallOutcome, CallRunner, EntryBoard, LabCaller};
 use crate::lab::launch::{EntryNode, LabClient, LabSystem, put_document};
@@ -11,22 +11,28 @@
 use crate::weights::WeightsDigest;
 
 pub(super) const WEIGHTS_BYTES: usize = 4 * 1024 * 1024;
-pub(super) const ACCEPTED_WITHIN: Duration = Duration::from_secs(10);
-const SPREAD_WITHIN: Duration = Duration::from_secs(30);
-const SERVED_WITHIN: Duration = Duration::from_secs(20);
-const ANSWER_WITHIN: Duration = Duration::from_secs(30);
-const PATIENCE: Duration = Duration::from_secs(25);
-const WARM_UP_NUMBER: u64 = 1_000_000;
+pub(super) const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(30);
+const WARM_UP_TIMEOUT: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(25);
+/// Larger than the number of any call that the quickstart checks.
+const WARM_UP_CALL_NUMBER: u64 = 1_000_000;
 
-/// Publishes the first weights, puts the documents of all services and waits until the engines
-/// serve them.
+/// Publishes the first weights, puts the documents of all services and waits until the engines have
+/// loaded the weights. Returns the manifest of the weights.
+///
+/// # Errors
+///
+/// When the weights cannot be published, a document is not accepted, or an engine has not loaded
+/// the weights in time.
 pub(crate) async fn roll_out_first_version(system: &LabSystem) -> SwitchResult<PublishedManifest> {
-    let first = system
+    let manifest = system
         .publish_weights("weights-1", WEIGHTS_BYTES, 1)
         .await?;
-    put_documents(system, &first).await?;
-    spread(system, "v1", &first).await?;
-    Ok(first)
+    put_documents(system, &manifest).await?;
+    wait_until_loaded(system, "v1", &manifest).await?;
+    Ok(manifest)
 }
 
 async fn put_documents(system: &LabSystem, manifest: &PublishedManifest) -> SwitchResult<()> {
@@ -38,75 +44,90 @@
         names.portal_document(),
     ];
     for document in &documents {
-        put_document(admin, document, 0, ACCEPTED_WITHIN).await?;
+        put_document(admin, document, 0, ACCEPT_TIMEOUT).await?;
         eprintln!("document of {} accepted", document.service);
     }
     Ok(())
 }
 
-/// Waits until the engines serve `manifest`, and says how long it took.
-pub(super) async fn spread(
+/// Waits until the model engines have loaded the weights of `manifest`, and prints the
+/// elapsed time.
+pub(super) async fn wait_until_loaded(
     system: &LabSystem,
     version: &str,
     manifest: &PublishedManifest,
 ) -> SwitchResult<()> {
-    let places = system.backends_of(system.names.model);
+    let backend_indices = system.backends_of(system.names.model);
     let digest: WeightsDigest = manifest.digest;
-    let (taken, copies) =
-        wait_for_spread(system, &places, digest, manifest.size, SPREAD_WITHIN).await?;
+    let (elapsed, copies) = wait_for_rollout(
+        system,
+        &backend_indices,
+        digest,
+        manifest.size,
+        ROLLOUT_TIMEOUT,
+    )
+    .await?;
     eprintln!(
         "{version} on {} engines in {} ms, {copies:.2} copies read from the origin",
-        places.len(),
-        taken.as_millis()
+        backend_indices.len(),
+        elapsed.as_millis()
     );
     Ok(())
 }
 
-/// Callers of the system's entry hosts.
+/// A runner that sends calls to the entry hosts of `system`.
 pub(crate) fn new_call_runner(system: &LabSystem) -> SwitchResult<CallRunner> {
-    let callers: SwitchResult<Vec<_>> = system.entries.iter().map(EntryNode::caller).collect();
+    let caller_addresses: SwitchResult<Vec<_>> =
+        system.entries.iter().map(EntryNode::caller).collect();
     Ok(CallRunner {
         names: system.names,
-        board: EntryBoard::new(callers?),
-        caller: Arc::new(LabCaller::new(ANSWER_WITHIN)),
-        patience: PATIENCE,
+        board: EntryBoard::new(caller_addresses?),
+        caller: Arc::new(LabCaller::new(RESPONSE_TIMEOUT)),
+        patience: CALL_TIMEOUT,
     })
 }
 
-/// Waits until one call of each of `classes` has been answered.
+/// Waits until one call of each of `classes` has got a complete answer.
+///
+/// # Errors
+///
+/// `Internal` when a call has no complete answer after `WARM_UP_TIMEOUT`.
 pub(crate) async fn wait_until_served(
     runner: &CallRunner,
     classes: &[CallClass],
 ) -> SwitchResult<()> {
-    let first = CallRunner {
-        patience: SERVED_WITHIN,
+    let warm_up_runner = CallRunner {
+        patience: WARM_UP_TIMEOUT,
         ..runner.clone()
     };
     for class in classes.iter().copied() {
-        let call = first.run(class, WARM_UP_NUMBER).await;
-        let last = call.attempts.last().map(|attempt| &attempt.outcome);
-        if !matches!(last, Some(CallOutcome::Whole { .. })) {
-            return Err(failed(format!("no {} is answered: {last:?}", class.name())));
+        let call = warm_up_runner.run(class, WARM_UP_CALL_NUMBER).await;
+        let last_outcome = call.attempts.last().map(|attempt| &attempt.outcome);
+        if !matches!(last_outcome, Some(CallOutcome::Whole { .. })) {
+            return Err(internal_error(format!(
+                "no complete answer to a call of class {}: {last_outcome:?}",
+                class.name()
+            )));
         }
     }
     Ok(())
 }
 
-/// What reached the plain services.
+/// Reads the calls that reached the plain services.
 pub(crate) async fn read_plain_calls(system: &LabSystem) -> SwitchResult<Vec<PlainCall>> {
     let client = LabClient::default();
-    let mut runs = Vec::new();
+    let mut calls = Vec::new();
     for node in system
         .backends
         .iter()
         .filter(|node| node.dialect == "plain")
     {
         let address = node.engine.address("")?;
-        runs.extend(client.get::<Vec<PlainCall>>(address, "/lab/calls").await?);
+        calls.extend(client.get::<Vec<PlainCall>>(address, "/lab/calls").await?);
     }
-    Ok(runs)
+    Ok(calls)
 }
 
-fn failed(text: String) -> SwitchError {
+fn internal_error(text: String) -> SwitchError {
     SwitchError::new(ErrorKind::Internal, text)
 }
