--- a/src/lab/slopes/command.rs
+++ b/src/lab/slopes/command.rs
@@ -1,17 +1,17 @@
-//! The subcommand.
+//! The command line of `savory-lab slopes` and its printed report.
 
 use std::process::ExitCode;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::machine::{MachineCost, measure_machine};
-use super::run::{SlopesReport, measure_slopes};
+use super::decision_cost::{DecisionCost, measure_decisions};
+use super::measurement::{SlopesReport, measure_slopes};
 use crate::lab::run_lab;
 
-/// The subcommand.
+/// Defines the subcommand and its flags.
 pub(crate) fn slopes_command() -> Command {
     Command::new("slopes")
-        .about("Measures what control costs a daemon at several sizes; needs `ss` of iproute2")
+        .about("Measures the cost of control for a daemon at several sizes; needs `ss` of iproute2")
         .after_help("Example:\n  savory-lab slopes --json")
         .arg(
             Arg::new("seconds")
@@ -33,7 +33,7 @@
             Arg::new("decisions-only")
                 .long("decisions-only")
                 .action(ArgAction::SetTrue)
-                .help("Measure the decisions alone, without processes"),
+                .help("Measure only the decisions of the control thread, without processes"),
         )
         .arg(
             Arg::new("json")
@@ -43,19 +43,19 @@
         )
 }
 
-/// Runs it.
+/// Runs the measurements with the flags in `matches`, and prints the report.
 pub(crate) fn run_slopes(matches: &ArgMatches) -> ExitCode {
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or_default();
     let seconds = number("seconds");
     let largest = usize::try_from(number("largest")).unwrap_or(usize::MAX);
-    let is_json = matches.get_flag("json");
+    let prints_json = matches.get_flag("json");
     if matches.get_flag("decisions-only") {
-        print_machine(&measure_machine());
+        print_decision_costs(&measure_decisions());
         return ExitCode::SUCCESS;
     }
     run_lab(async move {
         let report = measure_slopes(seconds, largest).await?;
-        if is_json {
+        if prints_json {
             println!("{}", serde_json::to_string(&report).unwrap_or_default());
         } else {
             print_points(&report);
@@ -64,7 +64,7 @@
     })
 }
 
-fn print_machine(costs: &[MachineCost]) {
+fn print_decision_costs(costs: &[DecisionCost]) {
     for cost in costs {
         println!(
             "{:>5} hosts: a tick {:.1} us, a frame with its snapshot {:.1} us",
@@ -74,7 +74,7 @@
 }
 
 fn print_points(report: &SlopesReport) {
-    print_machine(&report.machine);
+    print_decision_costs(&report.machine);
     println!(
         "a request with its answer costs {:.0} bytes on the wire, a frame of an open stream {:.0}",
         report.transport.exchange_bytes, report.transport.frame_bytes
--- a/src/lab/slopes/run.rs
+++ b/src/lab/slopes/measurement.rs
@@ -1,4 +1,5 @@
-//! The points that are measured.
+//! Measures the cost of the control plane on systems of several sizes. Each system is started for
+//! its measurement and ended after it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,76 +7,84 @@
 use macro_rules_attribute::apply;
 use tokio::time::sleep;
 
-use super::machine::{MachineCost, measure_machine};
-use super::sample::{
-    ConnectionCount, ProcessorTime, growth, read_connections, read_processor, read_resident,
+use super::decision_cost::{DecisionCost, measure_decisions};
+use super::kernel_counters::{
+    ConnectionCounters, CpuTime, counter_increases, read_connections, read_cpu_time,
+    read_resident_kib,
 };
-use super::transports::{TransportCost, weigh_transports};
+use super::transport_cost::{TransportCost, measure_transport};
 use crate::derives::message;
 use crate::documents::ServiceDocument;
 use crate::errors::SwitchResult;
 use crate::lab::launch::{Company, LabSystem, SystemShape, put_document};
 
-/// After the start the list is read often; that is no part of the steady cost.
-const SETTLE: Duration = Duration::from_secs(25);
-const PUT_WITHIN: Duration = Duration::from_secs(20);
+/// Wait before a measurement: after the start the daemons read the host list more often than in
+/// steady state.
+const SETTLE_TIME: Duration = Duration::from_secs(25);
+const PUT_TIMEOUT: Duration = Duration::from_secs(20);
 const WEIGHTS_BYTES: usize = 64 * 1024;
-const CHANGES: u64 = 10;
-const CHANGE_PAUSE: Duration = Duration::from_millis(500);
+const CHANGE_COUNT: u64 = 10;
+const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What was measured.
+/// The results of all measurements.
 #[apply(message!)]
 pub(super) struct SlopesReport {
-    /// How long each point was measured.
+    /// How long each point was measured, in seconds.
     pub(super) seconds: u64,
-    /// What the control thread's decisions cost.
-    pub(super) machine: Vec<MachineCost>,
-    /// What one word costs, as an exchange and as a frame.
+    /// The cost of the control thread's decisions, for each number of hosts.
+    pub(super) machine: Vec<DecisionCost>,
+    /// Bytes on the wire of one message, as an exchange and as a frame.
     pub(super) transport: TransportCost,
-    /// Each point.
+    /// The cost at each measured point.
     pub(super) points: Vec<PointReport>,
 }
 
-/// One size of the system.
+/// The cost at one point: a system with given numbers of hosts, documents and client accounts.
 #[apply(message!)]
 pub(super) struct PointReport {
     pub(super) entries: usize,
     pub(super) workers: usize,
     pub(super) documents: usize,
-    /// In each document.
+    /// Client accounts in each document.
     pub(super) accounts: usize,
-    /// The mean over the daemons of each role, and the worst daemon.
+    /// The means over the daemons of each role, and the maximum of each figure over all daemons.
     pub(super) costs: Vec<RoleCost>,
-    /// Bytes on the wire that one change of a document costs a daemon on average.
+    /// Bytes on the wire between daemons, beyond the steady traffic, for each change of a document
+    /// and each daemon.
     pub(super) bytes_per_change: f64,
-    /// The size of one document's row, in bytes.
+    /// Length of the portal's document as JSON text, in bytes.
     pub(super) row_bytes: usize,
 }
 
-/// What control costs a daemon of a role.
+/// The cost of the control plane for a daemon of one role.
 #[apply(message!)]
 pub(super) struct RoleCost {
-    /// `entry` or `host`, or `worst`.
+    /// `entry`, `host`, or `worst` for the maxima.
     pub(super) role: String,
-    /// Bytes on the wire with headers, both directions, to and from other daemons.
+    /// Bytes per second on the wire, including headers, to and from other daemons.
     pub(super) peer_bytes_per_s: f64,
-    /// The same towards the table, other duties than documents included.
+    /// The same to and from the table, including its traffic for other purposes than documents.
     pub(super) table_bytes_per_s: f64,
-    /// The same towards the list of hosts.
+    /// The same to and from the host list.
     pub(super) list_bytes_per_s: f64,
-    /// Segments in both directions, to and from other daemons.
+    /// Segments per second, to and from other daemons.
     pub(super) messages_per_s: f64,
-    /// Percent of one core, of the thread for control state.
+    /// Processor time of the thread that owns the control state, in percent of one core.
     pub(super) control_core_percent: f64,
-    /// Percent of one core, of the whole process without requests.
+    /// Processor time of all threads, with no client requests, in percent of one core.
     pub(super) process_core_percent: f64,
-    /// Resident memory.
+    /// Resident memory in MiB.
     pub(super) resident_mb: f64,
 }
 
-/// Measures every point for `seconds` each; the largest has `largest` entry hosts.
+/// Measures every point for `seconds` each. The number of entry hosts doubles from 3 up to
+/// `largest` at most; documents and accounts are varied at 3 entry hosts.
+///
+/// # Errors
+///
+/// When a system does not start, a document is not accepted, or the counters cannot be read.
 pub(super) async fn measure_slopes(seconds: u64, largest: usize) -> SwitchResult<SlopesReport> {
-    let transport = weigh_words().await?;
+    let transport = measure_transport_alone().await?;
     let mut points = Vec::new();
     let mut entries = 3;
     while entries <= largest {
@@ -90,25 +99,25 @@
     }
     Ok(SlopesReport {
         seconds,
-        machine: measure_machine(),
+        machine: measure_decisions(),
         transport,
         points,
     })
 }
 
-/// What one word costs, on a system of its own.
-async fn weigh_words() -> SwitchResult<TransportCost> {
+/// Measures the cost of one message on a small system that is started only for it.
+async fn measure_transport_alone() -> SwitchResult<TransportCost> {
     let system = LabSystem::start(SystemShape::small(Company::Auroras), || {}).await?;
     put_documents(&system, 3, 10).await?;
-    let cost = weigh_transports(system.entries[0].process.address("peer")?).await;
+    let cost = measure_transport(system.entries[0].process.address("peer")?).await;
     system.end().await;
     cost
 }
 
-/// One daemon of the system.
+/// The process of one daemon of the system.
 struct Daemon {
     role: &'static str,
-    process: u32,
+    process_id: u32,
 }
 
 async fn measure_point(
@@ -124,10 +133,10 @@
         ..SystemShape::small(Company::Auroras)
     };
     let system = LabSystem::start(shape, || {}).await?;
-    let first = put_documents(&system, documents, accounts).await?;
-    sleep(SETTLE).await;
+    let portal = put_documents(&system, documents, accounts).await?;
+    sleep(SETTLE_TIME).await;
     let costs = measure_costs(&system, seconds).await?;
-    let bytes_per_change = measure_changes(&system, first.clone()).await?;
+    let bytes_per_change = measure_changes(&system, portal.clone()).await?;
     system.end().await;
     Ok(PointReport {
         entries,
@@ -136,21 +145,22 @@
         accounts,
         costs,
         bytes_per_change,
-        row_bytes: serde_json::to_vec(&first).map_or(0, |text| text.len()),
+        row_bytes: serde_json::to_vec(&portal).map_or(0, |text| text.len()),
     })
 }
 
-/// Puts the services' documents and others beside them; returns the portal's.
+/// Puts the documents of the three services, and copies of the portal's under other service names
+/// up to `count` documents, each with `accounts` accounts. Returns the portal's document.
 async fn put_documents(
     system: &LabSystem,
-    documents: usize,
+    count: usize,
     accounts: usize,
 ) -> SwitchResult<ServiceDocument> {
     let admin = system.entries[0].admin()?;
     let weights = system.publish_weights("weights", WEIGHTS_BYTES, 1).await?;
     let names = system.names;
     let portal = with_accounts(names.portal_document(), accounts);
-    let mut wanted = vec![
+    let mut documents = vec![
         with_accounts(
             names.model_document("v1", "weights", &weights.digest),
             accounts,
@@ -158,18 +168,19 @@
         with_accounts(names.desk_document(), accounts),
         portal.clone(),
     ];
-    for index in wanted.len()..documents {
-        wanted.push(ServiceDocument {
+    for index in documents.len()..count {
+        documents.push(ServiceDocument {
             service: format!("service-{index}").into(),
             ..portal.clone()
         });
     }
-    for document in &wanted {
-        put_document(admin, document, 0, PUT_WITHIN).await?;
+    for document in &documents {
+        put_document(admin, document, 0, PUT_TIMEOUT).await?;
     }
     Ok(portal)
 }
 
+/// Adds copies of the first account until `document` has `accounts` of them.
 fn with_accounts(mut document: ServiceDocument, accounts: usize) -> ServiceDocument {
     let first = document.accounts[0].clone();
     for index in document.accounts.len()..accounts {
@@ -186,8 +197,8 @@
     entries
         .chain(hosts)
         .filter_map(|(role, process)| {
-            let process = process.id()?;
-            Some(Daemon { role, process })
+            let process_id = process.id()?;
+            Some(Daemon { role, process_id })
         })
         .collect()
 }
@@ -206,53 +217,62 @@
     let peers = peer_addresses(system)?;
     let table = system.table.address("")?;
     let list = system.list.address("")?;
-    let processor = |daemon: &Daemon| read_processor(daemon.process);
+    let cpu_time = |daemon: &Daemon| read_cpu_time(daemon.process_id);
     let before = read_connections().await?;
-    let time_before: Vec<ProcessorTime> = daemons.iter().map(processor).collect();
+    let times_before: Vec<CpuTime> = daemons.iter().map(cpu_time).collect();
     sleep(Duration::from_secs(seconds)).await;
-    let grown = growth(&before, &read_connections().await?);
-    let time_after: Vec<ProcessorTime> = daemons.iter().map(processor).collect();
+    let increases = counter_increases(&before, &read_connections().await?);
+    let times_after: Vec<CpuTime> = daemons.iter().map(cpu_time).collect();
     let mut costs = Vec::new();
     for (index, daemon) in daemons.iter().enumerate() {
-        let of_daemon = || grown.iter().filter(|grown| grown.process == daemon.process);
-        let to_peers = |grown: &&ConnectionCount| peers.iter().any(|peer| grown.touches(*peer));
+        let of_daemon = || {
+            increases
+                .iter()
+                .filter(|increase| increase.process_id == daemon.process_id)
+        };
+        let to_peers =
+            |increase: &&ConnectionCounters| peers.iter().any(|peer| increase.involves(*peer));
         let rate = |count: u64| as_float(count) / as_float(seconds);
         let percent = |nanos: u64| rate(nanos) / 1e9 * 100.0;
-        let bytes = |fits: &dyn Fn(&&ConnectionCount) -> bool| {
+        let bytes = |filter: &dyn Fn(&&ConnectionCounters) -> bool| {
             rate(
                 of_daemon()
-                    .filter(fits)
-                    .map(ConnectionCount::wire_bytes)
+                    .filter(filter)
+                    .map(ConnectionCounters::wire_bytes)
                     .sum(),
             )
         };
         costs.push(RoleCost {
             role: daemon.role.to_owned(),
             peer_bytes_per_s: bytes(&to_peers),
-            table_bytes_per_s: bytes(&|grown| grown.touches(table)),
-            list_bytes_per_s: bytes(&|grown| grown.touches(list)),
+            table_bytes_per_s: bytes(&|increase| increase.involves(table)),
+            list_bytes_per_s: bytes(&|increase| increase.involves(list)),
             messages_per_s: rate(
                 of_daemon()
                     .filter(to_peers)
-                    .map(|grown| grown.segments)
+                    .map(|increase| increase.segments)
                     .sum(),
             ),
-            control_core_percent: percent(time_after[index].control - time_before[index].control),
-            process_core_percent: percent(time_after[index].whole - time_before[index].whole),
-            resident_mb: as_float(read_resident(daemon.process)) / 1024.0,
+            control_core_percent: percent(
+                times_after[index].control_ns - times_before[index].control_ns,
+            ),
+            process_core_percent: percent(
+                times_after[index].total_ns - times_before[index].total_ns,
+            ),
+            resident_mb: as_float(read_resident_kib(daemon.process_id)) / 1024.0,
         });
     }
-    Ok(by_role(&costs))
+    Ok(summarize_by_role(&costs))
 }
 
-/// The mean of each role and the worst of all.
-fn by_role(costs: &[RoleCost]) -> Vec<RoleCost> {
+/// The means of each role, and the maximum of each figure over all daemons.
+fn summarize_by_role(costs: &[RoleCost]) -> Vec<RoleCost> {
     let mut rows = Vec::new();
     for role in ["entry", "host"] {
-        let of_role: Vec<&RoleCost> = costs.iter().filter(|cost| cost.role == role).collect();
-        let count = as_float(u64::try_from(of_role.len()).unwrap_or(1).max(1));
+        let role_costs: Vec<&RoleCost> = costs.iter().filter(|cost| cost.role == role).collect();
+        let count = as_float(u64::try_from(role_costs.len()).unwrap_or(1).max(1));
         let mean = |field: fn(&RoleCost) -> f64| {
-            of_role.iter().map(|cost| field(cost)).sum::<f64>() / count
+            role_costs.iter().map(|cost| field(cost)).sum::<f64>() / count
         };
         rows.push(row(role, mean));
     }
@@ -261,6 +281,7 @@
     rows
 }
 
+/// Builds the row for `role` by applying `value` to the accessor of each figure.
 fn row(role: &str, value: impl Fn(fn(&RoleCost) -> f64) -> f64) -> RoleCost {
     RoleCost {
         role: role.to_owned(),
@@ -274,37 +295,43 @@
     }
 }
 
-/// Changes a document again and again; the bytes beyond the steady cost, for each change and daemon.
+/// Changes a document `CHANGE_COUNT` times. Returns the bytes between daemons beyond the steady
+/// traffic, for each change and daemon.
 async fn measure_changes(system: &LabSystem, mut document: ServiceDocument) -> SwitchResult<f64> {
-    let span = CHANGE_PAUSE * u32::try_from(CHANGES).unwrap_or(1);
-    let steady = peer_bytes(system, sleep(span)).await?;
+    let duration = CHANGE_INTERVAL * u32::try_from(CHANGE_COUNT).unwrap_or(1);
+    let steady_bytes = peer_bytes(system, sleep(duration)).await?;
     let admin = system.entries[0].admin()?;
     let mut outcome = Ok(());
-    let changing = async {
-        for version in 1..=CHANGES {
+    let changes = async {
+        for version in 1..=CHANGE_COUNT {
             document.accounts[0].requests_per_second += 1;
-            outcome = put_document(admin, &document, version, PUT_WITHIN).await;
-            sleep(CHANGE_PAUSE).await;
+            outcome = put_document(admin, &document, version, PUT_TIMEOUT).await;
+            sleep(CHANGE_INTERVAL).await;
         }
     };
-    let changed = peer_bytes(system, changing).await?;
+    let changed_bytes = peer_bytes(system, changes).await?;
     outcome?;
     let daemons = u64::try_from(daemons_of(system).len()).unwrap_or(1);
-    Ok((changed - steady) / as_float(CHANGES) / as_float(daemons))
+    Ok((changed_bytes - steady_bytes) / as_float(CHANGE_COUNT) / as_float(daemons))
 }
 
-/// Bytes on the wire between daemons during `span`, as all of them together count them.
-async fn peer_bytes(system: &LabSystem, span: impl Future<Output = ()>) -> SwitchResult<f64> {
+/// Bytes on the wire between daemons while `activity` runs, summed over the counters of all
+/// daemons: a byte counts both at its sender and at its receiver.
+async fn peer_bytes(system: &LabSystem, activity: impl Future<Output = ()>) -> SwitchResult<f64> {
     let daemons = daemons_of(system);
     let peers = peer_addresses(system)?;
     let before = read_connections().await?;
-    span.await;
-    let grown = growth(&before, &read_connections().await?);
-    let bytes = grown
+    activity.await;
+    let increases = counter_increases(&before, &read_connections().await?);
+    let bytes = increases
         .iter()
-        .filter(|grown| daemons.iter().any(|daemon| daemon.process == grown.process))
-        .filter(|grown| peers.iter().any(|peer| grown.touches(*peer)))
-        .map(ConnectionCount::wire_bytes)
+        .filter(|increase| {
+            daemons
+                .iter()
+                .any(|daemon| daemon.process_id == increase.process_id)
+        })
+        .filter(|increase| peers.iter().any(|peer| increase.involves(*peer)))
+        .map(ConnectionCounters::wire_bytes)
         .sum();
     Ok(as_float(bytes))
 }
