--- a/src/lab/mod.rs
+++ b/src/lab/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins and measurements; never deployed.
+//! The lab and load tool `savory-lab`: stand-ins for the platform, and measurements of the system
+//! against them. It is never deployed.
 
 pub(crate) mod calls;
 mod documents;
@@ -21,11 +22,12 @@
 
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 
-/// The program's main function.
+/// Runs `savory-lab` with the arguments of this process. Started under the name of a daemon, it
+/// runs that daemon.
 #[must_use]
 pub fn lab_main() -> ExitCode {
-    // `cargo run --bin savory-lab` builds no other program: started under a daemon's name, this one
-    // is that daemon.
+    // `cargo run --bin savory-lab` builds only this binary, which therefore has to serve as the
+    // daemons' binary as well.
     match std::env::args().next().as_deref() {
         Some("savory-entry") => return crate::entry::entry_main(),
         Some("savory-host") => return crate::host::host_main(),
@@ -67,22 +69,26 @@
         .subcommand(weights::weights_command())
 }
 
-/// Runs a measurement or a show on its own threads. Exit code 0 only if it says that all held. A
-/// signal ends it early, and with it every process that it started.
-pub(crate) fn run_lab(work: impl Future<Output = SwitchResult<bool>>) -> ExitCode {
-    let environment = env_logger::Env::default().default_filter_or("warn");
-    let _ = env_logger::Builder::from_env(environment).try_init();
+/// Runs the future of a subcommand on a new runtime. The exit code is 0 only if it returns `true`,
+/// that is, if all its checks passed. SIGINT or SIGTERM drops the future early, which also ends
+/// every process that it started.
+pub(crate) fn run_lab(subcommand: impl Future<Output = SwitchResult<bool>>) -> ExitCode {
+    let log_settings = env_logger::Env::default().default_filter_or("warn");
+    let _ = env_logger::Builder::from_env(log_settings).try_init();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
     let Ok(runtime) = runtime else {
-        eprintln!("savory-lab: cannot start its threads");
+        eprintln!("savory-lab: cannot start the threads of its runtime");
         return ExitCode::FAILURE;
     };
     let outcome = runtime.block_on(async {
         tokio::select! {
-            outcome = work => outcome,
-            () = wait_for_termination() => Err(SwitchError::new(ErrorKind::Internal, "asked to stop")),
+            outcome = subcommand => outcome,
+            () = wait_for_termination() => Err(SwitchError::new(
+                ErrorKind::Internal,
+                "stopped by a signal",
+            )),
         }
     });
     match outcome {
@@ -95,13 +101,14 @@
     }
 }
 
-/// Returns when the process is asked to stop.
+/// Returns when the process receives SIGINT or SIGTERM; never if no handler for SIGTERM can be
+/// installed.
 pub(crate) async fn wait_for_termination() {
-    let Ok(mut terminated) = signal(SignalKind::terminate()) else {
+    let Ok(mut sigterm) = signal(SignalKind::terminate()) else {
         return std::future::pending().await;
     };
     tokio::select! {
         _ = tokio::signal::ctrl_c() => {}
-        _ = terminated.recv() => {}
+        _ = sigterm.recv() => {}
     }
 }
