--- a/src/lab/faults/fault_run.rs
+++ b/src/lab/faults/fault_run.rs
@@ -12,7 +12,9 @@
 use crate::errors::{ErrorKind, SwitchError, SwitchResult};
 use crate::lab::calls::{CallClass, CallCounts, CallJudge, CallRunner, FinishedCall};
 use crate::lab::launch::{LabSystem, SampleCompany, SystemShape};
-use crate::lab::quickstart::{first_spread, plain_runs, start_runner, wait_until_served};
+use crate::lab::quickstart::{
+    new_call_runner, read_plain_calls, roll_out_first_version, wait_until_served,
+};
 
 /// Service time of a call, in milliseconds; long, so that kills and freezes hit running calls.
 const SERVICE_TIME_MS: u64 = 150;
@@ -79,8 +81,8 @@
 
     /// Applies load and disturbances to `system` and evaluates the calls.
     async fn disturb(&self, system: &mut LabSystem) -> SwitchResult<FaultReport> {
-        let first_weights = first_spread(system).await?;
-        let runner = start_runner(system)?;
+        let first_weights = roll_out_first_version(system).await?;
+        let runner = new_call_runner(system)?;
         let probing = tokio::spawn(runner.balancer.clone().keep_probing());
         wait_until_served(&runner, &CallClass::ALL).await?;
         let (stop, stopped) = watch::channel(false);
@@ -112,7 +114,7 @@
     ) -> SwitchResult<FaultReport> {
         let judge = CallJudge {
             versions: record.versions,
-            runs: plain_runs(system).await?,
+            runs: read_plain_calls(system).await?,
             balancer: runner.balancer.clone(),
         };
         Ok(FaultReport {
--- a/src/lab/load/command.rs
+++ b/src/lab/load/command.rs
@@ -11,7 +11,7 @@
 use crate::errors::SwitchResult;
 use crate::lab::calls::CallClass;
 use crate::lab::launch::{LabSystem, SampleCompany, SystemShape};
-use crate::lab::quickstart::{first_spread, start_runner, wait_until_served};
+use crate::lab::quickstart::{new_call_runner, roll_out_first_version, wait_until_served};
 use crate::lab::run_lab;
 
 /// Slots per engine. Slots and token rate are low enough that the engines limit the throughput, not
@@ -120,8 +120,8 @@
     measurement: &LoadMeasurement<'_>,
     part: Option<&str>,
 ) -> SwitchResult<LoadReport> {
-    first_spread(measurement.system).await?;
-    wait_until_served(&start_runner(measurement.system)?, &[CallClass::Stream]).await?;
+    roll_out_first_version(measurement.system).await?;
+    wait_until_served(&new_call_runner(measurement.system)?, &[CallClass::Stream]).await?;
     let is_selected = |name| part.is_none_or(|part| part == name);
     let mut report = LoadReport::default();
     report.machine_load.push(machine_load());
--- a/src/lab/stand_ins/command.rs
+++ b/src/lab/stand_ins/command.rs
@@ -99,7 +99,7 @@
     println!("listening {}", stand_in.address());
     // The HTTP server installs its own handler of the stop signals, so they don't end the process
     // by default. A stand-in has no work to complete and exits at once.
-    crate::lab::stop_asked().await;
+    crate::lab::wait_for_termination().await;
     Ok(())
 }
 
