--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -127,12 +127,12 @@
     let common = &settings.common;
     let identity = common.identity(HostRole::Entry, None);
     let own_status = StatusPublisher::new(identity.host.clone(), identity.incarnation);
-    let edges = ControlAdapters {
+    let adapters = ControlAdapters {
         table: common.table(),
         list: common.host_list(),
         client: client.clone(),
     };
-    let control = start_control(identity, edges, own_status.clone(), drain.clone());
+    let control = start_control(identity, adapters, own_status.clone(), drain.clone());
     (control, own_status)
 }
 
--- a/src/guard/run_endpoints.rs
+++ b/src/guard/run_endpoints.rs
@@ -41,7 +41,7 @@
     /// The gate between requests and changes of version.
     pub(crate) gate: ServingGate,
     /// Publishes the load of this process.
-    pub(crate) board: StatusPublisher,
+    pub(crate) publisher: StatusPublisher,
     /// State of the graceful shutdown.
     pub(crate) drain: DrainState,
 }
@@ -73,7 +73,7 @@
         incarnation: context.identity.incarnation,
         backend: context.backend,
         gate: context.gate,
-        board: context.board,
+        publisher: context.publisher,
         drain: context.drain,
         state: Mutex::new(state),
     });
@@ -150,7 +150,7 @@
         }
         set_gauge("guard_running", &shared.service, load.running.into());
         set_gauge("guard_waiting", &shared.service, load.waiting.into());
-        shared.board.update(|status| status.load = load);
+        shared.publisher.update(|status| status.load = load);
     }
 }
 
--- a/src/guard/shared.rs
+++ b/src/guard/shared.rs
@@ -35,7 +35,7 @@
     pub(crate) incarnation: u64,
     pub(crate) backend: LocalBackend,
     pub(crate) gate: ServingGate,
-    pub(crate) board: StatusPublisher,
+    pub(crate) publisher: StatusPublisher,
     pub(crate) drain: DrainState,
     pub(crate) state: Mutex<GuardState>,
 }
--- a/src/guard/tests/fakes.rs
+++ b/src/guard/tests/fakes.rs
@@ -82,12 +82,12 @@
             incarnation,
         };
         let drain = DrainState::new(Duration::ZERO, Duration::from_secs(10));
-        let board = StatusPublisher::new(host, incarnation);
+        let publisher = StatusPublisher::new(host, incarnation);
         let context = GuardContext {
             identity,
             backend,
             gate,
-            board,
+            publisher,
             drain: drain.clone(),
         };
         let limits = GuardLimits {
--- a/src/guard/tests/streams.rs
+++ b/src/guard/tests/streams.rs
@@ -112,12 +112,12 @@
     }
 
     fn read_cache_changes(&self, after: u64) -> BoxFuture<'_, SwitchResult<CacheChanges>> {
-        let news = CacheChanges {
+        let changes = CacheChanges {
             events: Vec::new(),
             next_cursor: after,
             has_gap: false,
         };
-        async move { Ok(news) }.boxed()
+        async move { Ok(changes) }.boxed()
     }
 }
 
--- a/src/host/daemon.rs
+++ b/src/host/daemon.rs
@@ -59,12 +59,17 @@
         let own_status = StatusPublisher::new(identity.host.clone(), identity.incarnation);
         let drain = common.drain_state();
         let client = Arc::new(PeerClient::new(ClientLimits::default()));
-        let edges = ControlAdapters {
+        let adapters = ControlAdapters {
             table: common.table(),
             list: common.host_list(),
             client: Arc::clone(&client),
         };
-        let control = start_control(identity.clone(), edges, own_status.clone(), drain.clone());
+        let control = start_control(
+            identity.clone(),
+            adapters,
+            own_status.clone(),
+            drain.clone(),
+        );
         let gate = ServingGate::default();
         let backend = backend_server(settings);
         let mut routes = probe_routes(drain.clone(), Arc::new(AtomicBool::new(true)))
@@ -87,11 +92,11 @@
                     .merge(weights.engine_routes());
             }
         }
-        let edges = GuardContext {
+        let context = GuardContext {
             identity,
             backend,
             gate,
-            board: own_status.clone(),
+            publisher: own_status.clone(),
             drain: drain.clone(),
         };
         let limits = GuardLimits {
@@ -99,7 +104,7 @@
             waiting_max: settings.waiting_max,
             engine_check: settings.engine_check,
         };
-        let guard = start_guard(edges, limits);
+        let guard = start_guard(context, limits);
         let run_routes = match pacer {
             Some(pacer) => meter_live_responses(guard.peer_routes(), pacer),
             None => guard.peer_routes(),
@@ -138,7 +143,7 @@
         Arc::new(HttpWeights(client))
     };
     let origin = settings.origin_address.map(source)?;
-    let edges = WeightsContext {
+    let context = WeightsContext {
         origin,
         store: settings.store_address.map(source),
         table: settings.common.table(),
@@ -146,14 +151,14 @@
         client: context.client,
         control: context.control,
         gate: context.gate,
-        board: context.own_status,
+        publisher: context.own_status,
         drain: context.drain,
     };
     let limits = WeightsLimits {
         link_bytes_per_second: settings.link_bytes_per_second,
         memory_bytes: settings.memory_bytes,
     };
-    Some(start_weights_tasks(edges, limits))
+    Some(start_weights_tasks(context, limits))
 }
 
 /// Creates the adapter for the backend server's dialect.
--- a/src/sync/peer_routes.rs
+++ b/src/sync/peer_routes.rs
@@ -30,7 +30,7 @@
 /// Waits until there is an urgent change for the querying process, for as long as the query allows.
 async fn await_urgent_changes(state: &SharedDeploymentState, query: &PeerQuery) {
     let mut changes = state.changes();
-    let news = async {
+    let urgent_update = async {
         while !state.read(|state| state.has_urgent_changes(query)) {
             if changes.changed().await.is_err() {
                 return;
@@ -39,7 +39,7 @@
     };
     let wait = Duration::from_millis(query.wait_ms).min(WAIT_MAX);
     // After a timeout the response contains the less urgent changes.
-    let _ = timeout(wait, news).await;
+    let _ = timeout(wait, urgent_update).await;
 }
 
 /// Merges target versions that only the querying process knows. This happens when all entry hosts
--- a/src/weights/activation_driver.rs
+++ b/src/weights/activation_driver.rs
@@ -254,7 +254,7 @@
             (None, _) => true,
             _ => false,
         };
-        self.context.board.update(|status| {
+        self.context.publisher.update(|status| {
             status.serving = serving;
             if is_done {
                 status.staging = None;
--- a/src/weights/fetch_worker.rs
+++ b/src/weights/fetch_worker.rs
@@ -307,7 +307,7 @@
             chunks_all: session.plan.held().count(),
         };
         self.context
-            .board
+            .publisher
             .update(|status| status.staging = Some(progress));
     }
 }
--- a/src/weights/weights_tasks.rs
+++ b/src/weights/weights_tasks.rs
@@ -41,7 +41,7 @@
     /// The gate that admits requests.
     pub(crate) gate: ServingGate,
     /// Publishes the version that this process serves.
-    pub(crate) board: StatusPublisher,
+    pub(crate) publisher: StatusPublisher,
     /// State of the graceful stop.
     pub(crate) drain: DrainState,
 }
