--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -53,7 +53,7 @@
     let settings = EntrySettings::read(&mut reader);
     match reader.finish(settings) {
         Ok(_) if is_check_only => {
-            println!("the settings are valid");
+            println!("the settings are fine");
             ExitCode::SUCCESS
         }
         Ok(settings) => {
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -39,7 +39,7 @@
             ExitCode::FAILURE
         }
         Ok(_) if is_check_only => {
-            println!("the settings are valid");
+            println!("the settings are fine");
             ExitCode::SUCCESS
         }
         Ok(settings) => {
